--- a/internal/claims/follow.go
+++ b/internal/claims/follow.go
@@ -146,7 +146,7 @@
 		restarts.Add(int(n))
 		c.o.Log.WithField("stream", c.stream).Warn("claim_window_trimmed")
 	}
-	if n := after.Backwards - before.Backwards; n > 0 {
+	if n := after.TimeRegressions - before.TimeRegressions; n > 0 {
 		c.o.Log.WithField("stream", c.stream).WithField("records", n).Warn("claim_log_time_backwards")
 	}
 }
@@ -204,7 +204,7 @@
 		return nil, err
 	}
 	unseen := replay.Clock().IsZero() && next > 1
-	if !unseen && replay.IsSure() {
+	if !unseen && replay.IsCertain() {
 		return replay, nil
 	}
 	if err := c.mark(ctx, replay); err != nil {
@@ -300,8 +300,8 @@
 	if replay != nil {
 		m.Era = replay.Era()
 	}
-	if replay != nil && !replay.Began().IsZero() {
-		m.SinceMs = replay.Began().UnixMilli()
+	if replay != nil && !replay.EraStart().IsZero() {
+		m.SinceMs = replay.EraStart().UnixMilli()
 	}
 	data, err := claim.Encode(claim.Record{Mark: &m})
 	if err != nil {
--- a/internal/core/admission/backoff.go
+++ b/internal/core/admission/backoff.go
@@ -25,13 +25,13 @@
 // drainTime is the time constant of Drain.
 const drainTime = 20 * time.Second
 
-// Drain measures how fast a pool takes work from its queue. Only time with a
+// DrainRate measures how fast a pool takes work from its queue. Only time with a
 // backlog counts: without one the rate would be that of the arrivals.
 //
 // The first moments of a backlog that follows a quiet time count for nothing: what
 // leaves then goes into room that upstreams had left, and would show many times the
 // lasting rate.
-type Drain struct {
+type DrainRate struct {
 	busy   bool
 	since  time.Time
 	from   time.Time // when the backlog's measure begins
@@ -41,8 +41,8 @@
 	wave   rate // cost of those refused lately, who will come back
 }
 
-// Backlog tells whether the queue holds anything from now on.
-func (d *Drain) Backlog(busy bool, now time.Time) {
+// SetBacklogged tells whether the queue holds anything from now on.
+func (d *DrainRate) SetBacklogged(busy bool, now time.Time) {
 	if d.busy {
 		d.time.add(max(now.Sub(later(d.since, d.from)), 0).Seconds(), now, drainTime)
 		d.end = now
@@ -67,22 +67,22 @@
 	return b
 }
 
-// Served counts the cost of an entry that left the queue to be served.
-func (d *Drain) Served(cost int, now time.Time) {
+// RecordServed counts the cost of an entry that left the queue to be served.
+func (d *DrainRate) RecordServed(cost int, now time.Time) {
 	if now.Before(d.from) {
 		return
 	}
 	d.tokens.add(float64(cost), now, drainTime)
 }
 
-// Refused counts the cost of a request that was told to come back.
-func (d *Drain) Refused(cost int, now time.Time) { d.wave.add(float64(cost), now, drainTime) }
+// RecordRefused counts the cost of a request that was told to come back.
+func (d *DrainRate) RecordRefused(cost int, now time.Time) { d.wave.add(float64(cost), now, drainTime) }
 
-// ComeBack returns the backlog to spread refused callers by: the queued cost and
+// RetryBacklog returns the backlog to spread refused callers by: the queued cost and
 // that of all who were refused lately, one second while no rate is known.
-func (d *Drain) ComeBack(queued int, now time.Time) time.Duration {
+func (d *DrainRate) RetryBacklog(queued int, now time.Time) time.Duration {
 	d.wave.decay(now, drainTime)
-	t, ok := d.Time(queued+int(d.wave.sum), now)
+	t, ok := d.DrainTime(queued+int(d.wave.sum), now)
 	if !ok {
 		return time.Second
 	}
@@ -92,9 +92,9 @@
 // minMeasured is the least busy time, in seconds, that gives a rate.
 const minMeasured = 0.05
 
-// Time returns how long a backlog takes; ok is false while nothing was measured.
-func (d *Drain) Time(cost int, now time.Time) (t time.Duration, ok bool) {
-	d.Backlog(d.busy, now)
+// DrainTime returns how long a backlog takes; ok is false while nothing was measured.
+func (d *DrainRate) DrainTime(cost int, now time.Time) (t time.Duration, ok bool) {
+	d.SetBacklogged(d.busy, now)
 	d.tokens.decay(now, drainTime)
 	d.time.decay(now, drainTime)
 	if d.time.sum < minMeasured || d.tokens.sum < 1 {
--- a/internal/core/admission/limiter.go
+++ b/internal/core/admission/limiter.go
@@ -180,8 +180,8 @@
 // It counts from the next Refresh on.
 func (l *Limiter) SetExpectedHosts(n int) { l.opts.ExpectedHosts = max(n, 1) }
 
-// Forget drops a host that has left for good, from the next Refresh on.
-func (l *Limiter) Forget(domain, host string) { delete(l.view.peers, digestKey{domain, host}) }
+// RemoveHost drops a host that has left for good, from the next Refresh on.
+func (l *Limiter) RemoveHost(domain, host string) { delete(l.view.peers, digestKey{domain, host}) }
 
 // Share returns this host's part of a node's limits. Zero in a field whose limit
 // is set means that nothing may enter here.
--- a/internal/core/admission/limiter_test.go
+++ b/internal/core/admission/limiter_test.go
@@ -137,7 +137,7 @@
 	if got := l.Share(n).RequestsInFlight; got != 20 {
 		t.Errorf("cut off from its 3 peers it takes %d of 80", got)
 	}
-	l.Forget("hal-a", "b")
+	l.RemoveHost("hal-a", "b")
 	l.SetExpectedHosts(3)
 	l.Refresh(start.Add(time.Minute))
 	if got := l.Share(n).RequestsInFlight; got < 26 || got > 27 {
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -172,8 +172,8 @@
 	return e
 }
 
-// Tick removes and returns the entries that can no longer meet their deadline.
-func (q *Queue) Tick(now time.Time) []*Entry {
+// Expire removes and returns the entries that can no longer meet their deadline.
+func (q *Queue) Expire(now time.Time) []*Entry {
 	var expired []*Entry
 	for len(q.expiry) > 0 && !now.Before(q.expiry[0].LatestStart) {
 		e := q.expiry[0]
@@ -191,10 +191,10 @@
 	return q.expiry[0].LatestStart, true
 }
 
-// Ahead estimates the cost that is served before an entry like e: all of the
+// CostAhead estimates the cost that is served before an entry like e: all of the
 // classes above, the customer's own backlog in the class, and of each other
 // customer as much as fair queueing lets pass meanwhile.
-func (q *Queue) Ahead(e *Entry) int {
+func (q *Queue) CostAhead(e *Entry) int {
 	priority := min(e.Priority, request.Bulk)
 	ahead := q.classes[priority].ahead(e)
 	for i := range q.classes[:priority] {
--- a/internal/core/admission/queue_test.go
+++ b/internal/core/admission/queue_test.go
@@ -49,7 +49,7 @@
 					}
 				}
 			case 7:
-				for _, e := range q.Tick(now) {
+				for _, e := range q.Expire(now) {
 					ok = ok && leave(e) && !now.Before(e.LatestStart)
 				}
 				if next, any := q.NextExpiry(); any && !next.After(now) {
@@ -259,7 +259,7 @@
 			q.Push(&Entry{ID: fmt.Sprint(i), Customer: fmt.Sprint(rng.IntN(5)), Weight: 1 + rng.IntN(2), Priority: request.Priority(rng.IntN(3)), Tokens: 1 + rng.IntN(100), LatestStart: start.Add(time.Hour)}, start)
 		}
 		e := &Entry{ID: "mine", Customer: "1", Priority: request.Priority(rng.IntN(3)), Weight: 1, Cost: 50, Tokens: 50, LatestStart: start.Add(time.Hour)}
-		ahead, served := q.Ahead(e), 0
+		ahead, served := q.CostAhead(e), 0
 		q.Push(e, start)
 		for p := q.Pop(always, start); p != e; p = q.Pop(always, start) {
 			served += p.Cost
@@ -294,24 +294,24 @@
 }
 
 func TestDrainCountsOnlyBusyTime(t *testing.T) {
-	var d Drain
-	if _, ok := d.Time(100, start); ok {
+	var d DrainRate
+	if _, ok := d.DrainTime(100, start); ok {
 		t.Error("an estimate out of nothing")
 	}
 	now := start
 	for range 100 {
-		d.Backlog(true, now)
+		d.SetBacklogged(true, now)
 		now = now.Add(10 * time.Millisecond)
-		d.Served(50, now) // 5000 tokens a second
-		d.Backlog(false, now)
+		d.RecordServed(50, now) // 5000 tokens a second
+		d.SetBacklogged(false, now)
 		now = now.Add(90 * time.Millisecond)
 	}
-	got, ok := d.Time(10_000, now)
+	got, ok := d.DrainTime(10_000, now)
 	if !ok || got < 1900*time.Millisecond || got > 2100*time.Millisecond {
 		t.Errorf("10000 tokens at 5000 a second take %v, %v", got, ok)
 	}
-	d.Refused(10_000, now)
-	if back := d.ComeBack(10_000, now); back < 2*got-time.Millisecond || back > 2*got+time.Millisecond {
+	d.RecordRefused(10_000, now)
+	if back := d.RetryBacklog(10_000, now); back < 2*got-time.Millisecond || back > 2*got+time.Millisecond {
 		t.Errorf("with as much refused come back after %v, want twice %v", back, got)
 	}
 }
--- a/internal/core/claim/model_test.go
+++ b/internal/core/claim/model_test.go
@@ -250,8 +250,8 @@
 // mark has a host show the log's time, and the era as it has read it.
 func (w *world) mark(h *modelHost) {
 	m := Mark{Host: h.name, Era: h.replay.Era()}
-	if !h.replay.Began().IsZero() {
-		m.SinceMs = h.replay.Began().UnixMilli()
+	if !h.replay.EraStart().IsZero() {
+		m.SinceMs = h.replay.EraStart().UnixMilli()
 	}
 	w.append(Record{Mark: &m})
 }
--- a/internal/core/claim/replay.go
+++ b/internal/core/claim/replay.go
@@ -87,9 +87,9 @@
 
 // Stats counts what a replay met.
 type Stats struct {
-	Undecodable int64 // records that were ignored
-	Restarts    int64 // holes in the offsets: earlier state was dropped
-	Backwards   int64 // records with a time before their forerunner's
+	Undecodable     int64 // records that were ignored
+	Restarts        int64 // holes in the offsets: earlier state was dropped
+	TimeRegressions int64 // records with a time before their forerunner's
 }
 
 // NewReplay returns the state before the first record of a stream whose log has never lost any.
@@ -123,12 +123,12 @@
 // Era returns the log's era that the replay is of.
 func (r *Replay) Era() int64 { return r.era }
 
-// Began returns the log time from which on the era is known to have lasted; zero while no Mark
+// EraStart returns the log time from which on the era is known to have lasted; zero while no Mark
 // has shown any, and in the first era.
-func (r *Replay) Began() time.Time { return r.began }
+func (r *Replay) EraStart() time.Time { return r.began }
 
-// IsSure reports whether the verdicts on claims that are recorded now are certain.
-func (r *Replay) IsSure() bool { return r.sure(r.clock) }
+// IsCertain reports whether the verdicts on claims that are recorded now are certain.
+func (r *Replay) IsCertain() bool { return r.sure(r.clock) }
 
 // Len returns the number of keys remembered.
 func (r *Replay) Len() int { return len(r.entries) }
@@ -192,7 +192,7 @@
 // window has passed.
 func (r *Replay) advance(at time.Time) {
 	if at.Before(r.clock) {
-		r.stats.Backwards++
+		r.stats.TimeRegressions++
 		return
 	}
 	r.clock = at
--- a/internal/core/ledger/actions.go
+++ b/internal/core/ledger/actions.go
@@ -6,7 +6,7 @@
 type Action interface{ action() }
 
 // ReserveOn asks the engine for memory; the result goes to ReserveAnswer.
-type ReserveOn struct{ Ask Ask }
+type ReserveOn struct{ Request ReserveRequest }
 
 // ReleaseOn asks the engine to free a reservation or an export; the result goes
 // to EndAnswer.
@@ -28,12 +28,12 @@
 type ReadBooks struct{ Engine string }
 
 // Grant tells the front that asked that the memory is held.
-type Grant struct{ Ask Ask }
+type Grant struct{ Request ReserveRequest }
 
 // Deny tells the front that asked that it has nothing. RetryAfter zero: asking
 // again does not help.
 type Deny struct {
-	Ask        Ask
+	Request    ReserveRequest
 	Reason     Reason
 	RetryAfter time.Duration
 }
--- a/internal/core/ledger/gather.go
+++ b/internal/core/ledger/gather.go
@@ -18,25 +18,25 @@
 
 // GatherOptions bounds a Gather. Zero fields take the defaults.
 type GatherOptions struct {
-	RoundLimit time.Duration // longest time that members are held while others are awaited; 2 s
-	Answer     time.Duration // an answer that takes longer is lost; 1 s
-	RetryEvery time.Duration // between two releases of the same member; 500 ms
-	BackoffMin time.Duration // first wait after a failed round, doubled each time; 100 ms
-	BackoffMax time.Duration // 3 s
+	RoundLimit    time.Duration // longest time that members are held while others are awaited; 2 s
+	AnswerTimeout time.Duration // an answer that takes longer is lost; 1 s
+	RetryEvery    time.Duration // between two releases of the same member; 500 ms
+	BackoffMin    time.Duration // first wait after a failed round, doubled each time; 100 ms
+	BackoffMax    time.Duration // 3 s
 }
 
 // Defaults of GatherOptions.
 const (
-	DefaultRoundLimit  = 2 * time.Second
-	DefaultAnswer      = time.Second
-	DefaultGatherRetry = 500 * time.Millisecond
-	DefaultBackoffMin  = 100 * time.Millisecond
-	DefaultBackoffMax  = 3 * time.Second
+	DefaultRoundLimit    = 2 * time.Second
+	DefaultAnswerTimeout = time.Second
+	DefaultGatherRetry   = 500 * time.Millisecond
+	DefaultBackoffMin    = 100 * time.Millisecond
+	DefaultBackoffMax    = 3 * time.Second
 )
 
 func (o GatherOptions) withDefaults() GatherOptions {
 	option.Default(&o.RoundLimit, DefaultRoundLimit)
-	option.Default(&o.Answer, DefaultAnswer)
+	option.Default(&o.AnswerTimeout, DefaultAnswerTimeout)
 	option.Default(&o.RetryEvery, DefaultGatherRetry)
 	option.Default(&o.BackoffMin, DefaultBackoffMin)
 	option.Default(&o.BackoffMax, DefaultBackoffMax)
@@ -56,14 +56,14 @@
 // Step is what the driver of a Gather has to do. It is one of the types below.
 type Step interface{ step() }
 
-// AskTurn asks the host that keeps the pool's turn; the result goes to Turn.
-type AskTurn struct{ Pool, Gang string }
+// AcquireTurn asks the host that keeps the pool's turn; the result goes to Turn.
+type AcquireTurn struct{ Pool, Gang string }
 
-// GiveTurn gives the turn back; its answer is not awaited.
-type GiveTurn struct{ Pool, Gang string }
+// ReleaseTurn gives the turn back; its answer is not awaited.
+type ReleaseTurn struct{ Pool, Gang string }
 
-// AskMember asks an engine's owner for a member; the result goes to Answer.
-type AskMember struct{ Ask Ask }
+// ReserveMember asks an engine's owner for a member; the result goes to Answer.
+type ReserveMember struct{ Request ReserveRequest }
 
 // ReleaseMember has an engine's owner release a member; a confirmation goes to
 // Released.
@@ -76,9 +76,9 @@
 // may still be owed: see Over.
 type GaveUp struct{ Reason Reason }
 
-func (AskTurn) step()       {}
-func (GiveTurn) step()      {}
-func (AskMember) step()     {}
+func (AcquireTurn) step()   {}
+func (ReleaseTurn) step()   {}
+func (ReserveMember) step() {}
 func (ReleaseMember) step() {}
 func (Gathered) step()      {}
 func (GaveUp) step()        {}
@@ -103,12 +103,12 @@
 
 type memberRef struct{ engine, id string }
 
-// Gather collects one gang, all or none. The front that needs the gang drives
+// Gatherer collects one gang, all or none. The front that needs the gang drives
 // it. Members are asked one after another in the order of the engines' names,
 // the same for every gang of the site, so two gangs never wait for each other in
 // a circle. What was asked for in a failed round is owed: it is released again
 // and again until its owner confirms, also when the answer to the ask was lost.
-type Gather struct {
+type Gatherer struct {
 	opts     GatherOptions
 	gang     Gang
 	rnd      *rand.Rand
@@ -120,11 +120,11 @@
 	owed     map[memberRef]time.Time // unconfirmed releases, by time of the next try
 }
 
-// NewGather returns a Gather that begins at the first Tick.
-func NewGather(opts GatherOptions, gang Gang, rnd *rand.Rand) *Gather {
+// NewGatherer returns a Gather that begins at the first Tick.
+func NewGatherer(opts GatherOptions, gang Gang, rnd *rand.Rand) *Gatherer {
 	gang.Members = slices.Clone(gang.Members)
 	slices.SortFunc(gang.Members, func(a, b Member) int { return strings.Compare(a.Engine, b.Engine) })
-	return &Gather{
+	return &Gatherer{
 		opts: opts.withDefaults(),
 		gang: gang,
 		rnd:  rnd,
@@ -133,17 +133,17 @@
 }
 
 // ReservationID returns the id of the present round's reservations.
-func (g *Gather) ReservationID() string {
+func (g *Gatherer) ReservationID() string {
 	return fmt.Sprintf("%s/%d", g.gang.Request, g.round)
 }
 
-// Over tells that the Gather has ended and owes no release.
-func (g *Gather) Over() bool {
+// Done tells that the Gather has ended and owes no release.
+func (g *Gatherer) Done() bool {
 	return g.phase >= gathered && len(g.owed) == 0
 }
 
 // Tick handles the passing of time: lost answers, retries and limits.
-func (g *Gather) Tick(now time.Time) []Step {
+func (g *Gatherer) Tick(now time.Time) []Step {
 	steps := g.repeatReleases(now)
 	if g.phase >= gathered {
 		return steps
@@ -161,10 +161,10 @@
 	switch g.phase {
 	case backingOff:
 		g.phase = wantTurn
-		g.wake = now.Add(g.opts.Answer)
-		return append(steps, AskTurn{Pool: g.gang.Pool, Gang: g.gang.Request})
+		g.wake = now.Add(g.opts.AnswerTimeout)
+		return append(steps, AcquireTurn{Pool: g.gang.Pool, Gang: g.gang.Request})
 	case wantTurn:
-		return append(steps, g.Turn(false, 0, now)...)
+		return append(steps, g.HandleTurnAnswer(false, 0, now)...)
 	case asking:
 		return append(steps, g.failRound(now)...) // the answer is lost
 	default:
@@ -172,8 +172,8 @@
 	}
 }
 
-// Next returns when Tick has something to do; zero: never again.
-func (g *Gather) Next() time.Time {
+// NextTick returns when Tick has something to do; zero: never again.
+func (g *Gatherer) NextTick() time.Time {
 	var next time.Time
 	if g.phase < gathered {
 		next = g.wake
@@ -186,8 +186,8 @@
 	return next
 }
 
-// Turn handles the answer to AskTurn.
-func (g *Gather) Turn(ok bool, wait time.Duration, now time.Time) []Step {
+// HandleTurnAnswer handles the answer to AskTurn.
+func (g *Gatherer) HandleTurnAnswer(ok bool, wait time.Duration, now time.Time) []Step {
 	if g.phase != wantTurn {
 		return nil
 	}
@@ -202,11 +202,11 @@
 	return g.askNext(now)
 }
 
-func (g *Gather) askNext(now time.Time) []Step {
+func (g *Gatherer) askNext(now time.Time) []Step {
 	g.phase = asking
-	g.wake = now.Add(g.opts.Answer)
+	g.wake = now.Add(g.opts.AnswerTimeout)
 	m := g.gang.Members[g.next]
-	return []Step{AskMember{Ask: Ask{
+	return []Step{ReserveMember{Request: ReserveRequest{
 		Engine:   m.Engine,
 		ID:       g.ReservationID(),
 		Request:  g.gang.Request,
@@ -218,7 +218,7 @@
 }
 
 // Granted handles a member's grant.
-func (g *Gather) Granted(ask Ask, now time.Time) []Step {
+func (g *Gatherer) Granted(ask ReserveRequest, now time.Time) []Step {
 	if !g.current(ask) {
 		return g.lateGrant(ask, now)
 	}
@@ -227,11 +227,11 @@
 		return g.askNext(now)
 	}
 	g.phase = gathered
-	return []Step{GiveTurn{Pool: g.gang.Pool, Gang: g.gang.Request}, Gathered{ID: ask.ID}}
+	return []Step{ReleaseTurn{Pool: g.gang.Pool, Gang: g.gang.Request}, Gathered{ID: ask.ID}}
 }
 
 // lateGrant releases what was granted after its round had ended.
-func (g *Gather) lateGrant(ask Ask, now time.Time) []Step {
+func (g *Gatherer) lateGrant(ask ReserveRequest, now time.Time) []Step {
 	kept := g.phase == gathered || g.phase == asking || g.phase == waiting
 	if kept && ask.ID == g.ReservationID() {
 		return nil // a doubled answer
@@ -241,8 +241,8 @@
 
 // Denied handles a member's denial; lost says that the answer was lost, so that
 // the member may be held.
-func (g *Gather) Denied(d Deny, lost bool, now time.Time) []Step {
-	if !g.current(d.Ask) {
+func (g *Gatherer) Denied(d Deny, lost bool, now time.Time) []Step {
+	if !g.current(d.Request) {
 		return nil
 	}
 	if lost {
@@ -265,25 +265,25 @@
 }
 
 // Released handles a confirmed release.
-func (g *Gather) Released(engine, id string) {
+func (g *Gatherer) Released(engine, id string) {
 	delete(g.owed, memberRef{engine, id})
 }
 
 // Abort ends the Gather and gives everything back, also after it has succeeded.
-func (g *Gather) Abort(now time.Time) []Step {
+func (g *Gatherer) Abort(now time.Time) []Step {
 	if g.phase == gaveUp {
 		return nil
 	}
 	return g.finish(Aborted, now)
 }
 
-func (g *Gather) current(ask Ask) bool {
+func (g *Gatherer) current(ask ReserveRequest) bool {
 	return g.phase == asking && ask.ID == g.ReservationID() && ask.Engine == g.gang.Members[g.next].Engine
 }
 
 // failRound gives everything back and backs off. Room kept for a denied member
 // stays kept for the next round.
-func (g *Gather) failRound(now time.Time) []Step {
+func (g *Gatherer) failRound(now time.Time) []Step {
 	asked := g.next
 	if g.phase == asking {
 		asked++
@@ -295,7 +295,7 @@
 	return steps
 }
 
-func (g *Gather) finish(reason Reason, now time.Time) []Step {
+func (g *Gatherer) finish(reason Reason, now time.Time) []Step {
 	steps := g.giveBack(min(g.next+1, len(g.gang.Members)), now)
 	g.phase = gaveUp
 	return append(steps, GaveUp{Reason: reason})
@@ -303,22 +303,22 @@
 
 // giveBack releases the first count members. One that was denied loses the room
 // kept for it, if any.
-func (g *Gather) giveBack(count int, now time.Time) []Step {
+func (g *Gatherer) giveBack(count int, now time.Time) []Step {
 	var steps []Step
 	if g.phase == asking || g.phase == waiting || g.phase == gathered {
 		for i := count - 1; i >= 0; i-- {
 			steps = append(steps, g.owe(g.gang.Members[i].Engine, g.ReservationID(), now)...)
 		}
 	}
-	return append(steps, GiveTurn{Pool: g.gang.Pool, Gang: g.gang.Request})
+	return append(steps, ReleaseTurn{Pool: g.gang.Pool, Gang: g.gang.Request})
 }
 
-func (g *Gather) owe(engine, id string, now time.Time) []Step {
+func (g *Gatherer) owe(engine, id string, now time.Time) []Step {
 	g.owed[memberRef{engine, id}] = now.Add(g.opts.RetryEvery)
 	return []Step{ReleaseMember{Engine: engine, ID: id}}
 }
 
-func (g *Gather) repeatReleases(now time.Time) []Step {
+func (g *Gatherer) repeatReleases(now time.Time) []Step {
 	var due []memberRef
 	for ref, at := range g.owed {
 		if !now.Before(at) {
@@ -336,6 +336,6 @@
 }
 
 // jitter spreads a wait over its half to its one and a half.
-func (g *Gather) jitter(d time.Duration) time.Duration {
+func (g *Gatherer) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(g.rnd.Int64N(int64(d)+1))
 }
--- a/internal/core/ledger/gather_test.go
+++ b/internal/core/ledger/gather_test.go
@@ -15,7 +15,7 @@
 type gangWorld struct {
 	*world
 	turns   []*Turns // two hosts may both believe that they keep the turn
-	gathers []*Gather
+	gathers []*Gatherer
 	ids     []string // reservation id of each gathered gang, else empty
 	ends    []time.Time
 	over    []bool
@@ -39,7 +39,7 @@
 		for _, m := range w.rnd.Perm(4)[:2+w.rnd.IntN(3)] {
 			gang.Members = append(gang.Members, Member{Engine: w.names[m], Tokens: 600})
 		}
-		w.gathers = append(w.gathers, NewGather(GatherOptions{}, gang, rand.New(rand.NewPCG(seed, uint64(i)))))
+		w.gathers = append(w.gathers, NewGatherer(GatherOptions{}, gang, rand.New(rand.NewPCG(seed, uint64(i)))))
 	}
 	w.ids = make([]string, gangs)
 	w.ends = make([]time.Time, gangs)
@@ -65,16 +65,16 @@
 	g := w.gathers[i]
 	for _, s := range steps {
 		switch s := s.(type) {
-		case AskTurn:
+		case AcquireTurn:
 			w.send(func() {
-				wait, ok := w.turns[w.rnd.IntN(2)].Take(s.Pool, s.Gang, w.now)
-				w.reply(func() { w.drive(i, g.Turn(ok, wait, w.now)) })
+				wait, ok := w.turns[w.rnd.IntN(2)].Acquire(s.Pool, s.Gang, w.now)
+				w.reply(func() { w.drive(i, g.HandleTurnAnswer(ok, wait, w.now)) })
 			})
-		case GiveTurn:
-			w.send(func() { w.turns[0].Give(s.Pool, s.Gang); w.turns[1].Give(s.Pool, s.Gang) })
-		case AskMember:
-			l := w.owner(s.Ask.Engine)
-			w.send(func() { w.answer(i, l, l.Reserve(s.Ask, w.now)) })
+		case ReleaseTurn:
+			w.send(func() { w.turns[0].Release(s.Pool, s.Gang); w.turns[1].Release(s.Pool, s.Gang) })
+		case ReserveMember:
+			l := w.owner(s.Request.Engine)
+			w.send(func() { w.answer(i, l, l.Reserve(s.Request, w.now)) })
 		case ReleaseMember:
 			w.releaseMember(i, s)
 		case Gathered:
@@ -112,13 +112,13 @@
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Grant:
-			w.reply(func() { w.drive(i, w.gathers[i].Granted(a.Ask, w.now)) })
+			w.reply(func() { w.drive(i, w.gathers[i].Granted(a.Request, w.now)) })
 		case Deny:
 			w.reply(func() { w.drive(i, w.gathers[i].Denied(a, false, w.now)) })
 		case ReserveOn:
 			w.send(func() {
-				result := w.engines[a.Ask.Engine].reserve(a.Ask)
-				w.send(func() { w.answer(i, l, l.ReserveAnswer(a.Ask, result, w.now)) })
+				result := w.engines[a.Request.Engine].reserve(a.Request)
+				w.send(func() { w.answer(i, l, l.HandleReserveAnswer(a.Request, result, w.now)) })
 			})
 		default:
 			w.do(l, []Action{a})
@@ -169,7 +169,7 @@
 		return false
 	}
 	for i, g := range w.gathers {
-		if !w.over[i] || !g.Over() {
+		if !w.over[i] || !g.Done() {
 			return false
 		}
 	}
@@ -211,13 +211,13 @@
 func TestTurnsGoInOrderAndLapse(t *testing.T) {
 	turns := NewTurns(4 * time.Second)
 	take := func(gang string, at time.Duration) bool {
-		_, ok := turns.Take("p", gang, epoch.Add(at))
+		_, ok := turns.Acquire("p", gang, epoch.Add(at))
 		return ok
 	}
 	if !take("a", 0) || take("b", 0) || take("c", 0) {
 		t.Fatal("the first to ask alone must have the turn")
 	}
-	turns.Give("p", "a")
+	turns.Release("p", "a")
 	if take("c", time.Second) || !take("b", time.Second) {
 		t.Fatal("the turn goes to the one who asked first")
 	}
@@ -228,18 +228,18 @@
 
 func TestGatherAsksInOrderAndReleasesLateGrants(t *testing.T) {
 	gang := Gang{Request: "g", Pool: "p", Members: []Member{{Engine: "b"}, {Engine: "a"}}, Deadline: epoch.Add(time.Hour)}
-	g := NewGather(GatherOptions{}, gang, rand.New(rand.NewPCG(1, 1)))
+	g := NewGatherer(GatherOptions{}, gang, rand.New(rand.NewPCG(1, 1)))
 	g.Tick(epoch)
-	ask := g.Turn(true, 0, epoch)[0].(AskMember).Ask
+	ask := g.HandleTurnAnswer(true, 0, epoch)[0].(ReserveMember).Request
 	if ask.Engine != "a" {
 		t.Fatalf("asked %s first, want a", ask.Engine)
 	}
-	released := g.Tick(epoch.Add(DefaultAnswer)) // the answer is lost
+	released := g.Tick(epoch.Add(DefaultAnswerTimeout)) // the answer is lost
 	if released[0] != (ReleaseMember{Engine: "a", ID: ask.ID}) {
 		t.Fatalf("a lost answer gave %+v", released)
 	}
 	g.Released("a", ask.ID)
-	late := g.Granted(ask, epoch.Add(2*DefaultAnswer))
+	late := g.Granted(ask, epoch.Add(2*DefaultAnswerTimeout))
 	if len(late) != 1 || late[0] != (ReleaseMember{Engine: "a", ID: ask.ID}) {
 		t.Errorf("a late grant gave %+v, want its release", late)
 	}
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -96,13 +96,13 @@
 
 // Reserve handles a front's ask. It returns one of ReserveOn, Grant and Deny,
 // perhaps with others.
-func (l *Ledger) Reserve(ask Ask, now time.Time) []Action {
+func (l *Ledger) Reserve(ask ReserveRequest, now time.Time) []Action {
 	e := l.engines[ask.Engine]
 	if e == nil {
-		return l.deny(ask, NotOwner, l.opts.Retry)
+		return l.deny(ask, NotOwner, l.opts.DenyRetryAfter)
 	}
 	if !e.known {
-		return append(l.deny(ask, NotReady, l.opts.Retry), ReadBooks{Engine: e.name})
+		return append(l.deny(ask, NotReady, l.opts.DenyRetryAfter), ReadBooks{Engine: e.name})
 	}
 	if l.replaced(ask.Holder) {
 		return l.deny(ask, StaleHolder, 0)
@@ -111,7 +111,7 @@
 	return append(acts, l.reserve(e, ask, now)...)
 }
 
-func (l *Ledger) reserve(e *engine, ask Ask, now time.Time) []Action {
+func (l *Ledger) reserve(e *engine, ask ReserveRequest, now time.Time) []Action {
 	id := ID{Kind: Reservation, Name: ask.ID}
 	if _, ok := e.ended[id]; ok {
 		return l.deny(ask, IDEnded, 0)
@@ -134,34 +134,34 @@
 		until:     ask.Until,
 	}
 	e.hold.drop(ask)
-	return []Action{ReserveOn{Ask: ask}}
+	return []Action{ReserveOn{Request: ask}}
 }
 
-func (l *Ledger) deny(ask Ask, reason Reason, wait time.Duration) []Action {
-	return []Action{Deny{Ask: ask, Reason: reason, RetryAfter: wait}}
+func (l *Ledger) deny(ask ReserveRequest, reason Reason, wait time.Duration) []Action {
+	return []Action{Deny{Request: ask, Reason: reason, RetryAfter: wait}}
 }
 
-func (l *Ledger) askAgain(old *entry, ask Ask, now time.Time) []Action {
+func (l *Ledger) askAgain(old *entry, ask ReserveRequest, now time.Time) []Action {
 	if old.Holder != ask.Holder {
 		return l.deny(ask, IDTaken, 0)
 	}
 	switch old.state {
 	case held:
 		old.claimed = now
-		return []Action{Grant{Ask: ask}}
+		return []Action{Grant{Request: ask}}
 	case pending:
-		return l.deny(ask, InProgress, l.opts.Retry)
+		return l.deny(ask, InProgress, l.opts.DenyRetryAfter)
 	default:
 		return l.deny(ask, IDEnded, 0)
 	}
 }
 
-// ReserveAnswer handles an engine's answer to a ReserveOn.
-func (l *Ledger) ReserveAnswer(ask Ask, result Result, now time.Time) []Action {
+// HandleReserveAnswer handles an engine's answer to a ReserveOn.
+func (l *Ledger) HandleReserveAnswer(ask ReserveRequest, result Result, now time.Time) []Action {
 	e := l.engines[ask.Engine]
 	if e == nil {
 		// Let go of while the call was under way: the next owner may find it.
-		return l.deny(ask, AnswerLost, l.opts.Retry)
+		return l.deny(ask, AnswerLost, l.opts.DenyRetryAfter)
 	}
 	id := ID{Kind: Reservation, Name: ask.ID}
 	en := e.entries[id]
@@ -178,13 +178,13 @@
 	switch result {
 	case Held:
 		en.state = held
-		return []Action{Grant{Ask: ask}}
+		return []Action{Grant{Request: ask}}
 	case Refused:
 		delete(e.entries, id)
 		// The engine counts more than this ledger does.
-		return append(l.deny(ask, NoMemory, l.opts.Retry), ReadBooks{Engine: e.name})
+		return append(l.deny(ask, NoMemory, l.opts.DenyRetryAfter), ReadBooks{Engine: e.name})
 	default:
-		return append(l.deny(ask, AnswerLost, l.opts.Retry), l.end(e, en, CauseLost, now)...)
+		return append(l.deny(ask, AnswerLost, l.opts.DenyRetryAfter), l.end(e, en, CauseLost, now)...)
 	}
 }
 
@@ -218,9 +218,9 @@
 	return l.end(e, en, CauseReleased, now)
 }
 
-// EndAnswer handles an engine's answer to a ReleaseOn or CancelOn; ok says that
+// HandleEndAnswer handles an engine's answer to a ReleaseOn or CancelOn; ok says that
 // the engine confirmed, whether or not it knew the id.
-func (l *Ledger) EndAnswer(engineName string, id ID, ok bool, now time.Time) []Action {
+func (l *Ledger) HandleEndAnswer(engineName string, id ID, ok bool, now time.Time) []Action {
 	e := l.engines[engineName]
 	if e == nil || !ok {
 		return nil
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -107,7 +107,7 @@
 			for range 20 {
 				w.step()
 			}
-			old.Asked = w.now
+			old.ReadStarted = w.now
 			w.do(w.owners[0], w.owners[0].ApplyBooks(old, w.now))
 			if w.engines["e0"].used() > 1000 {
 				return
@@ -123,7 +123,7 @@
 func ownedWith(items ...Item) *Ledger {
 	l := New(Options{})
 	l.Own("e0")
-	l.ApplyBooks(Books{Engine: "e0", Incarnation: "1", Total: 1000, Asked: epoch, Items: items}, epoch)
+	l.ApplyBooks(Books{Engine: "e0", Incarnation: "1", Total: 1000, ReadStarted: epoch, Items: items}, epoch)
 	return l
 }
 
@@ -180,7 +180,7 @@
 	for _, c := range cases {
 		l := ownedWith(c.item)
 		if c.gone {
-			l.HostGone("h", epoch)
+			l.MarkHostGone("h", epoch)
 		}
 		at, cause := tickUntil(l, renewEmpty(l, c.renewUntil), 10*time.Minute)
 		if at != c.want || cause != c.cause {
@@ -230,7 +230,7 @@
 		t.Error("gone by books older than the first claim")
 	}
 	now := epoch.Add(3 * time.Second)
-	l.ApplyBooks(Books{Engine: "e0", Total: 1000, Asked: now}, now)
+	l.ApplyBooks(Books{Engine: "e0", Total: 1000, ReadStarted: now}, now)
 	if gone, _ := renew(3, 4*time.Second); gone != 1 {
 		t.Error("not gone by fresh books")
 	}
@@ -242,9 +242,9 @@
 	late := item(Reservation, "r", "h", "1")
 	late.Attempt = 0
 	l.Release("e0", late.ID, late.Holder, epoch)
-	l.EndAnswer("e0", late.ID, true, epoch)
+	l.HandleEndAnswer("e0", late.ID, true, epoch)
 	now := epoch.Add(time.Second)
-	acts := l.ApplyBooks(Books{Engine: "e0", Total: 1000, Asked: now, Items: []Item{late}}, now)
+	acts := l.ApplyBooks(Books{Engine: "e0", Total: 1000, ReadStarted: now, Items: []Item{late}}, now)
 	if len(acts) != 1 || acts[0] != (ReleaseOn{Engine: "e0", ID: late.ID, Cause: CauseLate}) {
 		t.Errorf("got %+v, want a release of the late reservation", acts)
 	}
@@ -265,7 +265,7 @@
 	now := epoch.Add(time.Second)
 	h := Holder{Host: "h", Incarnation: "1"}
 	ask := func(id string, n int64, size int, until time.Duration) Action {
-		a := Ask{Engine: "e0", ID: id, Request: id, Holder: h, Tokens: n, GangSize: size}
+		a := ReserveRequest{Engine: "e0", ID: id, Request: id, Holder: h, Tokens: n, GangSize: size}
 		if until > 0 {
 			a.Until = now.Add(until)
 		}
@@ -302,7 +302,7 @@
 	for b.Loop() {
 		seq++
 		now = now.Add(time.Second)
-		l.ApplyBooks(Books{Engine: "e0", Total: 1000, Asked: now, Items: items}, now)
+		l.ApplyBooks(Books{Engine: "e0", Total: 1000, ReadStarted: now, Items: items}, now)
 		for host := range 60 {
 			r := Renewal{Holder: Holder{Host: fmt.Sprintf("host-%02d", host), Incarnation: "1"}, Seq: seq}
 			for i := host; i < len(claims); i += 60 {
--- a/internal/core/ledger/reconcile.go
+++ b/internal/core/ledger/reconcile.go
@@ -12,10 +12,10 @@
 // longer lists is forgotten.
 func (l *Ledger) ApplyBooks(b Books, now time.Time) []Action {
 	e := l.engines[b.Engine]
-	if e == nil || b.Asked.Before(e.read) {
+	if e == nil || b.ReadStarted.Before(e.read) {
 		return nil
 	}
-	e.read = b.Asked
+	e.read = b.ReadStarted
 	e.known = true
 	e.incarnation = b.Incarnation
 	e.total = b.Total
@@ -26,9 +26,9 @@
 	}
 	for _, it := range b.Items {
 		listed[it.ID] = struct{}{}
-		acts = append(acts, l.takeIn(e, it, b.Asked, now)...)
+		acts = append(acts, l.takeIn(e, it, b.ReadStarted, now)...)
 	}
-	return append(acts, l.forget(e, listed, b.Asked, now)...)
+	return append(acts, l.forget(e, listed, b.ReadStarted, now)...)
 }
 
 // takeIn handles one line of an engine's books.
@@ -70,10 +70,10 @@
 	return acts
 }
 
-// EngineDown says that an engine does not answer. It may have died or may be
+// MarkEngineDown says that an engine does not answer. It may have died or may be
 // out of reach, so nothing is granted on it and nothing forgotten before its
 // books are read again.
-func (l *Ledger) EngineDown(name string) {
+func (l *Ledger) MarkEngineDown(name string) {
 	if e := l.engines[name]; e != nil {
 		e.known = false
 	}
@@ -145,9 +145,9 @@
 	}
 }
 
-// SawHolder says that a host lives in an incarnation, also when that one holds
+// ObserveHolder says that a host lives in an incarnation, also when that one holds
 // nothing here.
-func (l *Ledger) SawHolder(h Holder, now time.Time) []Action {
+func (l *Ledger) ObserveHolder(h Holder, now time.Time) []Action {
 	return l.sawHolder(h, now)
 }
 
@@ -199,7 +199,7 @@
 // Tick ends what has been unclaimed for too long and repeats unconfirmed ends.
 // It is to be called a few times in a soft limit at the least.
 func (l *Ledger) Tick(now time.Time) []Action {
-	if !l.ticked.IsZero() && now.Sub(l.ticked) > l.opts.Soft/2 {
+	if !l.ticked.IsZero() && now.Sub(l.ticked) > l.opts.UnclaimedTimeout/2 {
 		// This process was paused: renewals may wait unread. All limits start anew.
 		l.resumed = now
 	}
@@ -227,8 +227,8 @@
 			acts = append(acts, l.end(e, en, cause, now)...)
 		}
 	}
-	expire(e.ended, now, l.opts.Hard)
-	expire(e.missed, now, l.opts.Hard)
+	expire(e.ended, now, l.opts.SilentTimeout)
+	expire(e.missed, now, l.opts.SilentTimeout)
 	return acts
 }
 
@@ -240,9 +240,9 @@
 	}
 }
 
-// HostGone says that a host has left the site. It is for a caller that knows from
+// MarkHostGone says that a host has left the site. It is for a caller that knows from
 // more than its own silence; a renewal takes it back.
-func (l *Ledger) HostGone(host string, now time.Time) {
+func (l *Ledger) MarkHostGone(host string, now time.Time) {
 	if h := l.holders[host]; h != nil && h.gone.IsZero() {
 		h.gone = now
 	}
@@ -259,15 +259,15 @@
 	since := latest(en.claimed, l.resumed)
 	switch {
 	case !h.gone.IsZero():
-		return causeAfter(CauseGone, now.Sub(latest(since, h.gone)), l.opts.Soft)
-	case !h.first.IsZero() && now.Sub(h.renewed) <= l.opts.Soft:
+		return causeAfter(CauseGone, now.Sub(latest(since, h.gone)), l.opts.UnclaimedTimeout)
+	case !h.first.IsZero() && now.Sub(h.renewed) <= l.opts.UnclaimedTimeout:
 		// A renewal that was on its way when this owner took over may have left
 		// things out: the limit starts at the first renewal.
-		return causeAfter(CauseUnclaimed, now.Sub(latest(since, h.first)), l.opts.Soft)
+		return causeAfter(CauseUnclaimed, now.Sub(latest(since, h.first)), l.opts.UnclaimedTimeout)
 	}
-	limit := l.opts.Hard
+	limit := l.opts.SilentTimeout
 	if e.streams(en) {
-		limit = l.opts.Stream
+		limit = l.opts.StreamTimeout
 	}
 	if h.first.IsZero() {
 		return causeAfter(CauseUnknown, now.Sub(since), limit)
--- a/internal/core/ledger/room.go
+++ b/internal/core/ledger/room.go
@@ -15,7 +15,7 @@
 	expires time.Time
 }
 
-func (h *hold) drop(ask Ask) {
+func (h *hold) drop(ask ReserveRequest) {
 	if h.id != "" && h.request == ask.Request {
 		*h = hold{}
 	}
@@ -49,13 +49,13 @@
 
 // fits returns no reason when the ask may be granted, else a reason and a time
 // to wait.
-func (l *Ledger) fits(e *engine, ask Ask, now time.Time) (Reason, time.Duration) {
+func (l *Ledger) fits(e *engine, ask ReserveRequest, now time.Time) (Reason, time.Duration) {
 	if e.hold.id != "" && now.After(e.hold.expires) {
 		e.hold = hold{}
 	}
 	free := e.total - e.used()
 	if ask.Tokens > free {
-		start := e.freeAt(ask.Tokens-free, now.Add(l.opts.Retry))
+		start := e.freeAt(ask.Tokens-free, now.Add(l.opts.DenyRetryAfter))
 		l.keep(e, ask, start, now)
 		return NoMemory, start.Sub(now)
 	}
@@ -68,11 +68,11 @@
 	if !ask.Until.IsZero() && ask.Until.Before(e.hold.start) {
 		return "", 0 // backfill: it ends before the gang can start
 	}
-	return KeptForGang, max(l.opts.Retry, e.hold.start.Sub(now))
+	return KeptForGang, max(l.opts.DenyRetryAfter, e.hold.start.Sub(now))
 }
 
 // keep reserves the next free room for a gang; the first gang to ask has it.
-func (l *Ledger) keep(e *engine, ask Ask, start, now time.Time) {
+func (l *Ledger) keep(e *engine, ask ReserveRequest, start, now time.Time) {
 	if ask.GangSize < 2 {
 		return
 	}
--- a/internal/core/ledger/sim_test.go
+++ b/internal/core/ledger/sim_test.go
@@ -29,7 +29,7 @@
 	return sum
 }
 
-func (f *fakeEngine) reserve(a Ask) Result {
+func (f *fakeEngine) reserve(a ReserveRequest) Result {
 	id := ID{Kind: Reservation, Name: a.ID}
 	if _, ok := f.books[id]; ok {
 		return Held
@@ -42,7 +42,7 @@
 }
 
 func (f *fakeEngine) read(now time.Time) Books {
-	b := Books{Engine: f.name, Incarnation: fmt.Sprint(f.starts), Total: f.total, Asked: now}
+	b := Books{Engine: f.name, Incarnation: fmt.Sprint(f.starts), Total: f.total, ReadStarted: now}
 	for _, it := range f.books {
 		b.Items = append(b.Items, it)
 	}
@@ -114,7 +114,7 @@
 	for _, a := range acts {
 		switch a := a.(type) {
 		case ReserveOn:
-			w.reserveOn(l, a.Ask)
+			w.reserveOn(l, a.Request)
 		case ReleaseOn:
 			w.endOn(l, a.Engine, a.ID)
 		case CancelOn:
@@ -123,7 +123,7 @@
 			w.readBooks(l, a.Engine)
 		case Grant:
 			w.granted++
-			w.told(a.Ask)
+			w.told(a.Request)
 		case Deny:
 			w.denied[a.Reason]++
 		case Ended:
@@ -134,7 +134,7 @@
 	}
 }
 
-func (w *world) told(a Ask) {
+func (w *world) told(a ReserveRequest) {
 	for _, f := range w.fronts {
 		if f.holder() == a.Holder {
 			f.held[a.ID] = a.Engine
@@ -144,7 +144,7 @@
 
 func (w *world) lost() bool { return w.lossy && w.rnd.IntN(5) == 0 }
 
-func (w *world) reserveOn(l *Ledger, a Ask) {
+func (w *world) reserveOn(l *Ledger, a ReserveRequest) {
 	w.send(func() {
 		result := Lost
 		if !w.lost() {
@@ -153,7 +153,7 @@
 		if w.lost() {
 			result = Lost
 		}
-		w.send(func() { w.do(l, l.ReserveAnswer(a, result, w.now)) })
+		w.send(func() { w.do(l, l.HandleReserveAnswer(a, result, w.now)) })
 	})
 }
 
@@ -166,7 +166,7 @@
 		if w.lost() {
 			return
 		}
-		w.send(func() { w.do(l, l.EndAnswer(engine, id, true, w.now)) })
+		w.send(func() { w.do(l, l.HandleEndAnswer(engine, id, true, w.now)) })
 	})
 }
 
@@ -200,7 +200,7 @@
 	switch w.rnd.IntN(12) {
 	case 0, 1, 2:
 		w.serial++
-		ask := Ask{Engine: name, ID: fmt.Sprintf("r%d", w.serial), Holder: f.holder(), Tokens: 1 + w.rnd.Int64N(600)}
+		ask := ReserveRequest{Engine: name, ID: fmt.Sprintf("r%d", w.serial), Holder: f.holder(), Tokens: 1 + w.rnd.Int64N(600)}
 		w.do(l, l.Reserve(ask, w.now))
 	case 3:
 		w.releaseOne(l, f)
--- a/internal/core/ledger/turns.go
+++ b/internal/core/ledger/turns.go
@@ -36,9 +36,9 @@
 	return &Turns{limit: limit, pools: map[string]*turn{}}
 }
 
-// Take asks for a pool's turn. Gangs get it in the order in which they first
+// Acquire asks for a pool's turn. Gangs get it in the order in which they first
 // asked; asking again is idempotent. When ok is false, wait is when to ask again.
-func (t *Turns) Take(pool, gang string, now time.Time) (wait time.Duration, ok bool) {
+func (t *Turns) Acquire(pool, gang string, now time.Time) (wait time.Duration, ok bool) {
 	p := t.pools[pool]
 	if p == nil {
 		p = &turn{}
@@ -91,8 +91,8 @@
 	p.waiting = kept
 }
 
-// Give gives a turn back. It is idempotent.
-func (t *Turns) Give(pool, gang string) {
+// Release gives a turn back. It is idempotent.
+func (t *Turns) Release(pool, gang string) {
 	if p := t.pools[pool]; p != nil && p.gang == gang {
 		p.gang = ""
 	}
--- a/internal/core/ledger/types.go
+++ b/internal/core/ledger/types.go
@@ -64,13 +64,13 @@
 	Engine      string
 	Incarnation string
 	Total       int64     // memory in tokens
-	Asked       time.Time // when the read began; the books are not older
+	ReadStarted time.Time // when the read began; the books are not older
 	Items       []Item
 }
 
-// Ask is a front's ask for a reservation. Asking again with the same id is
+// ReserveRequest is a front's ask for a reservation. Asking again with the same id is
 // idempotent.
-type Ask struct {
+type ReserveRequest struct {
 	Engine   string
 	ID       string
 	Request  string // id of the request it is for
@@ -102,30 +102,30 @@
 
 // Options are the limits of a Ledger. Zero fields take the defaults.
 type Options struct {
-	Soft       time.Duration // work is ended so long after its holder left it out of its renewals, or after its host has gone; 15 s
-	Hard       time.Duration // work of a holder that is silent or was never heard of is ended after it; 60 s
-	Stream     time.Duration // the same for a request whose stream is open; 5 min
-	RetryEvery time.Duration // time between two asks for the same end; 1 s
-	Retry      time.Duration // retry time of a denial without a better estimate; 250 ms
-	HoldLimit  time.Duration // longest time that room is kept free for a gang; 10 s
+	UnclaimedTimeout time.Duration // work is ended so long after its holder left it out of its renewals, or after its host has gone; 15 s
+	SilentTimeout    time.Duration // work of a holder that is silent or was never heard of is ended after it; 60 s
+	StreamTimeout    time.Duration // the same for a request whose stream is open; 5 min
+	RetryEvery       time.Duration // time between two asks for the same end; 1 s
+	DenyRetryAfter   time.Duration // retry time of a denial without a better estimate; 250 ms
+	HoldLimit        time.Duration // longest time that room is kept free for a gang; 10 s
 }
 
 // Defaults of Options. Fronts renew three times in a soft limit.
 const (
-	DefaultSoft       = 15 * time.Second
-	DefaultHard       = 60 * time.Second
-	DefaultStream     = 5 * time.Minute
-	DefaultRetryEvery = time.Second
-	DefaultRetry      = 250 * time.Millisecond
-	DefaultHoldLimit  = 10 * time.Second
+	DefaultUnclaimedTimeout = 15 * time.Second
+	DefaultSilentTimeout    = 60 * time.Second
+	DefaultStreamTimeout    = 5 * time.Minute
+	DefaultRetryEvery       = time.Second
+	DefaultDenyRetryAfter   = 250 * time.Millisecond
+	DefaultHoldLimit        = 10 * time.Second
 )
 
 func (o Options) withDefaults() Options {
-	option.Default(&o.Soft, DefaultSoft)
-	option.Default(&o.Hard, DefaultHard)
-	option.Default(&o.Stream, DefaultStream)
+	option.Default(&o.UnclaimedTimeout, DefaultUnclaimedTimeout)
+	option.Default(&o.SilentTimeout, DefaultSilentTimeout)
+	option.Default(&o.StreamTimeout, DefaultStreamTimeout)
 	option.Default(&o.RetryEvery, DefaultRetryEvery)
-	option.Default(&o.Retry, DefaultRetry)
+	option.Default(&o.DenyRetryAfter, DefaultDenyRetryAfter)
 	option.Default(&o.HoldLimit, DefaultHoldLimit)
 	return o
 }
--- a/internal/core/order/keeper.go
+++ b/internal/core/order/keeper.go
@@ -7,26 +7,26 @@
 
 // Options are the times of order leases. Zero fields take the defaults.
 type Options struct {
-	Lease  time.Duration // length of a lease by the log's clock, the same on all hosts; 30 s
-	Renew  time.Duration // time between two renewals; 10 s
-	Margin time.Duration // a holder stops so much before its lease ends; 3 s
-	Answer time.Duration // a record not read back after this is written anew; 5 s
+	Lease           time.Duration // length of a lease by the log's clock, the same on all hosts; 30 s
+	RenewInterval   time.Duration // time between two renewals; 10 s
+	Margin          time.Duration // a holder stops so much before its lease ends; 3 s
+	ReadBackTimeout time.Duration // a record not read back after this is written anew; 5 s
 }
 
 // Defaults of Options.
 const (
-	DefaultLease  = 30 * time.Second
-	DefaultRenew  = 10 * time.Second
-	DefaultMargin = 3 * time.Second
-	DefaultAnswer = 5 * time.Second
+	DefaultLease           = 30 * time.Second
+	DefaultRenewInterval   = 10 * time.Second
+	DefaultMargin          = 3 * time.Second
+	DefaultReadBackTimeout = 5 * time.Second
 )
 
 // WithDefaults fills zero fields.
 func (o Options) WithDefaults() Options {
 	o.Lease = cmp.Or(o.Lease, DefaultLease)
-	o.Renew = cmp.Or(o.Renew, DefaultRenew)
+	o.RenewInterval = cmp.Or(o.RenewInterval, DefaultRenewInterval)
 	o.Margin = cmp.Or(o.Margin, DefaultMargin)
-	o.Answer = cmp.Or(o.Answer, DefaultAnswer)
+	o.ReadBackTimeout = cmp.Or(o.ReadBackTimeout, DefaultReadBackTimeout)
 	return o
 }
 
@@ -75,7 +75,7 @@
 		k.watch(l, now)
 	}
 	k.expire(now)
-	if now.Sub(k.last) < k.opts.Answer && len(k.sent) > 0 {
+	if now.Sub(k.last) < k.opts.ReadBackTimeout && len(k.sent) > 0 {
 		return nil
 	}
 	switch {
@@ -83,15 +83,15 @@
 		k.valid = time.Time{} // the record may come to the log at any time
 		return k.write(DropRecord, l.Fence, now)
 	case mine && now.Before(k.valid):
-		if now.Sub(k.last) < k.opts.Renew {
+		if now.Sub(k.last) < k.opts.RenewInterval {
 			return nil
 		}
 		return k.write(RenewRecord, l.Fence, now)
 	case want && (!known || mine || l.Dropped || now.Sub(k.seen) >= k.opts.Lease):
-		if !k.last.IsZero() && now.Sub(k.last) < k.opts.Answer {
+		if !k.last.IsZero() && now.Sub(k.last) < k.opts.ReadBackTimeout {
 			return nil
 		}
-		return k.write(ClaimRecord, r.Highest(k.pool), now)
+		return k.write(ClaimRecord, r.HighestFence(k.pool), now)
 	}
 	return nil
 }
@@ -99,8 +99,8 @@
 // watch notes when another holder's last record came up: its lease has lapsed a
 // lease's time later at the latest.
 func (k *Keeper) watch(l Lease, now time.Time) {
-	if l.Last != k.other {
-		k.other = l.Last
+	if l.LastID != k.other {
+		k.other = l.LastID
 		k.seen = now
 	}
 }
@@ -114,11 +114,11 @@
 			k.from = now.Add(k.opts.Lease + k.longest)
 		}
 	}
-	at, ok := k.sent[l.Last]
+	at, ok := k.sent[l.LastID]
 	if !ok {
 		return
 	}
-	delete(k.sent, l.Last)
+	delete(k.sent, l.LastID)
 	if v := at.Add(k.opts.Lease - k.opts.Margin); v.After(k.valid) {
 		k.valid = v
 	}
@@ -139,9 +139,9 @@
 	return rec
 }
 
-// LogAway says that the log does not answer: no orders until a record is read
+// MarkLogUnavailable says that the log does not answer: no orders until a record is read
 // back again.
-func (k *Keeper) LogAway() {
+func (k *Keeper) MarkLogUnavailable() {
 	k.valid = time.Time{}
 }
 
--- a/internal/core/order/order_test.go
+++ b/internal/core/order/order_test.go
@@ -106,7 +106,7 @@
 func (w *world) follow(h *host) {
 	if h.era != w.era {
 		h.era = w.era
-		h.replay.Restored()
+		h.replay.HandleLogRestored()
 	}
 	for _, e := range w.log[h.replay.Next()-1:] {
 		if err := h.replay.Apply(e); err != nil {
@@ -226,7 +226,7 @@
 	if fence, ok := k.MayOrder(epoch.Add(time.Second)); !ok || fence != 5 {
 		t.Fatalf("the holder has fence %d, %v", fence, ok)
 	}
-	k.LogAway()
+	k.MarkLogUnavailable()
 	if _, ok := k.MayOrder(epoch.Add(time.Second)); ok {
 		t.Error("orders go out while the log is away")
 	}
@@ -265,7 +265,7 @@
 		t.Fatalf("got %+v, want the two urgent loads", first)
 	}
 	for _, o := range first {
-		p.Sent(o, epoch)
+		p.MarkSent(o, epoch)
 	}
 	if again := p.Plan(engines, epoch.Add(time.Second)); len(again) != 0 {
 		t.Errorf("loads beyond the budget: %+v", again)
--- a/internal/core/order/plan.go
+++ b/internal/core/order/plan.go
@@ -228,8 +228,8 @@
 	return kept
 }
 
-// Sent notes that an order was given.
-func (p *Planner) Sent(o Order, now time.Time) {
+// MarkSent notes that an order was given.
+func (p *Planner) MarkSent(o Order, now time.Time) {
 	p.sent[o.key()] = now
 }
 
--- a/internal/core/order/replay.go
+++ b/internal/core/order/replay.go
@@ -9,8 +9,8 @@
 	Fence    int64     // offset of the claim, or more where the log went back; see Replay
 	Until    time.Time // by the log's clock
 	Dropped  bool      // given up by its holder
-	Claim    string    // id of the claim record; empty when that was trimmed
-	Last     string    // id of the last record that counted
+	ClaimID  string    // id of the claim record; empty when that was trimmed
+	LastID   string    // id of the last record that counted
 	Previous Holder    // whose lease ended before; zero: none known
 }
 
@@ -40,8 +40,8 @@
 // Next returns the offset to read from.
 func (r *Replay) Next() int64 { return max(r.next, 1) }
 
-// Restored says that the log has come back from an older copy: it is replayed from its start.
-func (r *Replay) Restored() {
+// HandleLogRestored says that the log has come back from an older copy: it is replayed from its start.
+func (r *Replay) HandleLogRestored() {
 	for pool, l := range r.pools {
 		r.fences[pool] = max(r.fences[pool], l.Fence)
 	}
@@ -52,8 +52,8 @@
 	r.next, r.known, r.clock = 0, 0, time.Time{}
 }
 
-// Refused returns the number of records that could not be decoded.
-func (r *Replay) Refused() int { return r.refused }
+// Undecodable returns the number of records that could not be decoded.
+func (r *Replay) Undecodable() int { return r.refused }
 
 // Lease returns a pool's lease; ok is false when no record names the pool.
 func (r *Replay) Lease(pool string) (l Lease, ok bool) {
@@ -108,8 +108,8 @@
 	return fence
 }
 
-// Highest returns the highest fencing number known of a pool.
-func (r *Replay) Highest(pool string) int64 {
+// HighestFence returns the highest fencing number known of a pool.
+func (r *Replay) HighestFence(pool string) int64 {
 	if l := r.pools[pool]; l != nil {
 		return max(l.Fence, r.fences[pool])
 	}
@@ -121,7 +121,7 @@
 	old := r.pools[rec.Pool]
 	if old == nil {
 		old = &Lease{}
-	} else if old.Claim == rec.ID {
+	} else if old.ClaimID == rec.ID {
 		return // appended twice
 	} else if !old.free(r.clock) && old.Holder != rec.Holder {
 		return
@@ -131,8 +131,8 @@
 		Holder:   rec.Holder,
 		Fence:    fence,
 		Until:    r.clock.Add(r.lease),
-		Claim:    rec.ID,
-		Last:     rec.ID,
+		ClaimID:  rec.ID,
+		LastID:   rec.ID,
 		Previous: r.previous(old),
 	}
 	r.pools[rec.Pool] = l
@@ -159,20 +159,20 @@
 			Holder: rec.Holder,
 			Fence:  rec.Fence,
 			Until:  r.clock.Add(r.lease),
-			Last:   rec.ID,
+			LastID: rec.ID,
 		}
 		return
 	}
 	if l.Holder == rec.Holder && !l.free(r.clock) { // whatever number its writer counts by
 		l.Until = r.clock.Add(r.lease)
-		l.Last = rec.ID
+		l.LastID = rec.ID
 	}
 }
 
 func (r *Replay) drop(rec Record) {
 	if l := r.pools[rec.Pool]; l != nil && l.is(rec) {
 		l.Dropped = true
-		l.Last = rec.ID
+		l.LastID = rec.ID
 	}
 }
 
--- a/internal/front/reserve.go
+++ b/internal/front/reserve.go
@@ -23,7 +23,7 @@
 		return true, nil
 	}
 	engine := t.engine(g.job)
-	ask := ledger.Ask{
+	ask := ledger.ReserveRequest{
 		Engine:  engine.Name,
 		ID:      g.reservationName(),
 		Request: g.job.req.ID,
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -235,5 +235,5 @@
 func (g *Gate) Forget(domain, host string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.limiter.Forget(domain, host)
+	g.limiter.RemoveHost(domain, host)
 }
--- a/internal/gate/pool.go
+++ b/internal/gate/pool.go
@@ -17,7 +17,7 @@
 	mu     sync.Mutex
 	opts   PoolOptions
 	queue  *admission.Queue
-	drain  admission.Drain
+	drain  admission.DrainRate
 	timer  *time.Timer // runs kick; armed exactly while something waits
 	closed bool
 }
@@ -53,7 +53,7 @@
 	defer p.mu.Unlock()
 	p.closed = true
 	now := p.gate.opts.Now()
-	for _, e := range p.queue.Tick(farFuture) {
+	for _, e := range p.queue.Expire(farFuture) {
 		w := e.Value.(*waiter)
 		p.finish(w, p.refuse(w.request, request.CodeNoUpstream, now, "the pool was removed"))
 	}
@@ -101,13 +101,13 @@
 	}
 	w := p.newWaiter(r, weight, latest)
 	w.since = now
-	if wait, ok := p.drain.Time(p.queue.Ahead(&w.entry), now); ok && now.Add(wait).After(latest) {
+	if wait, ok := p.drain.DrainTime(p.queue.CostAhead(&w.entry), now); ok && now.Add(wait).After(latest) {
 		return nil, p.refuse(r, request.CodeDeadline, now, "the queue ahead takes about %s", wait.Round(time.Millisecond))
 	}
 	if err := p.queue.Push(&w.entry, now); err != nil {
 		return nil, p.refuse(r, pushCode(err), now, "%v", err)
 	}
-	p.drain.Backlog(true, now)
+	p.drain.SetBacklogged(true, now)
 	p.run(now)
 	return w, nil
 }
@@ -169,7 +169,7 @@
 // run refuses what has become too late, lets in what finds a place, and sets the
 // timer for the rest.
 func (p *pool) run(now time.Time) {
-	for _, e := range p.queue.Tick(now) {
+	for _, e := range p.queue.Expire(now) {
 		w := e.Value.(*waiter)
 		p.finish(w, p.refuse(w.request, request.CodeDeadline, now, "no place was free in time"))
 	}
@@ -178,10 +178,10 @@
 		if e == nil {
 			break
 		}
-		p.drain.Served(e.Cost, now)
+		p.drain.RecordServed(e.Cost, now)
 		p.finish(e.Value.(*waiter), nil)
 	}
-	p.drain.Backlog(p.queue.Len() > 0, now)
+	p.drain.SetBacklogged(p.queue.Len() > 0, now)
 	p.setTimer(now)
 }
 
@@ -213,8 +213,8 @@
 // refuse returns a Refusal spread by the pool's backlog and by all who were
 // refused lately.
 func (p *pool) refuse(r *request.Request, code request.Code, now time.Time, format string, args ...any) *request.Refusal {
-	p.drain.Refused(r.TotalTokens(), now)
-	return p.gate.refuse(code, p.drain.ComeBack(p.queue.Cost(), now), format, args...)
+	p.drain.RecordRefused(r.TotalTokens(), now)
+	return p.gate.refuse(code, p.drain.RetryBacklog(p.queue.Cost(), now), format, args...)
 }
 
 // comeBack counts a refused request and returns the backlog to spread it by.
@@ -222,13 +222,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.gate.opts.Now()
-	p.drain.Refused(r.TotalTokens(), now)
-	return p.drain.ComeBack(p.queue.Cost(), now)
+	p.drain.RecordRefused(r.TotalTokens(), now)
+	return p.drain.RetryBacklog(p.queue.Cost(), now)
 }
 
 func (p *pool) stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	backlog, _ := p.drain.Time(p.queue.Cost(), p.gate.opts.Now())
+	backlog, _ := p.drain.DrainTime(p.queue.Cost(), p.gate.opts.Now())
 	return Stats{Requests: p.queue.Len(), Tokens: p.queue.Tokens(), Backlog: backlog}
 }
--- a/internal/owner/act.go
+++ b/internal/owner/act.go
@@ -48,13 +48,13 @@
 }
 
 func (s *Service) reserveOn(ctx context.Context, a ledger.ReserveOn) []ledger.Action {
-	result := s.reserve(ctx, a.Ask)
+	result := s.reserve(ctx, a.Request)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.ReserveAnswer(a.Ask, result, s.opts.Clock())
+	return s.ledger.HandleReserveAnswer(a.Request, result, s.opts.Clock())
 }
 
-func (s *Service) reserve(ctx context.Context, ask ledger.Ask) ledger.Result {
+func (s *Service) reserve(ctx context.Context, ask ledger.ReserveRequest) ledger.Result {
 	address, ok := s.address(ask.Engine)
 	if !ok {
 		return ledger.Refused // never sent
@@ -83,7 +83,7 @@
 	s.logEnd(engine, id, cause, err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.EndAnswer(engine, id, err == nil, s.opts.Clock())
+	return s.ledger.HandleEndAnswer(engine, id, err == nil, s.opts.Clock())
 }
 
 func (s *Service) logEnd(engine string, id ledger.ID, cause ledger.Cause, err error) {
--- a/internal/owner/engine.go
+++ b/internal/owner/engine.go
@@ -77,7 +77,7 @@
 }
 
 func booksOf(b *engineapi.Books, asked time.Time) ledger.Books {
-	out := ledger.Books{Incarnation: b.Incarnation, Total: b.MemoryTotalTokens, Asked: asked}
+	out := ledger.Books{Incarnation: b.Incarnation, Total: b.MemoryTotalTokens, ReadStarted: asked}
 	for _, r := range b.Running {
 		out.Items = append(out.Items, ledger.Item{
 			ID:          ledger.ID{Kind: ledger.Running, Name: r.RequestID, Attempt: r.Attempt},
@@ -156,7 +156,7 @@
 }
 
 // Reserve implements Engines.
-func (h *HTTPEngines) Reserve(ctx context.Context, address string, ask ledger.Ask) error {
+func (h *HTTPEngines) Reserve(ctx context.Context, address string, ask ledger.ReserveRequest) error {
 	req := &engineapi.Reservation{
 		ID:        ask.ID,
 		RequestID: engineapi.NewOptString(ask.Request),
--- a/internal/owner/gang.go
+++ b/internal/owner/gang.go
@@ -35,7 +35,7 @@
 		}
 	}
 	gang.Holder = h.opts.Me
-	d.gather = ledger.NewGather(opts, gang, gangRand(gang, h.opts.Clock()))
+	d.gather = ledger.NewGatherer(opts, gang, gangRand(gang, h.opts.Clock()))
 	return d.run()
 }
 
@@ -49,7 +49,7 @@
 type gatherDriver struct {
 	holder  *Holder
 	ctx     context.Context
-	gather  *ledger.Gather
+	gather  *ledger.Gatherer
 	engines map[string]Engine
 	id      string
 	failed  *GangFailed
@@ -71,7 +71,7 @@
 		case d.id != "":
 			return d.id, nil
 		}
-		timer.Reset(max(time.Millisecond, d.gather.Next().Sub(d.now())))
+		timer.Reset(max(time.Millisecond, d.gather.NextTick().Sub(d.now())))
 	}
 }
 
@@ -87,18 +87,18 @@
 func (d *gatherDriver) step(s ledger.Step) []ledger.Step {
 	h := d.holder
 	switch s := s.(type) {
-	case ledger.AskTurn:
+	case ledger.AcquireTurn:
 		var reply TurnReply
 		args := TurnArgs{Pool: s.Pool, Gang: s.Gang}
 		err := h.callOwner(d.ctx, turnKey(s.Pool), methodTurn, args, &reply)
-		return d.gather.Turn(err == nil && reply.OK, reply.Wait, d.now())
-	case ledger.GiveTurn:
+		return d.gather.HandleTurnAnswer(err == nil && reply.OK, reply.Wait, d.now())
+	case ledger.ReleaseTurn:
 		// A turn that is not given back lapses. The caller may be gone by now.
 		ctx := context.WithoutCancel(d.ctx)
 		args := TurnArgs{Pool: s.Pool, Gang: s.Gang, Give: true}
 		_ = h.callOwner(ctx, turnKey(s.Pool), methodTurn, args, &TurnReply{})
-	case ledger.AskMember:
-		return d.askMember(s.Ask)
+	case ledger.ReserveMember:
+		return d.askMember(s.Request)
 	case ledger.ReleaseMember:
 		// The holder keeps on asking until it is confirmed.
 		h.End(d.engines[s.Engine], ledger.ID{Kind: ledger.Reservation, Name: s.ID})
@@ -111,13 +111,13 @@
 	return nil
 }
 
-func (d *gatherDriver) askMember(ask ledger.Ask) []ledger.Step {
+func (d *gatherDriver) askMember(ask ledger.ReserveRequest) []ledger.Step {
 	reply, err := d.holder.Reserve(d.ctx, d.engines[ask.Engine], ask)
 	if err == nil && reply.Granted {
 		return d.gather.Granted(ask, d.now())
 	}
 	// What Reserve has begun to release must not be asked for again by its id.
 	lost := err != nil || reply.Reason == ledger.InProgress
-	deny := ledger.Deny{Ask: ask, Reason: reply.Reason, RetryAfter: reply.RetryAfter}
+	deny := ledger.Deny{Request: ask, Reason: reply.Reason, RetryAfter: reply.RetryAfter}
 	return d.gather.Denied(deny, lost, d.now())
 }
--- a/internal/owner/holder.go
+++ b/internal/owner/holder.go
@@ -165,7 +165,7 @@
 // nothing is held or its release is under way. An error says that no owner
 // answered: the caller places the request without one or tries later, under a new
 // id, because this one is being released.
-func (h *Holder) Reserve(ctx context.Context, e Engine, ask ledger.Ask) (ReserveReply, error) {
+func (h *Holder) Reserve(ctx context.Context, e Engine, ask ledger.ReserveRequest) (ReserveReply, error) {
 	ask.Holder = h.opts.Me
 	id := ledger.ID{Kind: ledger.Reservation, Name: ask.ID}
 	h.Track(e, id)
@@ -223,7 +223,7 @@
 func (r *RPC) dispatch(method string, args, reply any) error {
 	switch method {
 	case methodReserve:
-		return r.Reserve(args.(ledger.Ask), reply.(*ReserveReply))
+		return r.Reserve(args.(ledger.ReserveRequest), reply.(*ReserveReply))
 	case methodRelease:
 		return r.Release(args.(ReleaseArgs), reply.(*ReleaseReply))
 	case methodRenew:
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -163,13 +163,13 @@
 		return false
 	}
 	o.opts.Logger.WithFields(fields{"was": was, "era": era}).Warn("order_log_restored")
-	o.replay.Restored()
+	o.replay.HandleLogRestored()
 	return true
 }
 
 func (o *Orders) logAway(err error) {
 	for _, p := range o.pools {
-		p.keeper.LogAway()
+		p.keeper.MarkLogUnavailable()
 	}
 	o.opts.Logger.WithError(err).Warn("order_log_away")
 }
@@ -270,7 +270,7 @@
 func (o *Orders) give(ctx context.Context, st *orderPool, fence int64, address string, ord order.Order) {
 	call, cancel := context.WithTimeout(ctx, o.opts.CallTimeout)
 	defer cancel()
-	st.planner.Sent(ord, o.opts.Clock())
+	st.planner.MarkSent(ord, o.opts.Clock())
 	err := o.opts.Engines.Order(call, address, fence, ord)
 	metricOrders.Inc()
 	entry := o.opts.Logger.WithFields(fields{
--- a/internal/owner/orders_test.go
+++ b/internal/owner/orders_test.go
@@ -63,7 +63,7 @@
 			return []OrderPool{{Name: "p", ChecksFencing: true, Desired: desired, Engines: s.engines}}
 		},
 		Logger: s.quiet,
-		Lease:  order.Options{Lease: lease, Renew: 200 * time.Millisecond, Margin: 100 * time.Millisecond, Answer: 300 * time.Millisecond},
+		Lease:  order.Options{Lease: lease, RenewInterval: 200 * time.Millisecond, Margin: 100 * time.Millisecond, ReadBackTimeout: 300 * time.Millisecond},
 		Plan:   order.PlanOptions{RetryEvery: 200 * time.Millisecond},
 		Every:  20 * time.Millisecond,
 	})
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -95,7 +95,7 @@
 		{"answer to the reserve call lost", func(s *site, front *testHost) {
 			s.eventually("ready", func() bool { r, ok := s.owner(0).service.Room("e0"); return ok && r.Known })
 			s.fault(0, "/v1/reservations", standin.FaultDropAnswer, 1)
-			ask := ledger.Ask{Engine: "e0", ID: "r", Tokens: 500}
+			ask := ledger.ReserveRequest{Engine: "e0", ID: "r", Tokens: 500}
 			reply, err := front.holder.Reserve(context.Background(), s.engines[0], ask)
 			if err != nil || reply.Granted || reply.Reason != ledger.AnswerLost {
 				s.t.Errorf("a lost answer gave %+v, %v", reply, err)
@@ -162,7 +162,7 @@
 	s := newSite(t, 1, 2)
 	s.reserve(s.hosts[0], s.engines[0], "r", 500)
 	// The hard limit has passed when an unclaimed holding of a stranger ends.
-	stranger := ledger.Ask{Engine: "e0", ID: "s", Holder: ledger.Holder{Host: "stranger", Incarnation: "1"}, Tokens: 10}
+	stranger := ledger.ReserveRequest{Engine: "e0", ID: "s", Holder: ledger.Holder{Host: "stranger", Incarnation: "1"}, Tokens: 10}
 	if err := s.http.Reserve(context.Background(), s.engines[0].Address, stranger); err != nil {
 		t.Fatal(err)
 	}
@@ -189,7 +189,7 @@
 			for n := range 40 {
 				e := s.engines[n%2]
 				id := ledger.ID{Kind: ledger.Reservation, Name: fmt.Sprintf("%s-%d", h.name, n)}
-				ask := ledger.Ask{Engine: e.Name, ID: id.Name, Tokens: 1000 + rand.Int64N(6000)}
+				ask := ledger.ReserveRequest{Engine: e.Name, ID: id.Name, Tokens: 1000 + rand.Int64N(6000)}
 				reply, err := h.holder.Reserve(context.Background(), e, ask)
 				if err == nil && reply.Granted {
 					granted[i]++
@@ -230,7 +230,7 @@
 	s.eventually("the owner grants on "+e.Name, func() bool {
 		n++
 		id := ledger.ID{Kind: ledger.Reservation, Name: fmt.Sprintf("%s-%s-try-%d", h.name, e.Name, n)}
-		reply, err := h.holder.Reserve(context.Background(), e, ledger.Ask{Engine: e.Name, ID: id.Name, Tokens: 1})
+		reply, err := h.holder.Reserve(context.Background(), e, ledger.ReserveRequest{Engine: e.Name, ID: id.Name, Tokens: 1})
 		if err != nil || !reply.Granted {
 			return false
 		}
--- a/internal/owner/poller.go
+++ b/internal/owner/poller.go
@@ -92,7 +92,7 @@
 	}
 	p.loadAt = time.Time{}
 	if s.owned[p.engine.Name] == p {
-		s.ledger.EngineDown(p.engine.Name)
+		s.ledger.MarkEngineDown(p.engine.Name)
 	}
 	s.opts.Log.WithFields(fields{"engine": p.engine.Name}).WithError(err).Warn("engine_down")
 }
--- a/internal/owner/rpc.go
+++ b/internal/owner/rpc.go
@@ -38,7 +38,7 @@
 }
 
 // Reserve asks for memory on an engine that this host owns.
-func (r *RPC) Reserve(ask ledger.Ask, reply *ReserveReply) error {
+func (r *RPC) Reserve(ask ledger.ReserveRequest, reply *ReserveReply) error {
 	s := r.service
 	s.mu.Lock()
 	acts := s.ledger.Reserve(ask, s.opts.Clock())
@@ -55,7 +55,7 @@
 	return nil
 }
 
-func (s *Service) logVerdict(ask ledger.Ask, reply ReserveReply) {
+func (s *Service) logVerdict(ask ledger.ReserveRequest, reply ReserveReply) {
 	f := fields{
 		"engine":    ask.Engine,
 		"id":        ask.ID,
@@ -131,11 +131,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if args.Give {
-		s.turns.Give(args.Pool, args.Gang)
+		s.turns.Release(args.Pool, args.Gang)
 		reply.OK = true
 		return nil
 	}
-	reply.Wait, reply.OK = s.turns.Take(args.Pool, args.Gang, s.opts.Clock())
+	reply.Wait, reply.OK = s.turns.Acquire(args.Pool, args.Gang, s.opts.Clock())
 	return nil
 }
 
--- a/internal/owner/seams.go
+++ b/internal/owner/seams.go
@@ -14,7 +14,7 @@
 	Books(ctx context.Context, address string) (ledger.Books, error)
 	Load(ctx context.Context, address string) (Load, error)
 	CacheEvents(ctx context.Context, address string, from int64, limit int) (CacheEvents, error)
-	Reserve(ctx context.Context, address string, ask ledger.Ask) error
+	Reserve(ctx context.Context, address string, ask ledger.ReserveRequest) error
 	// Release and Cancel are idempotent; no error means that it is gone.
 	Release(ctx context.Context, address, id string) error
 	Cancel(ctx context.Context, address, requestID string, attempt int) error
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -159,14 +159,14 @@
 func (s *Service) HostGone(host string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.HostGone(host, s.opts.Clock())
+	s.ledger.MarkHostGone(host, s.opts.Clock())
 }
 
 // HostLives says that a host lives in an incarnation: what its former ones hold
 // is ended at once.
 func (s *Service) HostLives(ctx context.Context, h ledger.Holder) {
 	s.mu.Lock()
-	acts := s.ledger.SawHolder(h, s.opts.Clock())
+	acts := s.ledger.ObserveHolder(h, s.opts.Clock())
 	s.mu.Unlock()
 	s.background(ctx, acts)
 }
--- a/internal/owner/site_test.go
+++ b/internal/owner/site_test.go
@@ -92,7 +92,7 @@
 		Catalog:      func() []Engine { return s.engines },
 		Publisher:    h,
 		Log:          s.quiet,
-		Ledger:       ledger.Options{Soft: 1500 * time.Millisecond, Hard: 3 * time.Second, Stream: 4 * time.Second, RetryEvery: 50 * time.Millisecond},
+		Ledger:       ledger.Options{UnclaimedTimeout: 1500 * time.Millisecond, SilentTimeout: 3 * time.Second, StreamTimeout: 4 * time.Second, RetryEvery: 50 * time.Millisecond},
 		LoadEvery:    50 * time.Millisecond,
 		PublishEvery: 50 * time.Millisecond,
 		BooksEvery:   50 * time.Millisecond,
@@ -171,7 +171,7 @@
 	var err error
 	switch method {
 	case methodReserve:
-		var a ledger.Ask
+		var a ledger.ReserveRequest
 		if err = decode(&a); err == nil {
 			err = r.dispatch(method, a, reply)
 		}
@@ -237,7 +237,7 @@
 // reserve asks until the reservation is granted.
 func (s *site) reserve(h *testHost, e Engine, id string, tokens int64) {
 	s.t.Helper()
-	ask := ledger.Ask{Engine: e.Name, ID: id, Request: id, Tokens: tokens}
+	ask := ledger.ReserveRequest{Engine: e.Name, ID: id, Request: id, Tokens: tokens}
 	s.eventually("grant of "+id, func() bool {
 		reply, err := h.holder.Reserve(context.Background(), e, ask)
 		return err == nil && reply.Granted
--- a/test/wire/messages_test.go
+++ b/test/wire/messages_test.go
@@ -50,7 +50,7 @@
 	"membership/request":      membership.Request{},
 	"membership/response":     membership.Response{},
 	"membership/push":         membership.Push{},
-	"owner/reserve":           ledger.Ask{},
+	"owner/reserve":           ledger.ReserveRequest{},
 	"owner/reserve-reply":     owner.ReserveReply{},
 	"owner/release":           owner.ReleaseArgs{},
 	"owner/release-reply":     owner.ReleaseReply{},
