--- a/internal/core/booking/book_test.go
+++ b/internal/core/booking/book_test.go
@@ -22,11 +22,11 @@
 }
 
 func upstreams(n int) *fleet.Snapshot {
-	l := fleet.New(fleet.Options{AwayAfter: time.Hour})
+	l := fleet.New(fleet.Options{OutageAfter: time.Hour})
 	var all []fleet.Change
 	for i := range n {
 		id := fmt.Sprintf("e%02d", i)
-		u := fleet.Upstream{Life: fleet.Life{Name: id}, Service: "llm", Address: id + ":1", Slots: 16}
+		u := fleet.Upstream{Incarnation: fleet.Incarnation{Name: id}, Service: "llm", Address: id + ":1", Slots: 16}
 		all = append(all, fleet.Change{Name: id, Upstream: &u})
 	}
 	l.Replace(all, start)
--- a/internal/core/booking/place.go
+++ b/internal/core/booking/place.go
@@ -239,5 +239,5 @@
 
 func part(l *load, reserve int64) Part {
 	u := &l.engine.up
-	return Part{Upstream: u.ID, Life: u.Life, Address: u.Address, Reserve: reserve}
+	return Part{Upstream: u.ID, Life: u.Incarnation, Address: u.Address, Reserve: reserve}
 }
--- a/internal/core/booking/types.go
+++ b/internal/core/booking/types.go
@@ -31,9 +31,9 @@
 
 // Part is one engine of a plan.
 type Part struct {
-	Upstream string     // ID of the life
-	Life     fleet.Life // by which the engine itself is addressed
-	Address  string     // IP:port
+	Upstream string            // ID of the life
+	Life     fleet.Incarnation // by which the engine itself is addressed
+	Address  string            // IP:port
 	// Reserve is the memory in tokens to reserve there for its part of the prompt;
 	// zero: the first engine holds it.
 	Reserve int64
--- a/internal/core/fleet/address_test.go
+++ b/internal/core/fleet/address_test.go
@@ -26,13 +26,13 @@
 // of the dead one arrives after its successor's first, and then it lapses.
 func TestLateEntryOfTheDeadDoesNotCostTheLiving(t *testing.T) {
 	l := newList()
-	l.Read([]Change{up("dead", 5)}, start)
-	l.Read([]Change{at("dead:1", up("lives", 1))}, start.Add(100*time.Millisecond))
-	l.Read([]Change{up("dead", 6)}, start.Add(200*time.Millisecond))
+	l.Apply([]Change{up("dead", 5)}, start)
+	l.Apply([]Change{at("dead:1", up("lives", 1))}, start.Add(100*time.Millisecond))
+	l.Apply([]Change{up("dead", 6)}, start.Add(200*time.Millisecond))
 	if got := l.listed(); got != "dead lives" {
 		t.Fatalf("with both entries %q", got)
 	}
-	l.Read([]Change{{Name: "dead"}}, start.Add(300*time.Millisecond))
+	l.Apply([]Change{{Name: "dead"}}, start.Add(300*time.Millisecond))
 	if u := get(t, l, "lives"); u.Displaced || u.Rivals != nil {
 		t.Errorf("alone it is %+v", u)
 	}
@@ -48,7 +48,7 @@
 		"a start is told by one of them": {up("a", 5), at("a:1", life("b", 10, 1))},
 	} {
 		l := newList()
-		l.Read(changes, start)
+		l.Apply(changes, start)
 		var displaced []string
 		for _, u := range l.Snapshot().Upstreams {
 			if u.Displaced {
@@ -73,8 +73,8 @@
 		"another than the earlier":     {"a", false, "b"},
 	} {
 		l := newList()
-		l.Read([]Change{up("a", 5), at("a:1", up("b", 1))}, start)
-		if !l.Identified(get(t, l, c.asked), c.itself) {
+		l.Apply([]Change{up("a", 5), at("a:1", up("b", 1))}, start)
+		if !l.RecordResponder(get(t, l, c.asked), c.itself) {
 			t.Errorf("%s: nothing new", name)
 		}
 		if got := l.listed(); got != c.want {
@@ -84,7 +84,7 @@
 		if got := l.Snapshot().Superseded; !slices.Equal(got, []string{other}) {
 			t.Errorf("%s: superseded %q", name, got)
 		}
-		l.Read([]Change{{Name: c.want}}, start.Add(time.Second))
+		l.Apply([]Change{{Name: c.want}}, start.Add(time.Second))
 		if got := l.listed(); got != other {
 			t.Errorf("%s: when it went, listed %q", name, got)
 		}
@@ -95,22 +95,22 @@
 // successor was listed.
 func TestAnswerSaysNothingOfServersThatCameLater(t *testing.T) {
 	l := newList()
-	l.Read([]Change{up("a", 5), at("a:1", up("b", 1))}, start)
+	l.Apply([]Change{up("a", 5), at("a:1", up("b", 1))}, start)
 	asked := get(t, l, "b")
-	l.Read([]Change{at("a:1", up("c", 1))}, start.Add(time.Second))
-	l.Identified(asked, true)
+	l.Apply([]Change{at("a:1", up("c", 1))}, start.Add(time.Second))
+	l.RecordResponder(asked, true)
 	if got := l.listed(); got != "b c" {
 		t.Errorf("listed %q", got)
 	}
-	if l.Identified(Upstream{ID: "c"}, false) {
+	if l.RecordResponder(Upstream{ID: "c"}, false) {
 		t.Error("an upstream without rivals is tried again, whatever it answered")
 	}
 }
 
 func TestToldStartsDecideForGood(t *testing.T) {
 	l := newList()
-	l.Read([]Change{life("a", 10, 5), at("a:1", life("b", 20, 1))}, start)
-	l.Read([]Change{{Name: "b"}, life("a", 10, 6)}, start.Add(time.Second))
+	l.Apply([]Change{life("a", 10, 5), at("a:1", life("b", 20, 1))}, start)
+	l.Apply([]Change{{Name: "b"}, life("a", 10, 6)}, start.Add(time.Second))
 	if got := l.listed(); got != "" {
 		t.Errorf("listed %q", got)
 	}
@@ -227,13 +227,13 @@
 	properties := gopter.NewProperties(parameters)
 	properties.Property("listed as the model says", prop.ForAll(func(records []record, away bool) bool {
 		l, now := newList(), start
-		l.Read(nil, now)
+		l.Apply(nil, now)
 		if away {
 			now = now.Add(10 * time.Second)
 		}
 		for i, r := range records {
 			now = now.Add(time.Millisecond)
-			l.Read([]Change{r.change()}, now)
+			l.Apply([]Change{r.change()}, now)
 			if r.Whole {
 				l.Replace(entriesAfter(records[:i+1]), now)
 			}
@@ -293,10 +293,10 @@
 	i := s.rng.IntN(len(s.onWay))
 	c := s.onWay[i]
 	s.onWay = slices.Delete(s.onWay, i, i+1)
-	s.list.Read([]Change{c}, s.now)
+	s.list.Apply([]Change{c}, s.now)
 	s.known[c.Name] = true
 	if dead := serverName(s.rng.IntN(s.lives + 1)); s.rng.IntN(3) == 0 && dead != serverName(s.lives) {
-		s.list.Read([]Change{{Name: dead}}, s.now)
+		s.list.Apply([]Change{{Name: dead}}, s.now)
 	}
 }
 
@@ -305,7 +305,7 @@
 		return
 	}
 	i := s.rng.IntN(len(s.sent))
-	s.list.Identified(s.sent[i], s.itself[i])
+	s.list.RecordResponder(s.sent[i], s.itself[i])
 	s.sent, s.itself = slices.Delete(s.sent, i, i+1), slices.Delete(s.itself, i, i+1)
 }
 
--- a/internal/core/fleet/cold.go
+++ b/internal/core/fleet/cold.go
@@ -6,22 +6,22 @@
 // first may have been on its way.
 const beatsToBelieve = 2
 
-// DoubtWarmth makes the upstreams of a failure domain count as cold until they say otherwise,
+// AssumeCold makes the upstreams of a failure domain count as cold until they say otherwise,
 // for what they said last may be over: the domain was not in use, or could not be reached.
-func (l *List) DoubtWarmth(domain string, coldFor func(service string) time.Duration, now time.Time) {
+func (l *List) AssumeCold(domain string, coldFor func(service string) time.Duration, now time.Time) {
 	for _, e := range l.byName {
 		if e.Domain != domain {
 			continue
 		}
 		l.changes++
 		e.coldUntil = later(e.coldUntil, now.Add(coldFor(e.Service)))
-		e.believeFrom = e.Beat + beatsToBelieve
+		e.believeFrom = e.Heartbeat + beatsToBelieve
 	}
 }
 
-// HearCold notes what an answer of an upstream says: for how long it stays cold. It returns
+// UpdateCold notes what an answer of an upstream says: for how long it stays cold. It returns
 // false when that is known, or the upstream is not.
-func (l *List) HearCold(id string, left time.Duration, now time.Time) bool {
+func (l *List) UpdateCold(id string, left time.Duration, now time.Time) bool {
 	until := now.Add(left)
 	for _, e := range l.byName {
 		if e.ID != id {
@@ -32,7 +32,7 @@
 		}
 		l.changes++
 		e.coldUntil = until
-		e.believeFrom = e.Beat + beatsToBelieve
+		e.believeFrom = e.Heartbeat + beatsToBelieve
 		return true
 	}
 	return false
@@ -55,11 +55,11 @@
 // cold. Where the entry is the one that was known, time goes on.
 func (e *entry) takeCold(u *Upstream, fresh bool, now time.Time) {
 	var told time.Time
-	if u.Cold > 0 {
-		told = now.Add(u.Cold)
+	if u.ColdFor > 0 {
+		told = now.Add(u.ColdFor)
 	}
 	switch {
-	case u.Beat < e.believeFrom:
+	case u.Heartbeat < e.believeFrom:
 		e.coldUntil = later(e.coldUntil, told)
 	case fresh:
 		e.coldUntil = told
--- a/internal/core/fleet/evacuation.go
+++ b/internal/core/fleet/evacuation.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Wish is a record of the store about the evacuation of a failure domain.
-type Wish struct {
+// EvacuationRecord is a record of the store about the evacuation of a failure domain.
+type EvacuationRecord struct {
 	Domain string
 	Begin  bool // else it has been taken back
 }
@@ -21,10 +21,10 @@
 	domains map[string]bool
 }
 
-// Read takes in the wishes that a read of the store brought, in their order. A whole read has
+// Apply takes in the wishes that a read of the store brought, in their order. A whole read has
 // all that stand, but for those of unreadable domains: nothing new is known of them. It
 // returns the domains whose evacuation began and ended.
-func (e *Evacuations) Read(wishes []Wish, whole bool, unreadable []string) (begun, ended []string) {
+func (e *Evacuations) Apply(wishes []EvacuationRecord, whole bool, unreadable []string) (begun, ended []string) {
 	before := e.domains
 	after := maps.Clone(before)
 	if whole {
@@ -69,5 +69,5 @@
 		return
 	}
 	delete(l.evacuated, domain)
-	l.DoubtWarmth(domain, coldFor, now)
+	l.AssumeCold(domain, coldFor, now)
 }
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -9,10 +9,10 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-func newList() *List { return New(Options{AwayAfter: time.Second, Return: 2 * time.Second}) }
+func newList() *List { return New(Options{OutageAfter: time.Second, ReturnGrace: 2 * time.Second}) }
 
 func up(id string, beat int64) Change {
-	return Change{Name: id, Upstream: &Upstream{Life: Life{Name: id}, Service: "s", Address: id + ":1", Beat: beat}}
+	return Change{Name: id, Upstream: &Upstream{Incarnation: Incarnation{Name: id}, Service: "s", Address: id + ":1", Heartbeat: beat}}
 }
 
 func (l *List) has(id string) bool {
@@ -22,8 +22,8 @@
 
 func TestRemovedEntryIsGoneAtOnce(t *testing.T) {
 	l := newList()
-	l.Read([]Change{up("a", 1), up("b", 1)}, start)
-	l.Read([]Change{{Name: "a"}}, start.Add(500*time.Millisecond))
+	l.Apply([]Change{up("a", 1), up("b", 1)}, start)
+	l.Apply([]Change{{Name: "a"}}, start.Add(500*time.Millisecond))
 	if l.has("a") || !l.has("b") {
 		t.Errorf("got %v", l.Snapshot().Upstreams)
 	}
@@ -31,13 +31,13 @@
 
 func TestEntryThatLapsedWithTheStoreAwayStaysForItsReturn(t *testing.T) {
 	l := newList()
-	l.Read([]Change{up("back", 1), up("dead", 1)}, start)
+	l.Apply([]Change{up("back", 1), up("dead", 1)}, start)
 	back := start.Add(10 * time.Second)
-	l.Read([]Change{{Name: "back"}, {Name: "dead"}}, back)
+	l.Apply([]Change{{Name: "back"}, {Name: "dead"}}, back)
 	if !l.has("back") || !l.has("dead") {
 		t.Fatal("lapsed entries were dropped at once")
 	}
-	l.Read([]Change{up("back", 2)}, back.Add(time.Second))
+	l.Apply([]Change{up("back", 2)}, back.Add(time.Second))
 	l.Expire(back.Add(2 * time.Second))
 	if !l.has("back") || l.has("dead") {
 		t.Errorf("got %v", l.Snapshot().Upstreams)
@@ -48,8 +48,8 @@
 	l := newList()
 	leaving := up("a", 1)
 	leaving.Upstream.Leaving = true
-	l.Read([]Change{leaving}, start)
-	l.Read([]Change{{Name: "a"}}, start.Add(10*time.Second))
+	l.Apply([]Change{leaving}, start)
+	l.Apply([]Change{{Name: "a"}}, start.Add(10*time.Second))
 	if l.has("a") {
 		t.Error("it is still used")
 	}
@@ -59,15 +59,15 @@
 	l := newList()
 	leaving := up("a", 2)
 	leaving.Upstream.Leaving = true
-	l.Read([]Change{up("a", 1), leaving, up("a", 1), up("a", 3)}, start)
-	if u, _ := l.Snapshot().Get("a"); !u.Leaving || u.Beat != 3 {
+	l.Apply([]Change{up("a", 1), leaving, up("a", 1), up("a", 3)}, start)
+	if u, _ := l.Snapshot().Get("a"); !u.Leaving || u.Heartbeat != 3 {
 		t.Errorf("got %+v", u)
 	}
 }
 
 func TestReplaceRemovesWhatIsMissing(t *testing.T) {
 	l := newList()
-	l.Read([]Change{up("a", 1), up("b", 1)}, start)
+	l.Apply([]Change{up("a", 1), up("b", 1)}, start)
 	l.Replace([]Change{up("b", 2)}, start.Add(100*time.Millisecond))
 	if l.has("a") || !l.has("b") {
 		t.Errorf("got %v", l.Snapshot().Upstreams)
@@ -125,7 +125,7 @@
 		"removed, then an earlier life":   {[]Change{life("a", 20, 1), {Name: "a"}, life("a", 10, 9)}, ""},
 	} {
 		l := newList()
-		l.Read(c.entries, start)
+		l.Apply(c.entries, start)
 		if got := l.listed(); got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
@@ -142,7 +142,7 @@
 		"the old one is heard of late":  {[]Change{at("a:1", life("b", 20, 1)), life("a", 10, 5)}, "b@20"},
 	} {
 		l := newList()
-		l.Read(c.entries, start)
+		l.Apply(c.entries, start)
 		if got := l.listed(); got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
@@ -151,13 +151,13 @@
 
 func TestEntryThatNamesNoUpstreamEndsTheUse(t *testing.T) {
 	l := newList()
-	l.Read([]Change{life("a", 10, 1), life("b", 10, 1)}, start)
+	l.Apply([]Change{life("a", 10, 1), life("b", 10, 1)}, start)
 	away := start.Add(time.Minute) // removals now count as lapses, which a void entry is not
-	l.Read([]Change{{Name: "a", Void: true}, {Name: "unheard", Void: true}}, away)
+	l.Apply([]Change{{Name: "a", Invalid: true}, {Name: "unheard", Invalid: true}}, away)
 	if got := l.listed(); got != "b@10" {
 		t.Fatalf("listed %q", got)
 	}
-	l.Read([]Change{life("a", 10, 2)}, away.Add(time.Second))
+	l.Apply([]Change{life("a", 10, 2)}, away.Add(time.Second))
 	if got := l.listed(); got != "a@10 b@10" {
 		t.Errorf("its next entry lists it again: %q", got)
 	}
@@ -165,9 +165,9 @@
 
 func TestSuccessorShowsThatALifeIsOver(t *testing.T) {
 	l := newList()
-	l.Read([]Change{life("a", 10, 1), life("b", 10, 1), life("c", 10, 1)}, start)
+	l.Apply([]Change{life("a", 10, 1), life("b", 10, 1), life("c", 10, 1)}, start)
 	before := l.Snapshot()
-	l.Read([]Change{life("a", 20, 1), at("b:1", life("x", 30, 1)), {Name: "c"}}, start.Add(time.Millisecond))
+	l.Apply([]Change{life("a", 20, 1), at("b:1", life("x", 30, 1)), {Name: "c"}}, start.Add(time.Millisecond))
 	after := l.Snapshot()
 	for id, want := range map[string]string{"a@10": "a@20", "b@10": "x@30", "c@10": ""} {
 		u, _ := before.Get(id)
@@ -181,14 +181,14 @@
 // with all upstreams: heartbeats alone change nothing that a snapshot shows.
 func TestHeartbeatsLeaveTheSnapshotAsItIs(t *testing.T) {
 	l := newList()
-	l.Read([]Change{up("a", 1), up("b", 1)}, start)
+	l.Apply([]Change{up("a", 1), up("b", 1)}, start)
 	first := l.Snapshot()
-	l.Read([]Change{up("a", 2), up("b", 2)}, start.Add(time.Second))
+	l.Apply([]Change{up("a", 2), up("b", 2)}, start.Add(time.Second))
 	beaten := l.Snapshot()
 	if !beaten.SameAs(first) || !beaten.At.Equal(start.Add(time.Second)) {
 		t.Errorf("heartbeats have changed it, or its time is %s", beaten.At.Sub(start))
 	}
-	l.Read([]Change{up("a", 1)}, start.Add(time.Second)) // late
+	l.Apply([]Change{up("a", 1)}, start.Add(time.Second)) // late
 	if !l.Snapshot().SameAs(first) {
 		t.Error("a late heartbeat has changed it")
 	}
@@ -196,7 +196,7 @@
 	leaving.Upstream.Leaving, moved.Upstream.Address = true, "c:1"
 	for name, c := range map[string]Change{"it leaves": leaving, "it moves": moved, "it has gone": {Name: "b"}, "a new one": up("d", 1)} {
 		before := l.Snapshot()
-		l.Read([]Change{c}, start.Add(time.Second))
+		l.Apply([]Change{c}, start.Add(time.Second))
 		if l.Snapshot().SameAs(before) {
 			t.Errorf("%s: nothing has changed", name)
 		}
@@ -212,13 +212,13 @@
 			for i := range upstreams {
 				all = append(all, up(strconv.Itoa(i), 1))
 			}
-			l.Read(all, start)
+			l.Apply(all, start)
 			for beat := int64(2); b.Loop(); beat++ {
 				some := make([]Change, 0, upstreams/3)
 				for i := range upstreams / 3 {
 					some = append(some, up(strconv.Itoa(i), beat))
 				}
-				l.Read(some, start)
+				l.Apply(some, start)
 				l.Snapshot()
 			}
 		})
--- a/internal/core/fleet/list.go
+++ b/internal/core/fleet/list.go
@@ -8,12 +8,12 @@
 
 // Options configure a List.
 type Options struct {
-	// AwayAfter is the time without a successful read from which the store counts
+	// OutageAfter is the time without a successful read from which the store counts
 	// as away. Entries that lapse meanwhile may belong to live servers.
-	AwayAfter time.Duration
-	// Return is how long after the store's return a lapsed entry is still used: a
+	OutageAfter time.Duration
+	// ReturnGrace is how long after the store's return a lapsed entry is still used: a
 	// live server is back in the list by then.
-	Return time.Duration
+	ReturnGrace time.Duration
 }
 
 // endedKept is how long an ended life is remembered. Late heartbeats were seen up to some
@@ -83,11 +83,11 @@
 	}
 }
 
-// Read notes a successful read of the store at now, with the changes it brought in
+// Apply notes a successful read of the store at now, with the changes it brought in
 // their order.
-func (l *List) Read(changes []Change, now time.Time) {
-	if !l.read.IsZero() && now.Sub(l.read) > l.opts.AwayAfter {
-		l.away = now.Add(l.opts.Return)
+func (l *List) Apply(changes []Change, now time.Time) {
+	if !l.read.IsZero() && now.Sub(l.read) > l.opts.OutageAfter {
+		l.away = now.Add(l.opts.ReturnGrace)
 	}
 	if now.After(l.read) { // a copy of a peer may be older
 		l.read = now
@@ -110,7 +110,7 @@
 			changes = append(changes, Change{Name: name})
 		}
 	}
-	l.Read(changes, now)
+	l.Apply(changes, now)
 }
 
 func (l *List) apply(c Change, now time.Time) {
@@ -122,7 +122,7 @@
 	if !known {
 		return
 	}
-	if now.Before(l.away) && !e.Leaving && !c.Void {
+	if now.Before(l.away) && !e.Leaving && !c.Invalid {
 		if e.until.IsZero() {
 			e.until = l.away
 		}
@@ -141,16 +141,16 @@
 // one of the same life, changes nothing, and a life that leaves never comes back.
 func (l *List) put(u Upstream, now time.Time) {
 	before, known := l.lastOf(u)
-	u.ID = u.Life.ID()
+	u.ID = u.Incarnation.ID()
 	fresh := l.isFresh(u)
 	switch {
 	case !known || laterLife(u, before.Upstream):
 		l.count++
 		before, fresh = entry{listed: l.count}, true
-	case u.Born != 0 && u.Born < before.Born, u.Beat < before.Beat:
+	case u.Born != 0 && u.Born < before.Born, u.Heartbeat < before.Heartbeat:
 		return
 	default:
-		u.ID, u.Life = before.ID, before.Life
+		u.ID, u.Incarnation = before.ID, before.Incarnation
 		u.Leaving = u.Leaving || before.Leaving
 	}
 	after := before
@@ -172,14 +172,14 @@
 // isFresh reports whether an entry was written after the one that stands.
 func (l *List) isFresh(u Upstream) bool {
 	e, stands := l.byName[u.Name]
-	return !stands || !e.until.IsZero() || u.Beat != e.Beat
+	return !stands || !e.until.IsZero() || u.Heartbeat != e.Heartbeat
 }
 
 // showsAs reports whether a snapshot shows the same for an entry as for another one: the
 // number of its heartbeat is not looked at.
 func (e *entry) showsAs(other *entry) bool {
 	a, b := e.Upstream, other.Upstream
-	a.Beat, a.Cold, a.Rivals = b.Beat, b.Cold, nil
+	a.Heartbeat, a.ColdFor, a.Rivals = b.Heartbeat, b.ColdFor, nil
 	b.Rivals = nil
 	return reflect.DeepEqual(a, b) && e.coldUntil.Equal(other.coldUntil) && e.listed == other.listed && e.over == other.over
 }
@@ -198,7 +198,7 @@
 		last = l.ended[u.Name].entry
 	}
 	if last.Born == 0 {
-		last.Leaving, last.Beat = false, u.Beat
+		last.Leaving, last.Heartbeat = false, u.Heartbeat
 		return last, last.Name != "" && u.Born == 0
 	}
 	return last, true
@@ -208,18 +208,18 @@
 // start is not told, the entries are taken for those of one life.
 func laterLife(u, known Upstream) bool {
 	if known.Born == 0 {
-		return u.Born != 0 && u.Beat < known.Beat
+		return u.Born != 0 && u.Heartbeat < known.Heartbeat
 	}
 	return u.Born > known.Born
 }
 
-// Identified takes in which server answered what was sent to an upstream of a snapshot:
+// RecordResponder takes in which server answered what was sent to an upstream of a snapshot:
 // the upstream itself, or another one that has its address. It returns false when that
 // tells nothing new.
 //
 // The rivals of one that answered had started before it: they were registered when the
 // snapshot was made, so before the request was sent.
-func (l *List) Identified(u Upstream, itself bool) bool {
+func (l *List) RecordResponder(u Upstream, itself bool) bool {
 	over := u.Rivals
 	if !itself {
 		over = []string{u.ID}
--- a/internal/core/fleet/upstream.go
+++ b/internal/core/fleet/upstream.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Life names one life of a server: it may start again under the name that it had, and
+// Incarnation names one life of a server: it may start again under the name that it had, and
 // holds and knows nothing of before then.
-type Life struct {
+type Incarnation struct {
 	Name string // under which the server is registered
 	Born int64  // Unix milliseconds of the start; zero: not told
 }
 
 // ID returns the identifier of the life, unique among all lives of all servers.
-func (l Life) ID() string {
+func (l Incarnation) ID() string {
 	if l.Born == 0 {
 		return l.Name
 	}
@@ -23,15 +23,15 @@
 // Upstream is one life of a server. An address may pass to a server of another service.
 type Upstream struct {
 	ID string // of the life
-	Life
-	Service string
-	Address string // IP:port
-	Domain  string // failure domain
-	Slots   int    // requests that run at once
-	Leaving bool   // takes no new work
-	Beat    int64  // rises with each heartbeat of this life
-	// Cold is for how long its entry says that it bears few requests a second.
-	Cold time.Duration
+	Incarnation
+	Service   string
+	Address   string // IP:port
+	Domain    string // failure domain
+	Slots     int    // requests that run at once
+	Leaving   bool   // takes no new work
+	Heartbeat int64  // rises with each heartbeat of this life
+	// ColdFor is for how long its entry says that it bears few requests a second.
+	ColdFor time.Duration
 	// ColdUntil is when it is warm again, by all that is known; in the past where it is.
 	ColdUntil time.Time
 	// Evacuated says that operators want nothing new sent to its failure domain.
@@ -51,5 +51,5 @@
 type Change struct {
 	Name     string
 	Upstream *Upstream // nil: the entry was removed, or is Void
-	Void     bool      // the entry names no upstream: it cannot be read, or is another writer's
+	Invalid  bool      // the entry names no upstream: it cannot be read, or is another writer's
 }
--- a/internal/core/placement/boundary.go
+++ b/internal/core/placement/boundary.go
@@ -136,9 +136,9 @@
 	return sum
 }
 
-// Boundary returns how many live engines a domain has, and how many of them take
+// LongPromptEngines returns how many live engines a domain has, and how many of them take
 // long prompts.
-func (v *View) Boundary(poolName, domain string) (long, live int) {
+func (v *View) LongPromptEngines(poolName, domain string) (long, live int) {
 	g := v.group(poolName, domain)
 	if g == nil {
 		return 0, 0
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -102,7 +102,7 @@
 	if s.class == Long || !t.separates() {
 		return room, nil
 	}
-	longest := t.view.opts.NearRatio * float64(t.ask.Tokens)
+	longest := t.view.opts.SimilarRatio * float64(t.ask.Tokens)
 	n := min(t.view.opts.Samples, len(room))
 	for n < len(room) && float64(room[n].limit()) <= longest {
 		n++
@@ -138,7 +138,7 @@
 
 // mayTake repeats the tests of candidates for one engine.
 func (t *task) mayTake(e *Engine, c *candidates) bool {
-	need := t.ask.Need()
+	need := t.ask.MemoryNeeded()
 	if !t.able(e, c.state) || !t.holds(e, need) || !e.hasRoom(need) {
 		return false
 	}
--- a/internal/core/placement/engine.go
+++ b/internal/core/placement/engine.go
@@ -78,9 +78,9 @@
 // CachedBlocks returns the number of prefix blocks known to be cached.
 func (e *Engine) CachedBlocks() int { return e.cached.len() }
 
-// OwnPending returns the correction for the lag of the last report: own
+// UnreportedLoad returns the correction for the lag of the last report: own
 // placements, their prompt tokens not yet computed, and their memory in tokens.
-func (e *Engine) OwnPending() (requests int, prefill, memory int64) {
+func (e *Engine) UnreportedLoad() (requests int, prefill, memory int64) {
 	for _, n := range e.own.prefill {
 		prefill += n
 	}
--- a/internal/core/placement/estimate.go
+++ b/internal/core/placement/estimate.go
@@ -47,7 +47,7 @@
 // estimator works out the estimates of one ask in one group.
 type estimator struct {
 	opts     *Options
-	ask      *Ask
+	ask      *Request
 	priority request.Priority // as sent; all work counts when the policy sends none
 	class    Class
 	now      time.Time
@@ -55,7 +55,7 @@
 	share    float64 // expected answer as a share of its bound
 }
 
-func (v *View) estimator(g *group, a *Ask, p request.Priority, now time.Time) estimator {
+func (v *View) estimator(g *group, a *Request, p request.Priority, now time.Time) estimator {
 	share := v.opts.AnswerShare
 	if m := v.models[a.Model]; m != nil {
 		share = m.answerShare.value(share, now, v.opts.RateHalfLife)
@@ -126,7 +126,7 @@
 	if s.class == Long || s.ask.Policy != settings.PolicyLengthAware || s.ask.LongFrom <= 0 {
 		return false
 	}
-	return float64(e.limit()) > s.opts.NearRatio*float64(s.ask.Tokens)
+	return float64(e.limit()) > s.opts.SimilarRatio*float64(s.ask.Tokens)
 }
 
 // cost is what the choice goes by. An engine may finish a prompt that it has begun
@@ -139,11 +139,11 @@
 // memoryWait estimates how long it takes until enough memory is free: what is
 // used turns over once in the mean time for which a request holds it.
 func (s *estimator) memoryWait(e *Engine) time.Duration {
-	need := s.ask.Need()
+	need := s.ask.MemoryNeeded()
 	if e.hasRoom(need) {
 		return 0
 	}
-	prior := s.opts.Residence.Seconds()
+	prior := s.opts.MemoryHoldTime.Seconds()
 	residence := e.group.residence.value(prior, s.now, s.opts.RateHalfLife)
 	used := e.report.MemoryTotal - e.free()
 	return tokensTime(float64(need-e.free()), float64(used)/max(residence, 0.001))
--- a/internal/core/placement/experiment_cases_test.go
+++ b/internal/core/placement/experiment_cases_test.go
@@ -113,7 +113,7 @@
 	for _, keeps := range []bool{false, true} {
 		t.Logf(expHead, keeps)
 		base := expRow(t, expCase{name: "as shipped", keeps: keeps})
-		expRow(t, expCase{name: "drawn from all", opts: Options{NearRatio: math.Inf(1)}, keeps: keeps})
+		expRow(t, expCase{name: "drawn from all", opts: Options{SimilarRatio: math.Inf(1)}, keeps: keeps})
 		expRow(t, expCase{name: "even limits", opts: Options{ShortSkew: 1}, keeps: keeps})
 		expRow(t, expCase{name: "nothing promoted", opts: Options{PromotePart: 1e-9}, keeps: keeps})
 		whole := expRow(t, expCase{name: "no boundary", whole: true, keeps: keeps})
--- a/internal/core/placement/experiment_test.go
+++ b/internal/core/placement/experiment_test.go
@@ -161,12 +161,12 @@
 
 func (s *expSim) place(j *expJob) {
 	v := j.view
-	a := Ask{Pool: "p", Domain: "a", Tokens: j.tokens, MaxTokens: j.answer, Priority: j.urgency, Policy: s.policy, LongFrom: expLongFrom}
+	a := Request{Pool: "p", Domain: "a", Tokens: j.tokens, MaxTokens: j.answer, Priority: j.urgency, Policy: s.policy, LongFrom: expLongFrom}
 	if s.whole {
 		a.LongFrom = 0
 	}
 	d, err := Place(v, a, s.now, s.rng)
-	if err != nil || (d.Verdict != Placed && d.Verdict != WaitMemory && d.Reason != ReasonNoReport) {
+	if err != nil || (d.Verdict != Placed && d.Verdict != WaitMemory && d.Reason != ReasonMemoryUnknown) {
 		panic(fmt.Sprint(d.Verdict, d.Reason, err))
 	}
 	if d.Verdict != Placed {
--- a/internal/core/placement/gang.go
+++ b/internal/core/placement/gang.go
@@ -5,7 +5,7 @@
 // gang decides on a request that no able engine can hold by itself. Members are
 // of one failure domain, because a front sends only to engines of its own.
 func (t *task) gang(d *Decision, g *group, able []*Engine) {
-	need := t.ask.Need()
+	need := t.ask.MemoryNeeded()
 	if size := gangSize(able, need); size > 0 {
 		d.Verdict = NeedsGang
 		d.Reason = ReasonOverOneEngine
@@ -17,10 +17,10 @@
 	switch {
 	case unknown:
 		d.Verdict = NoEngine
-		d.Reason = ReasonNoReport
+		d.Reason = ReasonMemoryUnknown
 	case need <= limit:
 		d.Verdict = NoEngine
-		d.Reason = ReasonGangNow
+		d.Reason = ReasonGangEnginesMissing
 	default:
 		d.Verdict = NeverPossible
 		d.Reason = ReasonOverPool
--- a/internal/core/placement/members.go
+++ b/internal/core/placement/members.go
@@ -18,7 +18,7 @@
 // NeedsGang: of the fewest that hold it, those with the least work ahead, so that
 // the gang can start soon. The parts are equal as far as the engines' memory
 // allows. Nil means that the view no longer offers a gang.
-func GangMembers(v *View, a Ask, now time.Time) []GangMember {
+func GangMembers(v *View, a Request, now time.Time) []GangMember {
 	p := v.pools[a.Pool]
 	if p == nil || p.groups[a.Domain] == nil {
 		return nil
@@ -31,11 +31,11 @@
 			able = append(able, e)
 		}
 	}
-	size := gangSize(able, a.Need())
+	size := gangSize(able, a.MemoryNeeded())
 	if size == 0 {
 		return nil
 	}
-	return split(leastHeld(able, size, a.Need()), a)
+	return split(leastHeld(able, size, a.MemoryNeeded()), a)
 }
 
 // leastHeld returns size engines that hold need tokens together, the least used
@@ -68,11 +68,11 @@
 
 // split gives each engine an equal part of what is left, the smallest engine
 // first, so that a part over an engine's memory moves to larger ones.
-func split(engines []*Engine, a Ask) []GangMember {
+func split(engines []*Engine, a Request) []GangMember {
 	slices.SortFunc(engines, func(a, b *Engine) int {
 		return cmp.Or(cmp.Compare(a.report.MemoryTotal, b.report.MemoryTotal), byName(a, b))
 	})
-	need := a.Need()
+	need := a.MemoryNeeded()
 	members := make([]GangMember, 0, len(engines))
 	for i, e := range engines {
 		left := int64(len(engines) - i)
--- a/internal/core/placement/members_test.go
+++ b/internal/core/placement/members_test.go
@@ -26,9 +26,9 @@
 				v.ApplyReport(specs[i].Name, Report{Incarnation: "1", Seq: 1, Taken: now, MemoryTotal: size, Models: []string{"m"}})
 				all += size
 			}
-			a := Ask{Pool: "p", Model: "m", Domain: "d", Tokens: tokens, MaxTokens: 10}
+			a := Request{Pool: "p", Model: "m", Domain: "d", Tokens: tokens, MaxTokens: 10}
 			members := GangMembers(v, a, now)
-			if a.Need() > all {
+			if a.MemoryNeeded() > all {
 				return members == nil
 			}
 			var sum int64
@@ -39,7 +39,7 @@
 				}
 				sum += m.Tokens
 			}
-			return sum >= a.Need()
+			return sum >= a.MemoryNeeded()
 		},
 		gen.SliceOfN(6, gen.Int64Range(1000, 500_000)),
 		gen.IntRange(1, 3_000_000),
--- a/internal/core/placement/options.go
+++ b/internal/core/placement/options.go
@@ -16,13 +16,13 @@
 	MaxFlight   time.Duration // a placement without a deadline is forgotten after it, 1 h
 	FlightGrace time.Duration // a placement is forgotten this long after its deadline, 30 s
 
-	PrefillRate   float64       // tokens a second without report or observation, 4000
-	DecodeRate    float64       // tokens a second of one stream without either, 20
-	TokensPerByte float64       // of a prompt, without observation, 0.25
-	AnswerShare   float64       // expected answer as a share of its bound, without observation, 0.25
-	Residence     time.Duration // time for which a request holds memory, without observation, 10 s
-	StepTokens    int           // prompt tokens that an engine computes before it turns to another request, 2048
-	RateHalfLife  time.Duration // after it an observation counts half, 30 s
+	PrefillRate    float64       // tokens a second without report or observation, 4000
+	DecodeRate     float64       // tokens a second of one stream without either, 20
+	TokensPerByte  float64       // of a prompt, without observation, 0.25
+	AnswerShare    float64       // expected answer as a share of its bound, without observation, 0.25
+	MemoryHoldTime time.Duration // time for which a request holds memory, without observation, 10 s
+	StepTokens     int           // prompt tokens that an engine computes before it turns to another request, 2048
+	RateHalfLife   time.Duration // after it an observation counts half, 30 s
 
 	PrefixBlocks int // cached blocks kept for one engine, 2048
 
@@ -30,7 +30,7 @@
 	ShortSkew      float64       // from 1 on: how much less the engines of the shortest work carry, 1.5
 	UpperLoad      float64       // from 1 on: most load of the engines of the longest work, against the mean, 1.15
 	LimitSlack     float64       // multiple of an engine's limit up to which short prompts are taken, 2
-	NearRatio      float64       // engines whose limit is at most this multiple of the prompt are drawn first, 4
+	SimilarRatio   float64       // engines whose limit is at most this multiple of the prompt are drawn first, 4
 	LongSlack      float64       // multiple of the long length below which the first engine's limit always stays, 2
 	PromotePart    float64       // prompts below this part of the long length go before others, 0.125
 	PromoteShare   float64       // as long as they are at most this share of the work, 0.25
@@ -50,7 +50,7 @@
 	option.Default(&o.DecodeRate, 20)
 	option.Default(&o.TokensPerByte, 0.25)
 	option.Default(&o.AnswerShare, 0.25)
-	option.Default(&o.Residence, 10*time.Second)
+	option.Default(&o.MemoryHoldTime, 10*time.Second)
 	option.Default(&o.StepTokens, 2048)
 	option.Default(&o.RateHalfLife, 30*time.Second)
 	option.Default(&o.PrefixBlocks, 2048)
@@ -58,7 +58,7 @@
 	option.Default(&o.ShortSkew, 1.5)
 	option.Default(&o.UpperLoad, 1.15)
 	option.Default(&o.LimitSlack, 2)
-	option.Default(&o.NearRatio, 4)
+	option.Default(&o.SimilarRatio, 4)
 	option.Default(&o.LongSlack, 2)
 	option.Default(&o.PromotePart, 0.125)
 	option.Default(&o.PromoteShare, 0.25)
--- a/internal/core/placement/place.go
+++ b/internal/core/placement/place.go
@@ -13,14 +13,14 @@
 
 // Errors of asks that no state of the view could answer.
 var (
-	ErrUnknownPool   = merry.Sentinel("unknown pool")
-	ErrUnknownPolicy = merry.Sentinel("unknown placement policy")
-	ErrBadAsk        = merry.Sentinel("negative token count")
+	ErrUnknownPool    = merry.Sentinel("unknown pool")
+	ErrUnknownPolicy  = merry.Sentinel("unknown placement policy")
+	ErrNegativeTokens = merry.Sentinel("negative token count")
 )
 
 // Place decides where a request goes. It notes nothing: the caller answers with
 // NotePlaced when it sends the request. The error is one of this package's.
-func Place(v *View, a Ask, now time.Time, rng *rand.Rand) (Decision, error) {
+func Place(v *View, a Request, now time.Time, rng *rand.Rand) (Decision, error) {
 	if a.Policy == "" {
 		a.Policy = settings.PolicyLengthAware
 	}
@@ -28,7 +28,7 @@
 		return Decision{}, merry.Wrap(ErrUnknownPolicy, merry.AppendMessage(a.Policy))
 	}
 	if a.Tokens < 0 || a.MaxTokens < 0 {
-		return Decision{}, merry.Wrap(ErrBadAsk)
+		return Decision{}, merry.Wrap(ErrNegativeTokens)
 	}
 	p := v.pools[a.Pool]
 	if p == nil {
@@ -78,7 +78,7 @@
 // task is one placement under way.
 type task struct {
 	view *View
-	ask  *Ask
+	ask  *Request
 	now  time.Time
 	rng  *rand.Rand
 }
@@ -186,7 +186,7 @@
 
 func (t *task) candidates(g *group, state State) candidates {
 	v := t.view
-	need := t.ask.Need()
+	need := t.ask.MemoryNeeded()
 	c := candidates{state: state}
 	c.able = v.able[:0]
 	c.fit = v.fit[:0]
@@ -276,7 +276,7 @@
 	}
 	best := top.at(0)
 	d.Verdict = WaitMemory
-	d.Reason = ReasonNoRoom
+	d.Reason = ReasonMemoryFull
 	d.Backlog = s.backlog(g)
 	d.Earliest = t.now.Add(best.est.MemoryWait)
 	top.fill(d, ReasonLater)
--- a/internal/core/placement/place_test.go
+++ b/internal/core/placement/place_test.go
@@ -43,36 +43,36 @@
 	return v
 }
 
-func testAsk() Ask {
-	return Ask{Pool: "p", Model: "m", Domain: "a", Tokens: 1000, MaxTokens: 100, Priority: request.Normal, LongFrom: 20_000}
+func testAsk() Request {
+	return Request{Pool: "p", Model: "m", Domain: "a", Tokens: 1000, MaxTokens: 100, Priority: request.Normal, LongFrom: 20_000}
 }
 
 func TestPlaceVerdicts(t *testing.T) {
 	tests := []struct {
 		name    string
 		setup   func(v *View)
-		ask     func(a *Ask)
+		ask     func(a *Request)
 		verdict Verdict
 		reason  Reason
 	}{
 		{name: "idle", verdict: Placed, reason: ReasonEarliest},
-		{name: "random", ask: func(a *Ask) { a.Policy = settings.PolicyRandom }, verdict: Placed, reason: ReasonRandom},
-		{name: "fewest", ask: func(a *Ask) { a.Policy = settings.PolicyLeastLoaded }, verdict: Placed, reason: ReasonFewestRequests},
-		{name: "one left", ask: func(a *Ask) { a.Exclude = []string{"a-000", "a-001"} }, verdict: Placed, reason: ReasonOnly},
-		{name: "all excluded", ask: func(a *Ask) { a.Exclude = []string{"a-000", "a-001", "a-002"} }, verdict: NoEngine, reason: ReasonNoneLive},
-		{name: "unknown model", ask: func(a *Ask) { a.Model = "x" }, verdict: NoEngine, reason: ReasonNoneLive},
-		{name: "model with version", ask: func(a *Ask) { a.Model = "other" }, verdict: Placed, reason: ReasonEarliest},
-		{name: "foreign domain", ask: func(a *Ask) { a.Domain = "b" }, verdict: NoEngine, reason: ReasonNoneLive},
+		{name: "random", ask: func(a *Request) { a.Policy = settings.PolicyRandom }, verdict: Placed, reason: ReasonRandom},
+		{name: "fewest", ask: func(a *Request) { a.Policy = settings.PolicyLeastLoaded }, verdict: Placed, reason: ReasonFewestRequests},
+		{name: "one left", ask: func(a *Request) { a.Exclude = []string{"a-000", "a-001"} }, verdict: Placed, reason: ReasonOnly},
+		{name: "all excluded", ask: func(a *Request) { a.Exclude = []string{"a-000", "a-001", "a-002"} }, verdict: NoEngine, reason: ReasonNoneLive},
+		{name: "unknown model", ask: func(a *Request) { a.Model = "x" }, verdict: NoEngine, reason: ReasonNoneLive},
+		{name: "model with version", ask: func(a *Request) { a.Model = "other" }, verdict: Placed, reason: ReasonEarliest},
+		{name: "foreign domain", ask: func(a *Request) { a.Domain = "b" }, verdict: NoEngine, reason: ReasonNoneLive},
 		{name: "all suspect", setup: setAll(Suspect), verdict: Placed, reason: ReasonSuspectOnly},
 		{name: "all leaving", setup: setAll(Leaving), verdict: NoEngine, reason: ReasonNoneLive},
-		{name: "long", ask: func(a *Ask) { a.Tokens = 50_000 }, verdict: Placed, reason: ReasonEarliest},
-		{name: "gang", ask: func(a *Ask) { a.Tokens = 250_000 }, verdict: NeedsGang, reason: ReasonOverOneEngine},
-		{name: "gang short of engines", setup: func(v *View) { v.SetState("a-000", Leaving) }, ask: func(a *Ask) { a.Tokens = 250_000 }, verdict: NoEngine, reason: ReasonGangNow},
-		{name: "never", ask: func(a *Ask) { a.Tokens = 5_000_000 }, verdict: NeverPossible, reason: ReasonOverPool},
-		{name: "never unless unknown", setup: func(v *View) { v.SetState("a-001", Dead) }, ask: func(a *Ask) { a.Tokens = 5_000_000 }, verdict: NoEngine, reason: ReasonNoReport},
-		{name: "too late", ask: func(a *Ask) { a.Deadline = t0.Add(20 * time.Millisecond) }, verdict: TooLate, reason: ReasonDeadline},
-		{name: "memory full", setup: fillAll, verdict: WaitMemory, reason: ReasonNoRoom},
-		{name: "memory full and late", setup: fillAll, ask: func(a *Ask) { a.Deadline = t0.Add(time.Millisecond) }, verdict: TooLate, reason: ReasonDeadline},
+		{name: "long", ask: func(a *Request) { a.Tokens = 50_000 }, verdict: Placed, reason: ReasonEarliest},
+		{name: "gang", ask: func(a *Request) { a.Tokens = 250_000 }, verdict: NeedsGang, reason: ReasonOverOneEngine},
+		{name: "gang short of engines", setup: func(v *View) { v.SetState("a-000", Leaving) }, ask: func(a *Request) { a.Tokens = 250_000 }, verdict: NoEngine, reason: ReasonGangEnginesMissing},
+		{name: "never", ask: func(a *Request) { a.Tokens = 5_000_000 }, verdict: NeverPossible, reason: ReasonOverPool},
+		{name: "never unless unknown", setup: func(v *View) { v.SetState("a-001", Dead) }, ask: func(a *Request) { a.Tokens = 5_000_000 }, verdict: NoEngine, reason: ReasonMemoryUnknown},
+		{name: "too late", ask: func(a *Request) { a.Deadline = t0.Add(20 * time.Millisecond) }, verdict: TooLate, reason: ReasonDeadline},
+		{name: "memory full", setup: fillAll, verdict: WaitMemory, reason: ReasonMemoryFull},
+		{name: "memory full and late", setup: fillAll, ask: func(a *Request) { a.Deadline = t0.Add(time.Millisecond) }, verdict: TooLate, reason: ReasonDeadline},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -135,12 +135,12 @@
 func TestPlaceErrors(t *testing.T) {
 	v := newTestView(1)
 	tests := []struct {
-		ask  Ask
+		ask  Request
 		want error
 	}{
-		{Ask{Pool: "nowhere"}, ErrUnknownPool},
-		{Ask{Pool: "p", Policy: "best"}, ErrUnknownPolicy},
-		{Ask{Pool: "p", Tokens: -1}, ErrBadAsk},
+		{Request{Pool: "nowhere"}, ErrUnknownPool},
+		{Request{Pool: "p", Policy: "best"}, ErrUnknownPolicy},
+		{Request{Pool: "p", Tokens: -1}, ErrNegativeTokens},
 	}
 	for _, tt := range tests {
 		if _, err := Place(v, tt.ask, t0, newRand(1)); !errors.Is(err, tt.want) {
--- a/internal/core/placement/property_test.go
+++ b/internal/core/placement/property_test.go
@@ -88,10 +88,10 @@
 		if !allowed || slices.Contains(a.Exclude, e.Name()) {
 			return fmt.Sprintf("%v is %v", e.Name(), e.State())
 		}
-		_, _, pending := e.OwnPending()
+		_, _, pending := e.UnreportedLoad()
 		r, known := e.Report()
-		if known && a.Need() > r.MemoryTotal-r.MemoryUsed-pending {
-			return fmt.Sprintf("%d tokens on %+v with %d pending", a.Need(), r, pending)
+		if known && a.MemoryNeeded() > r.MemoryTotal-r.MemoryUsed-pending {
+			return fmt.Sprintf("%d tokens on %+v with %d pending", a.MemoryNeeded(), r, pending)
 		}
 		return ""
 	})
--- a/internal/core/placement/service.go
+++ b/internal/core/placement/service.go
@@ -8,8 +8,8 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ServiceAsk is one call of a plain service.
-type ServiceAsk struct {
+// ServiceRequest is one call of a plain service.
+type ServiceRequest struct {
 	Pool         string
 	Domain       string   // failure domain of the front
 	Exclude      []string // upstreams that earlier attempts have ruled out
@@ -21,7 +21,7 @@
 // in flight among two live ones drawn in the own domain. Overload of a service is
 // not known here, so that any rule but never spills only when none is live.
 // The verdict is Placed or NoEngine.
-func PlaceService(v *View, a ServiceAsk, _ time.Time, rng *rand.Rand) (Decision, error) {
+func PlaceService(v *View, a ServiceRequest, _ time.Time, rng *rand.Rand) (Decision, error) {
 	p := v.pools[a.Pool]
 	if p == nil {
 		return Decision{}, merry.Wrap(ErrUnknownPool, merry.AppendMessage(a.Pool))
@@ -46,7 +46,7 @@
 
 type serviceTask struct {
 	view *View
-	ask  *ServiceAsk
+	ask  *ServiceRequest
 	rng  *rand.Rand
 }
 
--- a/internal/core/placement/service_time.go
+++ b/internal/core/placement/service_time.go
@@ -5,10 +5,10 @@
 // mostAsked bounds the engines looked at for a ServiceTime.
 const mostAsked = 8
 
-// ServiceTime returns the least time that a request takes on an engine of its
+// MinServiceTime returns the least time that a request takes on an engine of its
 // failure domain from its start to its end, when nothing is ahead of it: its prefill
 // without any cache, and its expected answer. It is zero when no engine is live.
-func ServiceTime(v *View, a Ask, now time.Time) time.Duration {
+func MinServiceTime(v *View, a Request, now time.Time) time.Duration {
 	g := v.group(a.Pool, a.Domain)
 	if g == nil {
 		return 0
--- a/internal/core/placement/service_time_test.go
+++ b/internal/core/placement/service_time_test.go
@@ -17,13 +17,13 @@
 	}
 	a := testAsk()
 	want := tokensTime(1000, 2000) + tokensTime(v.opts.AnswerShare*100, 50)
-	if got := ServiceTime(v, a, t0); got != want {
+	if got := MinServiceTime(v, a, t0); got != want {
 		t.Errorf("service time %v, want %v", got, want)
 	}
 	for _, e := range v.Engines("p") {
 		v.SetState(e.Name(), Dead)
 	}
-	if got := ServiceTime(v, a, t0); got != 0 {
+	if got := MinServiceTime(v, a, t0); got != 0 {
 		t.Errorf("service time %v without a live engine", got)
 	}
 }
--- a/internal/core/placement/types.go
+++ b/internal/core/placement/types.go
@@ -134,8 +134,8 @@
 	AnswerTokens int // streamed by this attempt
 }
 
-// Ask is one request for an engine.
-type Ask struct {
+// Request is one request for an engine.
+type Request struct {
 	Pool      string
 	Model     string
 	Domain    string // failure domain of the front
@@ -153,8 +153,8 @@
 	SpillDomains []string
 }
 
-// Need returns the memory in tokens that the request holds at its end.
-func (a *Ask) Need() int64 {
+// MemoryNeeded returns the memory in tokens that the request holds at its end.
+func (a *Request) MemoryNeeded() int64 {
 	return int64(a.Tokens) + int64(a.MaxTokens)
 }
 
@@ -193,23 +193,23 @@
 
 // Reasons of a decision.
 const (
-	ReasonRandom          Reason = "random"
-	ReasonFewestRequests  Reason = "fewest_requests"
-	ReasonEarliest        Reason = "earliest_first_token"
-	ReasonPrefix          Reason = "cached_prefix"
-	ReasonOnly            Reason = "only_candidate"
-	ReasonBoundaryRelaxed Reason = "no_engine_for_long" // a long prompt on an engine kept for short ones
-	ReasonSuspectOnly     Reason = "only_suspects"
-	ReasonSpillDead       Reason = "spill_dead"
-	ReasonSpillOverload   Reason = "spill_overload"
-	ReasonNoRoom          Reason = "memory_full"
-	ReasonOverOneEngine   Reason = "over_one_engine"
-	ReasonOverPool        Reason = "over_pool"
-	ReasonGangNow         Reason = "gang_engines_missing" // enough memory exists, not enough is live
-	ReasonDeadline        Reason = "deadline"
-	ReasonNoneLive        Reason = "none_live"
-	ReasonNoReport        Reason = "memory_unknown" // no report yet says how much an engine holds
-	ReasonFewerInFlight   Reason = "fewer_in_flight"
+	ReasonRandom             Reason = "random"
+	ReasonFewestRequests     Reason = "fewest_requests"
+	ReasonEarliest           Reason = "earliest_first_token"
+	ReasonPrefix             Reason = "cached_prefix"
+	ReasonOnly               Reason = "only_candidate"
+	ReasonBoundaryRelaxed    Reason = "no_engine_for_long" // a long prompt on an engine kept for short ones
+	ReasonSuspectOnly        Reason = "only_suspects"
+	ReasonSpillDead          Reason = "spill_dead"
+	ReasonSpillOverload      Reason = "spill_overload"
+	ReasonMemoryFull         Reason = "memory_full"
+	ReasonOverOneEngine      Reason = "over_one_engine"
+	ReasonOverPool           Reason = "over_pool"
+	ReasonGangEnginesMissing Reason = "gang_engines_missing" // enough memory exists, not enough is live
+	ReasonDeadline           Reason = "deadline"
+	ReasonNoneLive           Reason = "none_live"
+	ReasonMemoryUnknown      Reason = "memory_unknown" // no report yet says how much an engine holds
+	ReasonFewerInFlight      Reason = "fewer_in_flight"
 )
 
 // Reasons why a candidate was turned down.
--- a/internal/core/placement/view_test.go
+++ b/internal/core/placement/view_test.go
@@ -12,12 +12,12 @@
 )
 
 func TestSpill(t *testing.T) {
-	late := func(a *Ask) { a.Deadline = t0.Add(20 * time.Millisecond) }
+	late := func(a *Request) { a.Deadline = t0.Add(20 * time.Millisecond) }
 	tests := []struct {
 		rule   string
 		own    State
 		queued int64
-		edit   func(a *Ask)
+		edit   func(a *Request)
 		domain string // empty: not placed
 		reason Reason
 	}{
@@ -26,9 +26,9 @@
 		{rule: settings.SpillDead, own: Dead, domain: "b", reason: ReasonSpillDead},
 		{rule: settings.SpillDead, own: Suspect, domain: "b", reason: ReasonSpillDead},
 		{rule: settings.SpillDead, edit: late},
-		{rule: settings.SpillOverload, queued: 90_000, edit: func(a *Ask) { a.Deadline = t0.Add(2 * time.Second) }, domain: "b", reason: ReasonSpillOverload},
+		{rule: settings.SpillOverload, queued: 90_000, edit: func(a *Request) { a.Deadline = t0.Add(2 * time.Second) }, domain: "b", reason: ReasonSpillOverload},
 		{rule: settings.SpillOverload, edit: late},
-		{rule: settings.SpillOverload, own: Dead, edit: func(a *Ask) { a.SpillDomains = nil }},
+		{rule: settings.SpillOverload, own: Dead, edit: func(a *Request) { a.SpillDomains = nil }},
 	}
 	for i, tt := range tests {
 		v := newTestView(2)
@@ -58,7 +58,7 @@
 func TestPlaceService(t *testing.T) {
 	v := NewView(Options{})
 	v.SetPool("basket", append(specs("a", 2), specs("b", 1)...))
-	ask := ServiceAsk{Pool: "basket", Domain: "a", Spill: settings.SpillDead, SpillDomains: []string{"b"}}
+	ask := ServiceRequest{Pool: "basket", Domain: "a", Spill: settings.SpillDead, SpillDomains: []string{"b"}}
 	expect := func(name string, verdict Verdict, reason Reason) {
 		t.Helper()
 		d, err := PlaceService(v, ask, t0, newRand(1))
@@ -83,7 +83,7 @@
 	v.NotePlaced(Placement{ID: ID{Request: "r"}, Upstream: "a-000", Tokens: 1000, MaxTokens: 50, Cached: 200}, t0.Add(time.Second))
 	expect := func(wantRequests int, wantPrefill, wantMemory int64) {
 		t.Helper()
-		if r, p, m := e.OwnPending(); r != wantRequests || p != wantPrefill || m != wantMemory {
+		if r, p, m := e.UnreportedLoad(); r != wantRequests || p != wantPrefill || m != wantMemory {
 			t.Errorf("got %d requests, %d prefill, %d memory", r, p, m)
 		}
 	}
@@ -233,7 +233,7 @@
 		if _, err := Place(v, a, t0.Add(time.Duration(i)*time.Minute), newRand(1)); err != nil {
 			t.Fatal(err)
 		}
-		if long, live := v.Boundary("p", "a"); long != 2 || live != 4 {
+		if long, live := v.LongPromptEngines("p", "a"); long != 2 || live != 4 {
 			t.Errorf("%d of %d engines take long prompts, want 2 of 4", long, live)
 		}
 	}
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -58,9 +58,9 @@
 // whose part of a site's budget follows the number of daemons.
 func (b *Budget) SetFloor(floor int) { b.opts.Floor = max(floor, 0) }
 
-// Earn counts one event of those that retries are a share of: a complete answer,
+// Deposit counts one event of those that retries are a share of: a complete answer,
 // or a request where the site's bound is a share of requests.
-func (b *Budget) Earn(now time.Time) {
+func (b *Budget) Deposit(now time.Time) {
 	b.advance(now)
 	b.slots[b.index()].earned++
 	b.sum.earned++
@@ -77,9 +77,9 @@
 	return true
 }
 
-// TrySpare takes one retry of the half that is not kept for failures; it returns false when
+// TryOptionalRetry takes one retry of the half that is not kept for failures; it returns false when
 // only that is left.
-func (b *Budget) TrySpare(now time.Time) bool {
+func (b *Budget) TryOptionalRetry(now time.Time) bool {
 	b.advance(now)
 	if b.Left() <= b.allowed()/2 {
 		return false
--- a/internal/core/retry/policy.go
+++ b/internal/core/retry/policy.go
@@ -23,8 +23,8 @@
 	Broken
 	// Died: the upstream is gone.
 	Died
-	// Garbage: the upstream's answer contradicts itself or cannot be read.
-	Garbage
+	// InvalidAnswer: the upstream's answer contradicts itself or cannot be read.
+	InvalidAnswer
 	// Declined: the upstream promised that it has not run the request and never
 	// will.
 	Declined
@@ -44,28 +44,28 @@
 
 // Attempt is one attempt of a request, ended.
 type Attempt struct {
-	Number       int  // from 1
-	End          End  //
-	EarlierWrote bool // a byte was written by an earlier attempt, whatever came of it
-	Reachable    bool // a new connection to the upstream works, and it still knows the attempt
-	Resumes      int  // resumes of this attempt so far
-	Runs         int  // attempts so far that may have run, this one included
-	MostRuns     int  // runs that the request may have; zero: the policy's MaxAttempts
-	Paid         bool // the repeat that follows has been taken from the budget already
+	Number         int  // from 1
+	End            End  //
+	EarlierWritten bool // a byte was written by an earlier attempt, whatever came of it
+	Reachable      bool // a new connection to the upstream works, and it still knows the attempt
+	Resumes        int  // resumes of this attempt so far
+	Runs           int  // attempts so far that may have run, this one included
+	MaxRuns        int  // runs that the request may have; zero: the policy's MaxAttempts
+	BudgetTaken    bool // the repeat that follows has been taken from the budget already
 }
 
 // mayHaveRun reports whether some upstream may have started the request.
-func (a Attempt) mayHaveRun() bool { return a.EarlierWrote || a.End.MayHaveRun() }
+func (a Attempt) mayHaveRun() bool { return a.EarlierWritten || a.End.MayHaveRun() }
 
 // MayHaveRun reports whether an attempt that ended so may have been started.
 func (e End) MayHaveRun() bool { return e != NotWritten && e != Declined }
 
 // spends reports whether another attempt is taken from the budget.
 func (p *Policy) spends(a Attempt) bool {
-	if a.Paid {
+	if a.BudgetTaken {
 		return false
 	}
-	if p.opts.CountArrivals {
+	if p.opts.ChargeArrivals {
 		return a.End != NotWritten
 	}
 	return a.End != NotWritten && a.End != Died
@@ -76,9 +76,9 @@
 
 // Actions after an attempt.
 const (
-	GiveUp    Action = iota // tell the caller Decision.Refusal
-	Elsewhere               // cancel the attempt and start the next on another upstream
-	Resume                  // read on from the next index on a new connection, same attempt
+	GiveUp         Action = iota // tell the caller Decision.Refusal
+	RetryElsewhere               // cancel the attempt and start the next on another upstream
+	Resume                       // read on from the next index on a new connection, same attempt
 )
 
 var actionNames = [...]string{"give_up", "elsewhere", "resume"}
@@ -112,10 +112,10 @@
 	MaxResumes   int           // resumes an attempt; DefaultMaxResumes when zero
 	MinRemaining time.Duration // time a new attempt needs at the least; DefaultMinRemaining when zero
 	RetryAfter   time.Duration // told to callers whose request was not run; DefaultRetryAfter when zero
-	// CountArrivals takes every further attempt from the budget that follows one which
+	// ChargeArrivals takes every further attempt from the budget that follows one which
 	// arrived, also after a death. For sites that bound what arrives at the upstreams,
 	// not only what runs there.
-	CountArrivals bool
+	ChargeArrivals bool
 }
 
 // Policy decides for the requests that share a Budget. It is not safe for
@@ -154,13 +154,13 @@
 	if p.canResume(a) {
 		return Decision{Action: Resume, Attempt: a.Number}
 	}
-	if a.Number >= p.opts.MaxAttempts || a.MostRuns > 0 && a.Runs >= a.MostRuns {
+	if a.Number >= p.opts.MaxAttempts || a.MaxRuns > 0 && a.Runs >= a.MaxRuns {
 		return p.giveUp(a, r, request.CodeUpstreamFailed, "attempts used up")
 	}
 	if p.spends(a) && !p.budget.TryRetry(now) {
 		return p.giveUp(a, r, request.CodeUpstreamFailed, "retry budget used up")
 	}
-	return Decision{Action: Elsewhere, Attempt: a.Number + 1}
+	return Decision{Action: RetryElsewhere, Attempt: a.Number + 1}
 }
 
 // canResume reports whether the same execution can be read on: no work is
--- a/internal/core/retry/retry_test.go
+++ b/internal/core/retry/retry_test.go
@@ -28,17 +28,17 @@
 		outcome    request.Outcome
 		code       request.Code
 	}{
-		{name: "refused connection, once only", attempt: Attempt{Number: 1, End: NotWritten}, want: Elsewhere},
-		{name: "refused connection needs no budget", attempt: Attempt{Number: 1, End: NotWritten}, noBudget: true, want: Elsewhere},
-		{name: "once only, written before", attempt: Attempt{Number: 2, End: NotWritten, EarlierWrote: true}, outcome: request.Unknown, code: request.CodeOutcomeLost},
+		{name: "refused connection, once only", attempt: Attempt{Number: 1, End: NotWritten}, want: RetryElsewhere},
+		{name: "refused connection needs no budget", attempt: Attempt{Number: 1, End: NotWritten}, noBudget: true, want: RetryElsewhere},
+		{name: "once only, written before", attempt: Attempt{Number: 2, End: NotWritten, EarlierWritten: true}, outcome: request.Unknown, code: request.CodeOutcomeLost},
 		{name: "once only, refused", attempt: Attempt{Number: 1, End: Refused}, outcome: request.Unknown, code: request.CodeOutcomeLost},
 		{name: "once only, silent but reachable", attempt: Attempt{Number: 1, End: Silent, Reachable: true}, outcome: request.Unknown, code: request.CodeOutcomeLost},
 		{name: "once only, too late, never written", attempt: Attempt{Number: 1, End: NotWritten}, after: time.Hour, outcome: request.NotRun, code: request.CodeDeadline},
 		{name: "silent, reachable", attempt: Attempt{Number: 1, End: Silent, Reachable: true}, repeatable: true, noBudget: true, want: Resume},
-		{name: "silent, resumes used up", attempt: Attempt{Number: 1, End: Silent, Reachable: true, Resumes: DefaultMaxResumes}, repeatable: true, want: Elsewhere},
-		{name: "silent, unreachable", attempt: Attempt{Number: 1, End: Silent}, repeatable: true, want: Elsewhere},
-		{name: "died", attempt: Attempt{Number: 1, End: Died, Reachable: true}, repeatable: true, want: Elsewhere},
-		{name: "died needs no budget", attempt: Attempt{Number: 1, End: Died}, repeatable: true, noBudget: true, want: Elsewhere},
+		{name: "silent, resumes used up", attempt: Attempt{Number: 1, End: Silent, Reachable: true, Resumes: DefaultMaxResumes}, repeatable: true, want: RetryElsewhere},
+		{name: "silent, unreachable", attempt: Attempt{Number: 1, End: Silent}, repeatable: true, want: RetryElsewhere},
+		{name: "died", attempt: Attempt{Number: 1, End: Died, Reachable: true}, repeatable: true, want: RetryElsewhere},
+		{name: "died needs no budget", attempt: Attempt{Number: 1, End: Died}, repeatable: true, noBudget: true, want: RetryElsewhere},
 		{name: "died, attempts used up", attempt: Attempt{Number: DefaultMaxAttempts, End: Died}, repeatable: true, noBudget: true, outcome: request.Failed, code: request.CodeUpstreamFailed},
 		{name: "broken, no budget", attempt: Attempt{Number: 1, End: Broken}, repeatable: true, noBudget: true, outcome: request.Failed, code: request.CodeUpstreamFailed},
 		{name: "silent, no budget", attempt: Attempt{Number: 1, End: Silent}, repeatable: true, noBudget: true, outcome: request.Failed, code: request.CodeUpstreamFailed},
@@ -61,7 +61,7 @@
 			if c.want == GiveUp && (d.Refusal.Outcome != c.outcome || d.Refusal.Code != c.code) {
 				t.Errorf("got %v, want %s, %s", d.Refusal, c.code, c.outcome)
 			}
-			if c.want == Elsewhere && d.Attempt != c.attempt.Number+1 {
+			if c.want == RetryElsewhere && d.Attempt != c.attempt.Number+1 {
 				t.Errorf("next attempt is %d", d.Attempt)
 			}
 		})
@@ -80,12 +80,12 @@
 			for n := 1; ; n++ {
 				end := NotWritten
 				if rng.IntN(4) == 0 {
-					end = End(rng.IntN(int(Garbage) + 1))
+					end = End(rng.IntN(int(InvalidAnswer) + 1))
 				}
 				if end != NotWritten {
 					writes++
 				}
-				d := p.Next(Attempt{Number: n, End: end, EarlierWrote: wrote, Reachable: rng.IntN(2) == 0}, newRequest(false), start)
+				d := p.Next(Attempt{Number: n, End: end, EarlierWritten: wrote, Reachable: rng.IntN(2) == 0}, newRequest(false), start)
 				wrote = wrote || end != NotWritten
 				if d.Action == GiveUp {
 					return writes <= 1 && (d.Refusal.Outcome == request.NotRun) == (writes == 0)
@@ -110,7 +110,7 @@
 			for range 1000 {
 				now = now.Add(time.Duration(rng.ExpFloat64() * float64(50*time.Millisecond)))
 				if rng.IntN(3) > 0 {
-					b.Earn(now)
+					b.Deposit(now)
 					successes = append(successes, now)
 				} else if b.TryRetry(now) {
 					retries = append(retries, now)
@@ -141,7 +141,7 @@
 		t.Fatal("a retry without any success")
 	}
 	for range 10 {
-		b.Earn(start)
+		b.Deposit(start)
 	}
 	for i := range 5 {
 		if !b.TryRetry(start.Add(time.Second)) {
@@ -151,20 +151,20 @@
 	if b.TryRetry(start.Add(time.Second)) {
 		t.Error("a sixth retry on ten successes")
 	}
-	b.Earn(start.Add(-time.Hour)) // the clock went back
+	b.Deposit(start.Add(-time.Hour)) // the clock went back
 	if b.TryRetry(start.Add(30 * time.Second)) {
 		t.Error("old successes still count")
 	}
 	b.SetRatio(-1)
-	b.Earn(start.Add(31 * time.Second))
+	b.Deposit(start.Add(31 * time.Second))
 	if b.Left() != 0 {
 		t.Error("a negative ratio allows retries")
 	}
 }
 
 func TestCountedArrivalsSpendAndMissedConnectionsDoNot(t *testing.T) {
-	for end, want := range map[End]Action{NotWritten: Elsewhere, Died: GiveUp, Declined: GiveUp, Broken: GiveUp} {
-		p := NewPolicy(PolicyOptions{CountArrivals: true}, NewBudget(BudgetOptions{Ratio: -1, Floor: -1}))
+	for end, want := range map[End]Action{NotWritten: RetryElsewhere, Died: GiveUp, Declined: GiveUp, Broken: GiveUp} {
+		p := NewPolicy(PolicyOptions{ChargeArrivals: true}, NewBudget(BudgetOptions{Ratio: -1, Floor: -1}))
 		if d := p.Next(Attempt{Number: 1, End: end}, newRequest(true), start); d.Action != want {
 			t.Errorf("%s: %s, want %s", end, d.Action, want)
 		}
@@ -173,10 +173,10 @@
 
 func TestRunsAreBoundedApartFromAttempts(t *testing.T) {
 	p := NewPolicy(PolicyOptions{MaxAttempts: 9}, NewBudget(BudgetOptions{Floor: 9}))
-	if d := p.Next(Attempt{Number: 3, End: Declined, Runs: 1, MostRuns: 2}, newRequest(true), start); d.Action != Elsewhere {
+	if d := p.Next(Attempt{Number: 3, End: Declined, Runs: 1, MaxRuns: 2}, newRequest(true), start); d.Action != RetryElsewhere {
 		t.Errorf("after one run: %s", d.Action)
 	}
-	if d := p.Next(Attempt{Number: 3, End: Broken, Runs: 2, MostRuns: 2}, newRequest(true), start); d.Action != GiveUp {
+	if d := p.Next(Attempt{Number: 3, End: Broken, Runs: 2, MaxRuns: 2}, newRequest(true), start); d.Action != GiveUp {
 		t.Errorf("after two runs: %s", d.Action)
 	}
 }
@@ -186,7 +186,7 @@
 	b := NewBudget(BudgetOptions{Ratio: -1, Window: time.Minute, Floor: floor})
 	now := time.Unix(1_800_000_000, 0)
 	spare := 0
-	for b.TrySpare(now) {
+	for b.TryOptionalRetry(now) {
 		spare++
 	}
 	if spare != floor/2 {
--- a/internal/edge/cold.go
+++ b/internal/edge/cold.go
@@ -53,7 +53,7 @@
 	now := time.Now()
 	changed := false
 	p.changeList(func(l *fleet.List) bool {
-		changed = l.HearCold(id, left, now)
+		changed = l.UpdateCold(id, left, now)
 		return changed
 	})
 	if !changed {
@@ -70,7 +70,7 @@
 // until they say otherwise.
 func (p *process) doubtWarmth(domain string) {
 	p.changeList(func(l *fleet.List) bool {
-		l.DoubtWarmth(domain, p.coldFor, time.Now())
+		l.AssumeCold(domain, p.coldFor, time.Now())
 		return true
 	})
 }
--- a/internal/edge/evacuations.go
+++ b/internal/edge/evacuations.go
@@ -11,7 +11,7 @@
 
 // applyEvacuations takes in which failure domains operators want nothing new sent to.
 func (p *process) applyEvacuations(b keyed.Batch) {
-	var wishes []fleet.Wish
+	var wishes []fleet.EvacuationRecord
 	var unreadable []string
 	for _, r := range b.Records {
 		domain, is := p.provider.EvacuationOf(r.Key)
@@ -25,10 +25,10 @@
 				continue
 			}
 		}
-		wishes = append(wishes, fleet.Wish{Domain: domain, Begin: r.Value != nil})
+		wishes = append(wishes, fleet.EvacuationRecord{Domain: domain, Begin: r.Value != nil})
 	}
 	p.mu.Lock()
-	begun, ended := p.evacuations.Read(wishes, b.Whole, unreadable)
+	begun, ended := p.evacuations.Apply(wishes, b.Whole, unreadable)
 	p.mu.Unlock()
 	for _, domain := range begun {
 		p.evacuate(domain, true, b.At)
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -201,7 +201,7 @@
 		if b.Whole {
 			l.Replace(changes, b.At)
 		} else {
-			l.Read(changes, b.At)
+			l.Apply(changes, b.At)
 		}
 		return true
 	})
@@ -215,7 +215,7 @@
 	u, err := p.provider.DecodeUpstream(r.Key, r.Value)
 	if err != nil {
 		p.unreadable.note(p.log, r.Key, err)
-		return fleet.Change{Name: r.Key, Void: true}
+		return fleet.Change{Name: r.Key, Invalid: true}
 	}
 	return fleet.Change{Name: r.Key, Upstream: u}
 }
--- a/internal/edge/follow_test.go
+++ b/internal/edge/follow_test.go
@@ -23,7 +23,7 @@
 		var all []fleet.Change
 		for _, id := range ids {
 			all = append(all, fleet.Change{Name: id, Upstream: &fleet.Upstream{
-				Life: fleet.Life{Name: id}, Service: "s", Address: "10.0.0.1:" + id,
+				Incarnation: fleet.Incarnation{Name: id}, Service: "s", Address: "10.0.0.1:" + id,
 			}})
 		}
 		l.Replace(all, now)
--- a/internal/edge/listchange.go
+++ b/internal/edge/listchange.go
@@ -36,7 +36,7 @@
 func (p *process) identified(u fleet.Upstream, itself bool) {
 	changed := false
 	p.changeList(func(l *fleet.List) bool {
-		changed = l.Identified(u, itself)
+		changed = l.RecordResponder(u, itself)
 		return changed
 	})
 	if changed {
--- a/internal/edge/plain.go
+++ b/internal/edge/plain.go
@@ -77,7 +77,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	d, err := placement.PlaceService(p.view, placement.ServiceAsk{
+	d, err := placement.PlaceService(p.view, placement.ServiceRequest{
 		Pool:         service,
 		Domain:       p.domain,
 		Exclude:      exclude,
--- a/internal/edge/process.go
+++ b/internal/edge/process.go
@@ -95,7 +95,7 @@
 		store:     provider.Store(cfg.Store),
 		suspects:  suspects.New(cfg.Host, log),
 		plain:     newPlainServers(cfg.Domain, cfg.Incarnation),
-		upstreams: fleet.New(fleet.Options{AwayAfter: awayAfter(cfg), Return: lapsedReturn}),
+		upstreams: fleet.New(fleet.Options{OutageAfter: awayAfter(cfg), ReturnGrace: lapsedReturn}),
 		pool: httpwire.NewPool(httpwire.Options{
 			DialTimeout: dialTimeout,
 			UserTimeout: userTimeout,
--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -45,7 +45,7 @@
 }
 
 func (c *serviceCall) place() (placement.Decision, *request.Refusal) {
-	ask := placement.ServiceAsk{Pool: c.job.pool.Name, Exclude: slices.Concat(c.exclude, c.s.barred()), Spill: c.job.routing.Spill}
+	ask := placement.ServiceRequest{Pool: c.job.pool.Name, Exclude: slices.Concat(c.exclude, c.s.barred()), Spill: c.job.routing.Spill}
 	d, err := c.s.opts.Router.PlaceService(ask)
 	if err != nil {
 		return d, request.Refuse(request.CodeInternal, retryElsewhere, "placement failed")
@@ -90,7 +90,7 @@
 		return notPermitted()
 	}
 	end := callEnd(err)
-	a := retry.Attempt{Number: c.attempt, End: end, EarlierWrote: c.wrote}
+	a := retry.Attempt{Number: c.attempt, End: end, EarlierWritten: c.wrote}
 	if end != retry.NotWritten {
 		c.wrote = true
 	}
--- a/internal/front/generate.go
+++ b/internal/front/generate.go
@@ -131,11 +131,11 @@
 		return retry.Decision{Action: retry.GiveUp, Refusal: notPermitted()}
 	}
 	a := retry.Attempt{
-		Number:       g.attempt,
-		End:          res.end,
-		EarlierWrote: g.earlierWrote,
-		Reachable:    res.reachable,
-		Resumes:      g.resumes,
+		Number:         g.attempt,
+		End:            res.end,
+		EarlierWritten: g.earlierWrote,
+		Reachable:      res.reachable,
+		Resumes:        g.resumes,
 	}
 	if res.end != retry.NotWritten {
 		g.earlierWrote = true
--- a/internal/front/notes.go
+++ b/internal/front/notes.go
@@ -92,7 +92,7 @@
 	switch {
 	case end == retry.NotWritten, end == retry.Died:
 		s.opts.Router.SetState(name, placement.Dead)
-	case end == retry.Silent && !reachable, end == retry.Garbage:
+	case end == retry.Silent && !reachable, end == retry.InvalidAnswer:
 		s.opts.Router.SetState(name, placement.Suspect)
 	}
 }
--- a/internal/front/place.go
+++ b/internal/front/place.go
@@ -130,7 +130,7 @@
 	case placement.NeverPossible:
 		g.s.noteDecision(g.job, g.attempt, d, nil)
 		return nil, &noPlace{refusal: request.Refuse(request.CodeNeverPossible, 0,
-			"needs %d tokens of memory, at most %d can be gathered", ask.Need(), d.MemoryLimit)}
+			"needs %d tokens of memory, at most %d can be gathered", ask.MemoryNeeded(), d.MemoryLimit)}
 	case placement.TooLate:
 		g.s.noteDecision(g.job, g.attempt, d, nil)
 		return nil, &noPlace{refusal: request.Refuse(request.CodeDeadline, g.s.comeBack(g.job, d.Backlog.Drain()),
@@ -162,7 +162,7 @@
 
 // decideGang chooses the members of a gang. The first in the order of names
 // receives the request.
-func (g *generation) decideGang(ask placement.Ask, d placement.Decision) (*target, *noPlace) {
+func (g *generation) decideGang(ask placement.Request, d placement.Decision) (*target, *noPlace) {
 	members := g.s.opts.Router.GangMembers(ask)
 	if len(members) == 0 && len(g.exclude) > 0 {
 		// Those that have failed are needed, if they are back.
--- a/internal/front/retries.go
+++ b/internal/front/retries.go
@@ -33,5 +33,5 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.budget.SetRatio(routing.RetryBudget)
-	r.budget.Earn(now)
+	r.budget.Deposit(now)
 }
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -102,7 +102,7 @@
 		return g.broken(ctx, t, a.err), true
 	}
 	if a.chunk.Error != "" {
-		return streamEnd{end: retry.Garbage, err: merry.Wrap(errEngine, merry.AppendMessage(a.chunk.Error))}, true
+		return streamEnd{end: retry.InvalidAnswer, err: merry.Wrap(errEngine, merry.AppendMessage(a.chunk.Error))}, true
 	}
 	step := g.asm.Accept(stream.Chunk{
 		RequestID: a.chunk.RequestID,
@@ -121,7 +121,7 @@
 	case stream.Complete:
 		return streamEnd{complete: true}, true
 	case stream.Faulty:
-		return streamEnd{end: retry.Garbage, err: g.asm.Err()}, true
+		return streamEnd{end: retry.InvalidAnswer, err: g.asm.Err()}, true
 	case stream.Gap:
 		return streamEnd{end: retry.Broken, reachable: true, err: errGap}, true
 	}
@@ -160,7 +160,7 @@
 	}
 	var syntax interface{ Timeout() bool }
 	if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.As(err, &syntax) {
-		return streamEnd{end: retry.Garbage, err: err}
+		return streamEnd{end: retry.InvalidAnswer, err: err}
 	}
 	standing, probeErr := g.s.opts.Client.Probe(ctx, t.address(), g.job.req.ID, g.attempt)
 	if probeErr != nil || t.restarted(standing) {
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -49,9 +49,9 @@
 	if b == nil {
 		core := retry.NewBudget(retry.BudgetOptions{Window: o.Window})
 		policy := retry.NewPolicy(retry.PolicyOptions{
-			MaxAttempts:   mostAttempts,
-			RetryAfter:    retryAfterFailure,
-			CountArrivals: true,
+			MaxAttempts:    mostAttempts,
+			RetryAfter:     retryAfterFailure,
+			ChargeArrivals: true,
 		}, core)
 		b = &budget{Budget: core, policy: policy}
 		r.budgets[service] = b
@@ -65,7 +65,7 @@
 func (r *Relay) earn(service string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budgetOf(service).Earn(now)
+	r.budgetOf(service).Deposit(now)
 }
 
 // next decides what follows an attempt.
@@ -82,7 +82,7 @@
 	defer r.mu.Unlock()
 	b := r.budgetOf(service)
 	if errors.Is(why, errDisplaced) {
-		return b.TrySpare(time.Now())
+		return b.TryOptionalRetry(time.Now())
 	}
 	return b.TryRetry(time.Now())
 }
--- a/internal/relay/engine.go
+++ b/internal/relay/engine.go
@@ -174,7 +174,7 @@
 	first := p.Parts[0]
 	to, known := g.relay.opts.Upstreams().Get(first.Upstream)
 	if !known {
-		to = fleet.Upstream{ID: first.Upstream, Life: first.Life, Service: g.req.Service.Name, Address: first.Address}
+		to = fleet.Upstream{ID: first.Upstream, Incarnation: first.Life, Service: g.req.Service.Name, Address: first.Address}
 	}
 	started, ok := g.start(to)
 	if !ok {
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -227,7 +227,7 @@
 	f := &fixture{
 		script:  &script{steps: steps, leases: map[string]bool{}},
 		planner: &fakePlanner{open: map[string]bool{}},
-		list:    fleet.New(fleet.Options{AwayAfter: time.Hour, Return: time.Second}),
+		list:    fleet.New(fleet.Options{OutageAfter: time.Hour, ReturnGrace: time.Second}),
 		dead:    map[string]bool{},
 	}
 	f.relay = New(Options{
@@ -293,7 +293,7 @@
 func (f *fixture) live(ids ...string) {
 	var all []fleet.Change
 	for _, id := range ids {
-		all = append(all, entry(fleet.Upstream{Life: fleet.Life{Name: id}, Service: "llm", Address: id + ":1"}))
+		all = append(all, entry(fleet.Upstream{Incarnation: fleet.Incarnation{Name: id}, Service: "llm", Address: id + ":1"}))
 	}
 	f.list.Replace(all, time.Now())
 }
--- a/internal/relay/leases_test.go
+++ b/internal/relay/leases_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	s.leases = map[string]bool{}
 	part := func(id string) booking.Part {
-		return booking.Part{Upstream: id, Life: fleet.Life{Name: id, Born: 10}, Address: id + ":1", Lease: "l-" + id, Reserve: 5}
+		return booking.Part{Upstream: id, Life: fleet.Incarnation{Name: id, Born: 10}, Address: id + ":1", Lease: "l-" + id, Reserve: 5}
 	}
 	l := &leases{
 		sender: s, log: logrus.NewEntry(logrus.New()), first: part("first"),
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notices_test.go
@@ -192,10 +192,10 @@
 func (f *fixture) listPlain(ids ...string) {
 	var all []fleet.Change
 	for _, id := range ids {
-		u := fleet.Upstream{Life: fleet.Life{Name: id}, Service: plainRequest(route.Once, 0).Service.Name, Address: id, Domain: "of-" + id}
+		u := fleet.Upstream{Incarnation: fleet.Incarnation{Name: id}, Service: plainRequest(route.Once, 0).Service.Name, Address: id, Domain: "of-" + id}
 		all = append(all, fleet.Change{Name: id, Upstream: &u})
 	}
-	f.list.Read(all, time.Now())
+	f.list.Apply(all, time.Now())
 }
 
 func (f *fixture) evacuate(domain string) {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -33,7 +33,7 @@
 		sends int
 	}{
 		{retry.NotWritten, 2}, {retry.Declined, 2},
-		{retry.Broken, 1}, {retry.Garbage, 1}, {retry.Refused, 1},
+		{retry.Broken, 1}, {retry.InvalidAnswer, 1}, {retry.Refused, 1},
 	}
 	for _, c := range cases {
 		f := newFixture(t, fail(c.end), answer(200, "done"))
@@ -134,8 +134,8 @@
 	f.planner.plans = []booking.Plan{waits, onEngine("e2")}
 	f.planner.onAsk = func(n int) {
 		if n == 0 {
-			leaving := fleet.Upstream{Life: fleet.Life{Name: "e1"}, Service: "llm", Address: "e1:1", Leaving: true}
-			f.list.Read([]fleet.Change{entry(leaving)}, time.Now())
+			leaving := fleet.Upstream{Incarnation: fleet.Incarnation{Name: "e1"}, Service: "llm", Address: "e1:1", Leaving: true}
+			f.list.Apply([]fleet.Change{entry(leaving)}, time.Now())
 		}
 	}
 	if refusal := f.relay.Run(t.Context(), streamRequest(true), &record{}); refusal != nil {
@@ -217,7 +217,7 @@
 	f := newFixture(t, fail(retry.NotWritten), answer(200, firstEvents))
 	var list []fleet.Change
 	for name, domain := range map[string]string{"far1": "far", "far2": "far", "near": "near"} {
-		list = append(list, entry(fleet.Upstream{Life: fleet.Life{Name: name}, Service: "llm", Address: name + ":1", Domain: domain}))
+		list = append(list, entry(fleet.Upstream{Incarnation: fleet.Incarnation{Name: name}, Service: "llm", Address: name + ":1", Domain: domain}))
 	}
 	f.list.Replace(list, time.Now())
 	f.planner.plans = []booking.Plan{onEngine("far1"), onEngine("near")}
@@ -279,10 +279,10 @@
 // sharedAddress lists two upstreams whose entries name one address, the later one second.
 func (f *fixture) sharedAddress(earlier, later string) {
 	for _, id := range []string{earlier, later} {
-		u := fleet.Upstream{Life: fleet.Life{Name: id}, Service: "llm", Address: "shared:1"}
-		f.list.Read([]fleet.Change{entry(u)}, time.Now())
+		u := fleet.Upstream{Incarnation: fleet.Incarnation{Name: id}, Service: "llm", Address: "shared:1"}
+		f.list.Apply([]fleet.Change{entry(u)}, time.Now())
 	}
-	f.relay.opts.Identified = func(u fleet.Upstream, itself bool) { f.list.Identified(u, itself) }
+	f.relay.opts.Identified = func(u fleet.Upstream, itself bool) { f.list.RecordResponder(u, itself) }
 }
 
 func TestAnswerTellsWhichUpstreamHasAnAddress(t *testing.T) {
@@ -318,7 +318,7 @@
 	f.live("e1")
 	f.sharedAddress("earlier", "later")
 	later, _ := f.list.Snapshot().Get("later")
-	f.list.Identified(later, true)
+	f.list.RecordResponder(later, true)
 	f.planner.plans = []booking.Plan{onEngine("e1")}
 	if refusal := f.relay.Run(t.Context(), streamRequest(true), &record{}); refusal != nil {
 		t.Fatal(refusal)
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -110,12 +110,12 @@
 		return g.honest(g.ended(ctx)), false
 	}
 	decision := g.relay.next(g.req.Service.Name, retry.Attempt{
-		Number:       g.attempt,
-		End:          e.end,
-		EarlierWrote: earlier,
-		Runs:         g.runs,
-		MostRuns:     g.req.Route.MaxAttempts,
-		Paid:         g.paid,
+		Number:         g.attempt,
+		End:            e.end,
+		EarlierWritten: earlier,
+		Runs:           g.runs,
+		MaxRuns:        g.req.Route.MaxAttempts,
+		BudgetTaken:    g.paid,
 	}, g.coreRequest())
 	g.paid = false
 	g.logAttempt(e, decision)
@@ -123,7 +123,7 @@
 	if e.unreached {
 		g.miss(e.blamed[0])
 	}
-	return decision.Refusal, decision.Action == retry.Elsewhere
+	return decision.Refusal, decision.Action == retry.RetryElsewhere
 }
 
 // coreRequest shows the request to the retry policy. What has been passed on of a
--- a/internal/relay/running.go
+++ b/internal/relay/running.go
@@ -88,7 +88,7 @@
 
 // over reports whether the life of a part's engine is known to have ended.
 func (r *Relay) over(p booking.Part) bool {
-	of := fleet.Upstream{ID: p.Upstream, Life: p.Life, Address: p.Address}
+	of := fleet.Upstream{ID: p.Upstream, Incarnation: p.Life, Address: p.Address}
 	_, over := r.opts.Upstreams().Successor(of)
 	return over
 }
--- a/internal/relay/suspect_test.go
+++ b/internal/relay/suspect_test.go
@@ -88,13 +88,13 @@
 			f.relay.opts.Daemons = func(string) []string { return c.daemons }
 			var list []fleet.Change
 			for _, name := range c.listed {
-				list = append(list, entry(fleet.Upstream{Life: fleet.Life{Name: name}, Service: "llm", Address: name + ":1", Domain: "z1"}))
+				list = append(list, entry(fleet.Upstream{Incarnation: fleet.Incarnation{Name: name}, Service: "llm", Address: name + ":1", Domain: "z1"}))
 				f.dead[name+":1"] = true
 			}
 			for _, address := range c.daemons {
 				f.dead[address] = c.refuse
 			}
-			other := fleet.Upstream{Life: fleet.Life{Name: "far"}, Service: "llm", Address: "far:1", Domain: "z2"}
+			other := fleet.Upstream{Incarnation: fleet.Incarnation{Name: "far"}, Service: "llm", Address: "far:1", Domain: "z2"}
 			f.list.Replace(append(list, entry(other)), time.Now())
 			f.planner.plans = []booking.Plan{onEngine("e1"), onEngine("far")}
 			req := streamRequest(true)
--- a/internal/relay/ways_test.go
+++ b/internal/relay/ways_test.go
@@ -29,7 +29,7 @@
 	s := &cutSite{fixture: newFixture(t, steps...)}
 	var list []fleet.Change
 	for name, domain := range map[string]string{"far1": "far", "far2": "far", "near1": "near", "near2": "near"} {
-		list = append(list, entry(fleet.Upstream{Life: fleet.Life{Name: name}, Service: "llm", Address: name + ":1", Domain: domain}))
+		list = append(list, entry(fleet.Upstream{Incarnation: fleet.Incarnation{Name: name}, Service: "llm", Address: name + ":1", Domain: domain}))
 	}
 	f := s.fixture
 	f.list.Replace(list, time.Now())
@@ -136,7 +136,7 @@
 	s := newCutSite(t, fail(retry.NotWritten), fail(retry.NotWritten))
 	var list []fleet.Change
 	for _, name := range []string{"far1", "far2"} {
-		list = append(list, entry(fleet.Upstream{Life: fleet.Life{Name: name}, Service: "shop", Address: name + ":1", Domain: "far"}))
+		list = append(list, entry(fleet.Upstream{Incarnation: fleet.Incarnation{Name: name}, Service: "shop", Address: name + ":1", Domain: "far"}))
 	}
 	s.list.Replace(list, time.Now())
 	snapshot := s.list.Snapshot()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -80,7 +80,7 @@
 
 // Place decides where a request goes; see placement.Place. The spill domains are
 // filled in for work that may be sent to another domain.
-func (r *Router) Place(ask placement.Ask) (placement.Decision, error) {
+func (r *Router) Place(ask placement.Request) (placement.Decision, error) {
 	ask.Domain = r.opts.Domain
 	ask.SpillDomains = r.opts.SpillDomains()
 	r.mu.Lock()
@@ -101,7 +101,7 @@
 // PlaceWithin is Place for the gate. A short prompt that would wait no longer than
 // wait on its engine takes its place, noted as build describes it. A long prompt
 // takes none, for its memory has to be reserved first.
-func (r *Router) PlaceWithin(ask placement.Ask, wait time.Duration, build func(placement.Decision) placement.Placement) (placement.Decision, Fit, error) {
+func (r *Router) PlaceWithin(ask placement.Request, wait time.Duration, build func(placement.Decision) placement.Placement) (placement.Decision, Fit, error) {
 	ask.Domain = r.opts.Domain
 	ask.SpillDomains = r.opts.SpillDomains()
 	r.mu.Lock()
@@ -125,15 +125,15 @@
 
 // ServiceTime returns the least time that a request takes on an engine; see
 // placement.ServiceTime.
-func (r *Router) ServiceTime(ask placement.Ask) time.Duration {
+func (r *Router) ServiceTime(ask placement.Request) time.Duration {
 	ask.Domain = r.opts.Domain
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return placement.ServiceTime(r.view, ask, r.opts.Now())
+	return placement.MinServiceTime(r.view, ask, r.opts.Now())
 }
 
 // GangMembers chooses the engines of a gang; see placement.GangMembers.
-func (r *Router) GangMembers(ask placement.Ask) []placement.GangMember {
+func (r *Router) GangMembers(ask placement.Request) []placement.GangMember {
 	ask.Domain = r.opts.Domain
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,7 +141,7 @@
 }
 
 // PlaceService decides which server of a plain service gets a call.
-func (r *Router) PlaceService(ask placement.ServiceAsk) (placement.Decision, error) {
+func (r *Router) PlaceService(ask placement.ServiceRequest) (placement.Decision, error) {
 	ask.Domain = r.opts.Domain
 	ask.SpillDomains = r.opts.SpillDomains()
 	r.mu.Lock()
@@ -316,8 +316,8 @@
 }
 
 // Ask fills in what a request says of itself.
-func Ask(req *request.Request, pool string, routing settings.Routing) placement.Ask {
-	return placement.Ask{
+func Ask(req *request.Request, pool string, routing settings.Routing) placement.Request {
+	return placement.Request{
 		Pool:      pool,
 		Model:     req.Target,
 		Tokens:    req.PromptTokens,
--- a/internal/router/work_test.go
+++ b/internal/router/work_test.go
@@ -23,7 +23,7 @@
 // offer notes prompts of one length.
 func offer(t *testing.T, r *Router, request string, tokens int) {
 	t.Helper()
-	d, err := r.Place(placement.Ask{Pool: testPool, Tokens: tokens, MaxTokens: 1, LongFrom: 32_000})
+	d, err := r.Place(placement.Request{Pool: testPool, Tokens: tokens, MaxTokens: 1, LongFrom: 32_000})
 	if err != nil || d.Verdict != placement.Placed {
 		t.Fatalf("%s: %v, %v", request, d.Verdict, err)
 	}
@@ -54,7 +54,7 @@
 	for i, r := range []*Router{short, mixed} {
 		r.opts.Now = func() time.Time { return now.Add(-50 * time.Second) }
 		offer(t, r, "last", 2000)
-		long, live := r.view.Boundary(testPool, "hal-a")
+		long, live := r.view.LongPromptEngines(testPool, "hal-a")
 		if long < 4 || live != 6 {
 			t.Errorf("front %d has %d of %d engines for long prompts", i, long, live)
 		}
--- a/internal/schedule/cold_test.go
+++ b/internal/schedule/cold_test.go
@@ -89,8 +89,8 @@
 }
 
 func listOf(id string) *fleet.Snapshot {
-	l := fleet.New(fleet.Options{AwayAfter: time.Hour})
-	u := fleet.Upstream{Life: fleet.Life{Name: id}, Service: "llm", Address: id}
+	l := fleet.New(fleet.Options{OutageAfter: time.Hour})
+	u := fleet.Upstream{Incarnation: fleet.Incarnation{Name: id}, Service: "llm", Address: id}
 	l.Replace([]fleet.Change{{Name: id, Upstream: &u}}, time.Now())
 	return l.Snapshot()
 }
--- a/internal/schedule/service_test.go
+++ b/internal/schedule/service_test.go
@@ -111,11 +111,11 @@
 
 // apply tells all daemons of engines with a number of slots.
 func (g *group) apply(slots int) {
-	l := fleet.New(fleet.Options{AwayAfter: time.Hour})
+	l := fleet.New(fleet.Options{OutageAfter: time.Hour})
 	var all []fleet.Change
 	for i := range 4 {
 		id := fmt.Sprint("e", i)
-		u := fleet.Upstream{Life: fleet.Life{Name: id}, Service: "llm", Address: id}
+		u := fleet.Upstream{Incarnation: fleet.Incarnation{Name: id}, Service: "llm", Address: id}
 		all = append(all, fleet.Change{Name: id, Upstream: &u})
 	}
 	l.Replace(all, time.Now())
