--- a/internal/core/avoid/avoid.go
+++ b/internal/core/avoid/avoid.go
@@ -8,10 +8,10 @@
 
 // Options configure a Tracker.
 type Options struct {
-	First time.Duration // how long an upstream is avoided after one failure
-	Most  time.Duration // the longest; each failure in a row doubles the time
-	// Forget is how long after the last failure they count as in a row.
-	Forget time.Duration
+	Initial time.Duration // how long an upstream is avoided after one failure
+	Max     time.Duration // the longest; each failure in a row doubles the time
+	// ResetAfter is how long after the last failure they count as in a row.
+	ResetAfter time.Duration
 }
 
 type record struct {
@@ -31,9 +31,9 @@
 	return &Tracker{opts: o, byID: map[string]*record{}}
 }
 
-// Failed notes a failure and returns for how long the upstream is avoided. Failures
+// RecordFailure notes a failure and returns for how long the upstream is avoided. Failures
 // of attempts that began before it was avoided count as one.
-func (t *Tracker) Failed(id string, now time.Time) time.Duration {
+func (t *Tracker) RecordFailure(id string, now time.Time) time.Duration {
 	r := t.byID[id]
 	if r == nil {
 		r = &record{}
@@ -42,26 +42,26 @@
 	if now.Before(r.until) {
 		return r.until.Sub(now)
 	}
-	if now.Sub(r.last) > t.opts.Forget {
+	if now.Sub(r.last) > t.opts.ResetAfter {
 		r.streak = 0
 	}
-	span := min(t.opts.First<<min(r.streak, 16), t.opts.Most)
+	span := min(t.opts.Initial<<min(r.streak, 16), t.opts.Max)
 	r.streak++
 	r.last = now
 	r.until = now.Add(span)
 	return span
 }
 
-// Forgive forgets the failures of an upstream since a time: what was at fault was not the
+// ClearFailures forgets the failures of an upstream since a time: what was at fault was not the
 // upstream.
-func (t *Tracker) Forgive(id string, since time.Time) {
+func (t *Tracker) ClearFailures(id string, since time.Time) {
 	if r := t.byID[id]; r != nil && !r.last.Before(since) {
 		delete(t.byID, id)
 	}
 }
 
-// Succeeded ends a streak of failures.
-func (t *Tracker) Succeeded(id string, now time.Time) {
+// RecordSuccess ends a streak of failures.
+func (t *Tracker) RecordSuccess(id string, now time.Time) {
 	if r := t.byID[id]; r != nil && !now.Before(r.until) {
 		delete(t.byID, id)
 	}
@@ -74,7 +74,7 @@
 		switch {
 		case now.Before(r.until):
 			ids = append(ids, id)
-		case now.Sub(r.last) > t.opts.Forget:
+		case now.Sub(r.last) > t.opts.ResetAfter:
 			delete(t.byID, id)
 		}
 	}
--- a/internal/core/avoid/avoid_test.go
+++ b/internal/core/avoid/avoid_test.go
@@ -8,14 +8,14 @@
 var start = time.Unix(1_800_000_000, 0)
 
 func newTracker() *Tracker {
-	return New(Options{First: 100 * time.Millisecond, Most: 400 * time.Millisecond, Forget: 10 * time.Second})
+	return New(Options{Initial: 100 * time.Millisecond, Max: 400 * time.Millisecond, ResetAfter: 10 * time.Second})
 }
 
 func TestFailuresInARowDouble(t *testing.T) {
 	tr := newTracker()
 	now := start
 	for _, want := range []time.Duration{100, 200, 400, 400} {
-		if got := tr.Failed("a", now); got != want*time.Millisecond {
+		if got := tr.RecordFailure("a", now); got != want*time.Millisecond {
 			t.Fatalf("avoided for %v, want %v ms", got, want)
 		}
 		now = now.Add(want * time.Millisecond)
@@ -24,29 +24,29 @@
 
 func TestFailuresAtOnceCountAsOne(t *testing.T) {
 	tr := newTracker()
-	tr.Failed("a", start)
-	tr.Failed("a", start.Add(50*time.Millisecond))
-	if got := tr.Failed("a", start.Add(100*time.Millisecond)); got != 200*time.Millisecond {
+	tr.RecordFailure("a", start)
+	tr.RecordFailure("a", start.Add(50*time.Millisecond))
+	if got := tr.RecordFailure("a", start.Add(100*time.Millisecond)); got != 200*time.Millisecond {
 		t.Errorf("second streak is %v", got)
 	}
 }
 
 func TestSuccessEndsAStreak(t *testing.T) {
 	tr := newTracker()
-	tr.Failed("a", start)
-	tr.Succeeded("a", start.Add(50*time.Millisecond)) // of an attempt from before
+	tr.RecordFailure("a", start)
+	tr.RecordSuccess("a", start.Add(50*time.Millisecond)) // of an attempt from before
 	if len(tr.Avoided(start.Add(60*time.Millisecond))) != 1 {
 		t.Error("an old success has ended the time")
 	}
-	tr.Succeeded("a", start.Add(150*time.Millisecond))
-	if got := tr.Failed("a", start.Add(200*time.Millisecond)); got != 100*time.Millisecond {
+	tr.RecordSuccess("a", start.Add(150*time.Millisecond))
+	if got := tr.RecordFailure("a", start.Add(200*time.Millisecond)); got != 100*time.Millisecond {
 		t.Errorf("after a success avoided for %v", got)
 	}
 }
 
 func TestOldFailuresAreForgotten(t *testing.T) {
 	tr := newTracker()
-	tr.Failed("a", start)
+	tr.RecordFailure("a", start)
 	if got := tr.Avoided(start.Add(time.Minute)); len(got) != 0 || len(tr.byID) != 0 {
 		t.Errorf("still known: %v, %d", got, len(tr.byID))
 	}
@@ -54,18 +54,18 @@
 
 func TestForgivenFailuresAreNoStreak(t *testing.T) {
 	tr := newTracker()
-	tr.Failed("a", start)
-	tr.Failed("b", start.Add(-time.Second))
-	tr.Forgive("a", start)
-	tr.Forgive("b", start)
-	tr.Forgive("unheard", start)
+	tr.RecordFailure("a", start)
+	tr.RecordFailure("b", start.Add(-time.Second))
+	tr.ClearFailures("a", start)
+	tr.ClearFailures("b", start)
+	tr.ClearFailures("unheard", start)
 	if got := tr.Avoided(start.Add(time.Millisecond)); len(got) != 0 {
 		t.Errorf("avoided: %v", got)
 	}
-	if got := tr.Failed("a", start.Add(time.Millisecond)); got != 100*time.Millisecond {
+	if got := tr.RecordFailure("a", start.Add(time.Millisecond)); got != 100*time.Millisecond {
 		t.Errorf("after it was forgiven avoided for %v", got)
 	}
-	if got := tr.Failed("b", start.Add(time.Millisecond)); got != 200*time.Millisecond {
+	if got := tr.RecordFailure("b", start.Add(time.Millisecond)); got != 200*time.Millisecond {
 		t.Errorf("an earlier failure is forgiven: avoided for %v", got)
 	}
 }
--- a/internal/core/booking/bench_test.go
+++ b/internal/core/booking/bench_test.go
@@ -19,7 +19,7 @@
 		}
 		id := fmt.Sprint("w", i)
 		if b.Place(ask(id, prompt), start).Verdict == Booked {
-			b.First(id)
+			b.RecordFirstEvent(id)
 		}
 	}
 	for i := range engines / 10 {
@@ -50,7 +50,7 @@
 			for i := range 300 {
 				id := fmt.Sprint("w", i)
 				book.Place(ask(id, 5000), start)
-				book.First(id)
+				book.RecordFirstEvent(id)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/internal/core/booking/book.go
+++ b/internal/core/booking/book.go
@@ -12,9 +12,9 @@
 
 // Service is what the book knows of a service of engines.
 type Service struct {
-	Name     string
-	Figures  cost.Figures
-	TightGap time.Duration // the shortest gap objective of its routes
+	Name    string
+	Figures cost.Figures
+	MinGap  time.Duration // the shortest gap objective of its routes
 }
 
 // Book is the state machine. It is not safe for concurrent use.
@@ -92,8 +92,8 @@
 	delete(b.engines, e.up.ID)
 }
 
-// Note enters a plan that was made here or elsewhere.
-func (b *Book) Note(a Ask, p Plan, now time.Time) {
+// Record enters a plan that was made here or elsewhere.
+func (b *Book) Record(a Request, p Plan, now time.Time) {
 	if p.Verdict != Booked {
 		return
 	}
@@ -117,8 +117,8 @@
 	hosted[a.ID] = x
 }
 
-// First notes the first event of an attempt: its prompt is read.
-func (b *Book) First(id string) {
+// RecordFirstEvent notes the first event of an attempt: its prompt is read.
+func (b *Book) RecordFirstEvent(id string) {
 	x := b.entries[id]
 	if x == nil || x.first {
 		return
@@ -164,21 +164,21 @@
 // Has reports whether a daemon has attempts in the book.
 func (b *Book) Has(host string) bool { return len(b.byHost[host]) > 0 }
 
-// Forget drops what a daemon has booked, for it has gone or tells it anew.
-func (b *Book) Forget(host string) {
+// DropHost drops what a daemon has booked, for it has gone or tells it anew.
+func (b *Book) DropHost(host string) {
 	for id := range b.byHost[host] {
 		b.End(id)
 	}
 }
 
 // Restore replaces what is known of a daemon's attempts by what it tells.
-func (b *Book) Restore(host string, open []Open, now time.Time) {
-	b.Forget(host)
+func (b *Book) Restore(host string, open []OpenAttempt, now time.Time) {
+	b.DropHost(host)
 	for _, o := range open {
 		booked := now.Add(-o.Age)
-		b.Note(o.Ask, o.Plan, booked)
+		b.Record(o.Ask, o.Plan, booked)
 		if o.HasFirst {
-			b.First(o.Ask.ID)
+			b.RecordFirstEvent(o.Ask.ID)
 		}
 	}
 }
@@ -202,10 +202,10 @@
 // service.
 func (b *Book) shortRead(service string) time.Duration {
 	s := b.services[service]
-	if s == nil || s.TightGap <= 0 {
+	if s == nil || s.MinGap <= 0 {
 		return leastShort
 	}
 	context := int64(usualWriters * s.Figures.UsualPrompt)
-	pass := time.Duration(s.Figures.Stride) * s.Figures.Step(usualWriters, context)
-	return max(s.TightGap-pass-pauseMargin, leastShort)
+	pass := time.Duration(s.Figures.Stride) * s.Figures.StepTime(usualWriters, context)
+	return max(s.MinGap-pass-pauseMargin, leastShort)
 }
--- a/internal/core/booking/book_test.go
+++ b/internal/core/booking/book_test.go
@@ -35,13 +35,13 @@
 
 func newBook(engines int) *Book {
 	b := New()
-	b.SetServices([]Service{{Name: "llm", Figures: figures, TightGap: 200 * time.Millisecond}})
+	b.SetServices([]Service{{Name: "llm", Figures: figures, MinGap: 200 * time.Millisecond}})
 	b.SetUpstreams(upstreams(engines))
 	return b
 }
 
-func ask(id string, prompt int) Ask {
-	a := Ask{ID: id, Host: "h1", Service: "llm", Prompt: prompt, Answer: 1600, Expected: 1500, Left: 10 * time.Second}
+func ask(id string, prompt int) Request {
+	a := Request{ID: id, Host: "h1", Service: "llm", Prompt: prompt, Answer: 1600, Expected: 1500, Left: 10 * time.Second}
 	switch {
 	case prompt < 24_000:
 		a.Objective, a.Gap = 300*time.Millisecond, 200*time.Millisecond
@@ -62,7 +62,7 @@
 		if p.Verdict != Booked || len(p.Parts) != 1 {
 			t.Fatalf("%d: %+v", i, p)
 		}
-		b.First(id)
+		b.RecordFirstEvent(id)
 		used[p.Parts[0].Upstream]++
 	}
 	if len(used) != 1 {
@@ -71,7 +71,7 @@
 	for i := range 8 {
 		id := fmt.Sprint("more", i)
 		p := b.Place(ask(id, 5000), start)
-		b.First(id)
+		b.RecordFirstEvent(id)
 		used[p.Parts[0].Upstream]++
 	}
 	if len(used) != 2 {
@@ -82,9 +82,9 @@
 func TestShortPromptAvoidsEnginesWithBookedParts(t *testing.T) {
 	b := newBook(10)
 	open := b.Place(ask("writes", 5000), start).Parts[0]
-	b.First("writes")
+	b.RecordFirstEvent("writes")
 	booked := Plan{Parts: []Part{open}, Wait: 500 * time.Millisecond, Read: 400 * time.Millisecond, First: time.Second}
-	b.Note(ask("long", 210_000), booked, start)
+	b.Record(ask("long", 210_000), booked, start)
 	if p := b.Place(ask("short", 5000), start); p.Parts[0].Upstream == open.Upstream {
 		t.Error("it is on the engine on which a long part begins soon")
 	}
@@ -126,7 +126,7 @@
 	a := ask("calm", 5000)
 	a.Gap = 0
 	b.Place(a, start)
-	b.First("calm")
+	b.RecordFirstEvent("calm")
 	if l := b.ordered[0].look(start, 200*time.Millisecond); !l.bearsAll(10 * time.Second) {
 		t.Error("a part of ten seconds harms it")
 	}
@@ -135,11 +135,11 @@
 func TestRestoreReplacesWhatADaemonBooked(t *testing.T) {
 	b := newBook(4)
 	p := b.Place(ask("old", 5000), start)
-	b.Restore("h1", []Open{{Ask: ask("new", 5000), Plan: p, Age: time.Second, HasFirst: true}}, start)
+	b.Restore("h1", []OpenAttempt{{Ask: ask("new", 5000), Plan: p, Age: time.Second, HasFirst: true}}, start)
 	if b.Len() != 1 || b.entries["new"] == nil || !b.entries["new"].first {
 		t.Errorf("the book has %v", b.entries)
 	}
-	b.Forget("h1")
+	b.DropHost("h1")
 	if b.Len() != 0 || len(b.byHost) != 0 {
 		t.Errorf("left: %v", b.entries)
 	}
@@ -165,7 +165,7 @@
 					}
 				case 3:
 					if len(open) > 0 {
-						b.First(open[rng.IntN(len(open))])
+						b.RecordFirstEvent(open[rng.IntN(len(open))])
 					}
 				case 4:
 					b.SetUpstreams(upstreams(1 + rng.IntN(5)))
@@ -241,7 +241,7 @@
 	play := func(from, to, every time.Duration) {
 		for at := from; at < to; at += step {
 			for _, id := range firsts[at] {
-				b.First(id)
+				b.RecordFirstEvent(id)
 			}
 			for _, id := range ends[at] {
 				b.End(id)
--- a/internal/core/booking/cold_test.go
+++ b/internal/core/booking/cold_test.go
@@ -52,9 +52,9 @@
 func TestDomainThatReturnsColdGetsItsLoadInSteps(t *testing.T) {
 	const perSecond, coldFor = 3, 3 * time.Second
 	b := newBook(2)
-	b.Pacer().SetShare(pace.Whole)
+	b.Pacer().SetShare(pace.FullShare)
 	for _, id := range []string{"e00", "e01"} {
-		b.Pacer().Cool(pace.Cold{Upstream: id, PerSecond: perSecond, Until: start.Add(coldFor)}, start)
+		b.Pacer().SetCold(pace.ColdLimit{Upstream: id, PerSecond: perSecond, Until: start.Add(coldFor)}, start)
 	}
 	for id, times := range sends(b, 1000, 3000, time.Millisecond) {
 		inSecond, whileCold := 0, 0
--- a/internal/core/booking/displace.go
+++ b/internal/core/booking/displace.go
@@ -57,7 +57,7 @@
 
 // late reports whether the part makes a writer on the engine late.
 func (d *displacing) late(w *entry, e *engine) bool {
-	l := e.look(d.now, d.service.TightGap)
+	l := e.look(d.now, d.service.MinGap)
 	return w.ask.Gap > 0 && d.by.plan.Read > w.ask.Gap-l.pass()-pauseMargin
 }
 
@@ -65,17 +65,17 @@
 // its plan there. The other engine has to write for more already: those that write for few
 // are the next to read long prompts, and most requests may be moved only once.
 func (d *displacing) saves(w *entry, from *engine) bool {
-	l := from.look(d.now, d.service.TightGap)
+	l := from.look(d.now, d.service.MinGap)
 	a := w.ask
 	a.ID, a.Begun = "displaced/"+a.ID, true
 	a.Exclude = append(slices.Clone(a.Exclude), from.up.ID)
 	a.Objective = a.Gap - l.pass()/2 // half a pass has gone since its last event, on the average
 	t := &task{book: d.book, ask: &a, service: d.service, now: d.now}
 	p := t.plan()
-	if p.Verdict != Booked || p.Reason == ReasonOnlyFail || p.Reason == ReasonHarm || p.Reason == ReasonLate {
+	if p.Verdict != Booked || p.Reason == ReasonOnlyFail || p.Reason == ReasonDelaysOthers || p.Reason == ReasonLate {
 		return false
 	}
-	to := d.book.engines[p.Parts[0].Upstream].look(d.now, d.service.TightGap)
+	to := d.book.engines[p.Parts[0].Upstream].look(d.now, d.service.MinGap)
 	// The other engine, too, is in the middle of a pass when the prompt comes.
 	if p.First+to.pass()/2+pauseMargin > a.Objective || len(to.writers) <= len(l.writers) {
 		return false
@@ -83,7 +83,7 @@
 	if !to.bearsAll(to.current + to.unread + p.Read) {
 		return false // those who write there would pause for it
 	}
-	d.book.Note(a, p, d.now)
+	d.book.Record(a, p, d.now)
 	d.tried = append(d.tried, a.ID)
 	return true
 }
--- a/internal/core/booking/displace_test.go
+++ b/internal/core/booking/displace_test.go
@@ -13,7 +13,7 @@
 	for i := range n {
 		id := fmt.Sprint("short", i)
 		p := b.Place(ask(id, 5000), start)
-		b.First(id)
+		b.RecordFirstEvent(id)
 		if i > 0 && p.Parts[0].Upstream != on.Upstream {
 			t.Fatalf("short prompts are on %s and %s", on.Upstream, p.Parts[0].Upstream)
 		}
@@ -30,8 +30,8 @@
 		}
 		for i := range n {
 			id := fmt.Sprint("there", i)
-			b.Note(ask(id, 5000), Plan{Parts: []Part{{Upstream: e.up.ID}}, Read: 20 * time.Millisecond}, start)
-			b.First(id)
+			b.Record(ask(id, 5000), Plan{Parts: []Part{{Upstream: e.up.ID}}, Read: 20 * time.Millisecond}, start)
+			b.RecordFirstEvent(id)
 		}
 		return
 	}
@@ -40,7 +40,7 @@
 // longPart enters a long prompt of which the engine reads a part of the length.
 func longPart(b *Book, on Part, read time.Duration) {
 	p := Plan{Parts: []Part{on}, Read: read, First: read}
-	b.Note(ask("long", 210_000), p, start)
+	b.Record(ask("long", 210_000), p, start)
 }
 
 // nobodyLeaves fails when the long part displaces a writer.
@@ -67,7 +67,7 @@
 	if b.Len() != before {
 		t.Errorf("%d attempts in the book, %d before", b.Len(), before)
 	}
-	b.First("long")
+	b.RecordFirstEvent("long")
 	if list := b.Displace("long", start); len(list) != 0 {
 		t.Errorf("displaced after the part was read: %+v", list)
 	}
@@ -91,7 +91,7 @@
 	for _, e := range b.ordered {
 		if e.up.ID != on.Upstream {
 			p := Plan{Parts: []Part{{Upstream: e.up.ID}}, Read: time.Second, First: time.Second}
-			b.Note(ask("other", 210_000), p, start)
+			b.Record(ask("other", 210_000), p, start)
 		}
 	}
 	nobodyLeaves(t, b)
@@ -128,14 +128,14 @@
 		a := ask("middle", 24_000)
 		a.Gap = 500 * time.Millisecond
 		on := b.Place(a, start).Parts[0]
-		b.First("middle")
+		b.RecordFirstEvent("middle")
 		fuller(b, on, 5)
 		if reads {
 			other := b.ordered[0].up.ID
 			if other == on.Upstream {
 				other = b.ordered[1].up.ID
 			}
-			b.Note(ask("reads", 20_000), Plan{Parts: []Part{{Upstream: other}}, Read: figures.Read(20_000)}, start)
+			b.Record(ask("reads", 20_000), Plan{Parts: []Part{{Upstream: other}}, Read: figures.PrefillTime(20_000)}, start)
 		}
 		longPart(b, on, 700*time.Millisecond)
 		if displaced := len(b.Displace("long", start)) > 0; displaced == reads {
--- a/internal/core/booking/engine.go
+++ b/internal/core/booking/engine.go
@@ -40,7 +40,7 @@
 // Invariant: it stands in entries of each of its engines and in the book's table,
 // or in neither.
 type entry struct {
-	ask     Ask
+	ask     Request
 	plan    Plan
 	engines []*engine // of the plan's parts, those that are known
 	until   time.Time // when it has ended in any case
@@ -77,7 +77,7 @@
 const lateShare = 0.75
 
 // value returns the worth of an answer in time, 1 for a prompt of a thousand tokens.
-func (a *Ask) value() float64 {
+func (a *Request) value() float64 {
 	return math.Pow(max(float64(a.Prompt)/1000, 1), valueGrowth)
 }
 
@@ -198,7 +198,7 @@
 
 func (e *engine) addReading(l *load, x *entry, now time.Time) {
 	if !x.long {
-		l.unread += e.figures.Read(x.ask.Prompt)
+		l.unread += e.figures.PrefillTime(x.ask.Prompt)
 		return
 	}
 	end := x.readEnd(now)
@@ -215,7 +215,7 @@
 // pass returns the time of a pass with the present writers.
 func (l *load) pass() time.Duration {
 	f := l.engine.figures
-	return time.Duration(f.Stride) * f.Step(len(l.writers), l.context)
+	return time.Duration(f.Stride) * f.StepTime(len(l.writers), l.context)
 }
 
 // harm returns the worth that is lost on the engine when a part of the length is
--- a/internal/core/booking/limits_test.go
+++ b/internal/core/booking/limits_test.go
@@ -10,8 +10,8 @@
 )
 
 func (b *Book) hearLimit(engine string, perSecond float64) {
-	b.Pacer().SetShare(pace.Whole)
-	b.Pacer().Hear(notice.Limit{Upstream: engine, Limited: true, PerSecond: perSecond, At: start}, start)
+	b.Pacer().SetShare(pace.FullShare)
+	b.Pacer().SetLimit(notice.Limit{Upstream: engine, Limited: true, PerSecond: perSecond, At: start}, start)
 }
 
 // sends places a prompt every step for a while, each over after a second, and returns when
@@ -106,12 +106,12 @@
 	b := newBook(2)
 	b.hearLimit("e00", 4)
 	for i := range 20 {
-		if p := b.PlaceAlone(ask(fmt.Sprint(i), 1000), start.Add(time.Minute)); p.Verdict != Booked || p.Parts[0].Upstream != "e01" {
+		if p := b.PlaceUncoordinated(ask(fmt.Sprint(i), 1000), start.Add(time.Minute)); p.Verdict != Booked || p.Parts[0].Upstream != "e01" {
 			t.Fatalf("got %+v", p)
 		}
 	}
 	b.hearLimit("e01", 4)
-	if p := b.PlaceAlone(ask("last", 1000), start.Add(time.Minute)); p.Verdict != AtLimit {
+	if p := b.PlaceUncoordinated(ask("last", 1000), start.Add(time.Minute)); p.Verdict != AtLimit {
 		t.Errorf("got %+v", p)
 	}
 }
--- a/internal/core/booking/long.go
+++ b/internal/core/booking/long.go
@@ -102,7 +102,7 @@
 		own = t.share(len(c.loads))
 	}
 	on := &c.loads[0]
-	return t.service.Figures.Write(t.ask.Expected, len(on.writers)+1, on.context+own)
+	return t.service.Figures.DecodeTime(t.ask.Expected, len(on.writers)+1, on.context+own)
 }
 
 func (c *choice) reason() Reason {
@@ -110,7 +110,7 @@
 	case c.late:
 		return ReasonLate
 	case c.harms:
-		return ReasonHarm
+		return ReasonDelaysOthers
 	case len(c.loads) == 1:
 		return ReasonAlone
 	}
--- a/internal/core/booking/long_test.go
+++ b/internal/core/booking/long_test.go
@@ -17,14 +17,14 @@
 func TestLongPartsStayOffEnginesThatWriteForShortPrompts(t *testing.T) {
 	b := newBook(8)
 	short := b.Place(ask("short", 5000), start)
-	b.First("short")
+	b.RecordFirstEvent("short")
 	long := b.Place(ask("long", 210_000), start)
 	for _, part := range long.Parts {
 		if part.Upstream == short.Parts[0].Upstream {
 			t.Errorf("the short prompt's engine reads a part of %v", long.Read)
 		}
 	}
-	if long.Reason == ReasonHarm || long.Reason == ReasonLate {
+	if long.Reason == ReasonDelaysOthers || long.Reason == ReasonLate {
 		t.Errorf("reason %s", long.Reason)
 	}
 }
@@ -54,9 +54,9 @@
 }
 
 func TestAnswerThatHasBegunIsNeitherRefusedNorYields(t *testing.T) {
-	for name, change := range map[string]func(*Ask){
-		"late in any case":     func(a *Ask) { a.Objective = time.Millisecond },
-		"no time for its read": func(a *Ask) { a.Left = time.Millisecond },
+	for name, change := range map[string]func(*Request){
+		"late in any case":     func(a *Request) { a.Objective = time.Millisecond },
+		"no time for its read": func(a *Request) { a.Left = time.Millisecond },
 	} {
 		for _, begun := range []bool{false, true} {
 			b := newBook(2)
@@ -120,14 +120,14 @@
 		short := ask(fmt.Sprint("short", i), 5000)
 		short.Exclude = taken
 		taken = append(taken, b.Place(short, start).Parts[0].Upstream)
-		b.First(short.ID)
+		b.RecordFirstEvent(short.ID)
 	}
 	a := ask("long", 200_000) // 2.6 s on one engine, 0.65 s on all
 	if p := b.Place(a, start); p.Verdict != Yield {
 		t.Errorf("with %s left: %s %s", a.Objective, p.Verdict, p.Reason)
 	}
 	a.Objective = time.Second // 0.85 s of it are aimed at: now or late
-	if p := b.Place(a, start); p.Verdict != Booked || p.Reason != ReasonHarm {
+	if p := b.Place(a, start); p.Verdict != Booked || p.Reason != ReasonDelaysOthers {
 		t.Errorf("with %s left: %s %s", a.Objective, p.Verdict, p.Reason)
 	}
 	b.End("long")
--- a/internal/core/booking/model_engine_test.go
+++ b/internal/core/booking/model_engine_test.go
@@ -89,7 +89,7 @@
 	for _, c := range e.writers {
 		context += (c.prompt + c.got*m.figures.Stride) / len(c.plan.Parts)
 	}
-	return time.Duration(m.figures.Stride) * m.figures.Step(len(e.writers), int64(context))
+	return time.Duration(m.figures.Stride) * m.figures.StepTime(len(e.writers), int64(context))
 }
 
 // endPass emits events and takes parts out that are read.
@@ -128,11 +128,11 @@
 	}
 	if c.got == 0 {
 		c.first = m.now
-		m.book.First(c.ask.ID)
+		m.book.RecordFirstEvent(c.ask.ID)
 	} else {
 		c.pause = max(c.pause, m.now-c.latest)
 		if c.moves > 0 {
-			m.book.First(c.ask.ID)
+			m.book.RecordFirstEvent(c.ask.ID)
 		}
 	}
 	c.got++
--- a/internal/core/booking/model_test.go
+++ b/internal/core/booking/model_test.go
@@ -74,7 +74,7 @@
 type call struct {
 	state   callState
 	kind    *kind
-	ask     Ask
+	ask     Request
 	prompt  int
 	events  int // of its answer
 	got     int // events so far
@@ -108,7 +108,7 @@
 
 func newModel(seed uint64, engines int, f cost.Figures) *model {
 	m := &model{book: New(), rng: rand.New(rand.NewPCG(seed, 3)), figures: f, units: map[string]*unit{}}
-	m.book.SetServices([]Service{{Name: "llm", Figures: f, TightGap: kinds[0].gap}})
+	m.book.SetServices([]Service{{Name: "llm", Figures: f, MinGap: kinds[0].gap}})
 	m.list = upstreams(engines)
 	m.book.SetUpstreams(m.list)
 	for _, u := range m.list.Upstreams {
@@ -169,7 +169,7 @@
 		return
 	}
 	answer := c.events * m.figures.Stride * 2 // callers name a bound, not the length
-	a := Ask{
+	a := Request{
 		ID: fmt.Sprintf("%s/%d/%d", c.ask.ID, c.moves, m.now), Host: "h", Service: "llm", Prompt: c.prompt,
 		Answer: answer, Expected: min(answer, m.figures.UsualAnswer),
 		Objective: k.objective - (m.now - c.arrived), Gap: k.gap, Left: left, Begun: c.got > 0,
@@ -208,7 +208,7 @@
 	if c.got == 0 {
 		c.latest = m.now
 	}
-	read := m.figures.Read(c.prompt) / time.Duration(len(c.plan.Parts))
+	read := m.figures.PrefillTime(c.prompt) / time.Duration(len(c.plan.Parts))
 	for i, p := range c.plan.Parts {
 		s := &share{call: c, left: read, help: i > 0}
 		e := m.units[p.Upstream]
--- a/internal/core/booking/near_test.go
+++ b/internal/core/booking/near_test.go
@@ -19,7 +19,7 @@
 
 func (b *Book) domainOf(p Part) string { return b.engines[p.Upstream].up.Domain }
 
-func near(id, domain string, prompt int) Ask {
+func near(id, domain string, prompt int) Request {
 	a := ask(id, prompt)
 	a.Domain = domain
 	return a
@@ -40,7 +40,7 @@
 			if got := b.domainOf(p.Parts[0]); got != domain {
 				t.Errorf("%s of %s is answered from %s", id, domain, got)
 			}
-			b.First(id)
+			b.RecordFirstEvent(id)
 			if prompt > 5000 || i%2 == 0 {
 				b.End(id)
 			}
@@ -55,7 +55,7 @@
 	for _, e := range b.ordered {
 		if e.up.Domain == "d0" {
 			p := Plan{Parts: []Part{{Upstream: e.up.ID}}, Read: 2 * time.Second, First: 2 * time.Second}
-			b.Note(ask("long on "+e.up.ID, 210_000), p, start)
+			b.Record(ask("long on "+e.up.ID, 210_000), p, start)
 		}
 	}
 	for _, prompt := range []int{5000, 45_000} {
@@ -73,7 +73,7 @@
 	for i := range 12 {
 		id := fmt.Sprint(i)
 		used[b.Place(near(id, "", 5000), start).Parts[0].Upstream] = true
-		b.First(id)
+		b.RecordFirstEvent(id)
 	}
 	if len(used) != 1 {
 		t.Errorf("12 short prompts are on %v", used)
--- a/internal/core/booking/place.go
+++ b/internal/core/booking/place.go
@@ -11,28 +11,28 @@
 	book    *Book
 	alone   bool // what others send is not known
 	limited bool // for this, engines with limits were left out
-	ask     *Ask
+	ask     *Request
 	service *Service
 	now     time.Time
 	loads   []load
 }
 
 // Place plans an attempt and enters the plan, as the only book that plans for all.
-func (b *Book) Place(a Ask, now time.Time) Plan { return b.place(a, false, now) }
+func (b *Book) Place(a Request, now time.Time) Plan { return b.place(a, false, now) }
 
-// PlaceAlone is Place where other books may plan too. It leaves engines with limits to them.
-func (b *Book) PlaceAlone(a Ask, now time.Time) Plan { return b.place(a, true, now) }
+// PlaceUncoordinated is Place where other books may plan too. It leaves engines with limits to them.
+func (b *Book) PlaceUncoordinated(a Request, now time.Time) Plan { return b.place(a, true, now) }
 
-func (b *Book) place(a Ask, alone bool, now time.Time) Plan {
+func (b *Book) place(a Request, alone bool, now time.Time) Plan {
 	s := b.services[a.Service]
 	if s == nil {
 		return Plan{Verdict: NoEngine}
 	}
 	t := &task{book: b, alone: alone, ask: &a, service: s, now: now}
 	p := t.plan()
-	b.Note(a, p, now)
+	b.Record(a, p, now)
 	if p.Verdict == Booked {
-		b.pacer.Take(p.Parts[0].Upstream, now.Add(p.Wait))
+		b.pacer.TakeTurn(p.Parts[0].Upstream, now.Add(p.Wait))
 	}
 	return p
 }
@@ -46,7 +46,7 @@
 	default:
 		return Plan{Verdict: NoEngine}
 	}
-	read := t.service.Figures.Read(t.ask.Prompt)
+	read := t.service.Figures.PrefillTime(t.ask.Prompt)
 	var p Plan
 	if read <= t.book.shortRead(t.ask.Service) && t.fitsOne() {
 		p = t.planShort(read)
@@ -72,12 +72,12 @@
 		if !all && (slices.Contains(t.ask.Exclude, e.up.ID) || slices.Contains(t.ask.Avoid, e.up.ID)) {
 			continue
 		}
-		turn, limited := t.book.pacer.Next(e.up.ID, t.now)
+		turn, limited := t.book.pacer.NextTurn(e.up.ID, t.now)
 		if limited && t.alone {
 			t.limited = true
 			continue
 		}
-		t.loads = append(t.loads, e.look(t.now, t.service.TightGap))
+		t.loads = append(t.loads, e.look(t.now, t.service.MinGap))
 		if limited {
 			t.loads[len(t.loads)-1].await(turn, t.now)
 		}
@@ -234,7 +234,7 @@
 // pass returns the time of one pass of an engine, after which events are sent.
 func (t *task) pass(l *load) time.Duration {
 	f := l.engine.figures
-	return time.Duration(f.Stride) * f.Step(len(l.writers)+1, l.context+t.ask.need())
+	return time.Duration(f.Stride) * f.StepTime(len(l.writers)+1, l.context+t.ask.need())
 }
 
 func part(l *load, reserve int64) Part {
--- a/internal/core/booking/tally_test.go
+++ b/internal/core/booking/tally_test.go
@@ -22,7 +22,7 @@
 			case 0, 1, 2, 3, 4:
 				b.Place(ask(id(), []int{3000, 45_000, 300_000}[rng.IntN(3)]), now)
 			case 5, 6:
-				b.First(id())
+				b.RecordFirstEvent(id())
 			case 7, 8:
 				b.End(id())
 			case 9:
@@ -30,7 +30,7 @@
 			case 10:
 				changed := figures
 				changed.StepMs += rng.Float64()
-				b.SetServices([]Service{{Name: "llm", Figures: changed, TightGap: 200 * time.Millisecond}})
+				b.SetServices([]Service{{Name: "llm", Figures: changed, MinGap: 200 * time.Millisecond}})
 			case 11:
 				b.SetUpstreams(upstreams(engines - rng.IntN(2)))
 			}
--- a/internal/core/booking/types.go
+++ b/internal/core/booking/types.go
@@ -6,8 +6,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/fleet"
 )
 
-// Ask is one attempt of a request that needs an engine.
-type Ask struct {
+// Request is one attempt of a request that needs an engine.
+type Request struct {
 	ID        string // of the attempt, unique in the site
 	Host      string // daemon that sends it
 	Domain    string // failure domain of the daemon, empty if it is not known
@@ -27,7 +27,7 @@
 }
 
 // need returns the memory in tokens that the request holds at its end.
-func (a *Ask) need() int64 { return int64(a.Prompt) + int64(a.Answer) }
+func (a *Request) need() int64 { return int64(a.Prompt) + int64(a.Answer) }
 
 // Part is one engine of a plan.
 type Part struct {
@@ -78,14 +78,14 @@
 
 // Reasons of a plan.
 const (
-	ReasonPacked   Reason = "packed"    // on an engine that writes for others of its kind
-	ReasonOpened   Reason = "opened"    // on an engine that wrote for none of its kind
-	ReasonAlone    Reason = "alone"     // read whole by one engine
-	ReasonSplit    Reason = "split"     // in parts that all who write there bear
-	ReasonHarm     Reason = "harm"      // in parts that make some late, which costs less than being late
-	ReasonLate     Reason = "late"      // it will be late
-	ReasonOnlyFail Reason = "only_fail" // only failing engines are left
-	ReasonLimit    Reason = "limit"     // its turn at an engine with a limit comes too late
+	ReasonPacked       Reason = "packed"    // on an engine that writes for others of its kind
+	ReasonOpened       Reason = "opened"    // on an engine that wrote for none of its kind
+	ReasonAlone        Reason = "alone"     // read whole by one engine
+	ReasonSplit        Reason = "split"     // in parts that all who write there bear
+	ReasonDelaysOthers Reason = "harm"      // in parts that make some late, which costs less than being late
+	ReasonLate         Reason = "late"      // it will be late
+	ReasonOnlyFail     Reason = "only_fail" // only failing engines are left
+	ReasonLimit        Reason = "limit"     // its turn at an engine with a limit comes too late
 )
 
 // Plan is the answer to an Ask. It has all that a log line needs.
@@ -103,10 +103,10 @@
 // Short reports whether the prompt is read so fast that it disturbs nobody.
 func (p *Plan) Short() bool { return p.Reason == ReasonPacked || p.Reason == ReasonOpened }
 
-// Open is a booked attempt, as a daemon tells it to one that has begun to keep the
+// OpenAttempt is a booked attempt, as a daemon tells it to one that has begun to keep the
 // book.
-type Open struct {
-	Ask      Ask
+type OpenAttempt struct {
+	Ask      Request
 	Plan     Plan
 	Age      time.Duration // since it was booked
 	HasFirst bool          // its first event has come
--- a/internal/core/cost/cost.go
+++ b/internal/core/cost/cost.go
@@ -28,9 +28,9 @@
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Read returns the time that one engine takes to read a whole prompt alone. It
+// PrefillTime returns the time that one engine takes to read a whole prompt alone. It
 // grows with the square of the length: every token is paired with all before it.
-func (f *Figures) Read(tokens int) time.Duration {
+func (f *Figures) PrefillTime(tokens int) time.Duration {
 	n := float64(tokens)
 	pairs := n * n / 2 / 1e6
 	read := 0.0 // where the rate is not published
@@ -40,19 +40,19 @@
 	return millis(read + pairs*f.PairsMsPerM)
 }
 
-// Part returns the time that each of several engines takes to read its even part
+// PartPrefillTime returns the time that each of several engines takes to read its even part
 // of a prompt.
-func (f *Figures) Part(tokens, engines int) time.Duration {
-	return f.Read(tokens) / time.Duration(max(engines, 1))
+func (f *Figures) PartPrefillTime(tokens, engines int) time.Duration {
+	return f.PrefillTime(tokens) / time.Duration(max(engines, 1))
 }
 
-// Step returns the time of one token step beside other writers with a context, in
+// StepTime returns the time of one token step beside other writers with a context, in
 // tokens, of all writers together.
-func (f *Figures) Step(writers int, context int64) time.Duration {
+func (f *Figures) StepTime(writers int, context int64) time.Duration {
 	return millis(f.StepMs + f.PerSeqMs*float64(writers) + f.ContextPerK*float64(context)/1000)
 }
 
-// Write returns the time to write an answer beside other writers.
-func (f *Figures) Write(answer, writers int, context int64) time.Duration {
-	return time.Duration(answer) * f.Step(writers, context)
+// DecodeTime returns the time to write an answer beside other writers.
+func (f *Figures) DecodeTime(answer, writers int, context int64) time.Duration {
+	return time.Duration(answer) * f.StepTime(writers, context)
 }
--- a/internal/core/cost/cost_test.go
+++ b/internal/core/cost/cost_test.go
@@ -22,17 +22,17 @@
 		{1_000_000, 49 * time.Second, 51 * time.Second},
 	}
 	for _, c := range cases {
-		if got := today.Read(c.tokens); got < c.from || got > c.to {
+		if got := today.PrefillTime(c.tokens); got < c.from || got > c.to {
 			t.Errorf("%d tokens: %v, want %v to %v", c.tokens, got, c.from, c.to)
 		}
 	}
 }
 
 func TestStepGrowsWithWritersAndContext(t *testing.T) {
-	if today.Step(10, 50_000) <= today.Step(1, 5_000) {
+	if today.StepTime(10, 50_000) <= today.StepTime(1, 5_000) {
 		t.Error("a step beside others is not longer")
 	}
-	if got, want := today.Write(100, 1, 0), 100*today.Step(1, 0); got != want {
+	if got, want := today.DecodeTime(100, 1, 0), 100*today.StepTime(1, 0); got != want {
 		t.Errorf("writing took %v, want %v", got, want)
 	}
 }
--- a/internal/core/membership/exchange.go
+++ b/internal/core/membership/exchange.go
@@ -162,11 +162,11 @@
 	m.newlyLeft = append(m.newlyLeft, m.self)
 }
 
-// Forwards returns the pushes that pass on what was learned since the last call and must not
+// TakePushes returns the pushes that pass on what was learned since the last call and must not
 // wait for exchanges: leaves, and what hosts have published. They go to a few hosts of the own
 // domain, those of leaves from a gateway also to one host of each other domain when the leaving
 // host is of the own one.
-func (m *Members) Forwards(rng *rand.Rand) []Outgoing {
+func (m *Members) TakePushes(rng *rand.Rand) []Outgoing {
 	out := m.publishedPushes(rng)
 	if len(m.newlyLeft) == 0 {
 		return out
--- a/internal/core/membership/growth_test.go
+++ b/internal/core/membership/growth_test.go
@@ -77,7 +77,7 @@
 	t.Parallel()
 	s := region(t, 5, 40, placeSection)
 	s.run(30 * time.Second)
-	m := New(Config{Self: testIdentity("new", "region", 1), NearBy: placeSection}, s.now)
+	m := New(Config{Self: testIdentity("new", "region", 1), LocalitySection: placeSection}, s.now)
 	s.must(m.Publish(s.now, placeSection, []byte("place-0"), false))
 	m.AddSeeds([]string{s.hosts[0].Self().Address})
 	s.hosts = append(s.hosts, m)
@@ -138,7 +138,7 @@
 	for n := range 3 {
 		one := s.hosts[50+n]
 		s.must(one.Publish(s.now, section, []byte{byte(n)}, true))
-		s.send(one, one.Forwards(s.rng))
+		s.send(one, one.TakePushes(s.rng))
 		s.run(2 * time.Second)
 		unknown := 0
 		for _, m := range s.hosts {
--- a/internal/core/membership/member.go
+++ b/internal/core/membership/member.go
@@ -53,7 +53,7 @@
 // Member is one host as it is seen from here.
 type Member struct {
 	Identity
-	Seq       uint64 // version of the host up to which everything is known here
+	Version   uint64 // version of the host up to which everything is known here
 	State     State
 	LastHeard time.Time // when the newest beat known here was made, by the local clock
 }
@@ -64,12 +64,12 @@
 	Domain      string
 	Incarnation uint64
 	Version     uint64    // rises with each change, comparable within an incarnation
-	At          time.Time // when it was published, by the local clock, give or take the way
+	PublishedAt time.Time // when it was published, by the local clock, give or take the way
 	Data        []byte    // shared, not to be changed
 }
 
-// Listed is one entry host of the platform's list.
-type Listed struct {
+// ListedHost is one entry host of the platform's list.
+type ListedHost struct {
 	Host    string
 	Domain  string
 	Region  string
--- a/internal/core/membership/members.go
+++ b/internal/core/membership/members.go
@@ -13,25 +13,25 @@
 type Config struct {
 	Self Identity
 
-	Beat          time.Duration // between two beats of the own version; default 1 s
-	SuspectAfter  time.Duration // silence after which a host of the own domain is suspect; default 5 s
-	DeadAfter     time.Duration // silence after which it is dead; default 12 s
-	RemoteFactor  int           // the two limits times this hold for other domains; default 10
-	RemoteQuantum int           // beats told to other domains at once; default 16
-	ForgetAfter   time.Duration // silence after which a dead host is forgotten; default 1 h
+	HeartbeatInterval time.Duration // between two beats of the own version; default 1 s
+	SuspectAfter      time.Duration // silence after which a host of the own domain is suspect; default 5 s
+	DeadAfter         time.Duration // silence after which it is dead; default 12 s
+	RemoteFactor      int           // the two limits times this hold for other domains; default 10
+	RemoteQuantum     int           // beats told to other domains at once; default 16
+	ForgetAfter       time.Duration // silence after which a dead host is forgotten; default 1 h
 
 	Partners int // hosts of the own domain that exchanges go to at a time; default 8
-	// NearBy names a section by whose data hosts of the own domain are near each other, as
+	// LocalitySection names a section by whose data hosts of the own domain are near each other, as
 	// those of one failure domain where a domain has several: most partners are near. Empty:
 	// all are alike.
-	NearBy      string
-	FarPartners int // of the partners, those that are not near; default 2
-
-	RotateEvery   time.Duration // after which the oldest partner is replaced; default 10 s
-	ProbeEvery    time.Duration // between tries of a silent or unknown address; default 5 s
-	Gateways      int           // hosts of a domain that exchange with others; default 2
-	GatewayEvery  time.Duration // between two exchanges with one other domain; default 5 s
-	MaxDeltaBytes int           // rough bound of the news in one message; default 32 KiB
+	LocalitySection string
+	FarPartners     int // of the partners, those that are not near; default 2
+
+	RotateInterval  time.Duration // after which the oldest partner is replaced; default 10 s
+	ProbeInterval   time.Duration // between tries of a silent or unknown address; default 5 s
+	Gateways        int           // hosts of a domain that exchange with others; default 2
+	GatewayInterval time.Duration // between two exchanges with one other domain; default 5 s
+	MaxDeltaBytes   int           // rough bound of the news in one message; default 32 KiB
 }
 
 // Defaults of Config.
@@ -52,7 +52,7 @@
 )
 
 func (c *Config) setDefaults() {
-	option.Default(&c.Beat, defaultBeat)
+	option.Default(&c.HeartbeatInterval, defaultBeat)
 	option.Default(&c.SuspectAfter, defaultSuspectAfter)
 	option.Default(&c.DeadAfter, defaultDeadAfter)
 	option.Default(&c.RemoteFactor, defaultRemoteFactor)
@@ -60,10 +60,10 @@
 	option.Default(&c.ForgetAfter, defaultForgetAfter)
 	option.Default(&c.Partners, defaultPartners)
 	option.Default(&c.FarPartners, defaultFarPartners)
-	option.Default(&c.RotateEvery, defaultRotateEvery)
-	option.Default(&c.ProbeEvery, defaultProbeEvery)
+	option.Default(&c.RotateInterval, defaultRotateEvery)
+	option.Default(&c.ProbeInterval, defaultProbeEvery)
 	option.Default(&c.Gateways, defaultGateways)
-	option.Default(&c.GatewayEvery, defaultGatewayEvery)
+	option.Default(&c.GatewayInterval, defaultGatewayEvery)
 	option.Default(&c.MaxDeltaBytes, defaultMaxDeltaBytes)
 }
 
@@ -159,11 +159,11 @@
 	}
 }
 
-// HostList takes a list that was read from the platform. It adds addresses to
+// ApplyHostList takes a list that was read from the platform. It adds addresses to
 // try and marks hosts as leaving when their entry turns to leaving. A host that
 // is missing loses nothing, and a mark by the list ends with the list's own
 // word or a newer incarnation: the list may be about the host's former life.
-func (m *Members) HostList(now time.Time, list []Listed) {
+func (m *Members) ApplyHostList(now time.Time, list []ListedHost) {
 	m.advance(now)
 	for addr, c := range m.contacts {
 		if c.host != "" {
@@ -183,7 +183,7 @@
 	m.listed = listed
 }
 
-func (m *Members) markListed(l Listed) {
+func (m *Members) markListed(l ListedHost) {
 	e := m.byHost[l.Host]
 	if e == nil {
 		return
@@ -213,7 +213,7 @@
 }
 
 func (m *Members) member(e *entry) Member {
-	return Member{Identity: e.id, Seq: e.version, State: m.state(e), LastHeard: e.heard}
+	return Member{Identity: e.id, Version: e.version, State: m.state(e), LastHeard: e.heard}
 }
 
 func (m *Members) state(e *entry) State {
--- a/internal/core/membership/members_test.go
+++ b/internal/core/membership/members_test.go
@@ -116,13 +116,13 @@
 
 func TestHostsThatKnowOnlyTheListMeet(t *testing.T) {
 	s := newSite(t, 5)
-	var list []Listed
+	var list []ListedHost
 	for _, host := range []string{"x", "y", "z"} {
 		s.at[host+":1"] = New(Config{Self: testIdentity(host, "a", 1)}, s.now)
 		s.hosts = append(s.hosts, s.at[host+":1"])
-		list = append(list, Listed{Host: host, Domain: "a", Address: host + ":1"})
+		list = append(list, ListedHost{Host: host, Domain: "a", Address: host + ":1"})
 	}
-	s.hosts[1].HostList(s.now, list)
+	s.hosts[1].ApplyHostList(s.now, list)
 	s.run(20 * time.Second)
 	if w := s.wrong("a", "a", Live); w != "" {
 		t.Error(w)
@@ -131,24 +131,24 @@
 
 // TestHostList feeds a host that hears "b" lists in turn.
 func TestHostList(t *testing.T) {
-	live := []Listed{{Host: "b", Domain: "a", Address: "b:1"}}
-	leaving := []Listed{{Host: "b", Domain: "a", Address: "b:1", Leaving: true}}
+	live := []ListedHost{{Host: "b", Domain: "a", Address: "b:1"}}
+	leaving := []ListedHost{{Host: "b", Domain: "a", Address: "b:1", Leaving: true}}
 	for _, c := range []struct {
 		name  string
-		lists [][]Listed
+		lists [][]ListedHost
 		newer bool // a newer incarnation is heard before the last list
 		want  State
 	}{
 		{name: "no list was ever read", want: Live},
-		{name: "absent from the list", lists: [][]Listed{nil}, want: Live},
-		{name: "listed live", lists: [][]Listed{live}, want: Live},
-		{name: "listed leaving", lists: [][]Listed{leaving}, want: Leaving},
-		{name: "turned to leaving", lists: [][]Listed{live, leaving}, want: Leaving},
-		{name: "leaving, then gone", lists: [][]Listed{leaving, nil}, want: Leaving},
-		{name: "leaving taken back", lists: [][]Listed{leaving, live}, want: Live},
-		{name: "stale word about the former life", lists: [][]Listed{leaving, leaving}, newer: true, want: Live},
-		{name: "new life leaves too", lists: [][]Listed{live, leaving}, newer: true, want: Leaving},
-		{name: "entries without a name", lists: [][]Listed{{{Leaving: true}}}, want: Live},
+		{name: "absent from the list", lists: [][]ListedHost{nil}, want: Live},
+		{name: "listed live", lists: [][]ListedHost{live}, want: Live},
+		{name: "listed leaving", lists: [][]ListedHost{leaving}, want: Leaving},
+		{name: "turned to leaving", lists: [][]ListedHost{live, leaving}, want: Leaving},
+		{name: "leaving, then gone", lists: [][]ListedHost{leaving, nil}, want: Leaving},
+		{name: "leaving taken back", lists: [][]ListedHost{leaving, live}, want: Live},
+		{name: "stale word about the former life", lists: [][]ListedHost{leaving, leaving}, newer: true, want: Live},
+		{name: "new life leaves too", lists: [][]ListedHost{live, leaving}, newer: true, want: Leaving},
+		{name: "entries without a name", lists: [][]ListedHost{{{Leaving: true}}}, want: Live},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := New(Config{Self: testIdentity("a", "a", 1)}, epoch)
@@ -157,7 +157,7 @@
 				if c.newer && i == len(c.lists)-1 {
 					hear(t, m, testIdentity("b", "a", 2))
 				}
-				m.HostList(epoch, list)
+				m.ApplyHostList(epoch, list)
 			}
 			if got := m.View(epoch)[1].State; got != c.want {
 				t.Errorf("state is %s, want %s", got, c.want)
@@ -206,7 +206,7 @@
 	s.addDomain("b", 30)
 	s.run(40 * time.Second)
 	s.hosts[7].Leave(s.now)
-	s.send(s.hosts[7], s.hosts[7].Forwards(s.rng))
+	s.send(s.hosts[7], s.hosts[7].TakePushes(s.rng))
 	s.run(3 * time.Second)
 	for _, m := range s.hosts {
 		if got, _ := s.stateAt(m, "a-07"); got != Leaving {
@@ -244,7 +244,7 @@
 			t.Errorf("%s has wide sections %v", m.Self().Host, far)
 			continue
 		}
-		if late := far[0].At.Sub(published).Abs(); late > time.Second {
+		if late := far[0].PublishedAt.Sub(published).Abs(); late > time.Second {
 			t.Errorf("%s dates the section %v off", m.Self().Host, late)
 		}
 		if want := m.Self().Domain == "a"; (len(near) == 1) != want {
--- a/internal/core/membership/near_test.go
+++ b/internal/core/membership/near_test.go
@@ -16,7 +16,7 @@
 		for i := range each {
 			place := fmt.Sprint("place-", p)
 			host := fmt.Sprintf("%s-%02d", place, i)
-			m := New(Config{Self: testIdentity(host, "region", 1), NearBy: nearBy}, s.now)
+			m := New(Config{Self: testIdentity(host, "region", 1), LocalitySection: nearBy}, s.now)
 			s.must(m.Publish(s.now, placeSection, []byte(place), false))
 			if len(s.hosts) > 0 {
 				m.AddSeeds([]string{s.hosts[0].Self().Address})
@@ -143,7 +143,7 @@
 	}
 	for _, c := range cases {
 		var got []string
-		for _, m := range FirstAndNear(ranked, c.n, c.few, near) {
+		for _, m := range TopAndNearby(ranked, c.n, c.few, near) {
 			got = append(got, m.Host)
 		}
 		if s := strings.Join(got, " "); s != c.want {
--- a/internal/core/membership/pace.go
+++ b/internal/core/membership/pace.go
@@ -19,9 +19,9 @@
 // stretch returns how many times more rarely than in a small domain hosts beat.
 func (m *Members) stretch() float64 { return max(1, float64(m.locals)/fullRate) }
 
-// Pace returns how many times more rarely than in a small domain this host is to exchange.
+// ExchangeIntervalFactor returns how many times more rarely than in a small domain this host is to exchange.
 // While it meets many others, as when all start, it does so as often as in a small one.
-func (m *Members) Pace() float64 {
+func (m *Members) ExchangeIntervalFactor() float64 {
 	if !m.settled() {
 		return 1
 	}
--- a/internal/core/membership/properties_test.go
+++ b/internal/core/membership/properties_test.go
@@ -77,7 +77,7 @@
 		case 2:
 			if s.at[address] == m {
 				m.Leave(s.now)
-				s.send(m, m.Forwards(s.rng))
+				s.send(m, m.TakePushes(s.rng))
 			}
 		case 3:
 			s.cut = func(from, to string) bool { return from != to }
--- a/internal/core/membership/rendezvous.go
+++ b/internal/core/membership/rendezvous.go
@@ -62,10 +62,10 @@
 	return ranked
 }
 
-// FirstAndNear returns the first n of ranked members and, after them, the first few that are
+// TopAndNearby returns the first n of ranked members and, after them, the first few that are
 // near: for a task that one does for all, and that must not stop where those who come first
 // are behind a cut.
-func FirstAndNear(ranked []Member, n, few int, near func(host string) bool) []Member {
+func TopAndNearby(ranked []Member, n, few int, near func(host string) bool) []Member {
 	n = min(n, len(ranked))
 	chosen := slices.Clone(ranked[:n])
 	for _, m := range ranked[n:] {
--- a/internal/core/membership/sections.go
+++ b/internal/core/membership/sections.go
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// Published returns a number that changes when some host's section is new here.
-func (m *Members) Published() int { return m.publishedCount }
+// SectionsVersion returns a number that changes when some host's section is new here.
+func (m *Members) SectionsVersion() int { return m.publishedCount }
 
 // Sections returns a section of every host that has it and is not dead, the
 // own one included, ordered by host.
@@ -45,7 +45,7 @@
 			Domain:      e.id.Domain,
 			Incarnation: e.id.Incarnation,
 			Version:     s.Version,
-			At:          e.publishedAt[name],
+			PublishedAt: e.publishedAt[name],
 			Data:        s.Data,
 		})
 	}
--- a/internal/core/membership/sim_test.go
+++ b/internal/core/membership/sim_test.go
@@ -94,7 +94,7 @@
 		for _, m := range s.hosts {
 			if s.at[m.Self().Address] == m && !s.now.Before(s.next[m]) {
 				s.send(m, m.Tick(s.now, s.rng))
-				s.next[m] = s.now.Add(time.Duration(float64(tickEvery) * m.Pace()))
+				s.next[m] = s.now.Add(time.Duration(float64(tickEvery) * m.ExchangeIntervalFactor()))
 			}
 		}
 	}
@@ -104,7 +104,7 @@
 	for _, o := range out {
 		to := s.at[o.Address]
 		if to == nil || s.cut(from.Self().Domain, to.Self().Domain) || s.cutHosts != nil && s.cutHosts(from, to) {
-			from.Failed(s.now, o.Address)
+			from.DeliveryFailed(s.now, o.Address)
 			continue
 		}
 		if o.Request == nil {
@@ -118,14 +118,14 @@
 		if push != nil {
 			s.push(from, to, push)
 		}
-		s.send(from, from.Forwards(s.rng))
-		s.send(to, to.Forwards(s.rng))
+		s.send(from, from.TakePushes(s.rng))
+		s.send(to, to.TakePushes(s.rng))
 	}
 }
 
 func (s *site) push(from, to *Members, push *Push) {
 	s.must(to.HandlePush(s.now, carry(s, from, push)))
-	s.send(to, to.Forwards(s.rng))
+	s.send(to, to.TakePushes(s.rng))
 }
 
 // carry returns a message as it arrives.
--- a/internal/core/membership/tick.go
+++ b/internal/core/membership/tick.go
@@ -33,7 +33,7 @@
 func (m *Members) Tick(now time.Time, rng *rand.Rand) []Outgoing {
 	m.advance(now)
 	if !now.Before(m.nextBeat) {
-		m.nextBeat = now.Add(m.stretched(m.cfg.Beat))
+		m.nextBeat = now.Add(m.stretched(m.cfg.HeartbeatInterval))
 		m.self.beat()
 		m.forget()
 	}
@@ -43,14 +43,14 @@
 		out = append(out, m.exchange(partner.id.Address, rng))
 	}
 	if !now.Before(m.nextGateway) {
-		m.nextGateway = now.Add(m.cfg.GatewayEvery)
+		m.nextGateway = now.Add(m.cfg.GatewayInterval)
 		out = append(out, m.gatewayExchanges(rng)...)
 	}
 	return append(out, m.probes(rng, partner == nil)...)
 }
 
-// Failed notes that a message to an address could not be delivered.
-func (m *Members) Failed(now time.Time, address string) {
+// DeliveryFailed notes that a message to an address could not be delivered.
+func (m *Members) DeliveryFailed(now time.Time, address string) {
 	m.advance(now)
 	for _, e := range m.order {
 		if e.id.Address == address && e != m.self {
@@ -110,7 +110,7 @@
 		return e == nil || !m.reachable(e)
 	})
 	if len(m.partners) > 1 && !m.clock.Before(m.nextRotate) {
-		m.nextRotate = m.clock.Add(m.stretched(m.cfg.RotateEvery))
+		m.nextRotate = m.clock.Add(m.stretched(m.cfg.RotateInterval))
 		m.partners = m.partners[1:]
 	}
 	m.fillPartners(rng)
@@ -185,11 +185,11 @@
 // near reports whether a host is near the own one. One that has not told where it is counts
 // as far.
 func (m *Members) near(e *entry) bool {
-	if m.cfg.NearBy == "" {
+	if m.cfg.LocalitySection == "" {
 		return true
 	}
-	own, ok := m.self.sections[m.cfg.NearBy]
-	other, told := e.sections[m.cfg.NearBy]
+	own, ok := m.self.sections[m.cfg.LocalitySection]
+	other, told := e.sections[m.cfg.LocalitySection]
 	return ok && told && bytes.Equal(own.Data, other.Data)
 }
 
@@ -269,7 +269,7 @@
 	if !alone && m.clock.Before(m.nextProbe) {
 		return nil
 	}
-	m.nextProbe = m.clock.Add(m.cfg.ProbeEvery)
+	m.nextProbe = m.clock.Add(m.cfg.ProbeInterval)
 	candidates := m.silentAddresses()
 	n := 1
 	if alone {
--- a/internal/core/notice/notice.go
+++ b/internal/core/notice/notice.go
@@ -67,8 +67,8 @@
 // Limits returns all limits that were heard, those that were taken back among them.
 func (t *Tracker) Limits() []Limit { return slices.Collect(maps.Values(t.limits)) }
 
-// Heard takes in what an answer says that came now to what was sent at a time.
-func (t *Tracker) Heard(id string, n Notice, sent, now time.Time) Change {
+// Record takes in what an answer says that came now to what was sent at a time.
+func (t *Tracker) Record(id string, n Notice, sent, now time.Time) Change {
 	return Change{
 		Limit:   t.hearLimit(id, n, sent, now),
 		Leaving: n.Leaving && t.hearLeaving(id, now),
@@ -117,14 +117,14 @@
 	}
 }
 
-// LimitOf returns the limit of an upstream; ok is false when none stands.
-func (t *Tracker) LimitOf(id string) (l Limit, ok bool) {
+// Limit returns the limit of an upstream; ok is false when none stands.
+func (t *Tracker) Limit(id string) (l Limit, ok bool) {
 	l = t.limits[id]
 	return l, l.Limited
 }
 
-// BarOf returns why an upstream is to get nothing now; ok is false when it may.
-func (t *Tracker) BarOf(id string, now time.Time) (b Bar, ok bool) {
+// Bar returns why an upstream is to get nothing now; ok is false when it may.
+func (t *Tracker) Bar(id string, now time.Time) (b Bar, ok bool) {
 	if at, leaves := t.leaving[id]; leaves {
 		return Bar{Leaving: true, At: at}, true
 	}
@@ -147,8 +147,8 @@
 // back.
 const keptFor = time.Minute
 
-// Keep forgets what upstreams have said that are not listed, after a while.
-func (t *Tracker) Keep(listed func(id string) bool, now time.Time) {
+// RetainListed forgets what upstreams have said that are not listed, after a while.
+func (t *Tracker) RetainListed(listed func(id string) bool, now time.Time) {
 	for _, id := range t.known() {
 		if listed(id) {
 			delete(t.gone, id)
--- a/internal/core/notice/notice_test.go
+++ b/internal/core/notice/notice_test.go
@@ -14,22 +14,22 @@
 
 func TestLimitStandsUntilALaterAnswerNamesNone(t *testing.T) {
 	tr := New()
-	if tr.Heard("a", Notice{Ran: true}, at(0), at(1)).Limit {
+	if tr.Record("a", Notice{Ran: true}, at(0), at(1)).Limit {
 		t.Error("no limit is news")
 	}
-	if !tr.Heard("a", limit(2), at(0), at(10)).Limit {
+	if !tr.Record("a", limit(2), at(0), at(10)).Limit {
 		t.Error("a limit is none")
 	}
-	if tr.Heard("a", limit(2), at(11), at(20)).Limit {
+	if tr.Record("a", limit(2), at(11), at(20)).Limit {
 		t.Error("the same limit is news")
 	}
-	if l, ok := tr.LimitOf("a"); !ok || l.PerSecond != 2 || !l.At.Equal(at(20)) {
+	if l, ok := tr.Limit("a"); !ok || l.PerSecond != 2 || !l.At.Equal(at(20)) {
 		t.Errorf("got %+v", l)
 	}
-	if !tr.Heard("a", Notice{Ran: true}, at(21), at(30)).Limit {
+	if !tr.Record("a", Notice{Ran: true}, at(21), at(30)).Limit {
 		t.Error("the end of a limit is none")
 	}
-	if _, ok := tr.LimitOf("a"); ok {
+	if _, ok := tr.Limit("a"); ok {
 		t.Error("the limit stands")
 	}
 }
@@ -38,11 +38,11 @@
 // come after it, on another connection.
 func TestAnswerToAnEarlierRequestEndsNoLimit(t *testing.T) {
 	tr := New()
-	tr.Heard("a", limit(2), at(0), at(10))
-	if tr.Heard("a", Notice{Ran: true}, at(9), at(12)).Limit {
+	tr.Record("a", limit(2), at(0), at(10))
+	if tr.Record("a", Notice{Ran: true}, at(9), at(12)).Limit {
 		t.Error("it changed the limit")
 	}
-	if _, ok := tr.LimitOf("a"); !ok {
+	if _, ok := tr.Limit("a"); !ok {
 		t.Error("the limit is gone")
 	}
 }
@@ -51,11 +51,11 @@
 // of a request that ran.
 func TestAnswerThatMayLeaveItOutEndsNoLimit(t *testing.T) {
 	tr := New()
-	tr.Heard("a", limit(2), at(0), at(10))
-	if tr.Heard("a", Notice{}, at(20), at(30)).Limit {
+	tr.Record("a", limit(2), at(0), at(10))
+	if tr.Record("a", Notice{}, at(20), at(30)).Limit {
 		t.Error("it changed the limit")
 	}
-	if _, ok := tr.LimitOf("a"); !ok {
+	if _, ok := tr.Limit("a"); !ok {
 		t.Error("the limit is gone")
 	}
 }
@@ -63,48 +63,48 @@
 // TestWordOfAnUpstreamOutlivesAGapInItsEntry: entries lapse while the store is away.
 func TestWordOfAnUpstreamOutlivesAGapInItsEntry(t *testing.T) {
 	tr := New()
-	tr.Heard("a", Notice{Leaving: true, Limited: true, Limit: 2}, at(0), at(1))
+	tr.Record("a", Notice{Leaving: true, Limited: true, Limit: 2}, at(0), at(1))
 	none := func(string) bool { return false }
-	tr.Keep(none, at(0))
-	tr.Keep(none, at(50_000))
-	tr.Keep(func(string) bool { return true }, at(55_000))
-	tr.Keep(none, at(60_000))
-	if _, ok := tr.BarOf("a", at(60_000)); !ok {
+	tr.RetainListed(none, at(0))
+	tr.RetainListed(none, at(50_000))
+	tr.RetainListed(func(string) bool { return true }, at(55_000))
+	tr.RetainListed(none, at(60_000))
+	if _, ok := tr.Bar("a", at(60_000)); !ok {
 		t.Error("forgotten too early")
 	}
-	tr.Keep(none, at(121_000))
-	_, limited := tr.LimitOf("a")
-	if _, ok := tr.BarOf("a", at(121_000)); ok || limited {
+	tr.RetainListed(none, at(121_000))
+	_, limited := tr.Limit("a")
+	if _, ok := tr.Bar("a", at(121_000)); ok || limited {
 		t.Error("kept for good")
 	}
 }
 
 func TestUpstreamThatLeavesIsBarredForItsLife(t *testing.T) {
 	tr := New()
-	if c := tr.Heard("a", Notice{Leaving: true}, at(0), at(1)); !c.Leaving {
+	if c := tr.Record("a", Notice{Leaving: true}, at(0), at(1)); !c.Leaving {
 		t.Error("it is no news")
 	}
-	if c := tr.Heard("a", Notice{}, at(2), at(3)); c != (Change{}) {
+	if c := tr.Record("a", Notice{}, at(2), at(3)); c != (Change{}) {
 		t.Errorf("an answer without the word changes %+v", c)
 	}
-	if b, ok := tr.BarOf("a", at(1_000_000)); !ok || !b.Leaving || !b.At.Equal(at(1)) {
+	if b, ok := tr.Bar("a", at(1_000_000)); !ok || !b.Leaving || !b.At.Equal(at(1)) {
 		t.Errorf("got %+v, %v", b, ok)
 	}
-	if _, ok := tr.BarOf("b", at(2)); ok {
+	if _, ok := tr.Bar("b", at(2)); ok {
 		t.Error("another one is barred")
 	}
 }
 
 func TestBackOffEndsAtItsTimeAndOnlyGrows(t *testing.T) {
 	tr := New()
-	tr.Heard("a", Notice{BackOff: 2 * time.Second}, at(0), at(0))
-	if c := tr.Heard("a", Notice{BackOff: time.Second}, at(0), at(500)); c.BackOff {
+	tr.Record("a", Notice{BackOff: 2 * time.Second}, at(0), at(0))
+	if c := tr.Record("a", Notice{BackOff: time.Second}, at(0), at(500)); c.BackOff {
 		t.Error("a shorter one changes it")
 	}
-	if _, ok := tr.BarOf("a", at(1999)); !ok || !slices.Equal(tr.Barred(at(1999)), []string{"a"}) {
+	if _, ok := tr.Bar("a", at(1999)); !ok || !slices.Equal(tr.Barred(at(1999)), []string{"a"}) {
 		t.Error("it is over too early")
 	}
-	if _, ok := tr.BarOf("a", at(2000)); ok || len(tr.Barred(at(2000))) > 0 {
+	if _, ok := tr.Bar("a", at(2000)); ok || len(tr.Barred(at(2000))) > 0 {
 		t.Error("it is not over")
 	}
 }
@@ -114,17 +114,17 @@
 // heard under the ID of its former life.
 func TestNextLifeInheritsWhatItSaidBeforeItWasListed(t *testing.T) {
 	tr := New()
-	tr.Heard("a@1", Notice{Leaving: true}, at(0), at(500)) // by the former life
-	tr.Heard("a@1", Notice{BackOff: 5 * time.Second, Limited: true, Limit: 2}, at(1500), at(1500))
+	tr.Record("a@1", Notice{Leaving: true}, at(0), at(500)) // by the former life
+	tr.Record("a@1", Notice{BackOff: 5 * time.Second, Limited: true, Limit: 2}, at(1500), at(1500))
 	tr.Inherit("a@2", "a@1", at(1000))
-	if b, ok := tr.BarOf("a@2", at(2000)); !ok || b.Leaving || !b.Until.Equal(at(6500)) {
+	if b, ok := tr.Bar("a@2", at(2000)); !ok || b.Leaving || !b.Until.Equal(at(6500)) {
 		t.Errorf("got %+v, %v", b, ok)
 	}
-	if l, ok := tr.LimitOf("a@2"); !ok || l.Upstream != "a@2" || l.PerSecond != 2 {
+	if l, ok := tr.Limit("a@2"); !ok || l.Upstream != "a@2" || l.PerSecond != 2 {
 		t.Errorf("got %+v, %v", l, ok)
 	}
 	tr.Inherit("a@3", "a@2", at(3000))
-	if _, ok := tr.BarOf("a@3", at(3000)); ok {
+	if _, ok := tr.Bar("a@3", at(3000)); ok {
 		t.Error("a life is barred for what its former one said")
 	}
 }
--- a/internal/core/pace/cold_test.go
+++ b/internal/core/pace/cold_test.go
@@ -9,8 +9,8 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-func cold(id string, perSecond float64, fromMs, forMs int) Cold {
-	return Cold{Upstream: id, PerSecond: perSecond, Until: at(fromMs + forMs)}
+func cold(id string, perSecond float64, fromMs, forMs int) ColdLimit {
+	return ColdLimit{Upstream: id, PerSecond: perSecond, Until: at(fromMs + forMs)}
 }
 
 // allowedCold is what a platform lets a cold upstream have in any second.
@@ -22,9 +22,9 @@
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(11))
 	properties.Property("two keepers for a time", prop.ForAll(func(perSecond float64, laterMs, withinMs int) bool {
 		one, other := New(), New()
-		one.SetShare(Whole)
-		one.Cool(cold("a", perSecond, 0, 4000), at(0))
-		other.Cool(cold("a", perSecond, 0, 4000), at(laterMs))
+		one.SetShare(FullShare)
+		one.SetCold(cold("a", perSecond, 0, 4000), at(0))
+		other.SetCold(cold("a", perSecond, 0, 4000), at(laterMs))
 		within := time.Duration(withinMs) * time.Millisecond
 		turns := admitted(one, 0, 4000, 1, within)
 		turns = append(turns, admitted(other, laterMs, 4000, 1, within)...)
@@ -41,12 +41,12 @@
 
 func TestColdEndsByItself(t *testing.T) {
 	p := New()
-	p.SetShare(Whole)
-	p.Cool(cold("a", 1, 0, 500), at(0))
-	if _, limited := p.Next("a", at(499)); !limited {
+	p.SetShare(FullShare)
+	p.SetCold(cold("a", 1, 0, 500), at(0))
+	if _, limited := p.NextTurn("a", at(499)); !limited {
 		t.Error("it is taken for warm")
 	}
-	if turn, limited := p.Next("a", at(500)); limited || !turn.Equal(at(500)) {
+	if turn, limited := p.NextTurn("a", at(500)); limited || !turn.Equal(at(500)) {
 		t.Errorf("warm, and the next turn is at %s", turn.Sub(start))
 	}
 }
@@ -54,14 +54,14 @@
 // TestColdAgainIsBoundedAnew: an upstream may become cold at any moment of its life.
 func TestColdAgainIsBoundedAnew(t *testing.T) {
 	p := New()
-	p.SetShare(Whole)
-	p.Cool(cold("a", 2, 0, 1000), at(0))
-	p.Cool(cold("a", 2, 5000, 1000), at(5000))
-	if turn, limited := p.Next("a", at(5001)); !limited || turn.Before(at(5500)) {
+	p.SetShare(FullShare)
+	p.SetCold(cold("a", 2, 0, 1000), at(0))
+	p.SetCold(cold("a", 2, 5000, 1000), at(5000))
+	if turn, limited := p.NextTurn("a", at(5001)); !limited || turn.Before(at(5500)) {
 		t.Errorf("the next turn is at %s, limited %t", turn.Sub(start), limited)
 	}
-	p.Cool(Cold{Upstream: "a", PerSecond: 2, Until: at(5100)}, at(5200)) // it is warm, it says
-	if _, limited := p.Next("a", at(5201)); limited {
+	p.SetCold(ColdLimit{Upstream: "a", PerSecond: 2, Until: at(5100)}, at(5200)) // it is warm, it says
+	if _, limited := p.NextTurn("a", at(5201)); limited {
 		t.Error("its word that it is warm is not taken")
 	}
 }
@@ -70,9 +70,9 @@
 func TestLowerOfTwoLimitsHolds(t *testing.T) {
 	for _, c := range []struct{ named, cold float64 }{{10, 2}, {2, 10}} {
 		p := New()
-		p.SetShare(Whole)
-		p.Hear(limit("a", c.named, 0), at(0))
-		p.Cool(cold("a", c.cold, 0, 10_000), at(0))
+		p.SetShare(FullShare)
+		p.SetLimit(limit("a", c.named, 0), at(0))
+		p.SetCold(cold("a", c.cold, 0, 10_000), at(0))
 		if got := most(admitted(p, 0, 9000, 5, time.Second), window); float64(got) > 2*window.Seconds()+burst {
 			t.Errorf("named %g, cold %g: %d turns in %s", c.named, c.cold, got, window)
 		}
@@ -81,8 +81,8 @@
 
 func TestColdOfAnUpstreamThatHasGoneIsForgotten(t *testing.T) {
 	p := New()
-	p.Cool(cold("a", 2, 0, 1000), at(0))
-	p.Keep(func(string) bool { return true }, at(70_000))
+	p.SetCold(cold("a", 2, 0, 1000), at(0))
+	p.RetainListed(func(string) bool { return true }, at(70_000))
 	if len(p.upstreams) > 0 {
 		t.Error("it is kept for good")
 	}
@@ -92,13 +92,13 @@
 // them ahead.
 func TestWhatAWarmUpstreamGotDoesNotCount(t *testing.T) {
 	p := New()
-	p.SetShare(Whole)
-	p.Cool(cold("a", 2, 0, 100), at(0))
+	p.SetShare(FullShare)
+	p.SetCold(cold("a", 2, 0, 100), at(0))
 	for ms := 200; ms < 5000; ms += 10 {
-		p.Take("a", at(ms))
+		p.TakeTurn("a", at(ms))
 	}
-	p.Cool(cold("a", 2, 5000, 2000), at(5000))
-	if turn, _ := p.Next("a", at(5000)); turn.After(at(5500)) {
+	p.SetCold(cold("a", 2, 5000, 2000), at(5000))
+	if turn, _ := p.NextTurn("a", at(5000)); turn.After(at(5500)) {
 		t.Errorf("cold again, and the next turn is after %s", turn.Sub(at(5000)))
 	}
 }
--- a/internal/core/pace/pacer.go
+++ b/internal/core/pace/pacer.go
@@ -9,11 +9,11 @@
 
 // Shares of a limit that one host gives out.
 const (
-	// Whole is for the host that gives the turns to all.
-	Whole = 1.0
-	// Deputy is for one that is asked in its place, perhaps only by some while it still
+	// FullShare is for the host that gives the turns to all.
+	FullShare = 1.0
+	// FallbackShare is for one that is asked in its place, perhaps only by some while it still
 	// gives turns to others.
-	Deputy = 0.25
+	FallbackShare = 0.25
 )
 
 const (
@@ -36,25 +36,25 @@
 
 type upstream struct {
 	limit notice.Limit
-	cold  Cold
+	cold  ColdLimit
 	next  time.Time // the earliest turn; in the past where turns are left
 }
 
-// Cold is the limit of an upstream that is cold: it ends by itself.
-type Cold struct {
+// ColdLimit is the limit of an upstream that is cold: it ends by itself.
+type ColdLimit struct {
 	Upstream  string  // ID of the life
 	PerSecond float64 // requests from all hosts together
 	Until     time.Time
 }
 
 // New returns a Pacer that knows no limits and gives a deputy's share of those it hears.
-func New() *Pacer { return &Pacer{share: Deputy, upstreams: map[string]*upstream{}} }
+func New() *Pacer { return &Pacer{share: FallbackShare, upstreams: map[string]*upstream{}} }
 
 // SetShare changes the share of the limits that is given out.
 func (p *Pacer) SetShare(share float64) { p.share = share }
 
-// Hear takes in what some host has heard of a limit. Of two words the later one holds.
-func (p *Pacer) Hear(l notice.Limit, now time.Time) {
+// SetLimit takes in what some host has heard of a limit. Of two words the later one holds.
+func (p *Pacer) SetLimit(l notice.Limit, now time.Time) {
 	u := p.upstreams[l.Upstream]
 	switch {
 	case u == nil && !l.Limited:
@@ -73,10 +73,10 @@
 	}
 }
 
-// Cool takes in that an upstream is cold, and until when; a time that has passed says that it
+// SetCold takes in that an upstream is cold, and until when; a time that has passed says that it
 // is warm. Turns that it was given while it was taken for warm are not known, so the next one
 // is after an interval.
-func (p *Pacer) Cool(c Cold, now time.Time) {
+func (p *Pacer) SetCold(c ColdLimit, now time.Time) {
 	u := p.upstreams[c.Upstream]
 	if u == nil {
 		if !c.Until.After(now) {
@@ -93,11 +93,11 @@
 	}
 }
 
-// ColdOf returns until when an upstream is cold; ok is false when it is not.
-func (p *Pacer) ColdOf(id string, now time.Time) (c Cold, ok bool) {
+// ColdLimit returns until when an upstream is cold; ok is false when it is not.
+func (p *Pacer) ColdLimit(id string, now time.Time) (c ColdLimit, ok bool) {
 	u := p.upstreams[id]
 	if u == nil || !now.Before(u.cold.Until) {
-		return Cold{}, false
+		return ColdLimit{}, false
 	}
 	return u.cold, true
 }
@@ -118,9 +118,9 @@
 	return time.Duration(float64(time.Second) / rate)
 }
 
-// Next returns the earliest turn at an upstream; limited is false when it may be sent to at
+// NextTurn returns the earliest turn at an upstream; limited is false when it may be sent to at
 // any time.
-func (p *Pacer) Next(id string, now time.Time) (turn time.Time, limited bool) {
+func (p *Pacer) NextTurn(id string, now time.Time) (turn time.Time, limited bool) {
 	u := p.upstreams[id]
 	if u == nil || !u.limited(now) {
 		return now, false
@@ -131,8 +131,8 @@
 	return u.next, true
 }
 
-// Take takes a turn that is not before the next one.
-func (p *Pacer) Take(id string, turn time.Time) {
+// TakeTurn takes a turn that is not before the next one.
+func (p *Pacer) TakeTurn(id string, turn time.Time) {
 	u := p.upstreams[id]
 	if u == nil {
 		return
@@ -146,13 +146,13 @@
 
 // Admit takes the next turn if it is within a time, and returns the wait for it.
 func (p *Pacer) Admit(id string, within time.Duration, now time.Time) (wait time.Duration, ok bool) {
-	turn, limited := p.Next(id, now)
+	turn, limited := p.NextTurn(id, now)
 	wait = turn.Sub(now)
 	if wait > within {
 		return wait, false
 	}
 	if limited {
-		p.Take(id, turn)
+		p.TakeTurn(id, turn)
 	}
 	return wait, true
 }
@@ -161,8 +161,8 @@
 // the upstream may come back.
 const keptFor = time.Minute
 
-// Keep forgets the limits of upstreams that are not listed, after a while.
-func (p *Pacer) Keep(listed func(id string) bool, now time.Time) {
+// RetainListed forgets the limits of upstreams that are not listed, after a while.
+func (p *Pacer) RetainListed(listed func(id string) bool, now time.Time) {
 	maps.DeleteFunc(p.upstreams, func(id string, u *upstream) bool {
 		over := !u.limited(now) || !listed(id)
 		return over && now.Sub(u.limit.At) > keptFor && now.Sub(u.cold.Until) > keptFor
--- a/internal/core/pace/pacer_test.go
+++ b/internal/core/pace/pacer_test.go
@@ -52,10 +52,10 @@
 
 func TestTurnsStayWithinTheLimitHoweverOftenIsAskedAndHeard(t *testing.T) {
 	p := New()
-	p.SetShare(Whole)
+	p.SetShare(FullShare)
 	var turns []time.Time
 	for ms := 0; ms < 20_000; ms += 100 {
-		p.Hear(limit("a", 2, ms), at(ms))
+		p.SetLimit(limit("a", 2, ms), at(ms))
 		turns = append(turns, admitted(p, ms, ms+100, 1, time.Second)...)
 	}
 	if got := most(turns, window); float64(got) > 2*window.Seconds()+burst {
@@ -64,7 +64,7 @@
 	if len(turns) < 35 {
 		t.Errorf("%d turns in 20 s at 2 a second", len(turns))
 	}
-	if _, limited := p.Next("b", at(5)); limited {
+	if _, limited := p.NextTurn("b", at(5)); limited {
 		t.Error("another upstream is limited")
 	}
 }
@@ -75,9 +75,9 @@
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(7))
 	properties.Property("a deputy beside it", prop.ForAll(func(perSecond float64, laterMs, withinMs int) bool {
 		one, other := New(), New()
-		one.SetShare(Whole)
-		one.Hear(limit("a", perSecond, 0), at(0))
-		other.Hear(limit("a", perSecond, 0), at(laterMs))
+		one.SetShare(FullShare)
+		one.SetLimit(limit("a", perSecond, 0), at(0))
+		other.SetLimit(limit("a", perSecond, 0), at(laterMs))
 		within := time.Duration(withinMs) * time.Millisecond
 		turns := admitted(one, 0, 15_000, 10, within)
 		turns = append(turns, admitted(other, laterMs, 15_000, 10, within)...)
@@ -88,25 +88,25 @@
 
 func TestLaterWordHolds(t *testing.T) {
 	p := New()
-	p.Hear(limit("a", 2, 100), at(100))
-	p.Hear(notice.Limit{Upstream: "a", At: at(50)}, at(120)) // an older word
-	if _, limited := p.Next("a", at(130)); !limited {
+	p.SetLimit(limit("a", 2, 100), at(100))
+	p.SetLimit(notice.Limit{Upstream: "a", At: at(50)}, at(120)) // an older word
+	if _, limited := p.NextTurn("a", at(130)); !limited {
 		t.Error("an older word ended the limit")
 	}
-	p.Hear(notice.Limit{Upstream: "a", At: at(200)}, at(200))
-	if turn, limited := p.Next("a", at(210)); limited || !turn.Equal(at(210)) {
+	p.SetLimit(notice.Limit{Upstream: "a", At: at(200)}, at(200))
+	if turn, limited := p.NextTurn("a", at(210)); limited || !turn.Equal(at(210)) {
 		t.Errorf("the limit stands, next turn %s", turn.Sub(start))
 	}
-	p.Hear(limit("a", 2, 300), at(300))
-	if turn, limited := p.Next("a", at(310)); !limited || !turn.After(at(310)) {
+	p.SetLimit(limit("a", 2, 300), at(300))
+	if turn, limited := p.NextTurn("a", at(310)); !limited || !turn.After(at(310)) {
 		t.Error("a turn was given with the first word")
 	}
 }
 
 func TestTurnsThatWereNotTakenAreLeftInPart(t *testing.T) {
 	p := New()
-	p.SetShare(Whole)
-	p.Hear(limit("a", 2, 0), at(0))
+	p.SetShare(FullShare)
+	p.SetLimit(limit("a", 2, 0), at(0))
 	if turns := admitted(p, 60_000, 60_001, 1, 0); len(turns) != 1 {
 		t.Fatalf("%d turns", len(turns))
 	}
@@ -117,24 +117,24 @@
 
 func TestHigherLimitShortensTheWait(t *testing.T) {
 	p := New()
-	p.SetShare(Whole)
-	p.Hear(limit("a", 0, 0), at(0)) // takes next to nothing
-	p.Hear(limit("a", 10, 100), at(100))
-	if turn, _ := p.Next("a", at(100)); turn.Sub(at(100)) > 200*time.Millisecond {
+	p.SetShare(FullShare)
+	p.SetLimit(limit("a", 0, 0), at(0)) // takes next to nothing
+	p.SetLimit(limit("a", 10, 100), at(100))
+	if turn, _ := p.NextTurn("a", at(100)); turn.Sub(at(100)) > 200*time.Millisecond {
 		t.Errorf("the next turn is after %s", turn.Sub(at(100)))
 	}
 }
 
 func TestLimitOutlivesAGapInTheEntryOfItsUpstream(t *testing.T) {
 	p := New()
-	p.Hear(limit("a", 2, 0), at(0))
+	p.SetLimit(limit("a", 2, 0), at(0))
 	none := func(string) bool { return false }
-	p.Keep(none, at(30_000))
-	if _, limited := p.Next("a", at(30_001)); !limited {
+	p.RetainListed(none, at(30_000))
+	if _, limited := p.NextTurn("a", at(30_001)); !limited {
 		t.Error("forgotten too early")
 	}
-	p.Keep(none, at(61_000))
-	if _, limited := p.Next("a", at(61_001)); limited {
+	p.RetainListed(none, at(61_000))
+	if _, limited := p.NextTurn("a", at(61_001)); limited {
 		t.Error("kept for good")
 	}
 }
--- a/internal/core/quarantine/digest.go
+++ b/internal/core/quarantine/digest.go
@@ -91,9 +91,9 @@
 	return all
 }
 
-// Own returns the evidence of deaths that this host has seen itself, in a form that changes only
+// OwnRecords returns the evidence of deaths that this host has seen itself, in a form that changes only
 // with what it says: ages are left out where aged is false.
-func (t *Tracker) Own(now time.Time, aged bool) []RecordDigest {
+func (t *Tracker) OwnRecords(now time.Time, aged bool) []RecordDigest {
 	d := Digest{}
 	for id, r := range t.records {
 		rd := RecordDigest{ID: id}
@@ -119,8 +119,8 @@
 	return d.Records
 }
 
-// Adopt takes in what a former life of this host had seen itself.
-func (t *Tracker) Adopt(records []RecordDigest, now time.Time) {
+// RestoreOwnRecords takes in what a former life of this host had seen itself.
+func (t *Tracker) RestoreOwnRecords(records []RecordDigest, now time.Time) {
 	t.Merge(Digest{Records: records}, now)
 	for _, rd := range records {
 		r := t.records[rd.ID]
@@ -157,7 +157,7 @@
 	}
 	for _, r := range d.Refused {
 		if !r.Derived && !t.isRefused(r.Fingerprint, now) && r.Left > 0 {
-			t.refuse(r.Fingerprint, now.Add(min(r.Left, t.opts.For)))
+			t.refuse(r.Fingerprint, now.Add(min(r.Left, t.opts.QuarantineTime)))
 		}
 	}
 	for _, heard := range d.Trials {
@@ -173,7 +173,7 @@
 }
 
 func (t *Tracker) mergeRecord(rd RecordDigest, now time.Time) {
-	if rd.Age >= t.opts.For || len(rd.Open)+len(rd.Cleared) == 0 {
+	if rd.Age >= t.opts.QuarantineTime || len(rd.Open)+len(rd.Cleared) == 0 {
 		return
 	}
 	t.addRecord(rd.ID, now.Add(-max(rd.Age, 0)), rd.Open)
@@ -186,5 +186,5 @@
 	}
 }
 
-// Forget drops what a peer said to run, as when it has left or is silent.
-func (t *Tracker) Forget(host string) { delete(t.holds, host) }
+// ForgetHost drops what a peer said to run, as when it has left or is silent.
+func (t *Tracker) ForgetHost(host string) { delete(t.holds, host) }
--- a/internal/core/quarantine/evidence.go
+++ b/internal/core/quarantine/evidence.go
@@ -115,7 +115,7 @@
 	}
 	t.expired = now
 	for id, r := range t.records {
-		if now.Sub(r.at) >= t.opts.For {
+		if now.Sub(r.at) >= t.opts.QuarantineTime {
 			t.dropRecord(id)
 		}
 	}
--- a/internal/core/quarantine/site_store_test.go
+++ b/internal/core/quarantine/site_store_test.go
@@ -33,12 +33,12 @@
 // writeEvidence writes what the host has seen itself, when that has changed.
 func (s *site) writeEvidence(h *siteHost) {
 	now := s.at(s.now)
-	said := fmt.Sprint(h.Own(now, false))
+	said := fmt.Sprint(h.OwnRecords(now, false))
 	if h.former || !h.whole || h.away || said == h.told || said == "[]" {
 		return
 	}
 	h.told = said
-	s.put(h, stored{key: h.name, evidence: h.Own(now, true)})
+	s.put(h, stored{key: h.name, evidence: h.OwnRecords(now, true)})
 }
 
 func (s *site) deliver() {
@@ -79,9 +79,9 @@
 	for _, r := range records {
 		switch {
 		case r.trial != nil:
-			h.ReadTrial(*r.trial, now)
+			h.ApplyStoredTrial(*r.trial, now)
 		case r.key == h.name && !h.whole:
-			h.Adopt(r.evidence, now)
+			h.RestoreOwnRecords(r.evidence, now)
 		default:
 			h.Merge(Digest{Records: r.evidence}, now)
 		}
--- a/internal/core/quarantine/site_test.go
+++ b/internal/core/quarantine/site_test.go
@@ -136,7 +136,7 @@
 
 // start begins a life of a host, which knows nothing.
 func (s *site) start(h *siteHost) {
-	h.Tracker = New(Options{Host: h.name, SettleAfter: settleTime, For: time.Hour})
+	h.Tracker = New(Options{Host: h.name, SettleAfter: settleTime, QuarantineTime: time.Hour})
 	h.life++
 	h.read, h.whole, h.told, h.asks, h.touched = 0, false, "", nil, s.now
 	s.runs = slices.DeleteFunc(s.runs, func(r *running) bool { return s.hosts[r.host] == h })
@@ -212,7 +212,7 @@
 	case Isolate:
 		if h.former {
 			s.place(host, w, "")
-		} else if h.whole && !h.away && h.JudgeTrial("", w.fingerprint, now) == TrialGranted && len(h.asks) == 0 {
+		} else if h.whole && !h.away && h.EvaluateTrial("", w.fingerprint, now) == TrialGranted && len(h.asks) == 0 {
 			s.ask(h, w)
 		}
 	default:
@@ -252,9 +252,9 @@
 	for _, a := range asks {
 		late := s.now-a.since > trialLife-runTicks-1
 		switch {
-		case !late && !h.HasRead(a.id):
+		case !late && !h.HasStoredTrial(a.id):
 			h.asks = append(h.asks, a)
-		case late, h.JudgeTrial(a.id, a.work.fingerprint, s.at(s.now)) != TrialGranted,
+		case late, h.EvaluateTrial(a.id, a.work.fingerprint, s.at(s.now)) != TrialGranted,
 			h.Standing(a.work.fingerprint, s.at(s.now)) != Isolate,
 			!s.place(slices.Index(s.hosts, h), a.work, a.id):
 			s.outcome(h, a.id, a.work, TrialNotSent)
@@ -327,7 +327,7 @@
 func (s *site) die(engine int) {
 	name := s.life(fmt.Sprint("e", engine), engine)
 	for _, h := range s.hosts {
-		h.Died(name, name, s.at(s.now))
+		h.EngineDied(name, name, s.at(s.now))
 	}
 	for _, r := range s.runs {
 		if r.engine != engine {
--- a/internal/core/quarantine/tracker.go
+++ b/internal/core/quarantine/tracker.go
@@ -9,19 +9,19 @@
 
 // Defaults of a Tracker.
 const (
-	DefaultCrashes     = 2
-	DefaultFor         = 10 * time.Minute
-	DefaultSettleAfter = 3 * time.Second
-	DefaultMaxRecords  = 256
+	DefaultCrashThreshold = 2
+	DefaultQuarantineTime = 10 * time.Minute
+	DefaultSettleAfter    = 3 * time.Second
+	DefaultMaxRecords     = 256
 )
 
 // Options configures a Tracker.
 type Options struct {
-	Host        string
-	Crashes     int           // deaths of engines after which a proved fingerprint is refused; DefaultCrashes when zero
-	For         time.Duration // how long it is refused, and evidence counts; DefaultFor when zero
-	SettleAfter time.Duration // time for other hosts' part of a record to arrive; DefaultSettleAfter when zero, none when negative
-	MaxRecords  int           // kept records, the newest; DefaultMaxRecords when zero
+	Host           string
+	CrashThreshold int           // deaths of engines after which a proved fingerprint is refused; DefaultCrashes when zero
+	QuarantineTime time.Duration // how long it is refused, and evidence counts; DefaultFor when zero
+	SettleAfter    time.Duration // time for other hosts' part of a record to arrive; DefaultSettleAfter when zero, none when negative
+	MaxRecords     int           // kept records, the newest; DefaultMaxRecords when zero
 }
 
 // Standing is what the evidence says of a fingerprint.
@@ -119,8 +119,8 @@
 
 // SetOptions changes the options, as the settings do.
 func (t *Tracker) SetOptions(o Options) {
-	o.Crashes = cmp.Or(max(o.Crashes, 0), DefaultCrashes)
-	o.For = cmp.Or(max(o.For, 0), DefaultFor)
+	o.CrashThreshold = cmp.Or(max(o.CrashThreshold, 0), DefaultCrashThreshold)
+	o.QuarantineTime = cmp.Or(max(o.QuarantineTime, 0), DefaultQuarantineTime)
 	o.SettleAfter = max(cmp.Or(o.SettleAfter, DefaultSettleAfter), 0)
 	o.MaxRecords = cmp.Or(max(o.MaxRecords, 0), DefaultMaxRecords)
 	t.opts = o
@@ -139,7 +139,7 @@
 	if len(rs) == 0 {
 		return Clear
 	}
-	if len(rs) < t.opts.Crashes {
+	if len(rs) < t.opts.CrashThreshold {
 		return Suspect
 	}
 	if _, condemned := t.condemnedUntil(fingerprint, now); condemned {
@@ -152,7 +152,7 @@
 	case !proved:
 		return Isolate
 	}
-	t.refuse(fingerprint, now.Add(t.opts.For))
+	t.refuse(fingerprint, now.Add(t.opts.QuarantineTime))
 	return Refused
 }
 
@@ -271,9 +271,9 @@
 	}
 }
 
-// Broke notes that a run broke in a way in which a death of its engine shows, while nothing tells
+// EndBroken notes that a run broke in a way in which a death of its engine shows, while nothing tells
 // whether it died. If it did, Died within brokenFor counts the run; Lives drops it.
-func (t *Tracker) Broke(r Run, now time.Time) {
+func (t *Tracker) EndBroken(r Run, now time.Time) {
 	if broke, ok := t.runs[r]; ok {
 		t.broken[broke.engine] = append(t.broken[broke.engine], brokenRun{broke, now})
 	}
@@ -291,11 +291,11 @@
 	}
 }
 
-// Lives notes that an engine has not died.
-func (t *Tracker) Lives(engine string) { delete(t.broken, engine) }
+// EngineAlive notes that an engine has not died.
+func (t *Tracker) EngineAlive(engine string) { delete(t.broken, engine) }
 
-// MayHaveDied reports whether a run has broken on an engine of which nothing was heard since.
-func (t *Tracker) MayHaveDied(engine string) bool { return len(t.broken[engine]) > 0 }
+// HasBrokenRuns reports whether a run has broken on an engine of which nothing was heard since.
+func (t *Tracker) HasBrokenRuns(engine string) bool { return len(t.broken[engine]) > 0 }
 
 func (t *Tracker) forget(r Run, engine string) {
 	delete(t.runs, r)
@@ -305,10 +305,10 @@
 	}
 }
 
-// Died notes that an engine died and makes all that ran on it suspects. It
+// EngineDied notes that an engine died and makes all that ran on it suspects. It
 // returns their fingerprints, each once. The incarnation, of the start that died,
 // joins the reports of one death; one that was only out of reach is not a death.
-func (t *Tracker) Died(engine, incarnation string, now time.Time) []uint64 {
+func (t *Tracker) EngineDied(engine, incarnation string, now time.Time) []uint64 {
 	tried := make(map[uint64]bool) // all that ran: whether under trial
 	for r := range t.engines[engine] {
 		dead := t.runs[r]
--- a/internal/core/quarantine/tracker_test.go
+++ b/internal/core/quarantine/tracker_test.go
@@ -43,7 +43,7 @@
 func newWorld(seed uint64, hosts, engines int) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), now: start, engines: engines, incarnation: make([]int, engines)}
 	for h := range hosts {
-		w.hosts = append(w.hosts, New(Options{Host: fmt.Sprint(h), SettleAfter: 3 * step, For: time.Hour}))
+		w.hosts = append(w.hosts, New(Options{Host: fmt.Sprint(h), SettleAfter: 3 * step, QuarantineTime: time.Hour}))
 	}
 	return w
 }
@@ -104,7 +104,7 @@
 func (w *world) crash(engine int) {
 	w.incarnation[engine]++
 	for _, t := range w.hosts {
-		t.Died(fmt.Sprint(engine), fmt.Sprint(w.incarnation[engine]), w.now)
+		t.EngineDied(fmt.Sprint(engine), fmt.Sprint(w.incarnation[engine]), w.now)
 	}
 	for _, j := range w.jobs {
 		if j.engine == engine && !j.done {
@@ -151,10 +151,10 @@
 				w := newWorld(seed, c.hosts, c.engines)
 				crashes, over := w.play(c.innocents, c.culprits)
 				worst = max(worst, crashes)
-				if c.hosts == 1 && crashes > DefaultCrashes+1 {
+				if c.hosts == 1 && crashes > DefaultCrashThreshold+1 {
 					return false
 				}
-				return over && !w.wronged && crashes >= DefaultCrashes
+				return over && !w.wronged && crashes >= DefaultCrashThreshold
 			}, gen.UInt64()))
 			props.TestingRun(t)
 			t.Logf("most crashes of one culprit: %d", worst)
@@ -167,7 +167,7 @@
 	for _, f := range fingerprints {
 		t.Started(engine, f)
 	}
-	t.Died(engine, incarnation, now)
+	t.EngineDied(engine, incarnation, now)
 }
 
 func TestStandings(t *testing.T) {
@@ -189,7 +189,7 @@
 		}
 	}
 	tr.Started("e2", 3)
-	tr.Died("e2", "1", now)
+	tr.EngineDied("e2", "1", now)
 	if got := tr.Standing(1, now); got != Held || tr.MayPlace("e3", 1, now) {
 		t.Errorf("just after its second death: %s", got)
 	}
@@ -205,10 +205,10 @@
 	tr.End(run, false)
 	tr.End(tr.Started("e3", 2), true)
 	tr.End(tr.Started("e3", 3), true)
-	if got := tr.Standing(1, now); got != Refused || tr.RefusedFor(1, now) != DefaultFor {
+	if got := tr.Standing(1, now); got != Refused || tr.RefusedFor(1, now) != DefaultQuarantineTime {
 		t.Errorf("when all beside it have completed: %s", got)
 	}
-	now = now.Add(DefaultFor)
+	now = now.Add(DefaultQuarantineTime)
 	if got := tr.Standing(1, now); got != Clear || len(tr.records) != 0 || len(tr.of) != 0 {
 		t.Errorf("when its time is over: %s, %d records", got, len(tr.records))
 	}
@@ -250,11 +250,11 @@
 	b.Merge(a.Digest(start), start)
 	later := start.Add(time.Minute)
 	a.Merge(b.Digest(later), later.Add(time.Second)) // a slow message
-	if x, y := a.RefusedFor(7, later), b.RefusedFor(7, later); x != y || x != DefaultFor-time.Minute {
+	if x, y := a.RefusedFor(7, later), b.RefusedFor(7, later); x != y || x != DefaultQuarantineTime-time.Minute {
 		t.Errorf("refused for %v and %v", x, y)
 	}
-	a.Standing(8, start.Add(DefaultFor-expireEvery/2))
-	if got := a.Standing(7, start.Add(DefaultFor)); got != Clear {
+	a.Standing(8, start.Add(DefaultQuarantineTime-expireEvery/2))
+	if got := a.Standing(7, start.Add(DefaultQuarantineTime)); got != Clear {
 		t.Errorf("when its time is over: %s", got)
 	}
 	crashAll(a, "e1", "2", start, 1, 2)
@@ -276,7 +276,7 @@
 	if b.MayPlace("e9", 9, start) {
 		t.Error("placed beside a peer's isolated request")
 	}
-	b.Forget("c")
+	b.ForgetHost("c")
 	if !b.MayPlace("e9", 9, start) {
 		t.Error("the hold of a host that left still counts")
 	}
--- a/internal/core/quarantine/trials.go
+++ b/internal/core/quarantine/trials.go
@@ -9,11 +9,11 @@
 
 // Bounds of the trials of one fingerprint.
 const (
-	// MostTrials is how often one that never completes may run under trial and have nothing that
+	// MaxTrials is how often one that never completes may run under trial and have nothing that
 	// speaks for it.
-	MostTrials = 2
-	// MostTrialSends counts all that may have reached an upstream.
-	MostTrialSends = 3
+	MaxTrials = 2
+	// MaxTrialSends counts all that may have reached an upstream.
+	MaxTrialSends = 3
 )
 
 // mostTrials bounds the trials of all fingerprints that are remembered.
@@ -73,8 +73,8 @@
 // sent reports whether an upstream may have got it. One whose host never told may have been.
 func (r *trial) sent() bool { return r.Outcome != TrialNotSent && r.Outcome != TrialCompleted }
 
-// ReadTrial takes in what the store has of a trial, in the store's order.
-func (t *Tracker) ReadTrial(read Trial, now time.Time) {
+// ApplyStoredTrial takes in what the store has of a trial, in the store's order.
+func (t *Tracker) ApplyStoredTrial(read Trial, now time.Time) {
 	r := t.hearTrial(read, now)
 	if r != nil && r.place == 0 {
 		t.lastTrial++
@@ -82,15 +82,15 @@
 	}
 }
 
-// HasRead reports whether a trial has been read from the store.
-func (t *Tracker) HasRead(id string) bool {
+// HasStoredTrial reports whether a trial has been read from the store.
+func (t *Tracker) HasStoredTrial(id string) bool {
 	r := t.trials[id]
 	return r != nil && r.place > 0
 }
 
 // hearTrial takes in what is said of a trial; nil: it is too old to count. What is final stays.
 func (t *Tracker) hearTrial(heard Trial, now time.Time) *trial {
-	if heard.Age >= t.opts.For {
+	if heard.Age >= t.opts.QuarantineTime {
 		return nil
 	}
 	r := t.trials[heard.ID]
@@ -163,9 +163,9 @@
 	return trialVerdictNames[v]
 }
 
-// JudgeTrial says whether a trial that has been read may run now; with an empty ID, whether one
+// EvaluateTrial says whether a trial that has been read may run now; with an empty ID, whether one
 // that is asked for may.
-func (t *Tracker) JudgeTrial(id string, fingerprint uint64, now time.Time) TrialVerdict {
+func (t *Tracker) EvaluateTrial(id string, fingerprint uint64, now time.Time) TrialVerdict {
 	own := t.trials[id]
 	var ran, sent int
 	busy := false
@@ -183,7 +183,7 @@
 		}
 	}
 	switch {
-	case ran-t.excused(fingerprint) >= MostTrials || sent >= MostTrialSends:
+	case ran-t.excused(fingerprint) >= MaxTrials || sent >= MaxTrialSends:
 		return TrialSpent
 	case busy:
 		return TrialBusy
@@ -216,7 +216,7 @@
 // spentUntil returns until when a fingerprint is refused because its trials are used up and none
 // of them runs any more.
 func (t *Tracker) spentUntil(fingerprint uint64, now time.Time) (until time.Time, spent bool) {
-	if len(t.trialsOf[fingerprint]) == 0 || t.JudgeTrial("", fingerprint, now) != TrialSpent {
+	if len(t.trialsOf[fingerprint]) == 0 || t.EvaluateTrial("", fingerprint, now) != TrialSpent {
 		return time.Time{}, false
 	}
 	for _, r := range t.trialsOf[fingerprint] {
@@ -226,7 +226,7 @@
 		if r.open(now) {
 			return time.Time{}, false
 		}
-		if end := r.at.Add(t.opts.For); end.After(until) {
+		if end := r.at.Add(t.opts.QuarantineTime); end.After(until) {
 			until = end
 		}
 	}
@@ -238,14 +238,14 @@
 // by chance would be in others by now, or be so soon, and the refusal is over then.
 func (t *Tracker) condemnedUntil(fingerprint uint64, now time.Time) (until time.Time, condemned bool) {
 	rs := t.of[fingerprint]
-	if len(rs) < t.opts.Crashes {
+	if len(rs) < t.opts.CrashThreshold {
 		return time.Time{}, false
 	}
 	for _, r := range rs {
 		if !r.tried[fingerprint] || now.Sub(r.at) < t.opts.SettleAfter || t.mostDeathsBeside(r, fingerprint) > 1 {
 			continue
 		}
-		if end := r.at.Add(t.opts.For); end.After(until) {
+		if end := r.at.Add(t.opts.QuarantineTime); end.After(until) {
 			until = end
 		}
 	}
@@ -267,7 +267,7 @@
 // expireTrials forgets those that count no more.
 func (t *Tracker) expireTrials(now time.Time) {
 	for _, r := range t.trials {
-		if now.Sub(r.at) >= t.opts.For {
+		if now.Sub(r.at) >= t.opts.QuarantineTime {
 			t.dropTrial(r)
 		}
 	}
--- a/internal/core/quarantine/trials_test.go
+++ b/internal/core/quarantine/trials_test.go
@@ -8,13 +8,13 @@
 
 // tried has a fingerprint die on an engine under a trial that has been read.
 func tried(tr *Tracker, id string, fingerprint uint64, now time.Time, beside ...uint64) {
-	tr.ReadTrial(Trial{ID: id, Fingerprint: fingerprint, Life: time.Second}, now)
+	tr.ApplyStoredTrial(Trial{ID: id, Fingerprint: fingerprint, Life: time.Second}, now)
 	for _, f := range beside {
 		tr.Started(id, f)
 	}
 	tr.StartedOnTrial(id, fingerprint)
-	tr.Died(id, id, now)
-	tr.ReadTrial(Trial{ID: id, Fingerprint: fingerprint, Life: time.Second, Outcome: TrialRan}, now)
+	tr.EngineDied(id, id, now)
+	tr.ApplyStoredTrial(Trial{ID: id, Fingerprint: fingerprint, Life: time.Second, Outcome: TrialRan}, now)
 }
 
 // suspect returns a tracker with a fingerprint that died twice beside two others, and when that
@@ -35,7 +35,7 @@
 		t.Errorf("before the death has settled: %s", got)
 	}
 	now = now.Add(DefaultSettleAfter)
-	if got, left := tr.Standing(1, now), tr.RefusedFor(1, now); got != Refused || left != DefaultFor-DefaultSettleAfter {
+	if got, left := tr.Standing(1, now), tr.RefusedFor(1, now); got != Refused || left != DefaultQuarantineTime-DefaultSettleAfter {
 		t.Errorf("%s for %v", got, left)
 	}
 	crashAll(tr, "d", "1", now, 95)
@@ -62,9 +62,9 @@
 	} {
 		tr, now := suspect(1)
 		for i, o := range c.outcomes {
-			tr.ReadTrial(Trial{ID: fmt.Sprint(i), Fingerprint: 1, Life: time.Second, Outcome: o}, now)
+			tr.ApplyStoredTrial(Trial{ID: fmt.Sprint(i), Fingerprint: 1, Life: time.Second, Outcome: o}, now)
 		}
-		if got := tr.JudgeTrial("", 1, now); got != c.want {
+		if got := tr.EvaluateTrial("", 1, now); got != c.want {
 			t.Errorf("%s: %s", c.name, got)
 		}
 	}
@@ -79,11 +79,11 @@
 	}
 	tried(tr, "c", 1, now, 95)
 	tried(tr, "d", 1, now, 95)
-	if got := tr.JudgeTrial("", 1, now); got != TrialGranted {
+	if got := tr.EvaluateTrial("", 1, now); got != TrialGranted {
 		t.Errorf("after two: %s", got)
 	}
 	tried(tr, "e", 1, now, 95)
-	if got := tr.JudgeTrial("", 1, now); got != TrialSpent {
+	if got := tr.EvaluateTrial("", 1, now); got != TrialSpent {
 		t.Errorf("after three: %s", got)
 	}
 }
@@ -92,15 +92,15 @@
 func TestFirstTrialOfTheStoresOrderRuns(t *testing.T) {
 	tr, now := suspect(1)
 	for _, id := range []string{"first", "second"} {
-		tr.ReadTrial(Trial{ID: id, Fingerprint: 1, Life: time.Second}, now)
+		tr.ApplyStoredTrial(Trial{ID: id, Fingerprint: 1, Life: time.Second}, now)
 	}
-	if got := tr.JudgeTrial("first", 1, now); got != TrialGranted {
+	if got := tr.EvaluateTrial("first", 1, now); got != TrialGranted {
 		t.Errorf("the first: %s", got)
 	}
-	if got := tr.JudgeTrial("second", 1, now); got != TrialBusy {
+	if got := tr.EvaluateTrial("second", 1, now); got != TrialBusy {
 		t.Errorf("the second: %s", got)
 	}
-	if got := tr.JudgeTrial("second", 1, now.Add(time.Second)); got != TrialGranted {
+	if got := tr.EvaluateTrial("second", 1, now.Add(time.Second)); got != TrialGranted {
 		t.Errorf("the second, when the first one's time is over: %s", got)
 	}
 }
@@ -109,16 +109,16 @@
 // against evidence on an engine that has served since.
 func TestRunThatBrokeIsEvidenceWhenItsEngineIsGone(t *testing.T) {
 	tr := New(Options{})
-	tr.Broke(tr.Started("a", 1), start)
-	tr.Broke(tr.Started("b", 2), start)
-	tr.Lives("b")
-	tr.Broke(tr.Started("c", 3), start)
-	tr.Broke(tr.Started("d", 4), start)
+	tr.EndBroken(tr.Started("a", 1), start)
+	tr.EndBroken(tr.Started("b", 2), start)
+	tr.EngineAlive("b")
+	tr.EndBroken(tr.Started("c", 3), start)
+	tr.EndBroken(tr.Started("d", 4), start)
 	tr.End(tr.Started("e", 4), true)
 	for _, engine := range []string{"a", "b", "d"} {
-		tr.Died(engine, "1", start.Add(time.Second))
+		tr.EngineDied(engine, "1", start.Add(time.Second))
 	}
-	tr.Died("c", "1", start.Add(brokenFor))
+	tr.EngineDied("c", "1", start.Add(brokenFor))
 	for fingerprint, want := range map[uint64]Standing{1: Suspect, 2: Clear, 3: Clear, 4: Clear} {
 		if got := tr.Standing(fingerprint, start); got != want {
 			t.Errorf("%d: %s", fingerprint, got)
--- a/internal/core/reach/reach.go
+++ b/internal/core/reach/reach.go
@@ -4,16 +4,16 @@
 
 // Options configure a Tracker. All must be positive.
 type Options struct {
-	// Quiet is how long a domain in which answers are written may give no sign of life.
-	Quiet time.Duration
-	// Again is the time from one look at a domain to the next, while it stays doubtful or
+	// QuietAfter is how long a domain in which answers are written may give no sign of life.
+	QuietAfter time.Duration
+	// ProbeInterval is the time from one look at a domain to the next, while it stays doubtful or
 	// cut.
-	Again time.Duration
+	ProbeInterval time.Duration
 }
 
-// Look is the result of a look at a domain.
-type Look struct {
-	Began   time.Time
+// ProbeResult is the result of a look at a domain.
+type ProbeResult struct {
+	Started time.Time
 	Tried   int // connections
 	Reached int // of them made
 }
@@ -25,7 +25,7 @@
 const (
 	None Change = iota
 	BecameCut
-	BecameReached
+	BecameReachable
 )
 
 // way is what is known of the way to a domain.
@@ -56,32 +56,32 @@
 	return w
 }
 
-// Heard notes a sign of life from a domain.
-func (t *Tracker) Heard(domain string, now time.Time) { t.way(domain).heard = now }
+// RecordActivity notes a sign of life from a domain.
+func (t *Tracker) RecordActivity(domain string, now time.Time) { t.way(domain).heard = now }
 
-// Doubt notes a reason to look at a domain. It returns true when a look is to begin now;
+// BeginProbe notes a reason to look at a domain. It returns true when a look is to begin now;
 // Looked must follow.
-func (t *Tracker) Doubt(domain string, now time.Time) bool {
+func (t *Tracker) BeginProbe(domain string, now time.Time) bool {
 	w := t.way(domain)
-	if w.looking || now.Sub(w.looked) < t.opts.Again {
+	if w.looking || now.Sub(w.looked) < t.opts.ProbeInterval {
 		return false
 	}
 	w.looking, w.looked = true, now
 	return true
 }
 
-// Due returns the domains to look at now: those that are cut, and those of writing, in
+// DueProbes returns the domains to look at now: those that are cut, and those of writing, in
 // which answers are written, that are quiet. Looked must follow for each.
-func (t *Tracker) Due(writing []string, now time.Time) []string {
+func (t *Tracker) DueProbes(writing []string, now time.Time) []string {
 	var due []string
 	for domain, w := range t.ways {
-		if !w.cut.IsZero() && t.Doubt(domain, now) {
+		if !w.cut.IsZero() && t.BeginProbe(domain, now) {
 			due = append(due, domain)
 		}
 	}
 	for _, domain := range writing {
 		w := t.way(domain)
-		if now.Sub(w.heard) >= t.opts.Quiet && t.Doubt(domain, now) {
+		if now.Sub(w.heard) >= t.opts.QuietAfter && t.BeginProbe(domain, now) {
 			due = append(due, domain)
 		}
 	}
@@ -91,10 +91,10 @@
 // leastTried is how many connections have to fail in a look: one upstream may be dead.
 const leastTried = 2
 
-// Looked notes the result of a look. One without enough connections changes nothing, for
+// EndProbe notes the result of a look. One without enough connections changes nothing, for
 // where a domain has a single upstream, its death and a cut are not told apart; neither does
 // one during which the domain gave a sign of life: those that were tried are dead.
-func (t *Tracker) Looked(domain string, l Look, now time.Time) Change {
+func (t *Tracker) EndProbe(domain string, l ProbeResult, now time.Time) Change {
 	w := t.way(domain)
 	w.looking = false
 	switch {
@@ -104,16 +104,16 @@
 			return None
 		}
 		w.cut = time.Time{}
-		return BecameReached
-	case l.Tried < leastTried || !w.cut.IsZero() || w.heard.After(l.Began):
+		return BecameReachable
+	case l.Tried < leastTried || !w.cut.IsZero() || w.heard.After(l.Started):
 		return None
 	}
-	w.cut = l.Began
+	w.cut = l.Started
 	return BecameCut
 }
 
-// Void notes that a look has told nothing, as one during which the daemon stood still.
-func (t *Tracker) Void(domain string) { t.way(domain).looking = false }
+// DiscardProbe notes that a look has told nothing, as one during which the daemon stood still.
+func (t *Tracker) DiscardProbe(domain string) { t.way(domain).looking = false }
 
 // Cut reports whether the way to a domain is believed cut.
 func (t *Tracker) Cut(domain string) bool {
--- a/internal/core/reach/reach_test.go
+++ b/internal/core/reach/reach_test.go
@@ -13,32 +13,32 @@
 	again = 200 * time.Millisecond
 )
 
-func newTracker() *Tracker { return New(Options{Quiet: quiet, Again: again}) }
+func newTracker() *Tracker { return New(Options{QuietAfter: quiet, ProbeInterval: again}) }
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 // missed is a look at an end at which nothing answers, reached one at which all do.
-func missed(began time.Time) Look  { return Look{Began: began, Tried: 3} }
-func reached(began time.Time) Look { return Look{Began: began, Tried: 3, Reached: 3} }
+func missed(began time.Time) ProbeResult  { return ProbeResult{Started: began, Tried: 3} }
+func reached(began time.Time) ProbeResult { return ProbeResult{Started: began, Tried: 3, Reached: 3} }
 
 // TestCutIsBelievedWithinALook is the pattern of a failure domain that is cut off: answers
 // from there fall silent together.
 func TestCutIsBelievedWithinALook(t *testing.T) {
 	tr := newTracker()
 	writing := []string{"far", "near"}
-	tr.Heard("far", at(0))
-	tr.Heard("near", at(100))
-	if due := tr.Due(writing, at(149)); len(due) != 0 {
+	tr.RecordActivity("far", at(0))
+	tr.RecordActivity("near", at(100))
+	if due := tr.DueProbes(writing, at(149)); len(due) != 0 {
 		t.Fatalf("looks at %v too early", due)
 	}
-	if due := tr.Due(writing, at(150)); !slices.Equal(due, []string{"far"}) {
+	if due := tr.DueProbes(writing, at(150)); !slices.Equal(due, []string{"far"}) {
 		t.Fatalf("looks at %v", due)
 	}
-	tr.Heard("near", at(200))
-	if due := tr.Due(writing, at(240)); len(due) != 0 {
+	tr.RecordActivity("near", at(200))
+	if due := tr.DueProbes(writing, at(240)); len(due) != 0 {
 		t.Errorf("a second look at %v beside the first", due)
 	}
-	if got := tr.Looked("far", missed(at(150)), at(250)); got != BecameCut || !tr.Cut("far") || tr.Cut("near") {
+	if got := tr.EndProbe("far", missed(at(150)), at(250)); got != BecameCut || !tr.Cut("far") || tr.Cut("near") {
 		t.Errorf("change %d", got)
 	}
 	if got := tr.CutFor("far", at(1150)); got != time.Second {
@@ -48,41 +48,41 @@
 
 func TestCutEndsWithALookThatReaches(t *testing.T) {
 	tr := newTracker()
-	tr.Doubt("far", at(0))
-	tr.Looked("far", missed(at(0)), at(100))
-	tr.Heard("far", at(120)) // passes a way that is cut in the other direction
+	tr.BeginProbe("far", at(0))
+	tr.EndProbe("far", missed(at(0)), at(100))
+	tr.RecordActivity("far", at(120)) // passes a way that is cut in the other direction
 	if !tr.Cut("far") {
 		t.Error("a message from there ends the belief")
 	}
-	if due := tr.Due(nil, at(200)); !slices.Equal(due, []string{"far"}) {
+	if due := tr.DueProbes(nil, at(200)); !slices.Equal(due, []string{"far"}) {
 		t.Fatalf("looks at %v", due)
 	}
-	if got := tr.Looked("far", missed(at(200)), at(300)); got != None {
+	if got := tr.EndProbe("far", missed(at(200)), at(300)); got != None {
 		t.Errorf("a cut that lasts is change %d", got)
 	}
 	if got := tr.CutFor("far", at(300)); got != 300*time.Millisecond {
 		t.Errorf("its age begins anew: %s", got)
 	}
-	tr.Due(nil, at(400))
-	if got := tr.Looked("far", reached(at(400)), at(405)); got != BecameReached || tr.Cut("far") || tr.CutFor("far", at(405)) != 0 {
+	tr.DueProbes(nil, at(400))
+	if got := tr.EndProbe("far", reached(at(400)), at(405)); got != BecameReachable || tr.Cut("far") || tr.CutFor("far", at(405)) != 0 {
 		t.Errorf("change %d", got)
 	}
-	if due := tr.Due(nil, at(1000)); len(due) != 0 {
+	if due := tr.DueProbes(nil, at(1000)); len(due) != 0 {
 		t.Errorf("looks at %v", due)
 	}
 }
 
 func TestWhatIsNoCut(t *testing.T) {
-	for name, l := range map[string]Look{
+	for name, l := range map[string]ProbeResult{
 		"one answers":             {Tried: 3, Reached: 1},
 		"a single upstream fails": {Tried: 1},
 		"there is none":           {},
 	} {
 		tr := newTracker()
-		if !tr.Doubt("far", at(0)) {
+		if !tr.BeginProbe("far", at(0)) {
 			t.Fatal("no look")
 		}
-		if got := tr.Looked("far", l, at(100)); got != None || tr.Cut("far") {
+		if got := tr.EndProbe("far", l, at(100)); got != None || tr.Cut("far") {
 			t.Errorf("%s: change %d", name, got)
 		}
 	}
@@ -92,9 +92,9 @@
 // a look may try only dead ones, while answers still come from the others.
 func TestDeadUpstreamsAreNoCut(t *testing.T) {
 	tr := newTracker()
-	tr.Doubt("far", at(0))
-	tr.Heard("far", at(40))
-	if got := tr.Looked("far", missed(at(0)), at(100)); got != None || tr.Cut("far") {
+	tr.BeginProbe("far", at(0))
+	tr.RecordActivity("far", at(40))
+	if got := tr.EndProbe("far", missed(at(0)), at(100)); got != None || tr.Cut("far") {
 		t.Errorf("change %d", got)
 	}
 }
@@ -103,17 +103,17 @@
 	tr := newTracker()
 	looks := 0
 	for ms := range 1000 {
-		if tr.Doubt("far", at(ms)) {
+		if tr.BeginProbe("far", at(ms)) {
 			looks++
-			tr.Looked("far", reached(at(ms)), at(ms))
+			tr.EndProbe("far", reached(at(ms)), at(ms))
 		}
 	}
 	if looks != 5 {
 		t.Errorf("%d looks in a second", looks)
 	}
-	tr.Doubt("far", at(2000))
-	tr.Void("far")
-	if !tr.Doubt("far", at(2200)) {
+	tr.BeginProbe("far", at(2000))
+	tr.DiscardProbe("far")
+	if !tr.BeginProbe("far", at(2200)) {
 		t.Error("after a void look there is no other")
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -88,7 +88,7 @@
 	run("work", p.shareWork)
 	run("suspects", func(ctx context.Context) error { return p.suspects.Share(ctx, p.node) })
 	run("evidence", func(ctx context.Context) error {
-		return p.suspects.Keep(ctx, suspects.InLog(p.logService, evidenceStream), p.peers)
+		return p.suspects.SyncWithStore(ctx, suspects.NewLogStore(p.logService, evidenceStream), p.peers)
 	})
 	run("front", p.front.Run)
 	run("successor", p.yieldToSuccessor)
--- a/internal/daemon/feed.go
+++ b/internal/daemon/feed.go
@@ -86,8 +86,8 @@
 	for i := range digest.Engines {
 		e := &digest.Engines[i]
 		incarnation := strconv.FormatUint(uint64(e.Inc), 16) // placement.ShortIncarnation's form
-		p.router.Report(e.Name, reportOf(e.Load(), incarnation, section.At))
-		p.router.CacheEvents(e.Name, incarnation, cacheEventsOf(e.Events()))
+		p.router.ApplyReport(e.Name, reportOf(e.Load(), incarnation, section.PublishedAt))
+		p.router.ApplyCacheEvents(e.Name, incarnation, cacheEventsOf(e.Events()))
 	}
 }
 
--- a/internal/daemon/listed.go
+++ b/internal/daemon/listed.go
@@ -48,7 +48,7 @@
 				leaving[address] = true
 			}
 		}
-		p.router.SetListed(leaving)
+		p.router.SetListedLeaving(leaving)
 	})
 	return nil
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -51,11 +51,11 @@
 	return refs
 }
 
-// Hosts implements suspects.Group.
-func (p *peers) Hosts() int { return len(p.Members()) }
+// HostCount implements suspects.Group.
+func (p *peers) HostCount() int { return len(p.Members()) }
 
-// NearBy implements suspects.Group.
-func (p *peers) NearBy() []membership.Member {
+// DomainMembers implements suspects.Group.
+func (p *peers) DomainMembers() []membership.Member {
 	return slices.DeleteFunc(slices.Clone(p.Members()), func(m membership.Member) bool { return m.Domain != p.domain })
 }
 
--- a/internal/daemon/work.go
+++ b/internal/daemon/work.go
@@ -61,7 +61,7 @@
 			p.log.WithError(err).WithField("from", section.Host).Warn("work_undecodable")
 			continue
 		}
-		p.router.PeerWork(section.Host, work)
+		p.router.ApplyPeerWork(section.Host, work)
 	}
 }
 
--- a/internal/edge/callers.go
+++ b/internal/edge/callers.go
@@ -108,10 +108,10 @@
 		p.log.WithError(err).Warn("leaving_untold")
 	}
 	<-ctx.Done()
-	p.door.LeaveBy(end)
+	p.door.SetShutdownDeadline(end)
 	p.log.WithField("in_flight", p.door.InFlight()).Info("refusing")
 	p.finish(end)
-	p.door.LeaveBy(time.Time{})
+	p.door.SetShutdownDeadline(time.Time{})
 	closing, cancelClosing := context.WithDeadline(context.Background(), end)
 	defer cancelClosing()
 	for _, s := range servers {
--- a/internal/edge/cold.go
+++ b/internal/edge/cold.go
@@ -37,12 +37,12 @@
 
 // coldOf returns the limits of upstreams of which the list has said that they are cold, those
 // that are warm again among them. A service that the settings do not know has none.
-func coldOf(list *fleet.Snapshot, figures map[string]coldFigure) []pace.Cold {
-	var cold []pace.Cold
+func coldOf(list *fleet.Snapshot, figures map[string]coldFigure) []pace.ColdLimit {
+	var cold []pace.ColdLimit
 	for _, u := range list.Upstreams {
 		f, known := figures[u.Service]
 		if known && !u.ColdUntil.IsZero() {
-			cold = append(cold, pace.Cold{Upstream: u.ID, PerSecond: f.perSecond, Until: u.ColdUntil})
+			cold = append(cold, pace.ColdLimit{Upstream: u.ID, PerSecond: f.perSecond, Until: u.ColdUntil})
 		}
 	}
 	return cold
@@ -63,7 +63,7 @@
 	p.mu.Lock()
 	f := p.coldFigures[u.Service]
 	p.mu.Unlock()
-	p.schedule.Cool(pace.Cold{Upstream: id, PerSecond: f.perSecond, Until: now.Add(left)})
+	p.schedule.ReportCold(pace.ColdLimit{Upstream: id, PerSecond: f.perSecond, Until: now.Add(left)})
 }
 
 // doubtWarmth makes the upstreams of a failure domain that can be reached again count as cold
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -111,7 +111,7 @@
 		PeerPace: peerPace,
 		Patience: p.patience(),
 		Doubt:    copyDoubt,
-		Demand:   p.door.Wanted(),
+		Demand:   p.door.Demanded(),
 		Spread:   p.spread,
 		Log:      p.log,
 	}
@@ -151,7 +151,7 @@
 		log.WithField("finding", f.String()).Warn("settings_fault")
 	}
 	log = log.WithFields(logrus.Fields{"version": table.Version(), "routes": table.Len()})
-	if !p.door.Use(table) {
+	if !p.door.SetTable(table) {
 		log.Info("settings_not_newer")
 		return
 	}
@@ -170,7 +170,7 @@
 		if s.Engine == nil {
 			continue
 		}
-		services = append(services, booking.Service{Name: s.Name, Figures: *s.Engine, TightGap: tightGap(spec.Routes, s.Name)})
+		services = append(services, booking.Service{Name: s.Name, Figures: *s.Engine, MinGap: tightGap(spec.Routes, s.Name)})
 	}
 	return services
 }
--- a/internal/edge/listchange.go
+++ b/internal/edge/listchange.go
@@ -129,9 +129,9 @@
 		}
 		if next, over := after.Successor(u); over {
 			p.pool.Drop(u.Address)
-			p.relay.Ended(u, next)
+			p.relay.UpstreamReplaced(u, next)
 		} else {
-			p.relay.Lapsed(u)
+			p.relay.UpstreamDelisted(u)
 		}
 	}
 }
--- a/internal/edge/listen.go
+++ b/internal/edge/listen.go
@@ -25,7 +25,7 @@
 	for wait.For(ctx, joinCheck) {
 		joined := len(p.node.Members()) > 1
 		if p.serving.Load() && (joined || time.Since(p.started) >= joinWait) {
-			p.door.Open()
+			p.door.MarkReady()
 			return nil
 		}
 	}
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -95,22 +95,22 @@
 	return all
 }
 
-// Hosts returns the number of all known daemons.
-func (p *peers) Hosts() int { return len(p.node.Members()) }
+// HostCount returns the number of all known daemons.
+func (p *peers) HostCount() int { return len(p.node.Members()) }
 
-// NearBy returns the daemons of the own failure domain, this one among them.
-func (p *peers) NearBy() []membership.Member {
+// DomainMembers returns the daemons of the own failure domain, this one among them.
+func (p *peers) DomainMembers() []membership.Member {
 	var near []membership.Member
 	for _, m := range p.node.Members() {
-		if p.Near(m.Host) {
+		if p.SameDomain(m.Host) {
 			near = append(near, m)
 		}
 	}
 	return near
 }
 
-// Near reports whether a daemon is in this one's failure domain.
-func (p *peers) Near(host string) bool { return p.Domain(host) == p.domain }
+// SameDomain reports whether a daemon is in this one's failure domain.
+func (p *peers) SameDomain(host string) bool { return p.Domain(host) == p.domain }
 
 // Members returns all known daemons.
 func (p *peers) Members() []membership.Member { return p.node.Members() }
--- a/internal/edge/process.go
+++ b/internal/edge/process.go
@@ -40,7 +40,7 @@
 	pool     *httpwire.Pool
 	notices  *relay.Notices
 	relay    *relay.Relay
-	door     *relay.Door
+	door     *relay.Admitter
 
 	leaving atomic.Bool
 	serving atomic.Bool // all that choose upstreams know settings and list
@@ -77,10 +77,10 @@
 // membershipConfig: all daemons of a region form one group, for each sends to engines of every
 // failure domain. They exchange what they know inside their failure domain for the most part.
 var membershipConfig = membership.Config{
-	Beat:       500 * time.Millisecond,
-	DeadAfter:  8 * time.Second,
-	ProbeEvery: time.Second,
-	NearBy:     domainSection,
+	HeartbeatInterval: 500 * time.Millisecond,
+	DeadAfter:         8 * time.Second,
+	ProbeInterval:     time.Second,
+	LocalitySection:   domainSection,
 }
 
 func newProcess(cfg *Config, provider Provider, log *logrus.Entry) (*process, error) {
@@ -111,8 +111,8 @@
 	p.live.Store(cfg)
 	p.fileChanged()
 	p.notices = relay.NewNotices(relay.Listeners{
-		Limit: func(l notice.Limit) { p.schedule.Limit(l) }, // the schedule is built later
-		Cold:  p.heardCold,
+		OnLimit: func(l notice.Limit) { p.schedule.ReportLimit(l) }, // the schedule is built later
+		OnCold:  p.heardCold,
 	}, log)
 	if err := p.buildPeers(); err != nil {
 		return nil, err
@@ -153,8 +153,8 @@
 		Host:        p.cfg.Host,
 		Incarnation: p.cfg.Incarnation,
 		Peers:       ranked,
-		Behind:      func(host string) bool { return p.relay.DomainCut(ranked.Domain(host)) },
-		Doubt:       func(host string) { p.relay.Doubt(ranked.Domain(host)) },
+		BehindCut:   func(host string) bool { return p.relay.DomainCut(ranked.Domain(host)) },
+		OnNoAnswer:  func(host string) { p.relay.SuspectDomain(ranked.Domain(host)) },
 		Move:        func(attempts []string) int { return p.relay.Displace(attempts) }, // the relay is built later
 		Limits:      p.notices.Limits,
 		Log:         p.log,
@@ -168,23 +168,23 @@
 
 func (p *process) buildRelay() {
 	p.relay = relay.New(relay.Options{
-		Host:       p.cfg.Host,
-		Domain:     p.cfg.Domain,
-		Sender:     p.provider.Sender(p.pool, p.notices.Heard),
-		Planner:    p.schedule,
-		Plain:      p.plain,
-		Suspects:   p.suspects,
-		Reach:      p.pool.Reach,
-		Daemons:    p.peers.addresses,
-		Upstreams:  p.list.Load,
-		Identified: p.identified,
-		Reached:    p.doubtWarmth,
-		Notices:    p.notices,
-		Bodies:     relay.NewBodies(int64(bodiesShare * p.cfg.MemoryMB * (1 << 20))),
-		Budget:     p.retryBudget,
-		Log:        p.log,
+		Host:            p.cfg.Host,
+		Domain:          p.cfg.Domain,
+		Sender:          p.provider.Sender(p.pool, p.notices.Record),
+		Planner:         p.schedule,
+		Balancer:        p.plain,
+		Suspects:        p.suspects,
+		Probe:           p.pool.Reach,
+		DaemonAddresses: p.peers.addresses,
+		Upstreams:       p.list.Load,
+		OnIdentified:    p.identified,
+		OnDomainReached: p.doubtWarmth,
+		Notices:         p.notices,
+		BodyMemory:      relay.NewBodyMemory(int64(bodiesShare * p.cfg.MemoryMB * (1 << 20))),
+		Budget:          p.retryBudget,
+		Log:             p.log,
 	})
-	p.door = relay.NewDoor(p.relay, p.log)
+	p.door = relay.NewAdmitter(p.relay, p.log)
 }
 
 // settleTime is how long after its start a daemon may not know yet how many share the
@@ -273,10 +273,10 @@
 	run("schedule", p.schedule.Run)
 	run("suspects", func(ctx context.Context) error { return p.suspects.Share(ctx, p.node) })
 	run("evidence", func(ctx context.Context) error {
-		return p.suspects.Keep(ctx, suspects.InKeyed(p.store, p.provider.EvidenceStream()), p.peers)
+		return p.suspects.SyncWithStore(ctx, suspects.NewKeyedStore(p.store, p.provider.EvidenceStream()), p.peers)
 	})
 	run("sweep", p.sweep)
-	run("ways", p.relay.WatchWays)
+	run("ways", p.relay.MonitorDomains)
 	run("opening", p.openWhenJoined)
 	return &wg
 }
--- a/internal/edge/provider.go
+++ b/internal/edge/provider.go
@@ -34,8 +34,8 @@
 	SameUpstream(before, after []byte) bool
 	DecodeUpstream(id string, value []byte) (*fleet.Upstream, error)
 	// Sender tells heard what the answers say of their upstreams.
-	Sender(pool *httpwire.Pool, heard relay.Heard) relay.Sender
+	Sender(pool *httpwire.Pool, heard relay.NoticeFunc) relay.Sender
 	// Ingress serves callers; closing reports that they are to use other connections.
-	Ingress(door *relay.Door, closing func() bool) http.Handler
+	Ingress(door *relay.Admitter, closing func() bool) http.Handler
 	Ready(ready func() bool) http.Handler
 }
--- a/internal/edge/sweep.go
+++ b/internal/edge/sweep.go
@@ -14,7 +14,7 @@
 	wait.Every(ctx, sweepEvery, func(now time.Time) {
 		p.pool.Sweep(now, p.addressListed())
 		p.expireLapsed(now)
-		p.notices.Keep(p.list.Load())
+		p.notices.RetainListed(p.list.Load())
 	})
 	return nil
 }
--- a/internal/front/admit.go
+++ b/internal/front/admit.go
@@ -90,12 +90,12 @@
 		return true
 	}
 	j := wj.job
-	ask := router.Ask(req, j.pool.Name, j.routing)
+	ask := router.NewPlacementRequest(req, j.pool.Name, j.routing)
 	ask.Exclude = s.blocked(j)
 	d, fit, err := s.opts.Router.PlaceWithin(ask, engineWait(j), func(d placement.Decision) placement.Placement {
 		return newPlacement(j, 1, d)
 	})
-	if err == nil && fit == router.Taken {
+	if err == nil && fit == router.PlaceRecorded {
 		wj.decision = &d
 	}
 	return err != nil || fit != router.MustWait
@@ -107,7 +107,7 @@
 	if wj == nil || req.Kind != request.Generate || !separates(wj.job) {
 		return 0
 	}
-	return s.opts.Router.ServiceTime(router.Ask(req, wj.job.pool.Name, wj.job.routing))
+	return s.opts.Router.ServiceTime(router.NewPlacementRequest(req, wj.job.pool.Name, wj.job.routing))
 }
 
 // placedWait answers the gate: how long a request that had to queue waits on its
@@ -129,7 +129,7 @@
 // blocked returns the engines on which a job must not start now, because it or
 // what runs there may be what crashes engines.
 func (s *Server) blocked(j *job) []string {
-	return s.opts.Suspects.Blocked(s.opts.Router.Names(j.pool.Name), j.req.Fingerprint, time.Now())
+	return s.opts.Suspects.Blocked(s.opts.Router.UpstreamNames(j.pool.Name), j.req.Fingerprint, time.Now())
 }
 
 // comeBack returns when the caller of a request that was not placed may try again,
--- a/internal/front/generate.go
+++ b/internal/front/generate.go
@@ -72,7 +72,7 @@
 		g.s.opts.Suspects.End(t.run, end.Complete)
 		g.trial.End(trialOutcome(last))
 	}()
-	g.trial.Sent()
+	g.trial.MarkSent()
 	g.s.opts.Holder.Track(t.engine(g.job), g.running())
 	defer func() { g.s.opts.Router.Finished(id, end) }()
 	for {
@@ -142,7 +142,7 @@
 	}
 	g.blamed = g.blame(ctx, t, res)
 	if res.end == retry.Died {
-		g.s.opts.Suspects.Died(t.name(), t.incarnation, now)
+		g.s.opts.Suspects.EngineDied(t.name(), t.incarnation, now)
 	}
 	decision := g.s.retries.next(a, g.job, now)
 	fields := jobFields(g.job)
--- a/internal/front/notices.go
+++ b/internal/front/notices.go
@@ -37,7 +37,7 @@
 	now := time.Now()
 	s.notices.mu.Lock()
 	defer s.notices.mu.Unlock()
-	if s.notices.tracker.Heard(name, notice.Notice{BackOff: backOff}, now, now).BackOff {
+	if s.notices.tracker.Record(name, notice.Notice{BackOff: backOff}, now, now).BackOff {
 		s.log.WithFields(logrus.Fields{
 			"upstream": name, "code": r.Code, "back_off_ms": backOff.Milliseconds(),
 		}).Info("upstream_backs_off")
--- a/internal/front/place.go
+++ b/internal/front/place.go
@@ -114,7 +114,7 @@
 		return nil, verdict
 	}
 	blocked := g.s.blocked(g.job)
-	ask := router.Ask(g.job.req, g.job.pool.Name, g.job.routing)
+	ask := router.NewPlacementRequest(g.job.req, g.job.pool.Name, g.job.routing)
 	ask.Exclude = slices.Concat(g.exclude, blocked, g.s.barred())
 	d, err := g.s.opts.Router.Place(ask)
 	if err != nil {
--- a/internal/keyed/era_test.go
+++ b/internal/keyed/era_test.go
@@ -103,7 +103,7 @@
 	}
 	first.readStore() // it knows the new era, and what the store has lost
 	first.alone = false
-	second.follower.opts.Spread.silent.Succeeded(first.host, time.Now())
+	second.follower.opts.Spread.silent.RecordSuccess(first.host, time.Now())
 	second.read()
 	if got := second.knows(); got != lost {
 		t.Errorf("it has %d, not %d", got, lost)
--- a/internal/keyed/fake_test.go
+++ b/internal/keyed/fake_test.go
@@ -104,7 +104,7 @@
 	return list
 }
 
-func (p *fakePeers) Near(host string) bool {
+func (p *fakePeers) SameDomain(host string) bool {
 	if len(p.near) == len(p.hosts) {
 		return true // without a look, for large groups
 	}
--- a/internal/keyed/sources.go
+++ b/internal/keyed/sources.go
@@ -50,7 +50,7 @@
 func (s *Spread) sources() sources {
 	ranked := s.peers.Rank(readerKey, math.MaxInt)
 	var from sources
-	readers := membership.FirstAndNear(ranked, siteReaders, nearReaders, s.peers.Near)
+	readers := membership.TopAndNearby(ranked, siteReaders, nearReaders, s.peers.SameDomain)
 	for _, m := range readers {
 		if m.Host == s.host {
 			from.reader = true
@@ -81,7 +81,7 @@
 			at = len(near)
 			break
 		}
-		if s.peers.Near(m.Host) {
+		if s.peers.SameDomain(m.Host) {
 			near = append(near, m)
 		}
 	}
@@ -99,7 +99,7 @@
 func (s *Spread) draws() bool {
 	near := 1
 	for _, m := range s.peers.Members() {
-		if m.Host != s.host && m.State != membership.Dead && s.peers.Near(m.Host) {
+		if m.Host != s.host && m.State != membership.Dead && s.peers.SameDomain(m.Host) {
 			near++
 		}
 	}
@@ -124,7 +124,7 @@
 
 // distance orders daemons by how far they are.
 func (s *Spread) distance(m membership.Member) int {
-	if s.peers.Near(m.Host) {
+	if s.peers.SameDomain(m.Host) {
 		return 0
 	}
 	return 1
--- a/internal/keyed/spread.go
+++ b/internal/keyed/spread.go
@@ -24,8 +24,8 @@
 	// Rank returns up to n live daemons in an order that all agree on.
 	Rank(key string, n int) []membership.Member
 	Members() []membership.Member
-	// Near reports whether a daemon is in this one's failure domain.
-	Near(host string) bool
+	// SameDomain reports whether a daemon is in this one's failure domain.
+	SameDomain(host string) bool
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
@@ -60,7 +60,7 @@
 		peers:     peers,
 		random:    globalSource{},
 		followers: map[string]*Follower{},
-		silent:    avoid.New(avoid.Options{First: silentFirst, Most: silentMost, Forget: silentForget}),
+		silent:    avoid.New(avoid.Options{Initial: silentFirst, Max: silentMost, ResetAfter: silentForget}),
 	}
 }
 
@@ -284,7 +284,7 @@
 func (s *Spread) behind(host string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent.Failed(host, time.Now())
+	s.silent.RecordFailure(host, time.Now())
 }
 
 func (s *Spread) ask(ctx context.Context, m membership.Member, req SinceRequest, wait time.Duration, reply *SinceReply) error {
@@ -297,9 +297,9 @@
 	defer s.mu.Unlock()
 	switch {
 	case err == nil, errors.As(err, &answered):
-		s.silent.Succeeded(m.Host, now)
+		s.silent.RecordSuccess(m.Host, now)
 	case ctx.Err() == nil:
-		s.silent.Failed(m.Host, now)
+		s.silent.RecordFailure(m.Host, now)
 	}
 	return err
 }
--- a/internal/keyed/world_test.go
+++ b/internal/keyed/world_test.go
@@ -275,7 +275,7 @@
 	return list
 }
 
-func (d *eraDaemon) Near(string) bool { return true }
+func (d *eraDaemon) SameDomain(string) bool { return true }
 
 func (d *eraDaemon) Call(_ context.Context, address, _ string, args, reply any) error {
 	i := slices.IndexFunc(d.w.daemons, func(other *eraDaemon) bool { return other.host == address })
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -50,15 +50,15 @@
 // step runs one input of the state machine and sends what it wants to pass on.
 func (n *Node) step(input func(m *membership.Members, now time.Time)) {
 	n.mu.Lock()
-	before := n.members.Published()
+	before := n.members.SectionsVersion()
 	input(n.members, time.Now())
-	if n.members.Published() != before {
+	if n.members.SectionsVersion() != before {
 		select {
 		case n.news <- struct{}{}:
 		default:
 		}
 	}
-	forwards := n.members.Forwards(n.rng)
+	forwards := n.members.TakePushes(n.rng)
 	if len(forwards) > 0 {
 		n.refresh()
 	}
@@ -118,7 +118,7 @@
 	if err != nil {
 		exchangeErr.Inc()
 		n.log.WithError(err).Debug("heartbeat_failed")
-		n.step(func(m *membership.Members, now time.Time) { m.Failed(now, out.Address) })
+		n.step(func(m *membership.Members, now time.Time) { m.DeliveryFailed(now, out.Address) })
 	}
 	return err
 }
@@ -174,18 +174,18 @@
 	}
 	listed := listedHosts(hosts)
 	n.step(func(m *membership.Members, now time.Time) {
-		m.HostList(now, listed)
+		m.ApplyHostList(now, listed)
 		n.refresh()
 	})
 }
 
-func listedHosts(hosts []platform.Host) []membership.Listed {
-	var listed []membership.Listed
+func listedHosts(hosts []platform.Host) []membership.ListedHost {
+	var listed []membership.ListedHost
 	for _, h := range hosts {
 		if h.Kind != platform.HostEntry {
 			continue
 		}
-		listed = append(listed, membership.Listed{
+		listed = append(listed, membership.ListedHost{
 			Host:    h.Name,
 			Domain:  h.Domain,
 			Region:  h.Region,
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -128,7 +128,7 @@
 	}
 	part := max(min(hosts, fullDomain), fullDomain/mostOften)
 	n.mu.Lock()
-	pace := n.members.Pace()
+	pace := n.members.ExchangeIntervalFactor()
 	n.mu.Unlock()
 	return time.Duration(float64(n.opts.Interval) * pace * float64(part) / fullDomain)
 }
@@ -168,7 +168,7 @@
 func (n *Node) Leave(ctx context.Context) error {
 	n.mu.Lock()
 	n.members.Leave(time.Now())
-	pushes := n.members.Forwards(n.rng)
+	pushes := n.members.TakePushes(n.rng)
 	n.refresh()
 	n.mu.Unlock()
 	errs := make(chan error, len(pushes))
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -28,8 +28,8 @@
 		Interval: 20 * time.Millisecond, TestFaults: true, Logger: logrus.NewEntry(log),
 		BackoffMin: 10 * time.Millisecond, BackoffMax: 50 * time.Millisecond,
 		Membership: membership.Config{
-			Beat: 40 * time.Millisecond, SuspectAfter: 600 * time.Millisecond, DeadAfter: 1200 * time.Millisecond,
-			RemoteFactor: 2, RemoteQuantum: 2, ProbeEvery: 100 * time.Millisecond, GatewayEvery: 60 * time.Millisecond,
+			HeartbeatInterval: 40 * time.Millisecond, SuspectAfter: 600 * time.Millisecond, DeadAfter: 1200 * time.Millisecond,
+			RemoteFactor: 2, RemoteQuantum: 2, ProbeInterval: 100 * time.Millisecond, GatewayInterval: 60 * time.Millisecond,
 		},
 	}
 }
@@ -251,8 +251,8 @@
 	both := []*Node{first, second}
 	eventually(t, "both live", allSee(both, "a", membership.Live, 2))
 	down.Store(true)
-	beat := second.Members()[0].Seq
-	eventually(t, "beats go on without the list", func() bool { return second.Members()[0].Seq > beat+5 })
+	beat := second.Members()[0].Version
+	eventually(t, "beats go on without the list", func() bool { return second.Members()[0].Version > beat+5 })
 	if !allSee(both, "a", membership.Live, 2)() {
 		t.Error("a list that is down changed the view")
 	}
--- a/internal/relay/bodies.go
+++ b/internal/relay/bodies.go
@@ -18,19 +18,19 @@
 
 var bodiesRefused = metrics.GetOrCreateCounter(`buckthorndock_bodies_refused_total`)
 
-// Bodies bounds the memory of the bodies of requests, each of which is held until its request
+// BodyMemory bounds the memory of the bodies of requests, each of which is held until its request
 // has ended, and of large answers: callers and upstreams may be slow. It is safe for concurrent
 // use.
-type Bodies struct {
+type BodyMemory struct {
 	most int64 // bytes
 	held atomic.Int64
 }
 
-// NewBodies returns Bodies that hold up to so many bytes at once.
-func NewBodies(most int64) *Bodies { return &Bodies{most: most} }
+// NewBodyMemory returns Bodies that hold up to so many bytes at once.
+func NewBodyMemory(most int64) *BodyMemory { return &BodyMemory{most: most} }
 
 // take sets bytes aside; false: there are none left.
-func (b *Bodies) take(n int64) bool {
+func (b *BodyMemory) take(n int64) bool {
 	if b.held.Add(n) <= b.most {
 		return true
 	}
@@ -39,14 +39,14 @@
 }
 
 // give gives bytes back.
-func (b *Bodies) give(n int64) { b.held.Add(-n) }
+func (b *BodyMemory) give(n int64) { b.held.Add(-n) }
 
 // firstRead is what a body of unknown length begins with, in bytes.
 const firstRead = 4 << 10
 
 // Read takes a whole body in. length is that which was told, -1 without one; limit bounds it,
 // zero: nothing does. The function that it returns gives the memory back, also after an error.
-func (b *Bodies) Read(r io.Reader, length, limit int64) (body []byte, free func(), err error) {
+func (b *BodyMemory) Read(r io.Reader, length, limit int64) (body []byte, free func(), err error) {
 	var taken int64
 	free = func() { b.give(taken) }
 	if limit > 0 && length > limit {
--- a/internal/relay/bodies_test.go
+++ b/internal/relay/bodies_test.go
@@ -14,7 +14,7 @@
 // requests that wait for slow callers and upstreams: their bodies are held until they end.
 func TestBodiesOfSlowRequestsStayBounded(t *testing.T) {
 	const size, most = 1000, 10_500
-	b := NewBodies(most)
+	b := NewBodyMemory(most)
 	text := strings.Repeat("x", size)
 	var free []func()
 	held := 0
@@ -45,7 +45,7 @@
 func TestBodyOfUnknownLengthIsCountedAsItComes(t *testing.T) {
 	for _, size := range []int{0, 1, firstRead - 1, firstRead, firstRead + 1, 10 * firstRead} {
 		want := bytes.Repeat([]byte("y"), size)
-		b := NewBodies(100 * firstRead)
+		b := NewBodyMemory(100 * firstRead)
 		got, free, err := b.Read(iotest.HalfReader(bytes.NewReader(want)), -1, 0)
 		if err != nil || !bytes.Equal(got, want) || b.held.Load() < int64(size) {
 			t.Errorf("%d bytes: got %d, %v, %d held", size, len(got), err, b.held.Load())
@@ -62,7 +62,7 @@
 }
 
 func TestBodyThatIsNotWholeIsNone(t *testing.T) {
-	b := NewBodies(1000)
+	b := NewBodyMemory(1000)
 	if _, free, err := b.Read(strings.NewReader("abc"), 5, 0); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("got %v", err)
 	} else {
@@ -79,7 +79,7 @@
 }
 
 func TestBodiesAreCountedByManyAtOnce(t *testing.T) {
-	b := NewBodies(500)
+	b := NewBodyMemory(500)
 	var all sync.WaitGroup
 	for range 100 {
 		all.Go(func() {
--- a/internal/relay/deliver.go
+++ b/internal/relay/deliver.go
@@ -55,19 +55,19 @@
 func (g *run) exchange(ctx context.Context, a Attempt, limit, gap time.Duration, onFirst func()) ending {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	t := &attempt{run: g, id: g.attemptID(), ctx: ctx, cancel: cancel, onFirst: onFirst, to: a.To, helpers: a.Helpers}
+	t := &attempt{run: g, id: g.attemptID(), ctx: ctx, cancel: cancel, onFirst: onFirst, to: a.Upstream, helpers: a.Helpers}
 	t.watch = g.watchSilence(limit, gap, cancel)
 	defer t.watch.stop()
 	defer g.relay.running.add(t)()
 	g.relay.ways.watch()
-	g.noteSend(a.To)
+	g.noteSend(a.Upstream)
 	answer, err := g.relay.opts.Sender.Send(ctx, a)
 	t.identify(err)
 	if err != nil {
 		return t.broken(err)
 	}
 	defer answer.Close()
-	g.relay.ways.heard(a.To.Domain)
+	g.relay.ways.heard(a.Upstream.Domain)
 	if g.req.Route.Kind == route.Stream && answer.Status == http.StatusOK {
 		return t.stream(answer)
 	}
@@ -83,9 +83,9 @@
 	var f *Failure
 	switch {
 	case err == nil:
-		t.relay.opts.Identified(t.to, true)
-	case errors.As(err, &f) && f.Other:
-		t.relay.opts.Identified(t.to, false)
+		t.relay.opts.OnIdentified(t.to, true)
+	case errors.As(err, &f) && f.WrongUpstream:
+		t.relay.opts.OnIdentified(t.to, false)
 	}
 }
 
@@ -97,7 +97,7 @@
 	told := errors.As(err, &f)
 	switch {
 	case told && f.End == retry.Declined: // its word holds whatever has become of it since
-		return ending{end: f.End, at: f.At, err: f.Err}
+		return ending{end: f.End, at: f.FaultyAddress, err: f.Err}
 	case errors.Is(cause, errSilent), errors.Is(cause, errDisplaced):
 		return ending{end: retry.Silent, err: cause}
 	case errors.As(cause, &lost):
@@ -109,7 +109,7 @@
 		return ending{gone: true}
 	}
 	if told {
-		return ending{end: f.End, at: f.At, err: f.Err}
+		return ending{end: f.End, at: f.FaultyAddress, err: f.Err}
 	}
 	return ending{end: retry.Broken, err: err}
 }
@@ -117,7 +117,7 @@
 // plain passes on an answer that is no stream.
 func (t *attempt) plain(answer *Answer) ending {
 	whole, rest, err := readWhole(answer.Body, copyBytes)
-	if bodies := t.relay.opts.Bodies; rest != nil && bodies.take(wholeBytes) {
+	if bodies := t.relay.opts.BodyMemory; rest != nil && bodies.take(wholeBytes) {
 		defer bodies.give(wholeBytes)
 		var more []byte
 		more, rest, err = readWhole(rest, wholeBytes-copyBytes)
--- a/internal/relay/displace_test.go
+++ b/internal/relay/displace_test.go
@@ -37,7 +37,7 @@
 func writesUntil(last int) func(context.Context, Attempt) (*Answer, error) {
 	return func(ctx context.Context, a Attempt) (*Answer, error) {
 		r, w := io.Pipe()
-		after, _ := strconv.Atoi(a.After)
+		after, _ := strconv.Atoi(a.LastEvent)
 		go func() {
 			for n := after; n < resetEvents && ctx.Err() == nil; n++ {
 				if n >= last {
--- a/internal/relay/door.go
+++ b/internal/relay/door.go
@@ -19,22 +19,22 @@
 
 // Call is a request as an entry binding has read it, before anything was decided.
 type Call struct {
-	ID        string
-	Key       string // of the customer, empty without one
-	Method    string
-	URI       string // path and query as sent
-	Path      string // the URI without its query, as sent
-	Host      string
-	Header    http.Header // those that are meant for the upstream
-	Prompt    int         // tokens
-	Answer    int         // tokens at the most
-	LastEvent string
-	Patience  time.Duration // how long the caller waits; zero: it does not say
-	Arrived   time.Time
+	ID           string
+	Key          string // of the customer, empty without one
+	Method       string
+	URI          string // path and query as sent
+	Path         string // the URI without its query, as sent
+	Host         string
+	Header       http.Header // those that are meant for the upstream
+	PromptTokens int         // tokens
+	MaxTokens    int         // tokens at the most
+	LastEvent    string
+	Timeout      time.Duration // how long the caller waits; zero: it does not say
+	Arrived      time.Time
 }
 
-// Door decides whether a call becomes a request, and which.
-type Door struct {
+// Admitter decides whether a call becomes a request, and which.
+type Admitter struct {
 	relay *Relay
 	table atomic.Pointer[route.Table]
 	log   *logrus.Entry
@@ -51,9 +51,9 @@
 	wanted chan struct{} // closed when a call waits for it
 }
 
-// NewDoor returns a Door that refuses all until it has a table.
-func NewDoor(r *Relay, log *logrus.Entry) *Door {
-	return &Door{relay: r, log: log, begun: time.Now(), open: make(chan struct{}), wanted: make(chan struct{})}
+// NewAdmitter returns a Door that refuses all until it has a table.
+func NewAdmitter(r *Relay, log *logrus.Entry) *Admitter {
+	return &Admitter{relay: r, log: log, begun: time.Now(), open: make(chan struct{}), wanted: make(chan struct{})}
 }
 
 // Bounds of the wait at a daemon that has just started. It knows settings and upstreams
@@ -65,14 +65,14 @@
 	startSpan = time.Second            // since the start; what takes longer takes long
 )
 
-// Open tells that the daemon can serve.
-func (d *Door) Open() { d.opens.Do(func() { close(d.open) }) }
+// MarkReady tells that the daemon can serve.
+func (d *Admitter) MarkReady() { d.opens.Do(func() { close(d.open) }) }
 
-// Wanted returns a channel that is closed when a call has come before the daemon could serve.
-func (d *Door) Wanted() <-chan struct{} { return d.wanted }
+// Demanded returns a channel that is closed when a call has come before the daemon could serve.
+func (d *Admitter) Demanded() <-chan struct{} { return d.wanted }
 
-// Await waits a moment until a daemon that has just started can serve.
-func (d *Door) Await(ctx context.Context) {
+// AwaitReady waits a moment until a daemon that has just started can serve.
+func (d *Admitter) AwaitReady(ctx context.Context) {
 	select {
 	case <-d.open:
 		return
@@ -90,8 +90,8 @@
 	}
 }
 
-// Use replaces the table by a newer one. It returns false for one that is not newer.
-func (d *Door) Use(t *route.Table) bool {
+// SetTable replaces the table by a newer one. It returns false for one that is not newer.
+func (d *Admitter) SetTable(t *route.Table) bool {
 	for {
 		before := d.table.Load()
 		if before != nil && t.Version() <= before.Version() {
@@ -104,25 +104,25 @@
 }
 
 // Table returns the table in use, nil before there is one.
-func (d *Door) Table() *route.Table { return d.table.Load() }
+func (d *Admitter) Table() *route.Table { return d.table.Load() }
 
-// LeaveBy makes the Door refuse the calls that may not have ended by a time: all that is
+// SetShutdownDeadline makes the Door refuse the calls that may not have ended by a time: all that is
 // admitted is to be finished. Others are served on, for a balancer without a better choice
 // still sends them.
-func (d *Door) LeaveBy(at time.Time) { d.leaveBy.Store(&at) }
+func (d *Admitter) SetShutdownDeadline(at time.Time) { d.leaveBy.Store(&at) }
 
 // Admitted returns how many calls have become requests.
-func (d *Door) Admitted() int64 { return d.admitted.Load() }
+func (d *Admitter) Admitted() int64 { return d.admitted.Load() }
 
 // InFlight returns the number of requests in progress.
-func (d *Door) InFlight() int { return int(d.inFlight.Load()) }
+func (d *Admitter) InFlight() int { return int(d.inFlight.Load()) }
 
 // notReadyAfter is when a daemon that has just started is expected to be ready.
 const notReadyAfter = 300 * time.Millisecond
 
 // Admit checks a call against the table and returns the request, its body still to
 // be filled in.
-func (d *Door) Admit(c *Call) (*Request, *request.Refusal) {
+func (d *Admitter) Admit(c *Call) (*Request, *request.Refusal) {
 	req, refusal := d.admit(c)
 	if refusal != nil {
 		d.log.WithFields(logrus.Fields{
@@ -132,7 +132,7 @@
 	return req, spread(refusal)
 }
 
-func (d *Door) admit(c *Call) (*Request, *request.Refusal) {
+func (d *Admitter) admit(c *Call) (*Request, *request.Refusal) {
 	t := d.table.Load()
 	if t == nil {
 		return nil, request.Refuse(request.CodeNotReady, notReadyAfter, "no settings yet")
@@ -153,44 +153,44 @@
 	return req, nil
 }
 
-func (d *Door) build(c *Call, t *route.Table, r *route.Route, customer *route.Customer) *Request {
+func (d *Admitter) build(c *Call, t *route.Table, r *route.Route, customer *route.Customer) *Request {
 	service := t.Service(r.Pick(rand.Float64()))
 	req := &Request{
-		ID:        c.ID,
-		Route:     r,
-		Service:   service,
-		Version:   t.Version(),
-		Urgency:   r.Priority,
-		Method:    c.Method,
-		URI:       c.URI,
-		Host:      c.Host,
-		Header:    c.Header,
-		Prompt:    c.Prompt,
-		Answer:    c.Answer,
-		LastEvent: c.LastEvent,
-		Arrived:   c.Arrived,
-		Deadline:  c.Arrived.Add(r.Timeout),
+		ID:           c.ID,
+		Route:        r,
+		Service:      service,
+		Version:      t.Version(),
+		Priority:     r.Priority,
+		Method:       c.Method,
+		URI:          c.URI,
+		Host:         c.Host,
+		Header:       c.Header,
+		PromptTokens: c.PromptTokens,
+		MaxTokens:    c.MaxTokens,
+		LastEvent:    c.LastEvent,
+		Arrived:      c.Arrived,
+		Deadline:     c.Arrived.Add(r.Timeout),
 	}
 	if customer != nil {
 		req.Customer = customer.Name
 		if customer.Priority != nil {
-			req.Urgency = *customer.Priority
+			req.Priority = *customer.Priority
 		}
 	}
-	if c.Patience > 0 && c.Patience < r.Timeout {
-		req.Deadline = c.Arrived.Add(c.Patience)
+	if c.Timeout > 0 && c.Timeout < r.Timeout {
+		req.Deadline = c.Arrived.Add(c.Timeout)
 	}
-	if service.Engine != nil && req.Prompt == 0 {
-		req.Prompt, req.Answer = service.Engine.UsualPrompt, service.Engine.UsualAnswer
+	if service.Engine != nil && req.PromptTokens == 0 {
+		req.PromptTokens, req.MaxTokens = service.Engine.UsualPrompt, service.Engine.UsualAnswer
 	}
 	return req
 }
 
 // ReadBody takes in the body of an admitted request, whose length is -1 where it is not told.
 // The function that it returns is called when the request has ended.
-func (d *Door) ReadBody(req *Request, body io.Reader, length int64) (free func(), refusal *request.Refusal) {
+func (d *Admitter) ReadBody(req *Request, body io.Reader, length int64) (free func(), refusal *request.Refusal) {
 	limit := d.Table().Limits().BodyBytes
-	data, free, err := d.relay.opts.Bodies.Read(body, length, limit)
+	data, free, err := d.relay.opts.BodyMemory.Read(body, length, limit)
 	switch {
 	case errors.Is(err, ErrBodyTooLarge):
 		// A caller that still sends when its connection is closed does not see the answer.
@@ -206,7 +206,7 @@
 }
 
 // Serve takes an admitted request with its body to its end; see Relay.Run.
-func (d *Door) Serve(ctx context.Context, req *Request, sink Sink) *request.Refusal {
+func (d *Admitter) Serve(ctx context.Context, req *Request, sink Sink) *request.Refusal {
 	d.inFlight.Add(1)
 	defer d.inFlight.Add(-1)
 	req.Fingerprint = fingerprint(req)
--- a/internal/relay/door_test.go
+++ b/internal/relay/door_test.go
@@ -13,7 +13,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/route"
 )
 
-func newDoor(t *testing.T) *Door {
+func newDoor(t *testing.T) *Admitter {
 	t.Helper()
 	routes := []route.Route{
 		{Name: "stream", Host: "h", Prefix: "/s/", Kind: route.Stream, Resumable: true, Timeout: 10 * time.Second,
@@ -30,8 +30,8 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	d := NewDoor(newFixture(t).relay, logrus.NewEntry(log))
-	if !d.Use(table) {
+	d := NewAdmitter(newFixture(t).relay, logrus.NewEntry(log))
+	if !d.SetTable(table) {
 		t.Fatal("the table was not taken")
 	}
 	return d
@@ -59,8 +59,8 @@
 	} {
 		d := newDoor(t)
 		now := time.Now()
-		d.LeaveBy(now.Add(c.left))
-		req, refusal := d.Admit(&Call{ID: "r", Path: c.path, URI: c.path, Host: "h", Prompt: 5000, Answer: c.answer, Arrived: now})
+		d.SetShutdownDeadline(now.Add(c.left))
+		req, refusal := d.Admit(&Call{ID: "r", Path: c.path, URI: c.path, Host: "h", PromptTokens: 5000, MaxTokens: c.answer, Arrived: now})
 		if admitted := refusal == nil; admitted != c.admitted || admitted == (req == nil) {
 			t.Errorf("%s with %d tokens, %s left: %v", c.path, c.answer, c.left, refusal)
 		}
@@ -76,16 +76,16 @@
 	d := newDoor(t)
 	waited := make(chan struct{})
 	go func() {
-		d.Await(t.Context())
+		d.AwaitReady(t.Context())
 		close(waited)
 	}()
-	d.Open()
+	d.MarkReady()
 	<-waited
-	d.Open() // again, as each list does
+	d.MarkReady() // again, as each list does
 	old := newDoor(t)
 	old.begun = time.Now().Add(-startSpan)
-	old.Await(t.Context()) // ends at once: the test's timeout bounds it
+	old.AwaitReady(t.Context()) // ends at once: the test's timeout bounds it
 	gone, cancel := context.WithCancel(t.Context())
 	cancel()
-	newDoor(t).Await(gone)
+	newDoor(t).AwaitReady(gone)
 }
--- a/internal/relay/engine.go
+++ b/internal/relay/engine.go
@@ -43,19 +43,19 @@
 	return g.relay.opts.Host + "/" + g.req.ID + "/" + strconv.Itoa(g.attempt)
 }
 
-func (g *run) ask() booking.Ask {
+func (g *run) ask() booking.Request {
 	r := g.req
-	expected := r.Answer
+	expected := r.MaxTokens
 	if usual := r.Service.Engine.UsualAnswer; usual > 0 {
 		expected = min(expected, usual)
 	}
-	return booking.Ask{
+	return booking.Request{
 		ID:        g.attemptID(),
 		Host:      g.relay.opts.Host,
 		Domain:    g.relay.opts.Domain,
 		Service:   r.Service.Name,
-		Prompt:    r.Prompt,
-		Answer:    r.Answer,
+		Prompt:    r.PromptTokens,
+		Answer:    r.MaxTokens,
 		Expected:  expected,
 		Objective: g.eventLeft(),
 		Gap:       r.Route.GapObjective,
@@ -191,20 +191,20 @@
 		g.relay.failed(failed.blamed, retry.Declined) // reached or not, it gave no memory
 		return *failed
 	}
-	g.trial.Sent()
+	g.trial.MarkSent()
 	sending, read, end := leases.watch(ctx, g.relay.leaseTimes)
 	defer end()
 	e := g.exchange(sending, Attempt{
-		Request: g.req,
-		Number:  g.attempt,
-		To:      to,
-		Helpers: p.Parts[1:],
-		Left:    g.left(),
-		After:   g.after,
-		Fresh:   !g.req.Route.Repeatable(),
+		Request:       g.req,
+		Number:        g.attempt,
+		Upstream:      to,
+		Helpers:       p.Parts[1:],
+		Timeout:       g.left(),
+		LastEvent:     g.after,
+		NewConnection: !g.req.Route.Repeatable(),
 	}, g.firstLimit(p), g.gapLimit(), func() {
 		read()
-		g.relay.opts.Planner.First(id)
+		g.relay.opts.Planner.FirstEvent(id)
 	})
 	g.finish(ctx, to, started, e)
 	if e.delivered || e.gone {
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -148,7 +148,7 @@
 type fakePlanner struct {
 	mu    sync.Mutex
 	plans []booking.Plan
-	asks  []booking.Ask
+	asks  []booking.Request
 	open  map[string]bool
 	onAsk func(n int)
 	turns map[string]time.Duration // the waits for turns at upstreams; without one, at once
@@ -158,7 +158,7 @@
 	onAdmit func(upstream string)
 }
 
-func (f *fakePlanner) Place(_ context.Context, a booking.Ask) booking.Plan {
+func (f *fakePlanner) Place(_ context.Context, a booking.Request) booking.Plan {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := len(f.asks)
@@ -173,7 +173,7 @@
 	return p
 }
 
-func (f *fakePlanner) First(string) {}
+func (f *fakePlanner) FirstEvent(string) {}
 
 func (f *fakePlanner) Admit(_ context.Context, l notice.Limit, within time.Duration) (time.Duration, bool) {
 	if f.onAdmit != nil {
@@ -231,19 +231,19 @@
 		dead:    map[string]bool{},
 	}
 	f.relay = New(Options{
-		Host:     "h1",
-		Sender:   f.script,
-		Planner:  f.planner,
-		Suspects: suspects.New("h1", logrus.NewEntry(log)),
-		Notices:  NewNotices(Listeners{Limit: func(notice.Limit) {}}, logrus.NewEntry(log)),
-		Bodies:   NewBodies(1 << 30),
-		Reach: func(_ context.Context, address string) error {
+		Host:       "h1",
+		Sender:     f.script,
+		Planner:    f.planner,
+		Suspects:   suspects.New("h1", logrus.NewEntry(log)),
+		Notices:    NewNotices(Listeners{OnLimit: func(notice.Limit) {}}, logrus.NewEntry(log)),
+		BodyMemory: NewBodyMemory(1 << 30),
+		Probe: func(_ context.Context, address string) error {
 			if f.dead[address] {
 				return syscall.ECONNREFUSED
 			}
 			return nil
 		},
-		Plain:     fakePlain{servers: []string{"s1", "s2", "s3"}},
+		Balancer:  fakePlain{servers: []string{"s1", "s2", "s3"}},
 		Upstreams: func() *fleet.Snapshot { return f.list.Snapshot() },
 		Budget: func() BudgetOptions {
 			return BudgetOptions{Ratio: 1, Window: 10 * time.Second, Slack: 100, Hosts: 1}
@@ -272,11 +272,11 @@
 			Name: "stream", Kind: route.Stream, Resumable: resumable, MaxAttempts: 2,
 			Objective: time.Minute, GapObjective: time.Minute,
 		},
-		Service:  &route.Service{Name: "llm", Engine: &cost.Figures{Slots: 4}},
-		Prompt:   100,
-		Answer:   10,
-		Arrived:  now,
-		Deadline: now.Add(time.Minute),
+		Service:      &route.Service{Name: "llm", Engine: &cost.Figures{Slots: 4}},
+		PromptTokens: 100,
+		MaxTokens:    10,
+		Arrived:      now,
+		Deadline:     now.Add(time.Minute),
 	}
 }
 
--- a/internal/relay/fate.go
+++ b/internal/relay/fate.go
@@ -29,11 +29,11 @@
 func (r *Relay) showsDead(ctx context.Context, u fleet.Upstream, within time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	if !errors.Is(r.opts.Reach(ctx, u.Address), syscall.ECONNREFUSED) {
+	if !errors.Is(r.opts.Probe(ctx, u.Address), syscall.ECONNREFUSED) {
 		return false
 	}
 	others := r.neighbours(u)
-	reached := func(address string) bool { return r.opts.Reach(ctx, address) == nil }
+	reached := func(address string) bool { return r.opts.Probe(ctx, address) == nil }
 	return len(others) == 0 || slices.ContainsFunc(others, reached)
 }
 
@@ -50,12 +50,12 @@
 		for _, after := range againAfter {
 			wait.For(ctx, after)
 			if r.showsDead(ctx, u, againWait) {
-				r.Lapsed(u)
+				r.UpstreamDelisted(u)
 				return
 			}
 		}
 		if r.silent(ctx, u) {
-			r.opts.Suspects.Lives(u.ID)
+			r.opts.Suspects.EngineAlive(u.ID)
 		}
 	}()
 }
@@ -64,7 +64,7 @@
 func (r *Relay) silent(ctx context.Context, u fleet.Upstream) bool {
 	ctx, cancel := context.WithTimeout(ctx, againWait)
 	defer cancel()
-	err := r.opts.Reach(ctx, u.Address)
+	err := r.opts.Probe(ctx, u.Address)
 	return err != nil && !errors.Is(err, syscall.ECONNREFUSED)
 }
 
@@ -90,8 +90,8 @@
 	}
 	some := append(sound, failing...)
 	some = some[:min(mostNeighbours, len(some))]
-	if r.opts.Daemons != nil {
-		daemons := r.opts.Daemons(u.Domain)
+	if r.opts.DaemonAddresses != nil {
+		daemons := r.opts.DaemonAddresses(u.Domain)
 		some = append(some, daemons[:min(mostDaemons, len(daemons))]...)
 	}
 	return some
--- a/internal/relay/leases_test.go
+++ b/internal/relay/leases_test.go
@@ -90,8 +90,8 @@
 	for f.script.held() > 0 { // the release is an order of its own; the test's timeout bounds it
 		time.Sleep(time.Millisecond)
 	}
-	if second := f.script.sent[1]; second.To.ID != "e3" || f.script.orders != 1 {
-		t.Errorf("moved to %s after %d orders", second.To.ID, f.script.orders)
+	if second := f.script.sent[1]; second.Upstream.ID != "e3" || f.script.orders != 1 {
+		t.Errorf("moved to %s after %d orders", second.Upstream.ID, f.script.orders)
 	}
 }
 
@@ -164,7 +164,7 @@
 	if refusal := f.relay.Run(t.Context(), req, &record{}); refusal != nil {
 		t.Fatal(refusal)
 	}
-	if len(f.script.sent) != 2 || f.script.sent[1].To.ID != "e3" {
+	if len(f.script.sent) != 2 || f.script.sent[1].Upstream.ID != "e3" {
 		t.Errorf("sent %+v", f.script.sent)
 	}
 }
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -13,14 +13,14 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// Heard takes in what an answer of an upstream, to what was sent at a time, says of it.
-type Heard func(upstream string, n notice.Notice, sent time.Time)
+// NoticeFunc takes in what an answer of an upstream, to what was sent at a time, says of it.
+type NoticeFunc func(upstream string, n notice.Notice, sent time.Time)
 
 // Listeners are told what upstreams say, for those who plan for all daemons.
 type Listeners struct {
-	Limit func(notice.Limit)
-	// Cold tells for how long an upstream says that it stays cold. It may be nil.
-	Cold func(upstream string, left time.Duration)
+	OnLimit func(notice.Limit)
+	// OnCold tells for how long an upstream says that it stays cold. It may be nil.
+	OnCold func(upstream string, left time.Duration)
 }
 
 // Notices is what upstreams have said of themselves. It is safe for concurrent use.
@@ -50,13 +50,13 @@
 	barredSends  = metrics.GetOrCreateCounter(`buckthorndock_sends_to_barred_total`)
 )
 
-// Heard implements the type Heard.
-func (n *Notices) Heard(upstream string, said notice.Notice, sent time.Time) {
+// Record implements the type Heard.
+func (n *Notices) Record(upstream string, said notice.Notice, sent time.Time) {
 	if l, tell := n.hear(upstream, said, sent); tell {
-		n.listeners.Limit(l)
+		n.listeners.OnLimit(l)
 	}
-	if said.Cold > 0 && n.listeners.Cold != nil {
-		n.listeners.Cold(upstream, said.Cold)
+	if said.Cold > 0 && n.listeners.OnCold != nil {
+		n.listeners.OnCold(upstream, said.Cold)
 	}
 }
 
@@ -65,9 +65,9 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	change := n.tracker.Heard(upstream, said, sent, now)
+	change := n.tracker.Record(upstream, said, sent, now)
 	n.note(upstream, said, change, now.Sub(sent))
-	l, limited := n.tracker.LimitOf(upstream)
+	l, limited := n.tracker.Limit(upstream)
 	tell = change.Limit || limited && now.Sub(n.told[upstream]) >= tellAgain
 	if tell {
 		n.told[upstream] = now
@@ -110,7 +110,7 @@
 func (n *Notices) barOf(upstream string) (notice.Bar, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.tracker.BarOf(upstream, time.Now())
+	return n.tracker.Bar(upstream, time.Now())
 }
 
 // barred returns the upstreams that are to get nothing now.
@@ -131,29 +131,29 @@
 func (n *Notices) limitOf(upstream string) (notice.Limit, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.tracker.LimitOf(upstream)
+	return n.tracker.Limit(upstream)
 }
 
 // Inherit gives the next life of an upstream what it has said before it was listed.
 func (n *Notices) Inherit(next, former fleet.Upstream) {
 	n.mu.Lock()
 	n.tracker.Inherit(next.ID, former.ID, time.UnixMilli(next.Born))
-	l, limited := n.tracker.LimitOf(next.ID)
+	l, limited := n.tracker.Limit(next.ID)
 	n.mu.Unlock()
 	if limited {
-		n.listeners.Limit(l)
+		n.listeners.OnLimit(l)
 	}
 }
 
-// Keep forgets what upstreams have said that are not listed any more.
-func (n *Notices) Keep(list *fleet.Snapshot) {
+// RetainListed forgets what upstreams have said that are not listed any more.
+func (n *Notices) RetainListed(list *fleet.Snapshot) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	listed := func(id string) bool {
 		_, ok := list.Get(id)
 		return ok
 	}
-	n.tracker.Keep(listed, time.Now())
+	n.tracker.RetainListed(listed, time.Now())
 	maps.DeleteFunc(n.told, func(id string, _ time.Time) bool { return !listed(id) })
 }
 
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notices_test.go
@@ -18,7 +18,7 @@
 func (f *fixture) limit(wait time.Duration, ids ...string) {
 	f.planner.turns = map[string]time.Duration{}
 	for _, id := range ids {
-		f.relay.opts.Notices.Heard(id, notice.Notice{Limited: true, Limit: 1}, time.Now())
+		f.relay.opts.Notices.Record(id, notice.Notice{Limited: true, Limit: 1}, time.Now())
 		f.planner.turns[id] = wait
 	}
 }
@@ -26,7 +26,7 @@
 func (f *fixture) sentTo() []string {
 	var ids []string
 	for _, a := range f.script.sent {
-		ids = append(ids, a.To.ID)
+		ids = append(ids, a.Upstream.ID)
 	}
 	return ids
 }
@@ -72,14 +72,14 @@
 	for i := range many {
 		many[i] = fmt.Sprint("s", i)
 	}
-	f.relay.opts.Plain = fakePlain{servers: many}
+	f.relay.opts.Balancer = fakePlain{servers: many}
 	f.limit(time.Hour, many...)
 	f.relay.Run(t.Context(), plainRequest(route.Once, time.Minute), &record{})
 	if f.planner.asked == 0 || f.planner.asked > 2*mostAsked {
 		t.Errorf("%d questions", f.planner.asked)
 	}
 	f.script.steps = append(f.script.steps, answer(200, "a"))
-	f.relay.opts.Plain = fakePlain{servers: append(many, "free")}
+	f.relay.opts.Balancer = fakePlain{servers: append(many, "free")}
 	if got := f.relay.Run(t.Context(), plainRequest(route.Once, time.Minute), &record{}); got != nil {
 		t.Errorf("the server without a limit is not found: %v", got)
 	}
@@ -88,17 +88,17 @@
 func TestLimitsAreSpreadWhenTheyChangeAndNowAndThen(t *testing.T) {
 	var told []notice.Limit
 	f := newFixture(t)
-	n := NewNotices(Listeners{Limit: func(l notice.Limit) { told = append(told, l) }}, f.relay.log)
+	n := NewNotices(Listeners{OnLimit: func(l notice.Limit) { told = append(told, l) }}, f.relay.log)
 	sent := time.Now()
 	for range 3 {
-		n.Heard("a", notice.Notice{Limited: true, Limit: 2}, sent)
+		n.Record("a", notice.Notice{Limited: true, Limit: 2}, sent)
 	}
 	if len(told) != 1 || !told[0].Limited || told[0].PerSecond != 2 {
 		t.Fatalf("told %+v", told)
 	}
 	n.told["a"] = sent.Add(-tellAgain)
-	n.Heard("a", notice.Notice{Limited: true, Limit: 2}, sent)
-	n.Heard("a", notice.Notice{Ran: true}, time.Now())
+	n.Record("a", notice.Notice{Limited: true, Limit: 2}, sent)
+	n.Record("a", notice.Notice{Ran: true}, time.Now())
 	if len(told) != 3 || told[2].Limited || told[2].Upstream != "a" {
 		t.Errorf("told %+v", told)
 	}
@@ -107,7 +107,7 @@
 // say has upstreams say something in an answer.
 func (f *fixture) say(n notice.Notice, ids ...string) {
 	for _, id := range ids {
-		f.relay.opts.Notices.Heard(id, n, time.Now())
+		f.relay.opts.Notices.Record(id, n, time.Now())
 	}
 }
 
@@ -181,7 +181,7 @@
 	f.listPlain("s1", "s2")
 	f.evacuate("of-s1")
 	f.evacuate("of-s2")
-	f.relay.opts.Plain = fakePlain{}
+	f.relay.opts.Balancer = fakePlain{}
 	got := f.relay.Run(t.Context(), plainRequest(route.Idempotent, time.Minute), &record{})
 	if got == nil || got.Code != request.CodeNoUpstream || got.Outcome != request.NotRun || got.RetryAfter <= 0 || len(f.script.sent) > 0 {
 		t.Errorf("got %+v after %v", got, f.sentTo())
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -73,7 +73,7 @@
 // pickBut chooses a server, one that fails only where no other is left, and none of some or
 // of those that have said that they take nothing.
 func (g *run) pickBut(none []string) (u fleet.Upstream, done func(), ok bool) {
-	plain, service := g.relay.opts.Plain, g.req.Service.Name
+	plain, service := g.relay.opts.Balancer, g.req.Service.Name
 	none = slices.Concat(none, g.relay.opts.Notices.barred())
 	u, done, ok = plain.Pick(service, slices.Concat(g.exclude, g.avoid(), none))
 	if ok {
@@ -125,15 +125,15 @@
 		return apart(u)
 	}
 	g.sent = []string{u.ID}
-	g.trial.Sent()
+	g.trial.MarkSent()
 	limit := max(time.Duration(plainSilence*float64(g.req.Route.Objective)), leastPlainSilent)
 	e := g.exchange(ctx, Attempt{
-		Request: g.req,
-		Number:  g.attempt,
-		To:      u,
-		Left:    g.left(),
-		After:   g.after,
-		Fresh:   !g.req.Route.Repeatable(),
+		Request:       g.req,
+		Number:        g.attempt,
+		Upstream:      u,
+		Timeout:       g.left(),
+		LastEvent:     g.after,
+		NewConnection: !g.req.Route.Repeatable(),
 	}, limit, limit, nil)
 	g.finish(ctx, u, started, e)
 	if e.delivered || e.gone {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,25 +20,25 @@
 	Domain   string // failure domain
 	Sender   Sender
 	Planner  Planner
-	Plain    Plain
+	Balancer Balancer
 	Suspects Suspects
-	// Reach tells whether a connection to an address can be made: an error says that
+	// Probe tells whether a connection to an address can be made: an error says that
 	// nobody listens there, or that it cannot be told.
-	Reach func(ctx context.Context, address string) error
-	// Daemons returns the peer addresses of other daemons in a failure domain; nil: none is known.
-	Daemons func(domain string) []string
+	Probe func(ctx context.Context, address string) error
+	// DaemonAddresses returns the peer addresses of other daemons in a failure domain; nil: none is known.
+	DaemonAddresses func(domain string) []string
 	// Upstreams returns the present list.
 	Upstreams func() *fleet.Snapshot
-	// Identified tells whether an upstream that has rivals answered itself, or another
+	// OnIdentified tells whether an upstream that has rivals answered itself, or another
 	// one at its address.
-	Identified func(u fleet.Upstream, itself bool)
-	// Reached tells that a failure domain which was cut off can be reached again; nil: nobody
+	OnIdentified func(u fleet.Upstream, itself bool)
+	// OnDomainReached tells that a failure domain which was cut off can be reached again; nil: nobody
 	// is to know.
-	Reached func(domain string)
+	OnDomainReached func(domain string)
 	// Notices has what upstreams say of themselves; the Sender tells it.
 	Notices *Notices
-	// Bodies bounds what is held for slow callers and upstreams.
-	Bodies *Bodies
+	// BodyMemory bounds what is held for slow callers and upstreams.
+	BodyMemory *BodyMemory
 	// Budget returns the site's bound of repeats.
 	Budget func() BudgetOptions
 	Log    *logrus.Entry
@@ -82,7 +82,7 @@
 		opts:       o,
 		leaseTimes: leaseTimes{renew: leaseRenew, useBy: leaseUseBy},
 		log:        o.Log,
-		avoid:      avoid.New(avoid.Options{First: avoidFirst, Most: avoidMost, Forget: avoidForget}),
+		avoid:      avoid.New(avoid.Options{Initial: avoidFirst, Max: avoidMost, ResetAfter: avoidForget}),
 		budgets:    map[string]*budget{},
 		ways:       newWays(),
 		draw:       drawOf(o.Host),
@@ -115,7 +115,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range ids {
-		span := r.avoid.Failed(id, now)
+		span := r.avoid.RecordFailure(id, now)
 		fields := logrus.Fields{"upstream": id, "end": end.String(), "avoid_ms": span.Milliseconds()}
 		if u, known := list.Get(id); known {
 			fields["domain"] = u.Domain
@@ -126,10 +126,10 @@
 
 // succeeded notes that an upstream has served a request.
 func (r *Relay) succeeded(id string) {
-	r.opts.Suspects.Lives(id)
+	r.opts.Suspects.EngineAlive(id)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.avoid.Succeeded(id, time.Now())
+	r.avoid.RecordSuccess(id, time.Now())
 }
 
 // failing returns the upstreams that failed lately.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -108,8 +108,8 @@
 	if got := sink.body.String(); got != firstEvents+lastEvents {
 		t.Errorf("the caller got %q", got)
 	}
-	if sink.heads != 1 || f.script.sent[1].After != "2" {
-		t.Errorf("%d heads, resumed after %q", sink.heads, f.script.sent[1].After)
+	if sink.heads != 1 || f.script.sent[1].LastEvent != "2" {
+		t.Errorf("%d heads, resumed after %q", sink.heads, f.script.sent[1].LastEvent)
 	}
 	if len(f.planner.open) != 0 {
 		t.Errorf("still in the book: %v", f.planner.open)
@@ -141,7 +141,7 @@
 	if refusal := f.relay.Run(t.Context(), streamRequest(true), &record{}); refusal != nil {
 		t.Fatal(refusal)
 	}
-	if len(f.script.sent) != 1 || f.script.sent[0].To.ID != "e2" {
+	if len(f.script.sent) != 1 || f.script.sent[0].Upstream.ID != "e2" {
 		t.Errorf("sent %v", f.script.sent)
 	}
 }
@@ -282,12 +282,12 @@
 		u := fleet.Upstream{Incarnation: fleet.Incarnation{Name: id}, Service: "llm", Address: "shared:1"}
 		f.list.Apply([]fleet.Change{entry(u)}, time.Now())
 	}
-	f.relay.opts.Identified = func(u fleet.Upstream, itself bool) { f.list.RecordResponder(u, itself) }
+	f.relay.opts.OnIdentified = func(u fleet.Upstream, itself bool) { f.list.RecordResponder(u, itself) }
 }
 
 func TestAnswerTellsWhichUpstreamHasAnAddress(t *testing.T) {
 	other := func(context.Context, Attempt) (*Answer, error) {
-		return nil, &Failure{End: retry.Declined, Other: true, Err: merry.New("scripted")}
+		return nil, &Failure{End: retry.Declined, WrongUpstream: true, Err: merry.New("scripted")}
 	}
 	for name, c := range map[string]struct {
 		steps      []func(context.Context, Attempt) (*Answer, error)
@@ -333,12 +333,12 @@
 // its caller would be told that it may have run.
 func TestCallThatFindsOutThatAnUpstreamHasEndedIsNotLost(t *testing.T) {
 	other := func(context.Context, Attempt) (*Answer, error) {
-		return nil, &Failure{End: retry.Declined, Other: true, Err: merry.New("scripted")}
+		return nil, &Failure{End: retry.Declined, WrongUpstream: true, Err: merry.New("scripted")}
 	}
 	f := newFixture(t, other, answer(200, firstEvents))
 	f.live("e1")
 	f.sharedAddress("earlier", "later")
-	f.relay.opts.Identified = func(u fleet.Upstream, _ bool) { f.relay.Ended(u, fleet.Upstream{ID: "earlier"}) }
+	f.relay.opts.OnIdentified = func(u fleet.Upstream, _ bool) { f.relay.UpstreamReplaced(u, fleet.Upstream{ID: "earlier"}) }
 	f.planner.plans = []booking.Plan{onEngine("later"), onEngine("e1")}
 	if refusal := f.relay.Run(t.Context(), streamRequest(false), &record{}); refusal != nil {
 		t.Fatal(refusal)
--- a/internal/relay/resets_test.go
+++ b/internal/relay/resets_test.go
@@ -69,7 +69,7 @@
 	if !s.stream {
 		return "whole"
 	}
-	after, _ := strconv.Atoi(a.After)
+	after, _ := strconv.Atoi(a.LastEvent)
 	return streamEvents(after, resetEvents)
 }
 
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -196,7 +196,7 @@
 func (g *run) miss(id string) {
 	if u, known := g.relay.opts.Upstreams().Get(id); known {
 		g.missed = append(g.missed, u.Domain)
-		g.relay.Doubt(u.Domain)
+		g.relay.SuspectDomain(u.Domain)
 	}
 }
 
@@ -225,7 +225,7 @@
 		"service":  g.req.Service.Name,
 		"customer": g.req.Customer,
 		"version":  g.req.Version,
-		"prompt":   g.req.Prompt,
+		"prompt":   g.req.PromptTokens,
 		"attempts": g.attempt,
 		"sent":     g.sent,
 		"plan":     g.plan,
--- a/internal/relay/running.go
+++ b/internal/relay/running.go
@@ -70,21 +70,23 @@
 	return domains
 }
 
-// Ended tells that the life of an upstream is over, as its successor shows: what runs
+// UpstreamReplaced tells that the life of an upstream is over, as its successor shows: what runs
 // there is broken.
-func (r *Relay) Ended(u, successor fleet.Upstream) {
+func (r *Relay) UpstreamReplaced(u, successor fleet.Upstream) {
 	broken := r.running.of(func(a *attempt) bool { return a.to.ID == u.ID })
 	for _, a := range broken {
 		a.cancel(errLifeOver)
 	}
-	r.Lapsed(u)
+	r.UpstreamDelisted(u)
 	r.log.WithFields(logrus.Fields{
 		"upstream": u.ID, "address": u.Address, "successor": successor.ID, "broken": len(broken),
 	}).Info("upstream_ended")
 }
 
-// Lapsed tells that an upstream is not listed any more.
-func (r *Relay) Lapsed(u fleet.Upstream) { r.opts.Suspects.Lapsed(u.ID, u.ID, time.Now()) }
+// UpstreamDelisted tells that an upstream is not listed any more.
+func (r *Relay) UpstreamDelisted(u fleet.Upstream) {
+	r.opts.Suspects.EngineDelisted(u.ID, u.ID, time.Now())
+}
 
 // over reports whether the life of a part's engine is known to have ended.
 func (r *Relay) over(p booking.Part) bool {
--- a/internal/relay/running_test.go
+++ b/internal/relay/running_test.go
@@ -14,7 +14,7 @@
 // endsDuring hangs, and tells meanwhile that the life of an upstream is over.
 func endsDuring(f **fixture, id string) func(context.Context, Attempt) (*Answer, error) {
 	return func(ctx context.Context, a Attempt) (*Answer, error) {
-		(*f).relay.Ended(fleet.Upstream{ID: id}, fleet.Upstream{ID: id + "@2"})
+		(*f).relay.UpstreamReplaced(fleet.Upstream{ID: id}, fleet.Upstream{ID: id + "@2"})
 		return hang(ctx, a)
 	}
 }
@@ -44,7 +44,7 @@
 func TestOtherLivesGoOn(t *testing.T) {
 	var f *fixture
 	f = newFixture(t, func(ctx context.Context, a Attempt) (*Answer, error) {
-		f.relay.Ended(fleet.Upstream{ID: "e9"}, fleet.Upstream{ID: "e9@2"})
+		f.relay.UpstreamReplaced(fleet.Upstream{ID: "e9"}, fleet.Upstream{ID: "e9@2"})
 		return answer(200, firstEvents)(ctx, a)
 	})
 	f.live("e1")
--- a/internal/relay/suspect.go
+++ b/internal/relay/suspect.go
@@ -43,9 +43,9 @@
 		return
 	}
 	if errors.Is(e.err, errLifeOver) || g.relay.showsDead(ctx, u, reachWait) {
-		suspects.Died(u.ID, u.ID, time.Now())
+		suspects.EngineDied(u.ID, u.ID, time.Now())
 	} else {
-		suspects.Broke(r, time.Now())
+		suspects.EndBroken(r, time.Now())
 		g.relay.lookAgain(u)
 	}
 	suspects.End(r, false)
--- a/internal/relay/suspect_test.go
+++ b/internal/relay/suspect_test.go
@@ -46,8 +46,8 @@
 		f.live("e1", "e2")
 		f.planner.plans = []booking.Plan{onEngine("e1"), onEngine("e2")}
 		f.dead["e1:1"] = true
-		reach, looks := f.relay.opts.Reach, 0
-		f.relay.opts.Reach = func(ctx context.Context, address string) error {
+		reach, looks := f.relay.opts.Probe, 0
+		f.relay.opts.Probe = func(ctx context.Context, address string) error {
 			if looks++; looks == 1 {
 				return first
 			}
@@ -85,7 +85,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t, crash, crash) // the second at one that still listens
-			f.relay.opts.Daemons = func(string) []string { return c.daemons }
+			f.relay.opts.DaemonAddresses = func(string) []string { return c.daemons }
 			var list []fleet.Change
 			for _, name := range c.listed {
 				list = append(list, entry(fleet.Upstream{Incarnation: fleet.Incarnation{Name: name}, Service: "llm", Address: name + ":1", Domain: "z1"}))
@@ -104,7 +104,7 @@
 			if got := deathsOf(t, f); got != c.before {
 				t.Errorf("%d deaths are known at once", got)
 			}
-			f.relay.Lapsed(gone)
+			f.relay.UpstreamDelisted(gone)
 			if got := deathsOf(t, f); got != c.after {
 				t.Errorf("%d deaths are known when it is not listed any more", got)
 			}
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -23,7 +23,7 @@
 	Route    *route.Route
 	Service  *route.Service
 	Version  int64 // of the table that gave route and service
-	Urgency  int   // 0 is the most urgent
+	Priority int   // 0 is the most urgent
 
 	Method string
 	URI    string // path and query as the caller sent them
@@ -31,9 +31,9 @@
 	Header http.Header // those that are meant for the upstream
 	Body   []byte
 
-	Prompt    int    // tokens; zero on plain services
-	Answer    int    // tokens at the most
-	LastEvent string // the caller has all events up to this id
+	PromptTokens int    // tokens; zero on plain services
+	MaxTokens    int    // tokens at the most
+	LastEvent    string // the caller has all events up to this id
 
 	Fingerprint uint64 // of customer, path and body
 	Arrived     time.Time
@@ -51,12 +51,12 @@
 	if e == nil {
 		return r.Deadline
 	}
-	answer := r.Answer
+	answer := r.MaxTokens
 	if answer == 0 {
 		answer = e.UsualAnswer
 	}
 	context := int64(e.Slots) * int64(e.UsualPrompt+e.UsualAnswer)
-	takes := leavingObjectives*r.Route.Objective + e.Write(answer, e.Slots, context+int64(r.Prompt))
+	takes := leavingObjectives*r.Route.Objective + e.DecodeTime(answer, e.Slots, context+int64(r.PromptTokens))
 	if end := r.Arrived.Add(takes); end.Before(r.Deadline) {
 		return end
 	}
@@ -80,14 +80,14 @@
 
 // Attempt is one sending of a request to an upstream.
 type Attempt struct {
-	Request *Request
-	Number  int // from 1
-	To      fleet.Upstream
-	Helpers []booking.Part // read a part of the prompt
-	Left    time.Duration  // the upstream may work so long
-	After   string         // the caller has all events up to this id
-	// Fresh asks for a new connection, on which nothing can be left behind.
-	Fresh bool
+	Request   *Request
+	Number    int // from 1
+	Upstream  fleet.Upstream
+	Helpers   []booking.Part // read a part of the prompt
+	Timeout   time.Duration  // the upstream may work so long
+	LastEvent string         // the caller has all events up to this id
+	// NewConnection asks for a new connection, on which nothing can be left behind.
+	NewConnection bool
 }
 
 // Answer is an upstream's answer, its body not yet read. The body's end is io.EOF
@@ -117,12 +117,12 @@
 // Failure is an attempt that gave no answer to pass on.
 type Failure struct {
 	End retry.End
-	// At is the address of the upstream at fault where the answer names another
+	// FaultyAddress is the address of the upstream at fault where the answer names another
 	// than the one that was asked.
-	At string
-	// Other says that another upstream answered at the address of the one that was asked.
-	Other bool
-	Err   error
+	FaultyAddress string
+	// WrongUpstream says that another upstream answered at the address of the one that was asked.
+	WrongUpstream bool
+	Err           error
 }
 
 // Error implements error.
@@ -133,16 +133,16 @@
 
 // Planner books engines; see package booking.
 type Planner interface {
-	Place(ctx context.Context, a booking.Ask) booking.Plan
-	First(attempt string) // its first event has come
-	End(attempt string)   // it is over
+	Place(ctx context.Context, a booking.Request) booking.Plan
+	FirstEvent(attempt string) // its first event has come
+	End(attempt string)        // it is over
 	// Admit takes a turn at an upstream that is not booked and has named a limit, if it comes
 	// within a time, and returns the wait for it.
 	Admit(ctx context.Context, l notice.Limit, within time.Duration) (wait time.Duration, ok bool)
 }
 
-// Plain chooses servers of plain services.
-type Plain interface {
+// Balancer chooses servers of plain services.
+type Balancer interface {
 	// Pick returns a server, and the function to call when the attempt is over.
 	Pick(service string, exclude []string) (u fleet.Upstream, done func(), ok bool)
 }
@@ -157,12 +157,12 @@
 	TryStart(upstream string, fingerprint uint64, trial *suspects.Trial, now time.Time) (quarantine.Run, bool)
 	// End notes that a run is over.
 	End(run quarantine.Run, completed bool)
-	// Broke notes that a run is over that broke, maybe because its upstream died: Lapsed or Lives
+	// EndBroken notes that a run is over that broke, maybe because its upstream died: Lapsed or Lives
 	// tells.
-	Broke(run quarantine.Run, now time.Time)
-	// Lapsed notes that an upstream's life is over by the list, Lives that it has served.
-	Lapsed(upstream, incarnation string, now time.Time)
-	Lives(upstream string)
-	// Died notes that an upstream's process ended while it ran requests of this daemon.
-	Died(upstream, incarnation string, now time.Time)
+	EndBroken(run quarantine.Run, now time.Time)
+	// EngineDelisted notes that an upstream's life is over by the list, Lives that it has served.
+	EngineDelisted(upstream, incarnation string, now time.Time)
+	EngineAlive(upstream string)
+	// EngineDied notes that an upstream's process ended while it ran requests of this daemon.
+	EngineDied(upstream, incarnation string, now time.Time)
 }
--- a/internal/relay/ways.go
+++ b/internal/relay/ways.go
@@ -49,7 +49,7 @@
 
 func newWays() *ways {
 	return &ways{
-		tracker: reach.New(reach.Options{Quiet: wayQuiet, Again: wayAgain}),
+		tracker: reach.New(reach.Options{QuietAfter: wayQuiet, ProbeInterval: wayAgain}),
 		busy:    make(chan struct{}, 1),
 	}
 }
@@ -57,7 +57,7 @@
 func (w *ways) heard(domain string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.tracker.Heard(domain, time.Now())
+	w.tracker.RecordActivity(domain, time.Now())
 }
 
 func (w *ways) cutFor(domain string) time.Duration {
@@ -73,25 +73,25 @@
 	return r.ways.tracker.Cut(domain)
 }
 
-// Doubt tells of a sign that a failure domain may be cut off. A look follows, unless one
+// SuspectDomain tells of a sign that a failure domain may be cut off. A look follows, unless one
 // was made just now.
-func (r *Relay) Doubt(domain string) {
+func (r *Relay) SuspectDomain(domain string) {
 	r.ways.mu.Lock()
-	look := domain != "" && r.ways.tracker.Doubt(domain, time.Now())
+	look := domain != "" && r.ways.tracker.BeginProbe(domain, time.Now())
 	r.ways.mu.Unlock()
 	if look {
 		go r.look(domain)
 	}
 }
 
-// WatchWays looks at failure domains that are quiet or cut until the context ends. While nothing
+// MonitorDomains looks at failure domains that are quiet or cut until the context ends. While nothing
 // runs and none is cut, it sleeps.
-func (r *Relay) WatchWays(ctx context.Context) error {
+func (r *Relay) MonitorDomains(ctx context.Context) error {
 	for wait.For(ctx, wayTick) {
 		writing := r.running.writing()
 		now := time.Now()
 		r.ways.mu.Lock()
-		due := r.ways.tracker.Due(writing, now)
+		due := r.ways.tracker.DueProbes(writing, now)
 		idle := !r.ways.tracker.AnyCut() && r.running.none()
 		r.ways.mu.Unlock()
 		for _, domain := range due {
@@ -118,29 +118,29 @@
 
 // look tries connections to some upstreams of a domain and takes in what that shows.
 func (r *Relay) look(domain string) {
-	l := reach.Look{Began: time.Now()}
+	l := reach.ProbeResult{Started: time.Now()}
 	targets := r.lookTargets(domain)
 	l.Tried = len(targets)
 	l.Reached = r.dial(targets)
 	now := time.Now()
 	r.ways.mu.Lock()
-	if now.Sub(l.Began) > wayStill {
-		r.ways.tracker.Void(domain)
+	if now.Sub(l.Started) > wayStill {
+		r.ways.tracker.DiscardProbe(domain)
 		r.ways.mu.Unlock()
 		return
 	}
 	cutFor := r.ways.tracker.CutFor(domain, now)
-	change := r.ways.tracker.Looked(domain, l, now)
+	change := r.ways.tracker.EndProbe(domain, l, now)
 	r.ways.mu.Unlock()
 	log := r.log.WithFields(logrus.Fields{"domain": domain, "tried": l.Tried, "reached": l.Reached})
 	switch change {
 	case reach.BecameCut:
 		r.ways.watch()
 		log.WithField("moved", r.moveFrom(domain)).Warn("domain_cut")
-	case reach.BecameReached:
+	case reach.BecameReachable:
 		r.forgive(domain, now.Add(-cutFor-waySince))
-		if r.opts.Reached != nil {
-			r.opts.Reached(domain)
+		if r.opts.OnDomainReached != nil {
+			r.opts.OnDomainReached(domain)
 		}
 		log.WithField("cut_ms", cutFor.Milliseconds()).Info("domain_reached")
 	}
@@ -172,7 +172,7 @@
 	defer cancel()
 	results := make(chan error, len(targets))
 	for _, u := range targets {
-		go func() { results <- r.opts.Reach(ctx, u.Address) }()
+		go func() { results <- r.opts.Probe(ctx, u.Address) }()
 	}
 	reached := 0
 	for range targets {
@@ -201,7 +201,7 @@
 	defer r.mu.Unlock()
 	for _, u := range list.Upstreams {
 		if u.Domain == domain {
-			r.avoid.Forgive(u.ID, since)
+			r.avoid.ClearFailures(u.ID, since)
 		}
 	}
 }
--- a/internal/relay/ways_test.go
+++ b/internal/relay/ways_test.go
@@ -35,7 +35,7 @@
 	f.list.Replace(list, time.Now())
 	snapshot := f.list.Snapshot()
 	f.relay.opts.Upstreams = func() *fleet.Snapshot { return snapshot }
-	f.relay.opts.Reach = func(_ context.Context, address string) error {
+	f.relay.opts.Probe = func(_ context.Context, address string) error {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.cut && address[:3] == "far" {
@@ -74,13 +74,13 @@
 		return answerFrom(200, r)(ctx, a)
 	}
 	s = newCutSite(t, first, answer(200, lastEvents))
-	go func() { _ = s.relay.WatchWays(t.Context()) }()
+	go func() { _ = s.relay.MonitorDomains(t.Context()) }()
 	s.planner.plans = []booking.Plan{onEngine("far1"), onEngine("near1")}
 	sink := &record{}
 	if refusal := s.relay.Run(t.Context(), streamRequest(true), sink); refusal != nil {
 		t.Fatal(refusal)
 	}
-	if got := sink.body.String(); got != firstEvents+lastEvents || s.script.sent[1].After != "2" {
+	if got := sink.body.String(); got != firstEvents+lastEvents || s.script.sent[1].LastEvent != "2" {
 		t.Errorf("the caller got %q", got)
 	}
 	if !s.relay.DomainCut("far") || s.relay.DomainCut("near") {
@@ -101,7 +101,7 @@
 	var s *cutSite
 	s = newCutSite(t, func(ctx context.Context, a Attempt) (*Answer, error) {
 		s.setCut(true)
-		s.relay.Doubt("far")
+		s.relay.SuspectDomain("far")
 		return hang(ctx, a)
 	}, answer(200, firstEvents))
 	plan := onEngine("near1", "far1")
@@ -110,7 +110,7 @@
 	if refusal := s.relay.Run(t.Context(), streamRequest(true), &record{}); refusal != nil {
 		t.Fatal(refusal)
 	}
-	if len(s.script.sent) != 2 || s.script.sent[1].To.ID != "near2" {
+	if len(s.script.sent) != 2 || s.script.sent[1].Upstream.ID != "near2" {
 		t.Errorf("sent %+v", s.script.sent)
 	}
 }
@@ -119,11 +119,11 @@
 	var s *cutSite
 	s = newCutSite(t, func(ctx context.Context, a Attempt) (*Answer, error) {
 		s.setCut(true)
-		s.relay.Doubt("far")
+		s.relay.SuspectDomain("far")
 		s.eventually(true)
 		return answer(200, "late but whole")(ctx, a)
 	})
-	s.relay.opts.Plain = fakePlain{servers: []string{"far1"}}
+	s.relay.opts.Balancer = fakePlain{servers: []string{"far1"}}
 	sink := &record{}
 	if refusal := s.relay.Run(t.Context(), plainRequest(route.Once, time.Minute), sink); refusal != nil || sink.body.String() != "late but whole" {
 		t.Errorf("got %v and %q", refusal, sink.body.String())
@@ -142,7 +142,7 @@
 	snapshot := s.list.Snapshot()
 	s.relay.opts.Upstreams = func() *fleet.Snapshot { return snapshot }
 	s.setCut(true)
-	s.relay.Doubt("far")
+	s.relay.SuspectDomain("far")
 	s.eventually(true)
 	refusal := s.relay.Run(t.Context(), plainRequest(route.Idempotent, time.Minute), &record{})
 	if refusal == nil || refusal.Code != request.CodeNoUpstream || refusal.Outcome != request.NotRun || len(s.script.sent) != 0 {
@@ -155,11 +155,11 @@
 
 func TestLookDuringWhichTheDaemonStoodStillTellsNothing(t *testing.T) {
 	s := newCutSite(t)
-	s.relay.opts.Reach = func(context.Context, string) error {
+	s.relay.opts.Probe = func(context.Context, string) error {
 		time.Sleep(wayStill + 10*time.Millisecond)
 		return merry.New("timed out")
 	}
-	s.relay.Doubt("far")
+	s.relay.SuspectDomain("far")
 	s.relay.look("far")
 	if s.relay.DomainCut("far") {
 		t.Error("it is believed to be cut off")
@@ -188,7 +188,7 @@
 	f := newFixture(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
-	go func() { done <- f.relay.WatchWays(ctx) }()
+	go func() { done <- f.relay.MonitorDomains(ctx) }()
 	w := f.relay.ways
 	for end := time.Now().Add(10 * time.Second); len(w.busy) > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
--- a/internal/router/leaving.go
+++ b/internal/router/leaving.go
@@ -19,9 +19,9 @@
 	over        bool
 }
 
-// SetListed takes the addresses of all upstreams that the platform's list has as
+// SetListedLeaving takes the addresses of all upstreams that the platform's list has as
 // leaving now. An upstream that is none of them any more takes work again.
-func (r *Router) SetListed(addresses map[string]bool) {
+func (r *Router) SetListedLeaving(addresses map[string]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for address := range r.leaving.listed {
--- a/internal/router/leaving_test.go
+++ b/internal/router/leaving_test.go
@@ -12,10 +12,10 @@
 func TestListedLeaving(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	const address = "127.0.0.1:1" // of all six
-	listed := func(r *Router) { r.SetListed(map[string]bool{address: true}) }
+	listed := func(r *Router) { r.SetListedLeaving(map[string]bool{address: true}) }
 	report := func(incarnation string, taken time.Time) func(*Router) {
 		return func(r *Router) {
-			r.Report("e1", placement.Report{Incarnation: incarnation, Seq: 1, Taken: taken, MemoryTotal: 1})
+			r.ApplyReport("e1", placement.Report{Incarnation: incarnation, Seq: 1, Taken: taken, MemoryTotal: 1})
 		}
 	}
 	state := func(s placement.State) func(*Router) { return func(r *Router) { r.SetState("e1", s) } }
@@ -24,7 +24,7 @@
 		want  placement.State
 	}{
 		"marked":                 {[]func(*Router){listed}, placement.Leaving},
-		"taken back":             {[]func(*Router){listed, func(r *Router) { r.SetListed(nil) }}, placement.Live},
+		"taken back":             {[]func(*Router){listed, func(r *Router) { r.SetListedLeaving(nil) }}, placement.Live},
 		"suspect all the same":   {[]func(*Router){listed, state(placement.Suspect)}, placement.Leaving},
 		"suspect before":         {[]func(*Router){state(placement.Suspect), listed}, placement.Leaving},
 		"dead":                   {[]func(*Router){listed, state(placement.Dead), listed}, placement.Dead},
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -88,20 +88,20 @@
 	return placement.Place(r.view, ask, r.opts.Now(), r.rng)
 }
 
-// Fit says whether a request may start now.
-type Fit uint8
+// StartVerdict says whether a request may start now.
+type StartVerdict uint8
 
 // Fits.
 const (
-	MustWait Fit = iota // no engine has room for it within the wait
-	Taken               // its place is noted
-	MayStart            // nothing is noted: a long prompt, or one to be refused
+	MustWait      StartVerdict = iota // no engine has room for it within the wait
+	PlaceRecorded                     // its place is noted
+	MayStart                          // nothing is noted: a long prompt, or one to be refused
 )
 
 // PlaceWithin is Place for the gate. A short prompt that would wait no longer than
 // wait on its engine takes its place, noted as build describes it. A long prompt
 // takes none, for its memory has to be reserved first.
-func (r *Router) PlaceWithin(ask placement.Request, wait time.Duration, build func(placement.Decision) placement.Placement) (placement.Decision, Fit, error) {
+func (r *Router) PlaceWithin(ask placement.Request, wait time.Duration, build func(placement.Decision) placement.Placement) (placement.Decision, StartVerdict, error) {
 	ask.Domain = r.opts.Domain
 	ask.SpillDomains = r.opts.SpillDomains()
 	r.mu.Lock()
@@ -118,7 +118,7 @@
 	case d.Chosen.Estimate.Queue > wait:
 		return d, MustWait, nil
 	case d.Class == placement.Short && r.view.NotePlaced(build(d), now):
-		return d, Taken, nil
+		return d, PlaceRecorded, nil
 	}
 	return d, MayStart, nil
 }
@@ -171,8 +171,8 @@
 	r.signal()
 }
 
-// Report takes a load report in.
-func (r *Router) Report(upstream string, report placement.Report) {
+// ApplyReport takes a load report in.
+func (r *Router) ApplyReport(upstream string, report placement.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.view.ApplyReport(upstream, report) {
@@ -180,8 +180,8 @@
 	}
 }
 
-// CacheEvents takes an engine's cache events in.
-func (r *Router) CacheEvents(upstream, incarnation string, events []placement.CacheEvent) {
+// ApplyCacheEvents takes an engine's cache events in.
+func (r *Router) ApplyCacheEvents(upstream, incarnation string, events []placement.CacheEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.view.ApplyCacheEvents(upstream, incarnation, events)
@@ -244,8 +244,8 @@
 	return false
 }
 
-// Names returns the names of a pool's upstreams.
-func (r *Router) Names(pool string) []string {
+// UpstreamNames returns the names of a pool's upstreams.
+func (r *Router) UpstreamNames(pool string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	engines := r.view.Engines(pool)
@@ -315,8 +315,8 @@
 	return all
 }
 
-// Ask fills in what a request says of itself.
-func Ask(req *request.Request, pool string, routing settings.Routing) placement.Request {
+// NewPlacementRequest fills in what a request says of itself.
+func NewPlacementRequest(req *request.Request, pool string, routing settings.Routing) placement.Request {
 	return placement.Request{
 		Pool:      pool,
 		Model:     req.Target,
--- a/internal/router/work.go
+++ b/internal/router/work.go
@@ -18,9 +18,9 @@
 	return all
 }
 
-// PeerWork takes in the work that another front of the failure domain was offered,
+// ApplyPeerWork takes in the work that another front of the failure domain was offered,
 // by pool. Unknown pools are ignored.
-func (r *Router) PeerWork(host string, pools map[string]placement.Work) {
+func (r *Router) ApplyPeerWork(host string, pools map[string]placement.Work) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.opts.Now()
--- a/internal/router/work_test.go
+++ b/internal/router/work_test.go
@@ -37,7 +37,7 @@
 	short, mixed := routerOfSix(now), routerOfSix(now)
 	for _, r := range []*Router{short, mixed} {
 		for _, name := range []string{"e1", "e2", "e3", "e4", "e5", "e6"} {
-			r.Report(name, placement.Report{Incarnation: "1", Seq: 1, Taken: now, PrefillRate: 1e6, MemoryTotal: 1e6})
+			r.ApplyReport(name, placement.Report{Incarnation: "1", Seq: 1, Taken: now, PrefillRate: 1e6, MemoryTotal: 1e6})
 		}
 	}
 	offer(t, short, "a", 2000)
@@ -47,9 +47,9 @@
 		t.Fatalf("offered work is %v", w)
 	}
 	mine, theirs := short.OfferedWork(), mixed.OfferedWork()
-	short.PeerWork("mixed", theirs)
-	short.PeerWork("mixed", map[string]placement.Work{"unknown": {1}})
-	mixed.PeerWork("short", mine)
+	short.ApplyPeerWork("mixed", theirs)
+	short.ApplyPeerWork("mixed", map[string]placement.Work{"unknown": {1}})
+	mixed.ApplyPeerWork("short", mine)
 	now = now.Add(time.Minute)
 	for i, r := range []*Router{short, mixed} {
 		r.opts.Now = func() time.Time { return now.Add(-50 * time.Second) }
--- a/internal/schedule/cold_test.go
+++ b/internal/schedule/cold_test.go
@@ -11,8 +11,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/pace"
 )
 
-func coldFor(upstream string, d time.Duration) pace.Cold {
-	return pace.Cold{Upstream: upstream, PerSecond: rare, Until: time.Now().Add(d)}
+func coldFor(upstream string, d time.Duration) pace.ColdLimit {
+	return pace.ColdLimit{Upstream: upstream, PerSecond: rare, Until: time.Now().Add(d)}
 }
 
 // TestColdServerThatOneDaemonKnowsIsBoundForAll guards against a keeper that gives turns as
@@ -22,7 +22,7 @@
 	g.by["b"].Place(t.Context(), shortAsk("b", 1)) // tells it its keeper
 	g.by["b"].flush(t.Context(), true)
 	for i := range 4 {
-		g.by["b"].Cool(coldFor(fmt.Sprint("e", i), time.Hour))
+		g.by["b"].ReportCold(coldFor(fmt.Sprint("e", i), time.Hour))
 	}
 	g.by["b"].flush(t.Context(), true)
 	for i, host := range []string{"a", "b", "c"} {
@@ -39,7 +39,7 @@
 	if _, ok := g.by["b"].Admit(t.Context(), shop, 0); !ok {
 		t.Fatal("a warm server without a limit has no turn")
 	}
-	g.by["b"].book.Pacer().Cool(coldFor("shop", time.Hour), time.Now())
+	g.by["b"].book.Pacer().SetCold(coldFor("shop", time.Hour), time.Now())
 	if _, ok := g.by["b"].Admit(t.Context(), shop, time.Second); ok {
 		t.Error("the keeper gave a turn as for a warm server")
 	}
@@ -53,7 +53,7 @@
 	g.setCut("a", true)
 	g.setCut("b", true)
 	for i := range 4 {
-		g.by["c"].Cool(coldFor(fmt.Sprint("e", i), time.Hour))
+		g.by["c"].ReportCold(coldFor(fmt.Sprint("e", i), time.Hour))
 	}
 	g.by["c"].Place(t.Context(), shortAsk("c", 1))
 	if p := g.by["c"].Place(t.Context(), shortAsk("c", 2)); p.Verdict != booking.AtLimit {
@@ -67,22 +67,22 @@
 	cold := func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		_, ok := s.book.Pacer().ColdOf("e0", time.Now())
+		_, ok := s.book.Pacer().ColdLimit("e0", time.Now())
 		return ok
 	}
 	list, warmSince := listOf("e0"), time.Now().Add(-time.Second)
 	s.Apply(nil, list, nil)
-	s.Cool(coldFor("e0", time.Hour))
+	s.ReportCold(coldFor("e0", time.Hour))
 	s.Apply(nil, list, nil)
 	if !cold() {
 		t.Error("a list that says nothing of it ended it")
 	}
-	s.Apply(nil, list, []pace.Cold{{Upstream: "e0", PerSecond: rare, Until: warmSince}})
+	s.Apply(nil, list, []pace.ColdLimit{{Upstream: "e0", PerSecond: rare, Until: warmSince}})
 	if cold() {
 		t.Error("a newer word that it is warm is not taken")
 	}
-	s.Cool(coldFor("e0", time.Hour))
-	s.Apply(nil, list, []pace.Cold{{Upstream: "e0", PerSecond: rare, Until: warmSince}})
+	s.ReportCold(coldFor("e0", time.Hour))
+	s.Apply(nil, list, []pace.ColdLimit{{Upstream: "e0", PerSecond: rare, Until: warmSince}})
 	if !cold() {
 		t.Error("the same word, told again, ended it")
 	}
@@ -99,11 +99,11 @@
 func TestShorterWordOfAnotherDaemonDoesNotEndCold(t *testing.T) {
 	s := newGroup("a").by["a"]
 	now := time.Now()
-	s.Cool(coldFor("e0", time.Hour))
+	s.ReportCold(coldFor("e0", time.Hour))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hearCold(&Cold{Upstream: "e0", PerSecond: rare, Left: time.Second}, now)
-	if _, ok := s.book.Pacer().ColdOf("e0", now.Add(time.Minute)); !ok {
+	if _, ok := s.book.Pacer().ColdLimit("e0", now.Add(time.Minute)); !ok {
 		t.Error("it has ended")
 	}
 }
--- a/internal/schedule/displace_test.go
+++ b/internal/schedule/displace_test.go
@@ -28,18 +28,18 @@
 	var on booking.Part
 	for _, host := range g.hosts {
 		on = g.place(t, host, "of-"+host).Parts[0]
-		g.by[host].First("of-" + host)
+		g.by[host].FirstEvent("of-" + host)
 		g.by[host].flush(t.Context(), false)
 	}
 	keeper := g.by["k"]
 	keeper.mu.Lock()
 	for i := range len(g.hosts) + 2 { // those that leave go where more write
-		a := booking.Ask{ID: fmt.Sprint("x", i), Host: "x", Service: "llm", Gap: 200 * time.Millisecond, Left: time.Minute}
-		keeper.book.Note(a, booking.Plan{Parts: []booking.Part{otherThan(on)}}, time.Now())
-		keeper.book.First(a.ID)
+		a := booking.Request{ID: fmt.Sprint("x", i), Host: "x", Service: "llm", Gap: 200 * time.Millisecond, Left: time.Minute}
+		keeper.book.Record(a, booking.Plan{Parts: []booking.Part{otherThan(on)}}, time.Now())
+		keeper.book.RecordFirstEvent(a.ID)
 	}
-	long := booking.Ask{ID: "long", Host: "a", Service: "llm", Prompt: 90_000, Left: time.Minute}
-	keeper.book.Note(long, booking.Plan{Parts: []booking.Part{on}, Read: time.Second, First: time.Second}, time.Now())
+	long := booking.Request{ID: "long", Host: "a", Service: "llm", Prompt: 90_000, Left: time.Minute}
+	keeper.book.Record(long, booking.Plan{Parts: []booking.Part{on}, Read: time.Second, First: time.Second}, time.Now())
 	keeper.mu.Unlock()
 
 	keeper.displace("long")
--- a/internal/schedule/flush.go
+++ b/internal/schedule/flush.go
@@ -72,8 +72,8 @@
 }
 
 // openNow returns the own open attempts. The caller holds the lock.
-func (s *Service) openNow(now time.Time) []booking.Open {
-	open := make([]booking.Open, 0, len(s.open))
+func (s *Service) openNow(now time.Time) []booking.OpenAttempt {
+	open := make([]booking.OpenAttempt, 0, len(s.open))
 	for id, o := range s.open {
 		told := *o
 		told.Age = now.Sub(s.began[id])
@@ -93,7 +93,7 @@
 		switch {
 		case silent > forgetAfter && s.book.Has(host):
 			s.log.WithField("from", host).Info("book_of_host_dropped")
-			s.book.Forget(host)
+			s.book.DropHost(host)
 			delete(s.heard, host)
 		case silent > lifeKept:
 			delete(s.heard, host)
--- a/internal/schedule/growth_test.go
+++ b/internal/schedule/growth_test.go
@@ -58,8 +58,8 @@
 	a := g.by["a"]
 	g.place(t, "a", "1")
 	g.setCut("k", true)
-	g.place(t, "a", "2")                     // finds out
-	a.down.tracker.Forgive("k", time.Time{}) // as after a while
+	g.place(t, "a", "2")                           // finds out
+	a.down.tracker.ClearFailures("k", time.Time{}) // as after a while
 	g.place(t, "a", "3")
 	if a.keeper != "next" {
 		t.Fatalf("a request asked %q", a.keeper)
--- a/internal/schedule/limits.go
+++ b/internal/schedule/limits.go
@@ -12,12 +12,12 @@
 // turns: with its plans for engines, by Admit for others. A daemon without a keeper sends
 // nothing to an upstream with a limit, for it does not know what others send.
 
-// Limit tells the keeper what this daemon has heard of an upstream's limit.
-func (s *Service) Limit(l notice.Limit) {
+// ReportLimit tells the keeper what this daemon has heard of an upstream's limit.
+func (s *Service) ReportLimit(l notice.Limit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.book.Pacer().Hear(l, now)
+	s.book.Pacer().SetLimit(l, now)
 	told := limitAt(l, now)
 	s.tell(Event{Limit: &told})
 }
@@ -40,19 +40,19 @@
 
 // hearLimit takes in what another daemon has heard of a limit. The caller holds the lock.
 func (s *Service) hearLimit(l *Limit, now time.Time) {
-	s.book.Pacer().Hear(notice.Limit{Upstream: l.Upstream, Limited: l.Limited, PerSecond: l.PerSecond, At: now.Add(-l.Age)}, now)
+	s.book.Pacer().SetLimit(notice.Limit{Upstream: l.Upstream, Limited: l.Limited, PerSecond: l.PerSecond, At: now.Add(-l.Age)}, now)
 }
 
-// Cool tells the keeper that an upstream has said it is cold.
-func (s *Service) Cool(c pace.Cold) {
+// ReportCold tells the keeper that an upstream has said it is cold.
+func (s *Service) ReportCold(c pace.ColdLimit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.book.Pacer().Cool(c, now)
+	s.book.Pacer().SetCold(c, now)
 	s.tell(Event{Cold: coldAt(c, now)})
 }
 
-func coldAt(c pace.Cold, now time.Time) *Cold {
+func coldAt(c pace.ColdLimit, now time.Time) *Cold {
 	return &Cold{Upstream: c.Upstream, PerSecond: c.PerSecond, Left: c.Until.Sub(now)}
 }
 
@@ -60,10 +60,10 @@
 // stays so, the longer one holds. The caller holds the lock.
 func (s *Service) hearCold(c *Cold, now time.Time) {
 	until := now.Add(c.Left)
-	if known, ok := s.book.Pacer().ColdOf(c.Upstream, now); ok && known.Until.After(until) {
+	if known, ok := s.book.Pacer().ColdLimit(c.Upstream, now); ok && known.Until.After(until) {
 		return
 	}
-	s.book.Pacer().Cool(pace.Cold{Upstream: c.Upstream, PerSecond: c.PerSecond, Until: until}, now)
+	s.book.Pacer().SetCold(pace.ColdLimit{Upstream: c.Upstream, PerSecond: c.PerSecond, Until: until}, now)
 }
 
 // noTurn is when to ask again for a turn that nobody gives.
@@ -80,11 +80,11 @@
 		if s.alone {
 			return noTurn, false
 		}
-		s.book.Pacer().Hear(l, now)
+		s.book.Pacer().SetLimit(l, now)
 		return s.book.Pacer().Admit(l.Upstream, within, now)
 	}
 	req := &AdmitRequest{From: s.self(), Limit: limitAt(l, now), Within: within}
-	if c, cold := s.book.Pacer().ColdOf(l.Upstream, now); cold {
+	if c, cold := s.book.Pacer().ColdLimit(l.Upstream, now); cold {
 		req.Cold = coldAt(c, now)
 	}
 	s.mu.Unlock()
--- a/internal/schedule/limits_test.go
+++ b/internal/schedule/limits_test.go
@@ -19,12 +19,12 @@
 // limitAll has a daemon hear limits of all engines.
 func limitAll(s *Service) {
 	for i := range 4 {
-		s.Limit(limitOf(fmt.Sprint("e", i)))
+		s.ReportLimit(limitOf(fmt.Sprint("e", i)))
 	}
 }
 
-func shortAsk(host string, n int) booking.Ask {
-	return booking.Ask{
+func shortAsk(host string, n int) booking.Request {
+	return booking.Request{
 		ID: fmt.Sprintf("%s/%d", host, n), Host: host, Service: "llm", Prompt: 1000, Answer: 100, Expected: 100,
 		Objective: 300 * time.Millisecond, Gap: 200 * time.Millisecond, Left: 5 * time.Second,
 	}
--- a/internal/schedule/messages.go
+++ b/internal/schedule/messages.go
@@ -41,7 +41,7 @@
 // PlaceRequest asks the keeper of the book for a plan. Events come before it.
 type PlaceRequest struct {
 	From   sender
-	Ask    booking.Ask
+	Ask    booking.Request
 	Events []Event
 }
 
@@ -67,7 +67,7 @@
 // heard.
 type RestoreRequest struct {
 	From   sender
-	Open   []booking.Open
+	Open   []booking.OpenAttempt
 	Limits []Limit
 }
 
--- a/internal/schedule/rpc.go
+++ b/internal/schedule/rpc.go
@@ -52,7 +52,7 @@
 func (s *Service) hear(from sender, now time.Time) bool {
 	l, known := s.heard[from.Host]
 	if known && l.incarnation != from.Incarnation {
-		s.book.Forget(from.Host)
+		s.book.DropHost(from.Host)
 		l = life{}
 	}
 	s.heard[from.Host] = life{incarnation: from.Incarnation, at: now, told: l.told}
@@ -69,7 +69,7 @@
 		case e.Ended:
 			s.book.End(e.Attempt)
 		default:
-			s.book.First(e.Attempt)
+			s.book.RecordFirstEvent(e.Attempt)
 		}
 	}
 }
