--- a/internal/schedule/service.go
+++ b/internal/schedule/service.go
@@ -20,8 +20,8 @@
 type Peers interface {
 	// Rank returns up to n live daemons in an order that all agree on.
 	Rank(key string, n int) []membership.Member
-	// Near reports whether a daemon is in this one's failure domain.
-	Near(host string) bool
+	// SameDomain reports whether a daemon is in this one's failure domain.
+	SameDomain(host string) bool
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
@@ -30,10 +30,10 @@
 	Host        string
 	Incarnation uint64
 	Peers       Peers
-	// Behind reports whether a daemon is believed to be behind a cut; Doubt tells of one
+	// BehindCut reports whether a daemon is believed to be behind a cut; Doubt tells of one
 	// that did not answer. Both may be nil.
-	Behind func(host string) bool
-	Doubt  func(host string)
+	BehindCut  func(host string) bool
+	OnNoAnswer func(host string)
 	// Move moves attempts of this daemon to other engines, those that may be, and returns
 	// how many. It may be nil.
 	Move func(attempts []string) int
@@ -84,8 +84,8 @@
 
 	mu      sync.Mutex
 	book    *booking.Book
-	open    map[string]*booking.Open // own attempts, without their age
-	began   map[string]time.Time     // of own attempts
+	open    map[string]*booking.OpenAttempt // own attempts, without their age
+	began   map[string]time.Time            // of own attempts
 	news    []Event
 	heard   map[string]life      // daemons that ask this one
 	cold    map[string]time.Time // until when upstreams are cold by the list, where it has said so
@@ -111,7 +111,7 @@
 		opts:  o,
 		log:   o.Log,
 		book:  booking.New(),
-		open:  map[string]*booking.Open{},
+		open:  map[string]*booking.OpenAttempt{},
 		began: map[string]time.Time{},
 		heard: map[string]life{},
 		cold:  map[string]time.Time{},
@@ -121,7 +121,7 @@
 }
 
 // Apply takes in the services, the list of upstreams, and which of these are cold.
-func (s *Service) Apply(services []booking.Service, list *fleet.Snapshot, cold []pace.Cold) {
+func (s *Service) Apply(services []booking.Service, list *fleet.Snapshot, cold []pace.ColdLimit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.book.SetServices(services)
@@ -129,7 +129,7 @@
 	now := time.Now()
 	for _, c := range cold {
 		if !c.Until.Equal(s.cold[c.Upstream]) {
-			s.book.Pacer().Cool(c, now)
+			s.book.Pacer().SetCold(c, now)
 		}
 		s.cold[c.Upstream] = c.Until
 	}
@@ -138,7 +138,7 @@
 		return ok
 	}
 	maps.DeleteFunc(s.cold, func(id string, _ time.Time) bool { return !listed(id) })
-	s.book.Pacer().Keep(listed, now)
+	s.book.Pacer().RetainListed(listed, now)
 }
 
 func (s *Service) self() sender {
@@ -148,10 +148,10 @@
 // candidates returns the daemons that may keep the book, in order.
 func (s *Service) candidates() []membership.Member {
 	ranked := s.opts.Peers.Rank(keeperKey, allMembers)
-	return membership.FirstAndNear(ranked, keeperCandidates, nearKeeperCandidates, s.opts.Peers.Near)
+	return membership.TopAndNearby(ranked, keeperCandidates, nearKeeperCandidates, s.opts.Peers.SameDomain)
 }
 
-func (s *Service) behind(host string) bool { return s.opts.Behind != nil && s.opts.Behind(host) }
+func (s *Service) behind(host string) bool { return s.opts.BehindCut != nil && s.opts.BehindCut(host) }
 
 // isAsked reports whether others have asked this daemon of late. The caller holds the lock.
 func (s *Service) isAsked(now time.Time) bool {
@@ -183,9 +183,9 @@
 func (s *Service) choose(now time.Time) (m membership.Member, remote bool) {
 	m, remote, skipped := s.keeperNow()
 	s.alone = !remote && skipped && !s.isAsked(now)
-	share := pace.Deputy
+	share := pace.FallbackShare
 	if !remote && !skipped {
-		share = pace.Whole
+		share = pace.FullShare
 	}
 	s.book.Pacer().SetShare(share)
 	host := ""
@@ -202,7 +202,7 @@
 }
 
 // Place plans an attempt: by the keeper, else by what is known here.
-func (s *Service) Place(ctx context.Context, a booking.Ask) booking.Plan {
+func (s *Service) Place(ctx context.Context, a booking.Request) booking.Plan {
 	s.mu.Lock()
 	now := time.Now()
 	keeper, remote := s.choose(now)
@@ -236,17 +236,17 @@
 		s.restore = s.restore || p.Verdict == booking.Booked
 		return p
 	}
-	s.book.Note(a, reply.Plan, now)
+	s.book.Record(a, reply.Plan, now)
 	s.noteOwn(a, reply.Plan, now)
 	return reply.Plan
 }
 
 // placeHere plans by what is known here; alone says that another daemon may plan for others
 // meanwhile. The caller holds the lock.
-func (s *Service) placeHere(a booking.Ask, alone bool, now time.Time) booking.Plan {
+func (s *Service) placeHere(a booking.Request, alone bool, now time.Time) booking.Plan {
 	place := s.book.Place
 	if alone {
-		place = s.book.PlaceAlone
+		place = s.book.PlaceUncoordinated
 	}
 	p := place(a, now)
 	s.noteOwn(a, p, now)
@@ -278,26 +278,26 @@
 	if ctx.Err() != nil {
 		return // the request has ended; that says nothing of the daemon
 	}
-	if s.opts.Doubt != nil {
-		s.opts.Doubt(m.Host)
+	if s.opts.OnNoAnswer != nil {
+		s.opts.OnNoAnswer(m.Host)
 	}
 	span := s.down.failed(m.Host, now)
 	s.log.WithError(err).WithFields(logrus.Fields{"keeper": m.Host, "avoid_ms": span.Milliseconds()}).Warn("book_keeper_silent")
 }
 
-func (s *Service) noteOwn(a booking.Ask, p booking.Plan, now time.Time) {
+func (s *Service) noteOwn(a booking.Request, p booking.Plan, now time.Time) {
 	if p.Verdict != booking.Booked {
 		return
 	}
-	s.open[a.ID] = &booking.Open{Ask: a, Plan: p}
+	s.open[a.ID] = &booking.OpenAttempt{Ask: a, Plan: p}
 	s.began[a.ID] = now
 }
 
-// First notes the first event of an own attempt.
-func (s *Service) First(attempt string) {
+// FirstEvent notes the first event of an own attempt.
+func (s *Service) FirstEvent(attempt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.First(attempt)
+	s.book.RecordFirstEvent(attempt)
 	if o := s.open[attempt]; o != nil {
 		o.HasFirst = true
 		s.tell(Event{Attempt: attempt})
--- a/internal/schedule/service_test.go
+++ b/internal/schedule/service_test.go
@@ -45,8 +45,8 @@
 	return list
 }
 
-// Near goes by the letters before the first dash of a host's name, its failure domain.
-func (e end) Near(host string) bool { return domainOf(host) == domainOf(e.host) }
+// SameDomain goes by the letters before the first dash of a host's name, its failure domain.
+func (e end) SameDomain(host string) bool { return domainOf(host) == domainOf(e.host) }
 
 func domainOf(host string) string {
 	domain, _, _ := strings.Cut(host, "-")
@@ -119,7 +119,7 @@
 		all = append(all, fleet.Change{Name: id, Upstream: &u})
 	}
 	l.Replace(all, time.Now())
-	services := []booking.Service{{Name: "llm", TightGap: 200 * time.Millisecond, Figures: cost.Figures{
+	services := []booking.Service{{Name: "llm", MinGap: 200 * time.Millisecond, Figures: cost.Figures{
 		Slots: slots, Memory: 100_000, Stride: 10, StepMs: 1, ReadPerMs: 256, MaxHelpers: 3,
 	}}}
 	for _, s := range g.by {
@@ -129,7 +129,7 @@
 
 func (g *group) place(t *testing.T, host, id string) booking.Plan {
 	t.Helper()
-	p := g.by[host].Place(t.Context(), booking.Ask{
+	p := g.by[host].Place(t.Context(), booking.Request{
 		ID: id, Host: host, Service: "llm", Prompt: 1000, Answer: 100,
 		Objective: time.Second, Gap: 200 * time.Millisecond, Left: time.Minute,
 	})
@@ -156,7 +156,7 @@
 	if n := g.by["a"].booked(); n != 1 {
 		t.Errorf("another daemon knows %d attempts", n)
 	}
-	g.by["a"].First("2")
+	g.by["a"].FirstEvent("2")
 	g.by["a"].End("2")
 	g.by["a"].flush(t.Context(), false)
 	if n := g.by["k"].booked(); n != 2 {
--- a/internal/schedule/silence.go
+++ b/internal/schedule/silence.go
@@ -26,7 +26,7 @@
 
 func newSilence() *silence {
 	return &silence{
-		tracker: avoid.New(avoid.Options{First: downFirst, Most: downMost, Forget: downForget}),
+		tracker: avoid.New(avoid.Options{Initial: downFirst, Max: downMost, ResetAfter: downForget}),
 		hosts:   map[string]bool{},
 	}
 }
@@ -34,12 +34,12 @@
 // failed notes that a daemon did not answer, and returns for how long it is not asked.
 func (s *silence) failed(host string, now time.Time) time.Duration {
 	s.hosts[host] = true
-	return s.tracker.Failed(host, now)
+	return s.tracker.RecordFailure(host, now)
 }
 
 func (s *silence) answered(host string, now time.Time) {
 	delete(s.hosts, host)
-	s.tracker.Succeeded(host, now)
+	s.tracker.RecordSuccess(host, now)
 }
 
 // due returns the daemons to ask again now, and forgets those that are not to be asked at all.
--- a/internal/suspects/former_test.go
+++ b/internal/suspects/former_test.go
@@ -52,10 +52,10 @@
 	if _, ok := tr.TryStart("e8", culprit, nil, now); ok {
 		t.Error("started beside the copy of a daemon of the release before")
 	}
-	tr.Forget("old")
+	tr.ForgetHost("old")
 	tr.core.Started("e2", 103)
 	run := tr.core.StartedOnTrial("e2", culprit)
-	tr.Died("e2", "2", now.Add(-time.Minute))
+	tr.EngineDied("e2", "2", now.Add(-time.Minute))
 	tr.End(run, false)
 	trial := quarantine.Trial{ID: "new/1", Fingerprint: culprit, Outcome: quarantine.TrialRan, Age: time.Minute}
 	tr.core.Merge(quarantine.Digest{Trials: []quarantine.Trial{trial}}, now)
--- a/internal/suspects/group.go
+++ b/internal/suspects/group.go
@@ -8,10 +8,10 @@
 
 // Group is what keeping evidence needs of the other daemons.
 type Group interface {
-	// Hosts returns the number of all daemons that are known.
-	Hosts() int
-	// NearBy returns the daemons of the own failure domain, this one among them.
-	NearBy() []membership.Member
+	// HostCount returns the number of all daemons that are known.
+	HostCount() int
+	// DomainMembers returns the daemons of the own failure domain, this one among them.
+	DomainMembers() []membership.Member
 }
 
 // Which daemons read the store. What they read reaches the others by digests.
@@ -25,11 +25,11 @@
 // reads reports whether a daemon reads the store: where daemons are few, as one of the first of its
 // failure domain, or because it hears none of these.
 func reads(host string, group Group, now time.Time) bool {
-	if group.Hosts() <= readersAll {
+	if group.HostCount() <= readersAll {
 		return true
 	}
 	heard := false
-	for _, m := range membership.Rank("evidence", group.NearBy(), readersNear) {
+	for _, m := range membership.Rank("evidence", group.DomainMembers(), readersNear) {
 		if m.Host == host {
 			return true
 		}
--- a/internal/suspects/group_test.go
+++ b/internal/suspects/group_test.go
@@ -11,8 +11,8 @@
 // many is a failure domain of many daemons.
 type many []membership.Member
 
-func (m many) Hosts() int                  { return len(m) }
-func (m many) NearBy() []membership.Member { return m }
+func (m many) HostCount() int                     { return len(m) }
+func (m many) DomainMembers() []membership.Member { return m }
 
 func (m many) readers(now time.Time) int {
 	n := 0
--- a/internal/suspects/keep.go
+++ b/internal/suspects/keep.go
@@ -51,9 +51,9 @@
 	Trial    *quarantine.Trial
 }
 
-// Keep writes this daemon's evidence and trials to the store and reads those of all, until the
+// SyncWithStore writes this daemon's evidence and trials to the store and reads those of all, until the
 // context ends.
-func (t *Tracker) Keep(ctx context.Context, store Store, group Group) error {
+func (t *Tracker) SyncWithStore(ctx context.Context, store Store, group Group) error {
 	t.mu.Lock()
 	t.store = store
 	t.mu.Unlock()
@@ -86,7 +86,7 @@
 	for ctx.Err() == nil {
 		again := keepPace
 		if asked || reads(t.host, group, time.Now()) {
-			again = t.readTold(ctx, store, time.Duration(group.Hosts()))
+			again = t.readTold(ctx, store, time.Duration(group.HostCount()))
 		}
 		select {
 		case <-time.After(again):
@@ -171,19 +171,19 @@
 	host, isEvidence := strings.CutPrefix(r.Key, evidencePrefix)
 	switch {
 	case isEvidence && host == t.host && !t.began:
-		t.core.Adopt(k.Evidence, now)
+		t.core.RestoreOwnRecords(k.Evidence, now)
 	case isEvidence:
 		t.core.Merge(quarantine.Digest{Records: k.Evidence}, now)
 	case k.Trial != nil:
 		k.Trial.Age += older
-		t.core.ReadTrial(*k.Trial, now)
+		t.core.ApplyStoredTrial(*k.Trial, now)
 	}
 }
 
 // keepWriting writes what is new of this daemon's own.
 func (t *Tracker) keepWriting(ctx context.Context, store Store, group Group) {
 	for ctx.Err() == nil {
-		again := time.Duration(group.Hosts()) * keepPacePerHost
+		again := time.Duration(group.HostCount()) * keepPacePerHost
 		if err := t.writeOnce(ctx, store); err != nil && ctx.Err() == nil {
 			t.log.WithError(err).Warn("suspects_not_written")
 			again = storeAgain
@@ -229,7 +229,7 @@
 func (t *Tracker) writeEvidence(ctx context.Context, store Store) error {
 	now := time.Now()
 	t.mu.Lock()
-	unaged, aged := t.core.Own(now, false), t.core.Own(now, true)
+	unaged, aged := t.core.OwnRecords(now, false), t.core.OwnRecords(now, true)
 	began, written := t.began, t.written
 	t.mu.Unlock()
 	said, err := encode(unaged)
--- a/internal/suspects/keep_test.go
+++ b/internal/suspects/keep_test.go
@@ -140,8 +140,8 @@
 // few is a group of few daemons.
 type few struct{}
 
-func (few) Hosts() int                  { return 8 }
-func (few) NearBy() []membership.Member { return nil }
+func (few) HostCount() int                     { return 8 }
+func (few) DomainMembers() []membership.Member { return nil }
 
 // daemons starts some that keep their evidence in one store, and do not hear each other.
 func daemons(t *testing.T, store func() Store, names ...string) []*Tracker {
@@ -154,7 +154,7 @@
 	for _, name := range names {
 		tr := New(name, logrus.NewEntry(log))
 		all = append(all, tr)
-		running.Go(func() { _ = tr.Keep(ctx, store(), few{}) })
+		running.Go(func() { _ = tr.SyncWithStore(ctx, store(), few{}) })
 	}
 	t.Cleanup(func() {
 		cancel()
@@ -175,7 +175,7 @@
 			t.Fatalf("%d may not start on %s", fingerprint, engine)
 		}
 	}
-	tr.Died(engine, engine, time.Now())
+	tr.EngineDied(engine, engine, time.Now())
 }
 
 const settled = quarantine.DefaultSettleAfter + time.Second
@@ -183,8 +183,8 @@
 // eachStore runs a test on both kinds of store, by a clock of its own.
 func eachStore(t *testing.T, test func(t *testing.T, m *memory, store func() Store)) {
 	for name, of := range map[string]func(m *memory) Store{
-		"keyed": func(m *memory) Store { return InKeyed(m, "s") },
-		"log":   func(m *memory) Store { return InLog(m, "s") },
+		"keyed": func(m *memory) Store { return NewKeyedStore(m, "s") },
+		"log":   func(m *memory) Store { return NewLogStore(m, "s") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -222,7 +222,7 @@
 		if len(granted) != 1 {
 			t.Fatalf("%d of %d try it", len(granted), len(all))
 		}
-		granted[0].Sent()
+		granted[0].MarkSent()
 		granted[0].End(quarantine.TrialCompleted)
 		time.Sleep(settled)
 		for _, tr := range all {
@@ -271,9 +271,9 @@
 		if _, ok := all[0].TryStart("e3", culprit, trial, time.Now()); !ok {
 			t.Fatal("it may not start")
 		}
-		trial.Sent()
+		trial.MarkSent()
 		all[0].TryStart("e3", 103, nil, time.Now())
-		all[0].Died("e3", "e3", time.Now())
+		all[0].EngineDied("e3", "e3", time.Now())
 		trial.End(quarantine.TrialRan)
 		time.Sleep(settled)
 		began := time.Now()
@@ -298,7 +298,7 @@
 			if got := tr.core.Deaths(culprit); got != 2 {
 				t.Errorf("%s knows %d deaths", tr.host, got)
 			}
-			if got := len(tr.core.Own(time.Now(), false)); got != 1 {
+			if got := len(tr.core.OwnRecords(time.Now(), false)); got != 1 {
 				t.Errorf("%s has seen %d itself", tr.host, got)
 			}
 		}
@@ -334,7 +334,7 @@
 		time.Sleep(settled)
 		for i, tr := range all {
 			trial, refusal := tr.Admit(t.Context(), culprit, nil, 5*time.Second)
-			if got, want := trial != nil, i < quarantine.MostTrialSends; got != want {
+			if got, want := trial != nil, i < quarantine.MaxTrialSends; got != want {
 				t.Fatalf("%s: %v, %v", tr.host, got, refusal)
 			}
 			if _, again := all[(i+1)%len(all)].Admit(t.Context(), culprit, nil, time.Second); again == nil {
@@ -349,7 +349,7 @@
 func TestStaleRecordsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMemory()
-		store := func() Store { return InKeyed(m, "s") }
+		store := func() Store { return NewKeyedStore(m, "s") }
 		value, err := encode(kept{Written: time.Now()})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/suspects/share.go
+++ b/internal/suspects/share.go
@@ -67,7 +67,7 @@
 	}
 	for _, m := range s.node.Members() {
 		if m.State == membership.Dead {
-			s.tracker.Forget(m.Host)
+			s.tracker.ForgetHost(m.Host)
 		}
 	}
 }
--- a/internal/suspects/store.go
+++ b/internal/suspects/store.go
@@ -44,8 +44,8 @@
 	reading bool // next is an offset of era
 }
 
-// InKeyed returns a Store in a keyed stream.
-func InKeyed(store platform.Keyed, stream string) Store {
+// NewKeyedStore returns a Store in a keyed stream.
+func NewKeyedStore(store platform.Keyed, stream string) Store {
 	return &keyedStore{store: store, stream: stream}
 }
 
@@ -100,9 +100,9 @@
 	reading bool // next is an offset of era
 }
 
-// InLog returns a Store in a stream of a log, which has to keep records for as long as evidence
+// NewLogStore returns a Store in a stream of a log, which has to keep records for as long as evidence
 // counts.
-func InLog(log platform.Log, stream string) Store { return &logStore{log: log, stream: stream} }
+func NewLogStore(log platform.Log, stream string) Store { return &logStore{log: log, stream: stream} }
 
 // Put implements Store.
 func (s *logStore) Put(ctx context.Context, key string, value []byte) error {
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -73,9 +73,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.core.SetOptions(quarantine.Options{
-		Host:    t.host,
-		Crashes: routing.QuarantineCrashes,
-		For:     routing.Quarantine(),
+		Host:           t.host,
+		CrashThreshold: routing.QuarantineCrashes,
+		QuarantineTime: routing.Quarantine(),
 	})
 }
 
@@ -157,35 +157,35 @@
 	}
 }
 
-// Broke notes that a run broke, maybe because its engine died; Lapsed or Lives tells.
-func (t *Tracker) Broke(run quarantine.Run, now time.Time) {
+// EndBroken notes that a run broke, maybe because its engine died; Lapsed or Lives tells.
+func (t *Tracker) EndBroken(run quarantine.Run, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.core.Broke(run, now)
+	t.core.EndBroken(run, now)
 }
 
-// Lives notes that an engine has served a request.
-func (t *Tracker) Lives(engine string) {
+// EngineAlive notes that an engine has served a request.
+func (t *Tracker) EngineAlive(engine string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.core.Lives(engine)
+	t.core.EngineAlive(engine)
 }
 
-// Lapsed notes that the life of an engine is over by the word of others. It died of what ran
+// EngineDelisted notes that the life of an engine is over by the word of others. It died of what ran
 // there if a run had broken.
-func (t *Tracker) Lapsed(engine, incarnation string, now time.Time) {
+func (t *Tracker) EngineDelisted(engine, incarnation string, now time.Time) {
 	t.mu.Lock()
-	died := t.core.MayHaveDied(engine)
+	died := t.core.HasBrokenRuns(engine)
 	t.mu.Unlock()
 	if died {
-		t.Died(engine, incarnation, now)
+		t.EngineDied(engine, incarnation, now)
 	}
 }
 
-// Died notes that an engine's process ended while it ran requests of this front.
-func (t *Tracker) Died(engine, incarnation string, now time.Time) {
+// EngineDied notes that an engine's process ended while it ran requests of this front.
+func (t *Tracker) EngineDied(engine, incarnation string, now time.Time) {
 	t.mu.Lock()
-	ran := t.core.Died(engine, incarnation, now)
+	ran := t.core.EngineDied(engine, incarnation, now)
 	t.mu.Unlock()
 	t.signal()
 	wake(t.urgent)
@@ -235,9 +235,9 @@
 	return nil
 }
 
-// Forget drops what a host said to run, because it is gone.
-func (t *Tracker) Forget(host string) {
+// ForgetHost drops what a host said to run, because it is gone.
+func (t *Tracker) ForgetHost(host string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.core.Forget(host)
+	t.core.ForgetHost(host)
 }
--- a/internal/suspects/trial.go
+++ b/internal/suspects/trial.go
@@ -36,8 +36,8 @@
 	done bool
 }
 
-// Sent notes that the request goes to an upstream.
-func (r *Trial) Sent() {
+// MarkSent notes that the request goes to an upstream.
+func (r *Trial) MarkSent() {
 	if r == nil {
 		return
 	}
@@ -102,7 +102,7 @@
 	now := time.Now()
 	t.mu.Lock()
 	standing, held := t.core.Standing(fingerprint, now), t.core.HeldFor(fingerprint, now)
-	verdict, deaths := t.core.JudgeTrial("", fingerprint, now), t.core.Deaths(fingerprint)
+	verdict, deaths := t.core.EvaluateTrial("", fingerprint, now), t.core.Deaths(fingerprint)
 	store := t.store
 	t.mu.Unlock()
 	switch {
@@ -166,7 +166,7 @@
 	if t.core.Standing(own.told.Fingerprint, now) != quarantine.Isolate {
 		return quarantine.TrialBusy, nil // more was read meanwhile
 	}
-	return t.core.JudgeTrial(own.told.ID, own.told.Fingerprint, now), nil
+	return t.core.EvaluateTrial(own.told.ID, own.told.Fingerprint, now), nil
 }
 
 // noteUnasked has this daemon and its peers know of a trial that the store may not have.
@@ -211,7 +211,7 @@
 func (t *Tracker) readBack(ctx context.Context, id string) error {
 	for {
 		t.mu.Lock()
-		read, seen := t.wasRead, t.core.HasRead(id)
+		read, seen := t.wasRead, t.core.HasStoredTrial(id)
 		t.mu.Unlock()
 		if seen {
 			return nil
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -136,8 +136,8 @@
 	w.Wait()
 }
 
-// Report implements Sink.
-func (s *fakeSink) Report(string, placement.Report) {}
+// ApplyReport implements Sink.
+func (s *fakeSink) ApplyReport(string, placement.Report) {}
 
 // SetState implements Sink.
 func (s *fakeSink) SetState(upstream string, st placement.State) {
--- a/internal/upstream/watch.go
+++ b/internal/upstream/watch.go
@@ -48,7 +48,7 @@
 
 // Sink takes what a Watcher finds.
 type Sink interface {
-	Report(upstream string, report placement.Report)
+	ApplyReport(upstream string, report placement.Report)
 	SetState(upstream string, s placement.State)
 }
 
@@ -168,7 +168,7 @@
 	if err != nil {
 		return err
 	}
-	w.sink.Report(t.Name, report)
+	w.sink.ApplyReport(t.Name, report)
 	return nil
 }
 
