--- a/internal/core/order/keeper.go
+++ b/internal/core/order/keeper.go
@@ -30,9 +30,9 @@
 	return o
 }
 
-// Keeper is one host's part in one pool's order lease. All times are of the
+// LeaseManager is one host's part in one pool's order lease. All times are of the
 // host's own clock.
-type Keeper struct {
+type LeaseManager struct {
 	opts    Options
 	me      Holder
 	pool    string
@@ -48,10 +48,10 @@
 	from    time.Time // and not before this
 }
 
-// NewKeeper returns the part of a host in a pool's lease. newID returns ids that
+// NewLeaseManager returns the part of a host in a pool's lease. newID returns ids that
 // are unique for ever.
-func NewKeeper(opts Options, me Holder, pool string, checks bool, longest time.Duration, newID func() string) *Keeper {
-	return &Keeper{
+func NewLeaseManager(opts Options, me Holder, pool string, checks bool, longest time.Duration, newID func() string) *LeaseManager {
+	return &LeaseManager{
 		opts:    opts.WithDefaults(),
 		me:      me,
 		pool:    pool,
@@ -65,7 +65,7 @@
 // Step compares the replay with what the host wants and returns a record to
 // append, or nil. The record counts from now on, so it must not be sent if the
 // caller waits first. It is for a replay that has caught up with the log.
-func (k *Keeper) Step(r *Replay, want bool, now time.Time) *Record {
+func (k *LeaseManager) Step(r *Replay, want bool, now time.Time) *Record {
 	l, known := r.Lease(k.pool)
 	mine := known && l.Holder == k.me && !l.Dropped
 	if mine {
@@ -98,7 +98,7 @@
 
 // watch notes when another holder's last record came up: its lease has lapsed a
 // lease's time later at the latest.
-func (k *Keeper) watch(l Lease, now time.Time) {
+func (k *LeaseManager) watch(l Lease, now time.Time) {
 	if l.LastID != k.other {
 		k.other = l.LastID
 		k.seen = now
@@ -106,7 +106,7 @@
 }
 
 // readBack counts the lease from the moment before its last record was sent.
-func (k *Keeper) readBack(l Lease, now time.Time) {
+func (k *LeaseManager) readBack(l Lease, now time.Time) {
 	if k.fence != l.Fence {
 		k.fence = l.Fence
 		k.valid = time.Time{}
@@ -124,7 +124,7 @@
 	}
 }
 
-func (k *Keeper) expire(now time.Time) {
+func (k *LeaseManager) expire(now time.Time) {
 	for id, at := range k.sent {
 		if now.Sub(at) > k.opts.Lease {
 			delete(k.sent, id)
@@ -132,7 +132,7 @@
 	}
 }
 
-func (k *Keeper) write(kind RecordKind, fence int64, now time.Time) *Record {
+func (k *LeaseManager) write(kind RecordKind, fence int64, now time.Time) *Record {
 	rec := &Record{Kind: kind, ID: k.newID(), Pool: k.pool, Holder: k.me, Fence: fence}
 	k.sent[rec.ID] = now
 	k.last = now
@@ -141,13 +141,13 @@
 
 // MarkLogUnavailable says that the log does not answer: no orders until a record is read
 // back again.
-func (k *Keeper) MarkLogUnavailable() {
+func (k *LeaseManager) MarkLogUnavailable() {
 	k.valid = time.Time{}
 }
 
 // MayOrder returns the fencing number when orders may be given now. It is to be
 // asked anew before each order.
-func (k *Keeper) MayOrder(now time.Time) (fence int64, ok bool) {
+func (k *LeaseManager) MayOrder(now time.Time) (fence int64, ok bool) {
 	if k.fence == 0 || now.Before(k.from) || !now.Before(k.valid) {
 		return 0, false
 	}
--- a/internal/core/order/order_test.go
+++ b/internal/core/order/order_test.go
@@ -22,7 +22,7 @@
 
 // host is one daemon with its own clock, replay and keeper.
 type host struct {
-	keeper *Keeper
+	keeper *LeaseManager
 	replay *Replay
 	skew   time.Duration // its clock against true time
 	era    int           // of the log, as it has read it
@@ -53,7 +53,7 @@
 		me := Holder{Host: fmt.Sprint(i), Incarnation: "1"}
 		opts := Options{Margin: margin}
 		w.hosts = append(w.hosts, &host{
-			keeper: NewKeeper(opts, me, pool, checks, longest, newID),
+			keeper: NewLeaseManager(opts, me, pool, checks, longest, newID),
 			replay: NewReplay(DefaultLease),
 			skew:   time.Duration(w.rnd.IntN(7200)-3600) * time.Second,
 		})
@@ -214,7 +214,7 @@
 
 func TestNoOrdersWhileTheLogIsAway(t *testing.T) {
 	r := NewReplay(DefaultLease)
-	k := NewKeeper(Options{}, Holder{Host: "h"}, pool, true, longest, func() string { return "1" })
+	k := NewLeaseManager(Options{}, Holder{Host: "h"}, pool, true, longest, func() string { return "1" })
 	b, err := k.Step(r, true, epoch).Encode()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -56,7 +56,7 @@
 }
 
 type orderPool struct {
-	keeper  *order.Keeper
+	keeper  *order.LeaseManager
 	planner *order.Planner
 }
 
@@ -192,7 +192,7 @@
 	st := o.pools[p.Name]
 	if st == nil {
 		st = &orderPool{
-			keeper:  order.NewKeeper(o.opts.Lease, o.opts.Me, p.Name, p.ChecksFencing, p.LongestOrder, uuid.NewString),
+			keeper:  order.NewLeaseManager(o.opts.Lease, o.opts.Me, p.Name, p.ChecksFencing, p.LongestOrder, uuid.NewString),
 			planner: order.NewPlanner(o.opts.Plan),
 		}
 		o.pools[p.Name] = st
