--- a/internal/core/booking/book_test.go
+++ b/internal/core/booking/book_test.go
@@ -18,7 +18,7 @@
 
 var figures = cost.Figures{
 	Slots: 16, Memory: 450_000, Stride: 46, Chunk: 2048, StepMs: 0.925, PerSeqMs: 0.00483,
-	ContextPerK: 0.00254, ReadPerMs: 256, PairsMsPerM: 0.0917, UsualPrompt: 13_000, UsualAnswer: 1500, MaxHelpers: 16,
+	ContextPerK: 0.00254, PrefillTokensPerMs: 256, PairsMsPerM: 0.0917, UsualPrompt: 13_000, UsualAnswer: 1500, MaxHelpers: 16,
 }
 
 func upstreams(n int) *fleet.Snapshot {
--- a/internal/core/booking/load_test.go
+++ b/internal/core/booking/load_test.go
@@ -11,7 +11,7 @@
 // largeFigures are those that a fleet of some two hundred engines publishes.
 var largeFigures = cost.Figures{
 	Slots: 10, Memory: 450_000, Stride: 73, Chunk: 2048, StepMs: 0.925, PerSeqMs: 0.00483,
-	ContextPerK: 0.00254, ReadPerMs: 256, PairsMsPerM: 0.0917, UsualPrompt: 15_000, UsualAnswer: 1700, MaxHelpers: 16,
+	ContextPerK: 0.00254, PrefillTokensPerMs: 256, PairsMsPerM: 0.0917, UsualPrompt: 15_000, UsualAnswer: 1700, MaxHelpers: 16,
 }
 
 // turns is a load that turns every ten seconds from many long prompts to many short ones
@@ -65,7 +65,7 @@
 
 func modelLoads() []modelLoad {
 	slow := largeFigures
-	slow.ReadPerMs /= 2
+	slow.PrefillTokensPerMs /= 2
 	slow.PairsMsPerM *= 2
 	return []modelLoad{
 		{"large", 195, largeFigures, turns(1), 0},
--- a/internal/core/cost/cost.go
+++ b/internal/core/cost/cost.go
@@ -10,20 +10,20 @@
 
 // Figures are the published costs of one engine.
 type Figures struct {
-	Slots       int     // requests that run at once
-	Memory      int64   // tokens
-	Stride      int     // token steps of a pass with writers, and tokens of an event
-	Chunk       int     // prompt tokens read in one step, at the most
-	StepMs      float64 // a token step without load
-	PerSeqMs    float64 // added to a step for each writer
-	ContextPerK float64 // ms added to a step per 1,000 tokens of the writers' contexts
-	ReadPerMs   float64 // prompt tokens read in a millisecond
-	PairsMsPerM float64 // ms per million pairs of a prompt token and an earlier one
-	HopMs       float64 // added to a step of a prompt that is spread over engines
-	ReportLag   time.Duration
-	UsualPrompt int // tokens, mean
-	UsualAnswer int // tokens, mean
-	MaxHelpers  int // engines that may help one to read a prompt; zero: none
+	Slots              int     // requests that run at once
+	Memory             int64   // tokens
+	Stride             int     // token steps of a pass with writers, and tokens of an event
+	Chunk              int     // prompt tokens read in one step, at the most
+	StepMs             float64 // a token step without load
+	PerSeqMs           float64 // added to a step for each writer
+	ContextPerK        float64 // ms added to a step per 1,000 tokens of the writers' contexts
+	PrefillTokensPerMs float64 // prompt tokens read in a millisecond
+	PairsMsPerM        float64 // ms per million pairs of a prompt token and an earlier one
+	HopMs              float64 // added to a step of a prompt that is spread over engines
+	ReportLag          time.Duration
+	UsualPrompt        int // tokens, mean
+	UsualAnswer        int // tokens, mean
+	MaxHelpers         int // engines that may help one to read a prompt; zero: none
 }
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
@@ -34,8 +34,8 @@
 	n := float64(tokens)
 	pairs := n * n / 2 / 1e6
 	read := 0.0 // where the rate is not published
-	if f.ReadPerMs > 0 {
-		read = n / f.ReadPerMs
+	if f.PrefillTokensPerMs > 0 {
+		read = n / f.PrefillTokensPerMs
 	}
 	return millis(read + pairs*f.PairsMsPerM)
 }
--- a/internal/core/cost/cost_test.go
+++ b/internal/core/cost/cost_test.go
@@ -8,7 +8,7 @@
 // today are the figures of the engines of today's sites.
 var today = Figures{
 	Slots: 16, Memory: 450_000, Stride: 46, Chunk: 2048, StepMs: 0.925, PerSeqMs: 0.00483,
-	ContextPerK: 0.00254, ReadPerMs: 256, PairsMsPerM: 0.0917,
+	ContextPerK: 0.00254, PrefillTokensPerMs: 256, PairsMsPerM: 0.0917,
 }
 
 func TestReadGrowsWithThePairs(t *testing.T) {
--- a/internal/relay/door_test.go
+++ b/internal/relay/door_test.go
@@ -23,7 +23,7 @@
 		{Name: "call", Host: "h", Prefix: "/c/", Kind: route.Once, Timeout: 2 * time.Second,
 			Targets: []route.Target{{Service: "shop", Weight: 1}}, MaxAttempts: 1, Anonymous: true},
 	}
-	engine := &cost.Figures{Slots: 16, Stride: 46, StepMs: 0.925, PerSeqMs: 0.005, ReadPerMs: 256, UsualPrompt: 13_000, UsualAnswer: 1500}
+	engine := &cost.Figures{Slots: 16, Stride: 46, StepMs: 0.925, PerSeqMs: 0.005, PrefillTokensPerMs: 256, UsualPrompt: 13_000, UsualAnswer: 1500}
 	table, found := route.NewTable(route.Spec{Version: 1, Routes: routes, Services: []route.Service{{Name: "llm", Engine: engine}, {Name: "shop"}}})
 	if len(found) > 0 {
 		t.Fatal(found)
--- a/internal/schedule/service_test.go
+++ b/internal/schedule/service_test.go
@@ -120,7 +120,7 @@
 	}
 	l.Replace(all, time.Now())
 	services := []booking.Service{{Name: "llm", MinGap: 200 * time.Millisecond, Figures: cost.Figures{
-		Slots: slots, Memory: 100_000, Stride: 10, StepMs: 1, ReadPerMs: 256, MaxHelpers: 3,
+		Slots: slots, Memory: 100_000, Stride: 10, StepMs: 1, PrefillTokensPerMs: 256, MaxHelpers: 3,
 	}}}
 	for _, s := range g.by {
 		s.Apply(services, l.Snapshot(), nil)
