--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
 GO ?= go
 BIN := bin
 
-.PHONY: all build test fuzz race demo bench bench-quick capacity soak fmt lint generate clean
+.PHONY: all build test fuzz race demo bench bench-quick capacity soak fmt lint rename generate clean
 
 all: build
 
@@ -57,6 +57,13 @@
 	$(GO) vet ./...
 	$(GO) tool staticcheck ./...
 
+# Renames the identifier at FILE:LINE:COLUMN and all its uses, also in tests.
+GOPLS ?= $(GO) run golang.org/x/tools/gopls@v0.21.1
+AT ?=
+TO ?=
+rename:
+	$(GOPLS) rename -w $(AT) $(TO)
+
 generate:
 	$(GO) generate ./internal/api/...
 
