--- a/internal/core/placement/bench_test.go
+++ b/internal/core/placement/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// newLoadedView has unlike loads, own placements and a prompt prefix that a third
-// of the engines have cached.
+// newLoadedView returns a view of n engines with various loads, own placements and a prompt
+// prefix that a third of the engines have cached.
 func newLoadedView(n int, prefix []uint64) *View {
 	v := newTestView(n)
 	rng := newRand(7)
@@ -45,7 +45,7 @@
 		for _, n := range []int{20, 130, 880} {
 			v := newLoadedView(n, prefix)
 			rng := newRand(3)
-			a := testAsk()
+			a := testRequest()
 			a.Policy = policy
 			a.Tokens = 4000
 			a.Prefix = prefix
@@ -65,7 +65,7 @@
 	for _, n := range []int{20, 130, 880} {
 		v := newLoadedView(n, nil)
 		rng := newRand(3)
-		a := testAsk()
+		a := testRequest()
 		a.Tokens = 40_000
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/core/placement/boundary.go
+++ b/internal/core/placement/boundary.go
@@ -7,30 +7,30 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// anyLength is the limit of an engine that takes long prompts.
+// anyLength is the limit of an engine that accepts long prompts.
 const anyLength = math.MaxInt
 
-// boundary sets for each live engine of a group the longest prompt that it takes.
-// The limits rise along the ranks such that the work of the prompts below the
-// limit of the i-th engine is what the first i engines can carry, with headroom.
-// So the shortest prompts have engines that nothing much longer ever holds up,
-// while they may go anywhere.
+// boundary sets for each live engine of a group the longest prompt that it accepts.
+// The limits rise with the ranks, such that the work of the prompts below the limit
+// of the i-th engine is what the first i engines can process, with headroom. So there
+// are engines where no much longer prompt delays the shortest ones, while these may go
+// to any engine.
 //
-// Invariant: with two or more live engines the last takes any prompt and the first
-// none of LongSlack times the length from which prompts are long; it takes a long
-// one at all only while the others could not carry the long work. An engine alone
-// takes any.
+// Invariant: with two or more live engines the last accepts any prompt, and the first
+// none of LongSlack times the length from which prompts are long; it accepts long
+// prompts at all only while the others could not process the long work. A single
+// engine accepts any prompt.
 type boundary struct {
 	work       Work
 	byPriority [request.NumPriorities]float64
-	at         time.Time // of the fading
+	decayedAt  time.Time // of the last decay of work and byPriority
 	peers      []peerWork
 
-	limits   []int // by rank
-	basis    Work  // the work that gave the limits
-	longFrom int   // that gave the limits
-	checked  time.Time
-	promotes bool // the shortest prompts are few enough to go before others
+	limits    []int // by rank
+	basis     Work  // the work that the limits were computed from
+	longFrom  int   // tokens; the length from which prompts are long that the limits were computed with
+	checkedAt time.Time
+	promotes  bool // the shortest prompts are a small enough share of the work to be promoted
 }
 
 type peerWork struct {
@@ -39,29 +39,29 @@
 	at   time.Time
 }
 
-// peerWorkLife is how long the offered work that a peer has told counts.
-const peerWorkLife = 15 * time.Second
+// peerWorkMaxAge is how long the offered work reported by a peer counts.
+const peerWorkMaxAge = 15 * time.Second
 
-func (b *boundary) fade(now time.Time, halfLife time.Duration) {
-	if !now.After(b.at) {
+func (b *boundary) decay(now time.Time, halfLife time.Duration) {
+	if !now.After(b.decayedAt) {
 		return
 	}
-	factor := fade(now.Sub(b.at), halfLife)
+	factor := decayFactor(now.Sub(b.decayedAt), halfLife)
 	b.work.scale(factor)
 	for i := range b.byPriority {
 		b.byPriority[i] *= factor
 	}
-	b.at = now
+	b.decayedAt = now
 }
 
-func (b *boundary) offer(length int, tokens int64, p request.Priority, now time.Time, halfLife time.Duration) {
-	b.fade(now, halfLife)
+func (b *boundary) addOffered(length int, tokens int64, p request.Priority, now time.Time, halfLife time.Duration) {
+	b.decay(now, halfLife)
 	b.byPriority[p] += float64(tokens)
 	b.work[band(length)] += float64(tokens)
 }
 
-// shareUpTo returns the part of the offered work that is at least as urgent as p,
-// 1 before any work was seen.
+// shareUpTo returns the share of the offered work that is at least as urgent as p, or
+// 1 before any work was offered.
 func (b *boundary) shareUpTo(p request.Priority) float64 {
 	var upTo, all float64
 	for i, tokens := range b.byPriority {
@@ -76,22 +76,23 @@
 	return upTo / all
 }
 
-// OfferedWork returns this front's own offered work, to be told to the other
-// fronts of the domain so that all move the boundary alike.
+// OfferedWork returns the work offered to this front, zero for an unknown pool or
+// domain. It is for the other fronts of the domain, so that all of them compute the
+// same boundary.
 func (v *View) OfferedWork(poolName, domain string, now time.Time) Work {
 	g := v.group(poolName, domain)
 	if g == nil {
 		return Work{}
 	}
-	g.boundary.fade(now, v.opts.WorkHalfLife)
+	g.boundary.decay(now, v.opts.WorkHalfLife)
 	return g.boundary.work
 }
 
-// ApplyPeerWork takes in the offered work that another front has told. Negative
-// and infinite work is ignored.
+// ApplyPeerWork records the work offered to another front, which that front has
+// reported. Work with a negative, infinite or NaN value is ignored.
 func (v *View) ApplyPeerWork(poolName, domain, host string, w Work, now time.Time) {
 	g := v.group(poolName, domain)
-	if g == nil || !w.sane() {
+	if g == nil || !w.valid() {
 		return
 	}
 	b := &g.boundary
@@ -104,7 +105,7 @@
 	b.peers = append(b.peers, peerWork{host: host, work: w, at: now})
 }
 
-func (w *Work) sane() bool {
+func (w *Work) valid() bool {
 	for _, tokens := range w {
 		if !(tokens >= 0) || math.IsInf(tokens, 1) {
 			return false
@@ -121,12 +122,13 @@
 	return p.groups[domain]
 }
 
-// total adds the peers' work to the own and drops what is too old.
+// total returns the sum of the front's own work and that of its peers. It removes
+// reports of peers that are too old.
 func (b *boundary) total(now time.Time) Work {
 	sum := b.work
 	kept := b.peers[:0]
 	for _, p := range b.peers {
-		if now.Sub(p.at) > peerWorkLife {
+		if now.Sub(p.at) > peerWorkMaxAge {
 			continue
 		}
 		kept = append(kept, p)
@@ -136,14 +138,14 @@
 	return sum
 }
 
-// LongPromptEngines returns how many live engines a domain has, and how many of them take
-// long prompts.
+// LongPromptEngines returns the number of live engines in a domain, and how many of
+// them accept long prompts.
 func (v *View) LongPromptEngines(poolName, domain string) (long, live int) {
 	g := v.group(poolName, domain)
 	if g == nil {
 		return 0, 0
 	}
-	g.rank()
+	g.rankLive()
 	for _, e := range g.live {
 		if e.limit() == anyLength {
 			long++
@@ -152,7 +154,7 @@
 	return long, len(g.live)
 }
 
-// limit returns the longest prompt that the engine takes, in tokens.
+// limit returns the longest prompt that the engine accepts, in tokens.
 func (e *Engine) limit() int {
 	limits := e.group.boundary.limits
 	if e.rank < 0 || e.rank >= len(limits) {
@@ -161,21 +163,21 @@
 	return limits[e.rank]
 }
 
-// refresh brings the ranks and the boundary up to date. The boundary moves at most
-// once in a dwell time, and only when the work has shifted by a good part of an
-// engine, unless engines have come or gone.
+// refresh updates the ranks and the boundary. The boundary is recomputed at most once
+// per BoundaryDwell, and only when the work has shifted by BoundaryMargin engines or
+// longFrom has changed. A change in the number of live engines recomputes it at once.
 func (g *group) refresh(o *Options, longFrom int, now time.Time) {
-	g.rank()
+	g.rankLive()
 	b := &g.boundary
 	if longFrom <= 0 {
-		longFrom = b.longFrom // an ask without separation leaves that of others
+		longFrom = b.longFrom // a request without length separation keeps the limits for others
 	}
 	resized := len(b.limits) != len(g.live)
-	if !resized && now.Sub(b.checked) < o.BoundaryDwell {
+	if !resized && now.Sub(b.checkedAt) < o.BoundaryDwell {
 		return
 	}
-	b.checked = now
-	b.fade(now, o.WorkHalfLife)
+	b.checkedAt = now
+	b.decay(now, o.WorkHalfLife)
 	work := b.total(now)
 	small := work.shareBelow(o.promoteBelow(longFrom))
 	b.promotes = small <= o.PromoteShare
@@ -190,8 +192,8 @@
 	b.longFrom = longFrom
 }
 
-// limits divides n engines by length. Without any work seen half of them take
-// long prompts.
+// limits returns the limits in tokens of n engines, by rank. Before any work was
+// offered, half of the engines accept long prompts.
 func limits(w *Work, n, longFrom int, o *Options) []int {
 	list := make([]int, n)
 	for i := range list {
@@ -214,10 +216,10 @@
 	return list
 }
 
-// lowerShare returns the share of the work for a share of the engines, those with
-// the lowest limits. They get less than their even part, because the same wait is
-// worse for a shorter prompt; but no more than UpperLoad times its even part is
-// left to the others.
+// lowerShare returns the share of the work for the given share of the engines, those
+// with the lowest limits. They get less than an even share, because the same wait is
+// worse for a shorter prompt; but the other engines get at most UpperLoad times their
+// even share.
 func lowerShare(engines float64, o *Options) float64 {
 	skewed := math.Pow(engines, o.ShortSkew)
 	return max(skewed, 1-o.UpperLoad*(1-engines))
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -6,128 +6,129 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// choose takes one of the engines with room, by the policy of the ask.
+// choose selects one of the engines with enough free memory, by the policy of the request.
 func (t *task) choose(d *Decision, s *estimator, g *group, c *candidates) {
 	top := newTop(t.rng)
 	var loser Reason
-	switch t.ask.Policy {
+	switch t.req.Policy {
 	case settings.PolicyRandom:
 		d.Reason, loser = ReasonRandom, ReasonNotDrawn
-		t.random(&top, s, c.room)
+		t.addRandom(&top, s, c.withMemory)
 	case settings.PolicyLeastLoaded, settings.PolicyLeastLoadedPriority:
 		d.Reason, loser = ReasonFewestRequests, ReasonMoreRequests
-		t.fewest(&top, s, c.room)
+		t.addFewestRequests(&top, s, c.withMemory)
 	default:
 		d.Reason, loser = ReasonEarliest, ReasonLater
-		t.earliest(&top, s, g, c)
+		t.addEarliest(&top, s, g, c)
 	}
 	d.Verdict = Placed
 	top.fill(d, loser)
-	t.explain(d, c)
+	t.setReason(d, c)
 	if s.missesDeadline(&d.Chosen.Estimate) {
-		t.lastChance(d, s, g, c)
+		t.recheckDeadline(d, s, g, c)
 	}
 }
 
-func (t *task) explain(d *Decision, c *candidates) {
+func (t *task) setReason(d *Decision, c *candidates) {
 	switch {
 	case c.relaxed:
 		d.Reason = ReasonBoundaryRelaxed
-	case len(c.room) == 1:
+	case len(c.withMemory) == 1:
 		d.Reason = ReasonOnly
 	case d.Reason == ReasonEarliest && d.Chosen.Estimate.Cached > 0:
 		d.Reason = ReasonPrefix
 	}
 }
 
-// lastChance looks at every engine before a request is refused for its deadline.
-// Only the policy that goes by estimates changes its choice.
-func (t *task) lastChance(d *Decision, s *estimator, g *group, c *candidates) {
+// recheckDeadline estimates all engines with enough free memory before a request is refused
+// for its deadline. When one of them can meet it, only the length-aware policy, which chooses
+// by estimates, changes its choice.
+func (t *task) recheckDeadline(d *Decision, s *estimator, g *group, c *candidates) {
 	top := newTop(t.rng)
-	for _, e := range c.room {
-		est := s.of(e)
+	for _, e := range c.withMemory {
+		est := s.estimate(e)
 		top.add(e, est, int64(est.Finish))
 	}
 	best := top.at(0)
 	if s.missesDeadline(&best.est) {
-		t.tooLate(d, s, g, best)
+		t.decideTooLate(d, s, g, best)
 		return
 	}
-	if t.ask.Policy == settings.PolicyLengthAware {
+	if t.req.Policy == settings.PolicyLengthAware {
 		top.fill(d, ReasonLater)
-		t.explain(d, c)
+		t.setReason(d, c)
 	}
 }
 
-func (t *task) random(top *topThree, s *estimator, room []*Engine) {
-	for _, e := range t.sample(room, topSize) {
-		top.add(e, s.of(e), 0)
+func (t *task) addRandom(top *topThree, s *estimator, engines []*Engine) {
+	for _, e := range t.sample(engines, topSize) {
+		top.add(e, s.estimate(e), 0)
 	}
 }
 
-func (t *task) fewest(top *topThree, s *estimator, room []*Engine) {
-	for _, e := range room {
+func (t *task) addFewestRequests(top *topThree, s *estimator, engines []*Engine) {
+	for _, e := range engines {
 		top.add(e, Estimate{}, int64(e.requests()))
 	}
 	for i := range top.n {
-		top.best[i].est = s.of(top.best[i].engine)
+		top.best[i].est = s.estimate(top.best[i].engine)
 	}
 }
 
-// earliest compares a few drawn engines, so that fronts with the same view do not
-// all take the same one, and those that have most of the prompt cached.
-func (t *task) earliest(top *topThree, s *estimator, g *group, c *candidates) {
+// addEarliest adds a few randomly sampled engines, so that fronts with the same view do not
+// all choose the same one, and those that have most of the prompt cached.
+func (t *task) addEarliest(top *topThree, s *estimator, g *group, c *candidates) {
 	samples := t.view.opts.Samples
-	near, far := t.divide(s, c.room)
-	for _, e := range t.sample(near, samples) {
-		t.offer(top, s, e)
+	similar, others := t.splitByLimit(s, c.withMemory)
+	for _, e := range t.sample(similar, samples) {
+		t.addCandidate(top, s, e)
 	}
-	for _, e := range t.sample(far, 1) {
-		t.offer(top, s, e)
+	for _, e := range t.sample(others, 1) {
+		t.addCandidate(top, s, e)
 	}
-	t.offerCached(top, s, g, c)
+	t.addCached(top, s, g, c)
 }
 
-func (t *task) offer(top *topThree, s *estimator, e *Engine) {
+func (t *task) addCandidate(top *topThree, s *estimator, e *Engine) {
 	if top.has(e) {
 		return
 	}
-	est := s.of(e)
+	est := s.estimate(e)
 	top.add(e, est, est.cost())
 }
 
-// divide splits the engines into those on which nothing much longer than the
-// prompt is met, and the rest. The order is that of the limits.
-func (t *task) divide(s *estimator, room []*Engine) (near, far []*Engine) {
+// splitByLimit splits the engines, which are in the order of their limits, into those that
+// accept nothing much longer than the prompt, and the rest.
+func (t *task) splitByLimit(s *estimator, engines []*Engine) (similar, others []*Engine) {
 	if s.class == Long || !t.separates() {
-		return room, nil
+		return engines, nil
 	}
-	longest := t.view.opts.SimilarRatio * float64(t.ask.Tokens)
-	n := min(t.view.opts.Samples, len(room))
-	for n < len(room) && float64(room[n].limit()) <= longest {
+	longest := t.view.opts.SimilarRatio * float64(t.req.Tokens)
+	n := min(t.view.opts.Samples, len(engines))
+	for n < len(engines) && float64(engines[n].limit()) <= longest {
 		n++
 	}
-	return room[:n], room[n:]
+	return engines[:n], engines[n:]
 }
 
-// mostHolders bounds the engines looked at for their cached prefix.
-const mostHolders = 32
+// maxPrefixHolders is the largest number of engines that are checked for their cached prefix.
+const maxPrefixHolders = 32
 
-// offerCached adds the engines that hold the longest part of the prompt.
-func (t *task) offerCached(top *topThree, s *estimator, g *group, c *candidates) {
+// addCached adds the engines that have the longest part of the prompt cached.
+func (t *task) addCached(top *topThree, s *estimator, g *group, c *candidates) {
 	looked, offered := 0, 0
-	for depth := s.prefix.depth; depth > 0 && looked < mostHolders; depth-- {
+	for depth := s.prefix.depth; depth > 0 && looked < maxPrefixHolders; depth-- {
 		holders := g.prefixes.holders[s.prefix.blocks[depth-1]]
 		start := t.rng.IntN(len(holders))
 		for i := range holders {
-			if looked == mostHolders || offered == t.view.opts.Samples {
+			if looked == maxPrefixHolders || offered == t.view.opts.Samples {
 				return
 			}
 			looked++
 			e := holders[(start+i)%len(holders)]
-			if t.mayTake(e, c) {
+			if t.isCandidate(e, c) {
 				offered++
-				t.offer(top, s, e)
+				t.addCandidate(top, s, e)
 			}
 		}
 		if offered > 0 {
@@ -136,16 +137,16 @@
 	}
 }
 
-// mayTake repeats the tests of candidates for one engine.
-func (t *task) mayTake(e *Engine, c *candidates) bool {
-	need := t.ask.MemoryNeeded()
-	if !t.able(e, c.state) || !t.holds(e, need) || !e.hasRoom(need) {
+// isCandidate reports whether findCandidates would have put the engine in withMemory.
+func (t *task) isCandidate(e *Engine, c *candidates) bool {
+	need := t.req.MemoryNeeded()
+	if !t.eligible(e, c.state) || !t.fitsEngine(e, need) || !e.hasFreeMemory(need) {
 		return false
 	}
-	return !t.separates() || c.relaxed || t.admits(e)
+	return !t.separates() || c.relaxed || t.withinLimit(e)
 }
 
-// sample draws n engines without repetition by moving them to the front.
+// sample selects n random engines without repetition and moves them to the head of from.
 func (t *task) sample(from []*Engine, n int) []*Engine {
 	n = min(n, len(from))
 	for i := range n {
@@ -155,12 +156,12 @@
 	return from[:n]
 }
 
-// scored is a candidate with its rank in the choice; the lowest score wins.
+// scored is a candidate with its score; the lowest score wins.
 type scored struct {
 	engine *Engine
 	est    Estimate
 	score  int64
-	tie    uint64 // random, so that equals are taken equally often
+	tie    uint64 // random, so that engines with equal scores are chosen equally often
 }
 
 func (x *scored) before(y *scored) bool {
@@ -181,10 +182,10 @@
 	}
 }
 
-// topSize is the chosen candidate and the two best rejected.
+// topSize counts the chosen candidate and the two best rejected ones.
 const topSize = 3
 
-// topThree keeps the best candidates in order.
+// topThree keeps the best candidates, ordered by score.
 type topThree struct {
 	best [topSize]scored
 	n    int
@@ -227,7 +228,8 @@
 	p.best[i] = x
 }
 
-// fill writes the candidates into the decision.
+// fill sets Chosen and Rejected of the decision. Rejected candidates get the reason loser, or
+// ReasonTie where the scores are equal.
 func (p *topThree) fill(d *Decision, loser Reason) {
 	d.Chosen = p.best[0].candidate("")
 	d.Rejected = [2]Candidate{}
--- a/internal/core/placement/engine.go
+++ b/internal/core/placement/engine.go
@@ -12,34 +12,34 @@
 
 const unranked = -1
 
-// Engine is one upstream as a front sees it. A plain service is one without
-// reports.
+// Engine is what a front knows of one upstream. For a server of a plain service there
+// are no load reports.
 type Engine struct {
 	spec  Spec
 	group *group
 	score uint64 // rendezvous hash
-	rank  int    // among the live ones of the group, from 0; else unranked. Limits rise with it
+	rank  int    // among the live engines of the group, from 0, in the order of rising limits; else unranked
 	state State
 
 	report   Report
 	reported bool
 
-	pending  []*flight // own placements that no report has shown yet
-	own      pendingSums
-	held     int64 // memory in tokens of own placements not finished
-	inFlight int   // own placements not finished
+	pending        []*flight // own placements that no report includes yet
+	pendingLoad    pendingLoad
+	inFlightMemory int64 // memory in tokens of own unfinished placements
+	inFlight       int   // number of own unfinished placements
 
 	prefillRate mean
 	decodeRate  mean
 
 	cacheIncarnation string
-	cacheNext        int64 // sequence number after the last event; zero before the first
+	cacheNext        int64 // sequence number of the next event; zero before the first
 	cached           blockSet
 }
 
-// pendingSums corrects the lag of the last report.
+// pendingLoad is the load of Engine.pending, which is missing from the last report.
 // Invariant: all zero when pending is empty.
-type pendingSums struct {
+type pendingLoad struct {
 	prefill  [request.NumPriorities]int64 // prompt tokens
 	memory   int64                        // tokens
 	requests int
@@ -52,16 +52,17 @@
 // Name returns the name of the upstream.
 func (e *Engine) Name() string { return e.spec.Name }
 
-// Address returns its IP:port.
+// Address returns the upstream's IP:port.
 func (e *Engine) Address() string { return e.spec.Address }
 
-// Domain returns its failure domain.
+// Domain returns the upstream's failure domain.
 func (e *Engine) Domain() string { return e.spec.Domain }
 
-// Pool returns the pool it belongs to.
+// Pool returns the upstream's pool.
 func (e *Engine) Pool() string { return e.group.pool }
 
-// State returns its state, Leaving also when only its report says so.
+// State returns the upstream's state. It is Leaving also when only the last report says
+// so, unless the upstream is dead.
 func (e *Engine) State() State {
 	if e.report.Leaving && e.state != Dead {
 		return Leaving
@@ -69,38 +70,39 @@
 	return e.state
 }
 
-// Report returns the last load report; ok is false before the first.
+// Report returns the last load report; ok is false when there is none.
 func (e *Engine) Report() (r Report, ok bool) { return e.report, e.reported }
 
-// InFlight returns the number of own placements not finished.
+// InFlight returns the number of the front's own unfinished placements.
 func (e *Engine) InFlight() int { return e.inFlight }
 
-// CachedBlocks returns the number of prefix blocks known to be cached.
+// CachedBlocks returns the number of prefix blocks known to be cached on the engine.
 func (e *Engine) CachedBlocks() int { return e.cached.len() }
 
-// UnreportedLoad returns the correction for the lag of the last report: own
-// placements, their prompt tokens not yet computed, and their memory in tokens.
+// UnreportedLoad returns the load of the front's own placements that the last report
+// does not include: their number, their prompt tokens not yet computed, and their
+// memory in tokens.
 func (e *Engine) UnreportedLoad() (requests int, prefill, memory int64) {
-	for _, n := range e.own.prefill {
+	for _, n := range e.pendingLoad.prefill {
 		prefill += n
 	}
-	return e.own.requests, prefill, e.own.memory
+	return e.pendingLoad.requests, prefill, e.pendingLoad.memory
 }
 
-// TakesLong reports whether the boundary lets long prompts on this engine. It is
-// as of the last placement.
+// TakesLong reports whether the boundary allows long prompts on the engine, as of the
+// last placement.
 func (e *Engine) TakesLong() bool {
-	e.group.rank()
+	e.group.rankLive()
 	return e.limit() == anyLength
 }
 
-func (e *Engine) accepts() bool {
+func (e *Engine) acceptsWork() bool {
 	return e.state == Live && !e.report.Leaving
 }
 
-// newer orders reports. A new incarnation starts its numbers afresh, so between
-// incarnations the time decides.
-func (e *Engine) newer(r *Report) bool {
+// isNewer reports whether r is newer than the last report. A new incarnation starts its
+// sequence numbers again, so between incarnations the time decides.
+func (e *Engine) isNewer(r *Report) bool {
 	if !e.reported {
 		return true
 	}
@@ -110,8 +112,9 @@
 	return r.Taken.After(e.report.Taken)
 }
 
-// restart forgets what died with the process behind the address.
-func (e *Engine) restart() {
+// reset clears the state that belongs to the engine's process: its cache, its report and
+// the correction of the report.
+func (e *Engine) reset() {
 	e.clearCache()
 	e.report = Report{}
 	e.reported = false
@@ -119,11 +122,11 @@
 		f.pending = false
 	}
 	e.pending = nil
-	e.own = pendingSums{}
+	e.pendingLoad = pendingLoad{}
 }
 
-// serves reports whether the engine has the model. Before its first report the
-// settings are believed.
+// serves reports whether the engine has the model. Without a list of models in its
+// report, it is assumed to have it, as the settings say.
 func (e *Engine) serves(model string) bool {
 	if model == "" || len(e.report.Models) == 0 {
 		return true
@@ -139,11 +142,11 @@
 	return false
 }
 
-// free returns the memory in tokens for new work. Own requests not finished are
-// a floor to what is used, as a report may count a growing request by its
-// present size.
+// free returns the memory in tokens for new work. The memory in use is at least that of
+// the front's own unfinished requests, because a report may count a growing request by
+// its current size.
 func (e *Engine) free() int64 {
-	used := max(e.report.MemoryUsed+e.own.memory, e.held)
+	used := max(e.report.MemoryUsed+e.pendingLoad.memory, e.inFlightMemory)
 	return e.report.MemoryTotal - used
 }
 
@@ -151,18 +154,18 @@
 	return e.report.MemoryTotal > 0
 }
 
-// hasRoom reports whether need tokens fit now; an engine of unknown memory is
-// given the benefit of the doubt.
-func (e *Engine) hasRoom(need int64) bool {
+// hasFreeMemory reports whether need tokens fit now. An engine of unknown memory is
+// assumed to have them.
+func (e *Engine) hasFreeMemory(need int64) bool {
 	return !e.knowsMemory() || need <= e.free()
 }
 
-// requests returns the requests on the engine as far as known.
+// requests returns the number of requests on the engine, as far as known.
 func (e *Engine) requests() int {
-	return e.report.Running + e.report.Queued + e.own.requests
+	return e.report.Running + e.report.Queued + e.pendingLoad.requests
 }
 
-func (e *Engine) prefill(o *Options, now time.Time) float64 {
+func (e *Engine) estimatePrefillRate(o *Options, now time.Time) float64 {
 	prior := e.report.PrefillRate
 	if !(prior > 0) {
 		prior = o.PrefillRate
@@ -170,7 +173,7 @@
 	return e.prefillRate.value(prior, now, o.RateHalfLife)
 }
 
-func (e *Engine) decode(o *Options, now time.Time) float64 {
+func (e *Engine) estimateDecodeRate(o *Options, now time.Time) float64 {
 	prior := e.report.DecodeRate
 	if !(prior > 0) {
 		prior = o.DecodeRate
@@ -178,8 +181,9 @@
 	return e.decodeRate.value(prior, now, o.RateHalfLife)
 }
 
-// ShortIncarnation returns the form of an engine's incarnation in reports. Load
-// reports come from engines and, shortened, from their owners; both must agree.
+// ShortIncarnation returns the short form of an engine's incarnation, used in reports.
+// Load reports come from engines and, with the short form, from their owners; the two
+// must match.
 func ShortIncarnation(incarnation string) string {
 	if incarnation == "" {
 		return ""
--- a/internal/core/placement/estimate.go
+++ b/internal/core/placement/estimate.go
@@ -7,21 +7,21 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// leastUrgent is the priority behind which all work counts.
-const leastUrgent = request.NumPriorities - 1
+// lowestPriority is the priority at which all work is ahead of a new request.
+const lowestPriority = request.NumPriorities - 1
 
 // queueAhead returns the prompt tokens that will be computed before a new request
-// of the priority: those of the report, less what has been worked off since, and
-// own placements that the report does not show.
+// of the priority: those in the report, less what has been computed since, plus
+// those of own placements that the report does not include.
 func (e *Engine) queueAhead(o *Options, p request.Priority, now time.Time) int64 {
 	ahead := e.reportedAhead(p)
 	if ahead > 0 {
 		age := min(max(now.Sub(e.report.Taken), 0), o.MaxDrain)
-		drained := e.prefill(o, now) * age.Seconds()
+		drained := e.estimatePrefillRate(o, now) * age.Seconds()
 		ahead = max(ahead-drained, 0)
 	}
 	sum := int64(ahead)
-	for _, tokens := range e.own.prefill[:p+1] {
+	for _, tokens := range e.pendingLoad.prefill[:p+1] {
 		sum += tokens
 	}
 	return sum
@@ -38,43 +38,43 @@
 	return float64(sum)
 }
 
-// prefixUse is the part of a prompt that some engine of the group has cached.
-type prefixUse struct {
+// cachedPrefix is the part of a prompt that some engine of the group has cached.
+type cachedPrefix struct {
 	blocks []uint64
-	depth  int // leading blocks worth looking up
+	depth  int // number of leading blocks that some engine has cached
 }
 
-// estimator works out the estimates of one ask in one group.
+// estimator computes the estimates of one request on the engines of one group.
 type estimator struct {
-	opts     *Options
-	ask      *Request
-	priority request.Priority // as sent; all work counts when the policy sends none
-	class    Class
-	now      time.Time
-	prefix   prefixUse
-	share    float64 // expected answer as a share of its bound
+	opts        *Options
+	req         *Request
+	priority    request.Priority // as sent to the engine; lowestPriority when the policy sends none
+	class       Class
+	now         time.Time
+	prefix      cachedPrefix
+	answerShare float64 // expected length of the answer as a share of MaxTokens
 }
 
-func (v *View) estimator(g *group, a *Request, p request.Priority, now time.Time) estimator {
+func (v *View) newEstimator(g *group, r *Request, p request.Priority, now time.Time) estimator {
 	share := v.opts.AnswerShare
-	if m := v.models[a.Model]; m != nil {
+	if m := v.models[r.Model]; m != nil {
 		share = m.answerShare.value(share, now, v.opts.RateHalfLife)
 	}
-	if !usesPriority(a.Policy) {
-		p = leastUrgent
+	if !usesPriority(r.Policy) {
+		p = lowestPriority
 	}
 	return estimator{
-		opts:     &v.opts,
-		ask:      a,
-		priority: p,
-		class:    ClassOf(a.Tokens, a.LongFrom),
-		now:      now,
-		prefix:   prefixUse{blocks: a.Prefix, depth: g.prefixes.depth(a.Prefix)},
-		share:    share,
+		opts:        &v.opts,
+		req:         r,
+		priority:    p,
+		class:       ClassOf(r.Tokens, r.LongFrom),
+		now:         now,
+		prefix:      cachedPrefix{blocks: r.Prefix, depth: g.prefixes.depth(r.Prefix)},
+		answerShare: share,
 	}
 }
 
-// defaultBlockTokens is the size of a prefix block before a report tells it.
+// defaultBlockTokens is the size in tokens of a prefix block when no report gives it.
 const defaultBlockTokens = 256
 
 func (s *estimator) cachedTokens(e *Engine) int {
@@ -87,83 +87,84 @@
 		size = defaultBlockTokens
 	}
 	// The last token is always computed.
-	return max(min(depth*size, s.ask.Tokens-1), 0)
+	return max(min(depth*size, s.req.Tokens-1), 0)
 }
 
-// of estimates the ask on one engine.
-func (s *estimator) of(e *Engine) Estimate {
-	rate := e.prefill(s.opts, s.now)
+// estimate returns the estimate of the request on one engine.
+func (s *estimator) estimate(e *Engine) Estimate {
+	rate := e.estimatePrefillRate(s.opts, s.now)
 	cached := s.cachedTokens(e)
 	ahead := e.queueAhead(s.opts, s.priority, s.now)
-	all := e.queueAhead(s.opts, leastUrgent, s.now)
+	all := e.queueAhead(s.opts, lowestPriority, s.now)
 	est := Estimate{
 		Cached:     cached,
-		Queue:      tokensTime(float64(ahead), rate),
-		LessUrgent: tokensTime(float64(all-ahead), rate),
-		Prefill:    tokensTime(float64(s.ask.Tokens-cached), rate),
+		Queue:      timeForTokens(float64(ahead), rate),
+		LessUrgent: timeForTokens(float64(all-ahead), rate),
+		Prefill:    timeForTokens(float64(s.req.Tokens-cached), rate),
 		MemoryWait: s.memoryWait(e),
 	}
 	if e.requests() > 0 {
 		est.Residual = max(e.report.Step, 0)
 	}
-	if all == 0 && s.mayMeetLonger(e) {
-		est.Unseen = tokensTime(float64(s.opts.StepTokens), rate)
+	if all == 0 && s.mayQueueBehindLonger(e) {
+		est.Unseen = timeForTokens(float64(s.opts.StepTokens), rate)
 	}
 	if e.reported {
 		est.Stale = min(max(s.now.Sub(e.report.Taken)-s.opts.StaleAfter, 0), maxWait)
 	}
 	est.FirstToken = est.Queue + est.Prefill + est.Residual + est.MemoryWait + est.Stale
-	answer := s.share * float64(s.ask.MaxTokens)
-	est.Finish = est.FirstToken + tokensTime(answer, e.decode(s.opts, s.now))
+	answer := s.answerShare * float64(s.req.MaxTokens)
+	est.Finish = est.FirstToken + timeForTokens(answer, e.estimateDecodeRate(s.opts, s.now))
 	return est
 }
 
-// mayMeetLonger reports whether the engine takes prompts so much longer than this
-// short one that meeting one costs a step of another's work. A prompt of middle
-// length is over before a report shows it, so an engine without known work counts
-// as idle only when it is kept for prompts of about this length.
-func (s *estimator) mayMeetLonger(e *Engine) bool {
-	if s.class == Long || s.ask.Policy != settings.PolicyLengthAware || s.ask.LongFrom <= 0 {
+// mayQueueBehindLonger reports whether the engine accepts prompts so much longer than
+// this short one that waiting behind one costs a step of its work. A prompt of medium
+// length finishes before a report includes it, so an engine without known work counts
+// as idle only when its limit is close to the length of this prompt.
+func (s *estimator) mayQueueBehindLonger(e *Engine) bool {
+	if s.class == Long || s.req.Policy != settings.PolicyLengthAware || s.req.LongFrom <= 0 {
 		return false
 	}
-	return float64(e.limit()) > s.opts.SimilarRatio*float64(s.ask.Tokens)
+	return float64(e.limit()) > s.opts.SimilarRatio*float64(s.req.Tokens)
 }
 
-// cost is what the choice goes by. An engine may finish a prompt that it has begun
-// before a more urgent one, so that less urgent work is better avoided, and so is
-// work that may have come since the report; but neither refuses a deadline.
+// cost is the score by which the length-aware policy chooses. An engine may finish a
+// prompt that it has begun before a more urgent one, so less urgent work counts, and so
+// does longer work that may have arrived since the report. Neither counts in the check
+// of the deadline.
 func (x *Estimate) cost() int64 {
 	return int64(x.FirstToken + x.LessUrgent + x.Unseen)
 }
 
-// memoryWait estimates how long it takes until enough memory is free: what is
-// used turns over once in the mean time for which a request holds it.
+// memoryWait estimates the time until enough memory is free. It assumes that the memory
+// in use is freed once in the mean time for which a request holds memory.
 func (s *estimator) memoryWait(e *Engine) time.Duration {
-	need := s.ask.MemoryNeeded()
-	if e.hasRoom(need) {
+	need := s.req.MemoryNeeded()
+	if e.hasFreeMemory(need) {
 		return 0
 	}
 	prior := s.opts.MemoryHoldTime.Seconds()
 	residence := e.group.residence.value(prior, s.now, s.opts.RateHalfLife)
 	used := e.report.MemoryTotal - e.free()
-	return tokensTime(float64(need-e.free()), float64(used)/max(residence, 0.001))
+	return timeForTokens(float64(need-e.free()), float64(used)/max(residence, 0.001))
 }
 
-// missesDeadline reports whether the answer is expected after the deadline.
+// missesDeadline reports whether the answer is expected to end after the deadline.
 func (s *estimator) missesDeadline(est *Estimate) bool {
-	d := s.ask.Deadline
+	d := s.req.Deadline
 	return !d.IsZero() && s.now.Add(est.Finish).After(d)
 }
 
-// backlog sums the work ahead of the ask over the live engines of the group.
+// backlog sums the work ahead of the request over the live engines of the group.
 func (s *estimator) backlog(g *group) Backlog {
 	var b Backlog
 	for _, e := range g.engines {
-		if !e.accepts() || !e.serves(s.ask.Model) {
+		if !e.acceptsWork() || !e.serves(s.req.Model) {
 			continue
 		}
 		b.Tokens += e.queueAhead(s.opts, s.priority, s.now)
-		b.Rate += e.prefill(s.opts, s.now)
+		b.Rate += e.estimatePrefillRate(s.opts, s.now)
 	}
 	return b
 }
--- a/internal/core/placement/experiment_test.go
+++ b/internal/core/placement/experiment_test.go
@@ -12,49 +12,49 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// The experiment is a queueing model in virtual time: fronts with a view each,
+// The experiment is a queueing model in virtual time: fronts, each with its own view,
 // and engines that compute one chunk of one prompt at a time, most urgent first,
-// hold memory until the answer ends, and report their load late.
+// hold memory until the answer ends, and report their load with a delay.
 const (
-	expRate      = 8000.0 // prompt tokens a second of an engine
-	expChunk     = 1024
-	expMemory    = 600_000
-	expMost      = 12_000                 // requests
-	expReports   = 500 * time.Millisecond // between two reports
-	expLag       = 300 * time.Millisecond // of a report
-	expGossip    = time.Second
-	expLongFrom  = 32_000
-	expLongShare = 0.02 // of the requests, above 100k tokens
+	expRate           = 8000.0 // prompt tokens a second of an engine
+	expChunk          = 1024
+	expMemory         = 600_000
+	expMaxRequests    = 12_000                 // requests
+	expReportInterval = 500 * time.Millisecond // between two reports
+	expReportDelay    = 300 * time.Millisecond // of a report
+	expShareInterval  = time.Second
+	expLongFrom       = 32_000
+	expLongShare      = 0.02 // of the requests, above 100k tokens
 )
 
-// expTime is short in every run of the tests; the figures of the design note come
-// from -args -experiment 1000s.
+// expTime is short by default to keep the tests fast; -args -experiment 1000s gives more
+// precise figures.
 var expTime = flag.Duration("experiment", 200*time.Second, "virtual time of a run of the experiment")
 
 type expJob struct {
-	id       ID
-	at       time.Time
-	tokens   int
-	answer   int
-	urgency  request.Priority // of the caller
-	priority request.Priority // as sent
-	left     int
-	first    time.Duration
-	done     bool
-	view     *View // of the front
+	id             ID
+	at             time.Time
+	tokens         int
+	answer         int
+	callerPriority request.Priority // of the caller
+	priority       request.Priority // as sent
+	left           int
+	first          time.Duration
+	done           bool
+	view           *View // of the front
 }
 
 // expCase is one way to run the same arrivals.
 type expCase struct {
-	name    string
-	policy  string
-	opts    Options
-	noLag   bool // without the correction for lagging reports
-	whole   bool // without length separation
-	wake    bool // the arrivals are many small prompts
-	engines int  // 24 when zero
-	fronts  int  // 8 when zero
-	keeps   bool // engines finish a prompt that they have begun
+	name          string
+	policy        string
+	opts          Options
+	noCorrection  bool // without the correction for lagging reports
+	noBoundary    bool // without length separation
+	burst         bool // the arrivals are many small prompts
+	engines       int  // 24 when zero
+	fronts        int  // 8 when zero
+	nonPreemptive bool // engines finish a prompt that they have begun
 }
 
 type expEvent struct {
@@ -125,14 +125,14 @@
 	for i, spec := range list {
 		e := &expEngine{sim: s, name: spec.Name}
 		s.servers[spec.Name] = e
-		s.after(expReports*time.Duration(i)/time.Duration(c.engines), e.report)
+		s.after(expReportInterval*time.Duration(i)/time.Duration(c.engines), e.report)
 	}
-	s.after(0, s.gossip)
+	s.after(0, s.shareWork)
 	return s
 }
 
-// gossip lets each front know the work offered to the others.
-func (s *expSim) gossip() {
+// shareWork sends each front the work offered to the others.
+func (s *expSim) shareWork() {
 	for i, from := range s.views {
 		w := from.OfferedWork("p", "a", s.now)
 		for k, to := range s.views {
@@ -142,7 +142,7 @@
 		}
 	}
 	if s.now.Before(s.end) {
-		s.after(expGossip, s.gossip)
+		s.after(expShareInterval, s.shareWork)
 	}
 }
 
@@ -161,8 +161,8 @@
 
 func (s *expSim) place(j *expJob) {
 	v := j.view
-	a := Request{Pool: "p", Domain: "a", Tokens: j.tokens, MaxTokens: j.answer, Priority: j.urgency, Policy: s.policy, LongFrom: expLongFrom}
-	if s.whole {
+	a := Request{Pool: "p", Domain: "a", Tokens: j.tokens, MaxTokens: j.answer, Priority: j.callerPriority, Policy: s.policy, LongFrom: expLongFrom}
+	if s.noBoundary {
 		a.LongFrom = 0
 	}
 	d, err := Place(v, a, s.now, s.rng)
@@ -176,18 +176,18 @@
 	j.priority = d.EnginePriority
 	v.NotePlaced(Placement{ID: j.id, Upstream: d.Chosen.Name, Priority: j.priority, Tokens: j.tokens, MaxTokens: j.answer}, s.now)
 	e := s.servers[d.Chosen.Name]
-	if s.noLag {
-		v.Engine(e.name).settle(s.now)
-		v.Engine(e.name).held = 0
+	if s.noCorrection {
+		v.Engine(e.name).removeReported(s.now)
+		v.Engine(e.name).inFlightMemory = 0
 	}
 	j.left = j.tokens
 	e.queue = append(e.queue, j)
 	e.step()
 }
 
-// next picks the prompt of the next chunk and gives it memory when it begins.
+// next returns the job of the next chunk, or nil, and allocates its memory when it begins.
 func (e *expEngine) next() *expJob {
-	if e.sim.keeps && e.current != nil {
+	if e.sim.nonPreemptive && e.current != nil {
 		return e.current
 	}
 	var best *expJob
@@ -260,12 +260,12 @@
 	for _, j := range e.queue {
 		r.QueuedPrefill += int64(j.left)
 	}
-	s.after(expLag, func() {
+	s.after(expReportDelay, func() {
 		for _, v := range s.views {
 			v.ApplyReport(e.name, r)
 		}
 	})
 	if s.now.Before(s.end) {
-		s.after(expReports, e.report)
+		s.after(expReportInterval, e.report)
 	}
 }
--- a/internal/core/placement/gang.go
+++ b/internal/core/placement/gang.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// gang decides on a request that no able engine can hold by itself. Members are
-// of one failure domain, because a front sends only to engines of its own.
-func (t *task) gang(d *Decision, g *group, able []*Engine) {
-	need := t.ask.MemoryNeeded()
-	if size := gangSize(able, need); size > 0 {
+// decideGang decides on a request that no eligible engine can hold by itself. The members
+// of a gang are in one failure domain, because a front sends only to engines of its own.
+func (t *task) decideGang(d *Decision, g *group, eligible []*Engine) {
+	need := t.req.MemoryNeeded()
+	if size := gangSize(eligible, need); size > 0 {
 		d.Verdict = NeedsGang
 		d.Reason = ReasonOverOneEngine
 		d.GangSize = size
@@ -27,13 +27,13 @@
 		d.MemoryLimit = limit
 	}
 	if d.Verdict == NoEngine {
-		s := t.view.estimator(g, t.ask, d.EnginePriority, t.now)
+		s := t.view.newEstimator(g, t.req, d.EnginePriority, t.now)
 		d.Backlog = s.backlog(g)
 	}
 }
 
-// gangSize returns the fewest engines that hold need tokens together, zero when
-// all of them do not.
+// gangSize returns the smallest number of engines whose memory adds up to need tokens, or
+// zero when all of them are too few.
 func gangSize(engines []*Engine, need int64) int {
 	sizes := make([]int64, len(engines))
 	for i, e := range engines {
@@ -50,11 +50,11 @@
 	return 0
 }
 
-// knownMemory sums the memory of all engines that could serve the model when they
-// are well. Unknown is true when one of them has not reported its memory.
+// knownMemory sums the memory in tokens of all engines that have the model, whatever their
+// state. unknown is true when one of them has not reported its memory.
 func (t *task) knownMemory(g *group) (sum int64, unknown bool) {
 	for _, e := range g.engines {
-		if !e.serves(t.ask.Model) {
+		if !e.serves(t.req.Model) {
 			continue
 		}
 		if !e.knowsMemory() {
--- a/internal/core/placement/index.go
+++ b/internal/core/placement/index.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// prefixIndex finds the engines of a group that have a block cached.
+// prefixIndex maps a block to the engines of a group that have it cached.
 type prefixIndex struct {
 	holders map[uint64][]*Engine
 }
@@ -24,7 +24,7 @@
 	x.holders[block] = left
 }
 
-// depth returns the number of leading blocks that some engine has cached.
+// depth returns the number of leading blocks that each are cached on some engine.
 func (x *prefixIndex) depth(blocks []uint64) int {
 	for i, b := range blocks {
 		if len(x.holders[b]) == 0 {
@@ -34,15 +34,15 @@
 	return len(blocks)
 }
 
-// blockSet holds the cached blocks of one engine, the oldest leaving first once
-// the bound is reached.
+// blockSet is the set of cached blocks of one engine, with the order in which they were last
+// added, so that the least recently added can be removed.
 type blockSet struct {
-	blocks map[uint64]uint64 // to its turn
-	order  []turn            // oldest first; entries of blocks gone or renewed are stale
-	turns  uint64
+	blocks map[uint64]uint64 // to the number of its last use
+	order  []use             // oldest first; those of removed or renewed blocks are stale
+	uses   uint64
 }
 
-type turn struct {
+type use struct {
 	block uint64
 	n     uint64
 }
@@ -54,15 +54,15 @@
 	return ok
 }
 
-// add stores or renews a block and reports whether it is new.
+// add adds or renews a block and reports whether it is new.
 func (s *blockSet) add(block uint64) bool {
 	if s.blocks == nil {
 		s.blocks = map[uint64]uint64{}
 	}
 	known := s.has(block)
-	s.turns++
-	s.blocks[block] = s.turns
-	s.order = append(s.order, turn{block: block, n: s.turns})
+	s.uses++
+	s.blocks[block] = s.uses
+	s.order = append(s.order, use{block: block, n: s.uses})
 	s.compact()
 	return !known
 }
@@ -75,8 +75,9 @@
 	return true
 }
 
-// oldest removes and returns the block that was stored or renewed first.
-func (s *blockSet) oldest() uint64 {
+// removeOldest removes and returns the block that was added or renewed the longest time ago.
+// The set must not be empty.
+func (s *blockSet) removeOldest() uint64 {
 	for {
 		t := s.order[0]
 		s.order = s.order[1:]
@@ -87,13 +88,14 @@
 	}
 }
 
-// compact keeps the order within a small multiple of the blocks.
+// compact removes stale entries from order when it has grown to more than about twice the
+// number of blocks.
 func (s *blockSet) compact() {
 	const slack = 64
 	if len(s.order) <= 2*len(s.blocks)+slack {
 		return
 	}
-	kept := make([]turn, 0, len(s.blocks))
+	kept := make([]use, 0, len(s.blocks))
 	for _, t := range s.order {
 		if s.blocks[t.block] == t.n {
 			kept = append(kept, t)
@@ -102,7 +104,8 @@
 	s.order = kept
 }
 
-// applyCacheEvent returns the number of events missed before this one.
+// applyCacheEvent applies an event and returns the number of events missed before it. bound is
+// the largest number of blocks to keep.
 func (e *Engine) applyCacheEvent(ev CacheEvent, bound int) (missed int64) {
 	if ev.Seq < e.cacheNext {
 		return 0
@@ -128,7 +131,7 @@
 	}
 	e.group.prefixes.add(block, e)
 	for e.cached.len() > bound {
-		e.group.prefixes.remove(e.cached.oldest(), e)
+		e.group.prefixes.remove(e.cached.removeOldest(), e)
 	}
 }
 
@@ -150,8 +153,8 @@
 	e.cacheNext = 0
 }
 
-// cachedDepth returns the number of leading blocks, at most limit, that the
-// engine has cached. A hole ends the usable prefix.
+// cachedDepth returns the number of leading blocks, at most limit, that the engine has
+// cached. The first missing block ends the usable prefix.
 func (e *Engine) cachedDepth(blocks []uint64, limit int) int {
 	for i, b := range blocks[:limit] {
 		if !e.cached.has(b) {
--- a/internal/core/placement/mean.go
+++ b/internal/core/placement/mean.go
@@ -6,7 +6,7 @@
 )
 
 // mean is an average of observations whose weight halves with every half-life.
-// As the weight fades, value returns to the prior, so that an engine which was
+// As the weight decays, value returns to the prior, so that an engine which was
 // slow once is tried again.
 type mean struct {
 	sum    float64
@@ -18,7 +18,7 @@
 	if !now.After(m.at) {
 		return
 	}
-	factor := fade(now.Sub(m.at), halfLife)
+	factor := decayFactor(now.Sub(m.at), halfLife)
 	m.sum *= factor
 	m.weight *= factor
 	m.at = now
@@ -30,26 +30,26 @@
 	m.weight++
 }
 
-// value weighs the observations against a prior that counts as one of them.
+// value returns the mean of the observations and a prior that counts as one of them.
 func (m *mean) value(prior float64, now time.Time, halfLife time.Duration) float64 {
 	if m.weight == 0 {
 		return prior
 	}
-	factor := fade(now.Sub(m.at), halfLife)
+	factor := decayFactor(now.Sub(m.at), halfLife)
 	return (m.sum*factor + prior) / (m.weight*factor + 1)
 }
 
-func fade(age, halfLife time.Duration) float64 {
+func decayFactor(age, halfLife time.Duration) float64 {
 	if age <= 0 {
 		return 1
 	}
 	return math.Exp2(-float64(age) / float64(halfLife))
 }
 
-// maxWait bounds times worked out from rates, so that sums cannot overflow.
+// maxWait limits times computed from rates, so that sums cannot overflow.
 const maxWait = 24 * time.Hour
 
-func tokensTime(tokens, rate float64) time.Duration {
+func timeForTokens(tokens, rate float64) time.Duration {
 	if tokens <= 0 {
 		return 0
 	}
--- a/internal/core/placement/members.go
+++ b/internal/core/placement/members.go
@@ -6,57 +6,57 @@
 	"time"
 )
 
-// GangMember is one engine of a gang with its part of the memory.
+// GangMember is one engine of a gang with its part of the request.
 type GangMember struct {
 	Name    string
 	Address string // IP:port
-	Tokens  int64  // to be reserved
+	Tokens  int64  // memory to be reserved
 	Prefill int    // prompt tokens of its part
 }
 
-// GangMembers chooses the engines of a gang for an ask that Place answered by
-// NeedsGang: of the fewest that hold it, those with the least work ahead, so that
-// the gang can start soon. The parts are equal as far as the engines' memory
-// allows. Nil means that the view no longer offers a gang.
-func GangMembers(v *View, a Request, now time.Time) []GangMember {
-	p := v.pools[a.Pool]
-	if p == nil || p.groups[a.Domain] == nil {
+// GangMembers chooses the engines of a gang for a request that Place answered with
+// NeedsGang. It takes the smallest number of engines that can hold the request, of those
+// the least used, so that the gang can start soon. The parts are equal as far as the
+// engines' memory allows. GangMembers returns nil when the engines no longer suffice.
+func GangMembers(v *View, r Request, now time.Time) []GangMember {
+	p := v.pools[r.Pool]
+	if p == nil || p.groups[r.Domain] == nil {
 		return nil
 	}
-	g := p.groups[a.Domain]
-	t := task{view: v, ask: &a, now: now}
-	var able []*Engine
+	g := p.groups[r.Domain]
+	t := task{view: v, req: &r, now: now}
+	var eligible []*Engine
 	for _, e := range g.engines {
-		if t.able(e, Live) && e.knowsMemory() {
-			able = append(able, e)
+		if t.eligible(e, Live) && e.knowsMemory() {
+			eligible = append(eligible, e)
 		}
 	}
-	size := gangSize(able, a.MemoryNeeded())
+	size := gangSize(eligible, r.MemoryNeeded())
 	if size == 0 {
 		return nil
 	}
-	return split(leastHeld(able, size, a.MemoryNeeded()), a)
+	return split(leastUsed(eligible, size, r.MemoryNeeded()), r)
 }
 
-// leastHeld returns size engines that hold need tokens together, the least used
-// first. When the least used are too small, larger ones take their place.
-func leastHeld(able []*Engine, size int, need int64) []*Engine {
-	slices.SortFunc(able, func(a, b *Engine) int {
+// leastUsed returns the size least used engines, or the size largest ones when the memory
+// of the least used does not add up to need tokens.
+func leastUsed(eligible []*Engine, size int, need int64) []*Engine {
+	slices.SortFunc(eligible, func(a, b *Engine) int {
 		return cmp.Or(cmp.Compare(a.memoryTaken(), b.memoryTaken()), byName(a, b))
 	})
-	chosen := slices.Clone(able[:size])
+	chosen := slices.Clone(eligible[:size])
 	if totalMemory(chosen) >= need {
 		return chosen
 	}
-	slices.SortFunc(able, func(a, b *Engine) int {
+	slices.SortFunc(eligible, func(a, b *Engine) int {
 		return cmp.Or(cmp.Compare(b.report.MemoryTotal, a.report.MemoryTotal), byName(a, b))
 	})
-	return able[:size]
+	return eligible[:size]
 }
 
-// memoryTaken returns the memory in use as far as is known here.
+// memoryTaken returns the memory in use in tokens, as far as known.
 func (e *Engine) memoryTaken() int64 {
-	return e.report.MemoryUsed + e.own.memory
+	return e.report.MemoryUsed + e.pendingLoad.memory
 }
 
 func totalMemory(engines []*Engine) (sum int64) {
@@ -66,13 +66,13 @@
 	return sum
 }
 
-// split gives each engine an equal part of what is left, the smallest engine
-// first, so that a part over an engine's memory moves to larger ones.
-func split(engines []*Engine, a Request) []GangMember {
+// split assigns each engine an equal part of the remaining tokens, the smallest engine
+// first, so that what exceeds an engine's memory moves to larger ones.
+func split(engines []*Engine, r Request) []GangMember {
 	slices.SortFunc(engines, func(a, b *Engine) int {
 		return cmp.Or(cmp.Compare(a.report.MemoryTotal, b.report.MemoryTotal), byName(a, b))
 	})
-	need := a.MemoryNeeded()
+	need := r.MemoryNeeded()
 	members := make([]GangMember, 0, len(engines))
 	for i, e := range engines {
 		left := int64(len(engines) - i)
@@ -82,7 +82,7 @@
 			Name:    e.spec.Name,
 			Address: e.spec.Address,
 			Tokens:  part,
-			Prefill: a.Tokens / len(engines),
+			Prefill: r.Tokens / len(engines),
 		})
 	}
 	slices.SortFunc(members, func(a, b GangMember) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/core/placement/members_test.go
+++ b/internal/core/placement/members_test.go
@@ -9,7 +9,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-func TestGangMembersHoldTheAsk(t *testing.T) {
+func TestGangMembersHoldTheRequest(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(31)
 	properties := gopter.NewProperties(params)
 	properties.Property("parts add up to the need and fit their engines", prop.ForAll(
--- a/internal/core/placement/options.go
+++ b/internal/core/placement/options.go
@@ -8,35 +8,35 @@
 
 // Options tunes a View. A zero field takes its default.
 type Options struct {
-	Samples int // candidates drawn for one placement, 3
+	Samples int // candidates sampled for one placement, 3
 
-	ReportSlack time.Duration // a report shows placements older than this at its time, 10 ms
+	ReportSlack time.Duration // a report includes placements that were at least this old when it was taken, 10 ms
 	StaleAfter  time.Duration // age from which a report is penalised, 3 s
-	MaxDrain    time.Duration // longest time for which work is assumed done since a report, 1 s
-	MaxFlight   time.Duration // a placement without a deadline is forgotten after it, 1 h
-	FlightGrace time.Duration // a placement is forgotten this long after its deadline, 30 s
+	MaxDrain    time.Duration // longest time since a report for which the engine is assumed to have worked, 1 s
+	MaxFlight   time.Duration // age at which Expire removes a placement without a deadline, 1 h
+	FlightGrace time.Duration // time after its deadline at which Expire removes a placement, 30 s
 
-	PrefillRate    float64       // tokens a second without report or observation, 4000
-	DecodeRate     float64       // tokens a second of one stream without either, 20
-	TokensPerByte  float64       // of a prompt, without observation, 0.25
-	AnswerShare    float64       // expected answer as a share of its bound, without observation, 0.25
-	MemoryHoldTime time.Duration // time for which a request holds memory, without observation, 10 s
-	StepTokens     int           // prompt tokens that an engine computes before it turns to another request, 2048
-	RateHalfLife   time.Duration // after it an observation counts half, 30 s
+	PrefillRate    float64       // prompt tokens per second without report or observation, 4000
+	DecodeRate     float64       // tokens per second of one stream without report or observation, 20
+	TokensPerByte  float64       // of a prompt, prior without observation, 0.25
+	AnswerShare    float64       // expected answer as a share of MaxTokens, prior without observation, 0.25
+	MemoryHoldTime time.Duration // time for which a request holds memory, prior without observation, 10 s
+	StepTokens     int           // prompt tokens that an engine computes before it switches to another request, 2048
+	RateHalfLife   time.Duration // half-life of the weight of an observation, 30 s
 
-	PrefixBlocks int // cached blocks kept for one engine, 2048
+	PrefixBlocks int // most cached blocks recorded for one engine, 2048
 
-	WorkHalfLife   time.Duration // of the offered work that moves the boundary, 20 s
-	ShortSkew      float64       // from 1 on: how much less the engines of the shortest work carry, 1.5
-	UpperLoad      float64       // from 1 on: most load of the engines of the longest work, against the mean, 1.15
-	LimitSlack     float64       // multiple of an engine's limit up to which short prompts are taken, 2
-	SimilarRatio   float64       // engines whose limit is at most this multiple of the prompt are drawn first, 4
-	LongSlack      float64       // multiple of the long length below which the first engine's limit always stays, 2
-	PromotePart    float64       // prompts below this part of the long length go before others, 0.125
-	PromoteShare   float64       // as long as they are at most this share of the work, 0.25
-	DemoteFrom     float64       // multiple of the long length from which prompts go after others, 4
-	BoundaryMargin float64       // engines by which the target must differ before it moves, 0.75
-	BoundaryDwell  time.Duration // least time between two moves, 2 s
+	WorkHalfLife   time.Duration // half-life of the offered work that sets the boundary, 20 s
+	ShortSkew      float64       // at least 1; the higher, the less work the engines for the shortest prompts get, 1.5
+	UpperLoad      float64       // at least 1; most load of the engines for the longest prompts as a multiple of the mean, 1.15
+	LimitSlack     float64       // multiple of an engine's limit up to which it accepts short prompts, 2
+	SimilarRatio   float64       // engines whose limit is at most this multiple of the prompt are sampled first, 4
+	LongSlack      float64       // the first engine's limit is below this multiple of LongFrom, 2
+	PromotePart    float64       // prompts shorter than this multiple of LongFrom are sent as urgent, 0.125
+	PromoteShare   float64       // and only while they are at most this share of the work, 0.25
+	DemoteFrom     float64       // prompts from this multiple of LongFrom are sent as bulk, 4
+	BoundaryMargin float64       // number of engines by which the work must shift before the boundary is recomputed, 0.75
+	BoundaryDwell  time.Duration // least time between two checks of the boundary, 2 s
 }
 
 func (o Options) withDefaults() Options {
@@ -68,12 +68,12 @@
 	return o
 }
 
-// demoteFrom returns the length from which prompts go after others.
+// demoteFrom returns the length in tokens from which prompts are sent as bulk.
 func (o *Options) demoteFrom(longFrom int) float64 {
 	return o.DemoteFrom * float64(longFrom)
 }
 
-// promoteBelow returns the length below which prompts go before others.
+// promoteBelow returns the length in tokens below which prompts may be sent as urgent.
 func (o *Options) promoteBelow(longFrom int) float64 {
 	return o.PromotePart * float64(longFrom)
 }
--- a/internal/core/placement/place.go
+++ b/internal/core/placement/place.go
@@ -11,30 +11,31 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// Errors of asks that no state of the view could answer.
+// Errors of requests that are invalid whatever the state of the view.
 var (
 	ErrUnknownPool    = merry.Sentinel("unknown pool")
 	ErrUnknownPolicy  = merry.Sentinel("unknown placement policy")
 	ErrNegativeTokens = merry.Sentinel("negative token count")
 )
 
-// Place decides where a request goes. It notes nothing: the caller answers with
-// NotePlaced when it sends the request. The error is one of this package's.
-func Place(v *View, a Request, now time.Time, rng *rand.Rand) (Decision, error) {
-	if a.Policy == "" {
-		a.Policy = settings.PolicyLengthAware
+// Place decides where a request is sent. It records nothing: the caller calls NotePlaced
+// when it sends the request. Place returns ErrUnknownPool, ErrUnknownPolicy or
+// ErrNegativeTokens.
+func Place(v *View, r Request, now time.Time, rng *rand.Rand) (Decision, error) {
+	if r.Policy == "" {
+		r.Policy = settings.PolicyLengthAware
 	}
-	if !knownPolicy(a.Policy) {
-		return Decision{}, merry.Wrap(ErrUnknownPolicy, merry.AppendMessage(a.Policy))
+	if !knownPolicy(r.Policy) {
+		return Decision{}, merry.Wrap(ErrUnknownPolicy, merry.AppendMessage(r.Policy))
 	}
-	if a.Tokens < 0 || a.MaxTokens < 0 {
+	if r.Tokens < 0 || r.MaxTokens < 0 {
 		return Decision{}, merry.Wrap(ErrNegativeTokens)
 	}
-	p := v.pools[a.Pool]
+	p := v.pools[r.Pool]
 	if p == nil {
-		return Decision{}, merry.Wrap(ErrUnknownPool, merry.AppendMessage(a.Pool))
+		return Decision{}, merry.Wrap(ErrUnknownPool, merry.AppendMessage(r.Pool))
 	}
-	t := task{view: v, ask: &a, now: now, rng: rng}
+	t := task{view: v, req: &r, now: now, rng: rng}
 	return t.place(p), nil
 }
 
@@ -52,42 +53,42 @@
 	return policy == settings.PolicyLeastLoadedPriority || policy == settings.PolicyLengthAware
 }
 
-// enginePriority returns the priority to send. Engines know three, which the
-// length-aware policy also uses to let the shortest prompts pass longer ones:
-// normal ones count as urgent while they are a small part of the work, and very
-// long ones as bulk. What is only somewhat long stays normal: behind all bulk work
-// it would wait longer than without any separation.
+// enginePriority returns the priority to send to the engine. Engines know three, which
+// the length-aware policy also uses to let the shortest prompts overtake longer ones:
+// of the normal requests, those with the shortest prompts are sent as urgent while they
+// are a small share of the work, and those with very long prompts as bulk. Moderately
+// long ones stay normal: as bulk they would wait longer than without any separation.
 func (t *task) enginePriority(g *group) request.Priority {
-	a := t.ask
-	if !usesPriority(a.Policy) {
+	r := t.req
+	if !usesPriority(r.Policy) {
 		return request.Normal
 	}
-	asked := min(a.Priority, leastUrgent)
+	asked := min(r.Priority, lowestPriority)
 	if asked != request.Normal || !t.separates() {
 		return asked
 	}
-	if float64(a.Tokens) >= t.view.opts.demoteFrom(a.LongFrom) {
+	if float64(r.Tokens) >= t.view.opts.demoteFrom(r.LongFrom) {
 		return request.Bulk
 	}
-	if g.boundary.promotes && float64(a.Tokens) < t.view.opts.promoteBelow(a.LongFrom) {
+	if g.boundary.promotes && float64(r.Tokens) < t.view.opts.promoteBelow(r.LongFrom) {
 		return request.Urgent
 	}
 	return asked
 }
 
-// task is one placement under way.
+// task is one call of Place.
 type task struct {
 	view *View
-	ask  *Request
+	req  *Request
 	now  time.Time
 	rng  *rand.Rand
 }
 
-// place tries the own domain, then, as far as the rule allows, the others, and
-// the own suspects last.
+// place tries the front's own domain, then other domains as far as the spill rule
+// allows, and last the suspect engines of the own domain.
 func (t *task) place(p *pool) Decision {
-	own := t.placeIn(p.groups[t.ask.Domain], Live)
-	if reason, ok := spillReason(t.ask.Spill, &own); ok {
+	own := t.placeIn(p.groups[t.req.Domain], Live)
+	if reason, ok := spillReason(t.req.Spill, &own); ok {
 		if d, ok := t.spill(p, reason); ok {
 			return d
 		}
@@ -95,7 +96,7 @@
 	if own.Verdict != NoEngine || own.Reason != ReasonNoneLive {
 		return own
 	}
-	suspects := t.placeIn(p.groups[t.ask.Domain], Suspect)
+	suspects := t.placeIn(p.groups[t.req.Domain], Suspect)
 	if suspects.Verdict == Placed {
 		suspects.Reason = ReasonSuspectOnly
 		return suspects
@@ -103,8 +104,8 @@
 	return own
 }
 
-// spillReason reports whether the rule lets a request, of which the own domain
-// said d, go to another failure domain.
+// spillReason reports whether the rule allows a request to spill to another failure
+// domain when d is the decision for its own domain.
 func spillReason(rule string, d *Decision) (Reason, bool) {
 	dead := d.Verdict == NoEngine && d.Reason == ReasonNoneLive
 	switch {
@@ -116,11 +117,11 @@
 	return ReasonSpillOverload, true
 }
 
-// spill finds the other domain with the earliest first token, or else one that
-// can gather a gang.
+// spill returns the decision for the other domain with the earliest first token, or else
+// for the first one that has the engines for a gang.
 func (t *task) spill(p *pool, reason Reason) (best Decision, found bool) {
-	for _, domain := range t.ask.SpillDomains {
-		if domain == t.ask.Domain {
+	for _, domain := range t.req.SpillDomains {
+		if domain == t.req.Domain {
 			continue
 		}
 		d := t.placeIn(p.groups[domain], Live)
@@ -146,132 +147,133 @@
 	return a.Chosen.Estimate.FirstToken < b.Chosen.Estimate.FirstToken
 }
 
-// placeIn decides among the engines of one domain that are in the state.
+// placeIn decides among the engines of one domain that are in the given state.
 func (t *task) placeIn(g *group, state State) Decision {
 	d := Decision{
 		Verdict:        NoEngine,
 		Reason:         ReasonNoneLive,
-		Class:          ClassOf(t.ask.Tokens, t.ask.LongFrom),
+		Class:          ClassOf(t.req.Tokens, t.req.LongFrom),
 		EnginePriority: request.Normal,
 	}
 	if g == nil {
 		return d
 	}
 	v := t.view
-	g.refresh(&v.opts, t.ask.LongFrom, t.now)
+	g.refresh(&v.opts, t.req.LongFrom, t.now)
 	d.EnginePriority = t.enginePriority(g)
-	s := v.estimator(g, t.ask, d.EnginePriority, t.now)
-	c := t.candidates(g, state)
+	s := v.newEstimator(g, t.req, d.EnginePriority, t.now)
+	c := t.findCandidates(g, state)
 	switch {
-	case len(c.able) == 0:
+	case len(c.eligible) == 0:
 		d.Backlog = s.backlog(g)
-	case len(c.fit) == 0:
-		t.gang(&d, g, c.able)
-	case len(c.room) == 0:
-		t.wait(&d, &s, g, c.fit)
+	case len(c.fitting) == 0:
+		t.decideGang(&d, g, c.eligible)
+	case len(c.withMemory) == 0:
+		t.decideWait(&d, &s, g, c.fitting)
 	default:
 		t.choose(&d, &s, g, &c)
 	}
 	return d
 }
 
-// candidates holds the engines of a group that passed each test in turn.
+// candidates holds the engines of a group that passed each successive test.
 type candidates struct {
-	state   State
-	able    []*Engine // in the state, with the model, not excluded
-	fit     []*Engine // big enough, and on the right side of the boundary
-	room    []*Engine // with enough free memory
-	relaxed bool      // no engine for long prompts was able, so the others are taken
+	state      State
+	eligible   []*Engine // in the state, with the model, not excluded
+	fitting    []*Engine // with enough total memory, and a limit that admits the prompt
+	withMemory []*Engine // with enough free memory
+	relaxed    bool      // no engine's limit admits the prompt, so limits are ignored
 }
 
-func (t *task) candidates(g *group, state State) candidates {
+func (t *task) findCandidates(g *group, state State) candidates {
 	v := t.view
-	need := t.ask.MemoryNeeded()
+	need := t.req.MemoryNeeded()
 	c := candidates{state: state}
-	c.able = v.able[:0]
-	c.fit = v.fit[:0]
-	for _, e := range g.inState(state) {
-		if !t.able(e, state) {
+	c.eligible = v.eligible[:0]
+	c.fitting = v.fitting[:0]
+	for _, e := range g.enginesInState(state) {
+		if !t.eligible(e, state) {
 			continue
 		}
-		c.able = append(c.able, e)
-		if t.holds(e, need) {
-			c.fit = append(c.fit, e)
+		c.eligible = append(c.eligible, e)
+		if t.fitsEngine(e, need) {
+			c.fitting = append(c.fitting, e)
 		}
 	}
-	v.able, v.fit = c.able, c.fit
-	c.fit, c.relaxed = t.bounded(c.fit)
-	c.room = v.room[:0]
-	for _, e := range c.fit {
-		if e.hasRoom(need) {
-			c.room = append(c.room, e)
+	v.eligible, v.fitting = c.eligible, c.fitting
+	c.fitting, c.relaxed = t.applyBoundary(c.fitting)
+	c.withMemory = v.withMemory[:0]
+	for _, e := range c.fitting {
+		if e.hasFreeMemory(need) {
+			c.withMemory = append(c.withMemory, e)
 		}
 	}
-	v.room = c.room
+	v.withMemory = c.withMemory
 	return c
 }
 
-func (t *task) able(e *Engine, state State) bool {
+func (t *task) eligible(e *Engine, state State) bool {
 	if e.state != state || e.report.Leaving {
 		return false
 	}
-	if !e.serves(t.ask.Model) {
+	if !e.serves(t.req.Model) {
 		return false
 	}
-	return len(t.ask.Exclude) == 0 || !slices.Contains(t.ask.Exclude, e.spec.Name)
+	return len(t.req.Exclude) == 0 || !slices.Contains(t.req.Exclude, e.spec.Name)
 }
 
-// holds reports whether the engine's whole memory is enough. Long prompts go only
-// where that is known.
-func (t *task) holds(e *Engine, need int64) bool {
+// fitsEngine reports whether the engine's total memory is at least need tokens. When it
+// is unknown, only short prompts fit.
+func (t *task) fitsEngine(e *Engine, need int64) bool {
 	if e.knowsMemory() {
 		return need <= e.report.MemoryTotal
 	}
-	return ClassOf(t.ask.Tokens, t.ask.LongFrom) == Short
+	return ClassOf(t.req.Tokens, t.req.LongFrom) == Short
 }
 
-// bounded leaves a prompt only the engines whose limit admits it, as long as one
-// of them is able.
-func (t *task) bounded(fit []*Engine) (kept []*Engine, relaxed bool) {
-	if !t.separates() || len(fit) == 0 {
-		return fit, false
+// applyBoundary returns the engines whose limit admits the prompt. When there is none it
+// returns all of them, and relaxed is true.
+func (t *task) applyBoundary(engines []*Engine) (kept []*Engine, relaxed bool) {
+	if !t.separates() || len(engines) == 0 {
+		return engines, false
 	}
 	n := 0
-	for i, e := range fit {
-		if t.admits(e) {
-			fit[i], fit[n] = fit[n], e
+	for i, e := range engines {
+		if t.withinLimit(e) {
+			engines[i], engines[n] = engines[n], e
 			n++
 		}
 	}
 	if n == 0 {
-		return fit, true
+		return engines, true
 	}
-	return fit[:n], false
+	return engines[:n], false
 }
 
 func (t *task) separates() bool {
-	return t.ask.Policy == settings.PolicyLengthAware && t.ask.LongFrom > 0
+	return t.req.Policy == settings.PolicyLengthAware && t.req.LongFrom > 0
 }
 
-// admits compares the prompt with the limit of the engine. A short prompt may be
-// somewhat over it: among prompts of nearly one length a strict limit would only
-// divide the engines.
-func (t *task) admits(e *Engine) bool {
+// withinLimit reports whether the limit of the engine admits the prompt. A short prompt
+// may exceed it by LimitSlack: among prompts of similar lengths a strict limit would only
+// partition the engines.
+func (t *task) withinLimit(e *Engine) bool {
 	limit := e.limit()
 	if limit == anyLength {
 		return true
 	}
-	if ClassOf(t.ask.Tokens, t.ask.LongFrom) == Long {
-		return t.ask.Tokens <= limit
+	if ClassOf(t.req.Tokens, t.req.LongFrom) == Long {
+		return t.req.Tokens <= limit
 	}
-	return float64(t.ask.Tokens) <= float64(limit)*t.view.opts.LimitSlack
+	return float64(t.req.Tokens) <= float64(limit)*t.view.opts.LimitSlack
 }
 
-// wait names the engine that is expected to have the memory first.
-func (t *task) wait(d *Decision, s *estimator, g *group, fit []*Engine) {
+// decideWait chooses the engine with the earliest expected first token, including the wait
+// for its memory. It refuses a request that would miss its deadline even without that wait.
+func (t *task) decideWait(d *Decision, s *estimator, g *group, engines []*Engine) {
 	top := newTop(t.rng)
-	for _, e := range fit {
-		est := s.of(e)
+	for _, e := range engines {
+		est := s.estimate(e)
 		top.add(e, est, est.cost())
 	}
 	best := top.at(0)
@@ -280,15 +282,15 @@
 	d.Backlog = s.backlog(g)
 	d.Earliest = t.now.Add(best.est.MemoryWait)
 	top.fill(d, ReasonLater)
-	// The wait for memory is a rough guess, so it refuses nobody.
+	// The wait for memory is only a rough estimate, so no request is refused for it.
 	rest := best.est
 	rest.Finish -= rest.MemoryWait
 	if s.missesDeadline(&rest) {
-		t.tooLate(d, s, g, best)
+		t.decideTooLate(d, s, g, best)
 	}
 }
 
-func (t *task) tooLate(d *Decision, s *estimator, g *group, best *scored) {
+func (t *task) decideTooLate(d *Decision, s *estimator, g *group, best *scored) {
 	d.Verdict = TooLate
 	d.Reason = ReasonDeadline
 	d.Chosen = Candidate{}
--- a/internal/core/placement/place_test.go
+++ b/internal/core/placement/place_test.go
@@ -43,7 +43,7 @@
 	return v
 }
 
-func testAsk() Request {
+func testRequest() Request {
 	return Request{Pool: "p", Model: "m", Domain: "a", Tokens: 1000, MaxTokens: 100, Priority: request.Normal, LongFrom: 20_000}
 }
 
@@ -51,38 +51,38 @@
 	tests := []struct {
 		name    string
 		setup   func(v *View)
-		ask     func(a *Request)
+		edit    func(a *Request)
 		verdict Verdict
 		reason  Reason
 	}{
 		{name: "idle", verdict: Placed, reason: ReasonEarliest},
-		{name: "random", ask: func(a *Request) { a.Policy = settings.PolicyRandom }, verdict: Placed, reason: ReasonRandom},
-		{name: "fewest", ask: func(a *Request) { a.Policy = settings.PolicyLeastLoaded }, verdict: Placed, reason: ReasonFewestRequests},
-		{name: "one left", ask: func(a *Request) { a.Exclude = []string{"a-000", "a-001"} }, verdict: Placed, reason: ReasonOnly},
-		{name: "all excluded", ask: func(a *Request) { a.Exclude = []string{"a-000", "a-001", "a-002"} }, verdict: NoEngine, reason: ReasonNoneLive},
-		{name: "unknown model", ask: func(a *Request) { a.Model = "x" }, verdict: NoEngine, reason: ReasonNoneLive},
-		{name: "model with version", ask: func(a *Request) { a.Model = "other" }, verdict: Placed, reason: ReasonEarliest},
-		{name: "foreign domain", ask: func(a *Request) { a.Domain = "b" }, verdict: NoEngine, reason: ReasonNoneLive},
+		{name: "random", edit: func(a *Request) { a.Policy = settings.PolicyRandom }, verdict: Placed, reason: ReasonRandom},
+		{name: "fewest", edit: func(a *Request) { a.Policy = settings.PolicyLeastLoaded }, verdict: Placed, reason: ReasonFewestRequests},
+		{name: "one left", edit: func(a *Request) { a.Exclude = []string{"a-000", "a-001"} }, verdict: Placed, reason: ReasonOnly},
+		{name: "all excluded", edit: func(a *Request) { a.Exclude = []string{"a-000", "a-001", "a-002"} }, verdict: NoEngine, reason: ReasonNoneLive},
+		{name: "unknown model", edit: func(a *Request) { a.Model = "x" }, verdict: NoEngine, reason: ReasonNoneLive},
+		{name: "model with version", edit: func(a *Request) { a.Model = "other" }, verdict: Placed, reason: ReasonEarliest},
+		{name: "foreign domain", edit: func(a *Request) { a.Domain = "b" }, verdict: NoEngine, reason: ReasonNoneLive},
 		{name: "all suspect", setup: setAll(Suspect), verdict: Placed, reason: ReasonSuspectOnly},
 		{name: "all leaving", setup: setAll(Leaving), verdict: NoEngine, reason: ReasonNoneLive},
-		{name: "long", ask: func(a *Request) { a.Tokens = 50_000 }, verdict: Placed, reason: ReasonEarliest},
-		{name: "gang", ask: func(a *Request) { a.Tokens = 250_000 }, verdict: NeedsGang, reason: ReasonOverOneEngine},
-		{name: "gang short of engines", setup: func(v *View) { v.SetState("a-000", Leaving) }, ask: func(a *Request) { a.Tokens = 250_000 }, verdict: NoEngine, reason: ReasonGangEnginesMissing},
-		{name: "never", ask: func(a *Request) { a.Tokens = 5_000_000 }, verdict: NeverPossible, reason: ReasonOverPool},
-		{name: "never unless unknown", setup: func(v *View) { v.SetState("a-001", Dead) }, ask: func(a *Request) { a.Tokens = 5_000_000 }, verdict: NoEngine, reason: ReasonMemoryUnknown},
-		{name: "too late", ask: func(a *Request) { a.Deadline = t0.Add(20 * time.Millisecond) }, verdict: TooLate, reason: ReasonDeadline},
+		{name: "long", edit: func(a *Request) { a.Tokens = 50_000 }, verdict: Placed, reason: ReasonEarliest},
+		{name: "gang", edit: func(a *Request) { a.Tokens = 250_000 }, verdict: NeedsGang, reason: ReasonOverOneEngine},
+		{name: "gang short of engines", setup: func(v *View) { v.SetState("a-000", Leaving) }, edit: func(a *Request) { a.Tokens = 250_000 }, verdict: NoEngine, reason: ReasonGangEnginesMissing},
+		{name: "never", edit: func(a *Request) { a.Tokens = 5_000_000 }, verdict: NeverPossible, reason: ReasonOverPool},
+		{name: "never unless unknown", setup: func(v *View) { v.SetState("a-001", Dead) }, edit: func(a *Request) { a.Tokens = 5_000_000 }, verdict: NoEngine, reason: ReasonMemoryUnknown},
+		{name: "too late", edit: func(a *Request) { a.Deadline = t0.Add(20 * time.Millisecond) }, verdict: TooLate, reason: ReasonDeadline},
 		{name: "memory full", setup: fillAll, verdict: WaitMemory, reason: ReasonMemoryFull},
-		{name: "memory full and late", setup: fillAll, ask: func(a *Request) { a.Deadline = t0.Add(time.Millisecond) }, verdict: TooLate, reason: ReasonDeadline},
+		{name: "memory full and late", setup: fillAll, edit: func(a *Request) { a.Deadline = t0.Add(time.Millisecond) }, verdict: TooLate, reason: ReasonDeadline},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			v := newTestView(3)
-			a := testAsk()
+			a := testRequest()
 			if tt.setup != nil {
 				tt.setup(v)
 			}
-			if tt.ask != nil {
-				tt.ask(&a)
+			if tt.edit != nil {
+				tt.edit(&a)
 			}
 			d, err := Place(v, a, t0, newRand(1))
 			if err != nil {
@@ -135,7 +135,7 @@
 func TestPlaceErrors(t *testing.T) {
 	v := newTestView(1)
 	tests := []struct {
-		ask  Request
+		req  Request
 		want error
 	}{
 		{Request{Pool: "nowhere"}, ErrUnknownPool},
@@ -143,8 +143,8 @@
 		{Request{Pool: "p", Tokens: -1}, ErrNegativeTokens},
 	}
 	for _, tt := range tests {
-		if _, err := Place(v, tt.ask, t0, newRand(1)); !errors.Is(err, tt.want) {
-			t.Errorf("%+v: got %v, want %v", tt.ask, err, tt.want)
+		if _, err := Place(v, tt.req, t0, newRand(1)); !errors.Is(err, tt.want) {
+			t.Errorf("%+v: got %v, want %v", tt.req, err, tt.want)
 		}
 	}
 }
--- a/internal/core/placement/property_test.go
+++ b/internal/core/placement/property_test.go
@@ -16,7 +16,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// check runs a property on many seeds; an empty answer is a pass.
+// check runs a property on many seeds. f returns an empty string for a pass, else what failed.
 func check(t *testing.T, name string, f func(rng *rand.Rand) string) {
 	t.Helper()
 	params := gopter.DefaultTestParametersWithSeed(42)
@@ -28,8 +28,8 @@
 
 var policies = []string{settings.PolicyRandom, settings.PolicyLeastLoaded, settings.PolicyLeastLoadedPriority, settings.PolicyLengthAware}
 
-// randomSteps puts a view through inputs of all kinds, some of them wrong, and
-// returns the attempts that were noted and the time reached.
+// randomSteps applies random inputs of all kinds to a view, some of them invalid, and
+// returns the attempts that were recorded and the time after the last step.
 func randomSteps(v *View, rng *rand.Rand, steps int) (noted []ID, now time.Time) {
 	now = t0
 	for i := range steps {
@@ -64,14 +64,14 @@
 	return noted, now
 }
 
-func TestPropertyChosenMayTakeIt(t *testing.T) {
+func TestPropertyChosenEngineIsAllowed(t *testing.T) {
 	check(t, "the chosen engine is live, allowed and has the memory", func(rng *rand.Rand) string {
 		v := newTestView(6)
 		_, now := randomSteps(v, rng, 60)
 		if rng.IntN(4) == 0 {
 			setAll(Suspect)(v)
 		}
-		a := testAsk()
+		a := testRequest()
 		a.Tokens = rng.IntN(90_000)
 		a.Policy = policies[rng.IntN(len(policies))]
 		a.Prefix = []uint64{rng.Uint64N(9), rng.Uint64N(9)}
@@ -97,8 +97,8 @@
 	})
 }
 
-func TestPropertyBooksReturnToZero(t *testing.T) {
-	check(t, "nothing is left of finished attempts, and the index matches the engines", func(rng *rand.Rand) string {
+func TestPropertyAccountsReturnToZero(t *testing.T) {
+	check(t, "finished attempts leave no load, and the prefix index matches the engines", func(rng *rand.Rand) string {
 		v := newTestView(6)
 		v.opts.PrefixBlocks = 5
 		noted, now := randomSteps(v, rng, 80)
@@ -118,8 +118,8 @@
 			if e.CachedBlocks() > v.opts.PrefixBlocks {
 				return fmt.Sprint(e.CachedBlocks(), " blocks")
 			}
-			if e.own != (pendingSums{}) || len(e.pending) != 0 || e.held != 0 || e.InFlight() != 0 {
-				return fmt.Sprintf("%s: %+v, held %d, in flight %d", e.Name(), e.own, e.held, e.inFlight)
+			if e.pendingLoad != (pendingLoad{}) || len(e.pending) != 0 || e.inFlightMemory != 0 || e.InFlight() != 0 {
+				return fmt.Sprintf("%s: %+v, held %d, in flight %d", e.Name(), e.pendingLoad, e.inFlightMemory, e.inFlight)
 			}
 		}
 		if indexed != 0 || len(v.flights) != 0 {
@@ -130,7 +130,7 @@
 }
 
 func TestPropertyBoundaryKeepsBothClasses(t *testing.T) {
-	check(t, "limits rise, the first stays short, the last is open", func(rng *rand.Rand) string {
+	check(t, "limits rise, the first is short, the last is unlimited", func(rng *rand.Rand) string {
 		var w Work
 		for i := range rng.IntN(NumBands + 1) {
 			w[i] = math.Floor(rng.ExpFloat64() * float64(rng.IntN(3)) * 1e6)
@@ -152,7 +152,7 @@
 		for i, q := range []int64{queued, queued + 1 + rng.Int64N(100_000)} {
 			v := newTestView(1)
 			v.ApplyReport("a-000", report(2, q))
-			a := testAsk()
+			a := testRequest()
 			a.Priority = request.Priority(queued % 3)
 			d, _ := Place(v, a, t0.Add(time.Duration(queued%5000)*time.Millisecond), rng)
 			first[i] = d.Chosen.Estimate.FirstToken
--- a/internal/core/placement/service.go
+++ b/internal/core/placement/service.go
@@ -13,30 +13,30 @@
 	Pool         string
 	Domain       string   // failure domain of the front
 	Exclude      []string // upstreams that earlier attempts have ruled out
-	Spill        string   // as in Ask
-	SpillDomains []string // as in Ask
+	Spill        string   // as in Request
+	SpillDomains []string // as in Request
 }
 
-// PlaceService chooses a server of a plain service: the one with fewer own calls
-// in flight among two live ones drawn in the own domain. Overload of a service is
-// not known here, so that any rule but never spills only when none is live.
-// The verdict is Placed or NoEngine.
-func PlaceService(v *View, a ServiceRequest, _ time.Time, rng *rand.Rand) (Decision, error) {
-	p := v.pools[a.Pool]
+// PlaceService chooses a server of a plain service: of two random live servers in the
+// front's own domain, the one with fewer of the front's own calls in flight. The overload
+// of a service is unknown here, so any rule other than never spills only when no server
+// is live. The verdict is Placed or NoEngine. The error is ErrUnknownPool.
+func PlaceService(v *View, r ServiceRequest, _ time.Time, rng *rand.Rand) (Decision, error) {
+	p := v.pools[r.Pool]
 	if p == nil {
-		return Decision{}, merry.Wrap(ErrUnknownPool, merry.AppendMessage(a.Pool))
+		return Decision{}, merry.Wrap(ErrUnknownPool, merry.AppendMessage(r.Pool))
 	}
-	t := serviceTask{view: v, ask: &a, rng: rng}
-	d := t.placeIn(p.groups[a.Domain], Live)
+	t := serviceTask{view: v, req: &r, rng: rng}
+	d := t.placeIn(p.groups[r.Domain], Live)
 	if d.Verdict == Placed {
 		return d, nil
 	}
-	if reason, ok := spillReason(a.Spill, &d); ok {
+	if reason, ok := spillReason(r.Spill, &d); ok {
 		if s, ok := t.spill(p, reason); ok {
 			return s, nil
 		}
 	}
-	suspects := t.placeIn(p.groups[a.Domain], Suspect)
+	suspects := t.placeIn(p.groups[r.Domain], Suspect)
 	if suspects.Verdict == Placed {
 		suspects.Reason = ReasonSuspectOnly
 		return suspects, nil
@@ -46,46 +46,46 @@
 
 type serviceTask struct {
 	view *View
-	ask  *ServiceRequest
+	req  *ServiceRequest
 	rng  *rand.Rand
 }
 
-// servicesDrawn is enough to keep the longest queue short, by the power of two
-// choices.
-const servicesDrawn = 2
+// sampledServers is the number of servers compared: two keep the longest queue short
+// ("power of two choices").
+const sampledServers = 2
 
 func (t *serviceTask) placeIn(g *group, state State) Decision {
 	d := Decision{Verdict: NoEngine, Reason: ReasonNoneLive}
 	if g == nil {
 		return d
 	}
-	able := t.view.able[:0]
+	eligible := t.view.eligible[:0]
 	for _, e := range g.engines {
-		if e.state == state && !slices.Contains(t.ask.Exclude, e.spec.Name) {
-			able = append(able, e)
+		if e.state == state && !slices.Contains(t.req.Exclude, e.spec.Name) {
+			eligible = append(eligible, e)
 		}
 	}
-	t.view.able = able
-	if len(able) == 0 {
+	t.view.eligible = eligible
+	if len(eligible) == 0 {
 		return d
 	}
 	draw := task{rng: t.rng}
 	top := newTop(t.rng)
-	for _, e := range draw.sample(able, servicesDrawn) {
+	for _, e := range draw.sample(eligible, sampledServers) {
 		top.add(e, Estimate{}, int64(e.inFlight))
 	}
 	d.Verdict = Placed
 	d.Reason = ReasonFewerInFlight
 	top.fill(&d, ReasonMoreRequests)
-	if len(able) == 1 {
+	if len(eligible) == 1 {
 		d.Reason = ReasonOnly
 	}
 	return d
 }
 
 func (t *serviceTask) spill(p *pool, reason Reason) (Decision, bool) {
-	for _, domain := range t.ask.SpillDomains {
-		if domain == t.ask.Domain {
+	for _, domain := range t.req.SpillDomains {
+		if domain == t.req.Domain {
 			continue
 		}
 		d := t.placeIn(p.groups[domain], Live)
--- a/internal/core/placement/service_time.go
+++ b/internal/core/placement/service_time.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// mostAsked bounds the engines looked at for a ServiceTime.
-const mostAsked = 8
+// maxEnginesConsidered is the largest number of engines that MinServiceTime compares.
+const maxEnginesConsidered = 8
 
-// MinServiceTime returns the least time that a request takes on an engine of its
-// failure domain from its start to its end, when nothing is ahead of it: its prefill
-// without any cache, and its expected answer. It is zero when no engine is live.
-func MinServiceTime(v *View, a Request, now time.Time) time.Duration {
-	g := v.group(a.Pool, a.Domain)
+// MinServiceTime returns the least time that a request takes on a live engine of its
+// failure domain when no work is ahead of it: its prefill without cached tokens plus its
+// expected answer. It compares at most maxEnginesConsidered engines, and is zero when no
+// engine is live.
+func MinServiceTime(v *View, r Request, now time.Time) time.Duration {
+	g := v.group(r.Pool, r.Domain)
 	if g == nil {
 		return 0
 	}
-	g.rank()
-	s := v.estimator(g, &a, leastUrgent, now)
+	g.rankLive()
+	s := v.newEstimator(g, &r, lowestPriority, now)
 	var least time.Duration
 	for i, e := range g.live {
-		if i == mostAsked {
+		if i == maxEnginesConsidered {
 			break
 		}
-		answer := s.share * float64(a.MaxTokens)
-		took := tokensTime(float64(a.Tokens), e.prefill(s.opts, now)) + tokensTime(answer, e.decode(s.opts, now))
+		answer := s.answerShare * float64(r.MaxTokens)
+		took := timeForTokens(float64(r.Tokens), e.estimatePrefillRate(s.opts, now)) + timeForTokens(answer, e.estimateDecodeRate(s.opts, now))
 		if least == 0 || took < least {
 			least = took
 		}
--- a/internal/core/placement/service_time_test.go
+++ b/internal/core/placement/service_time_test.go
@@ -6,17 +6,17 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// TestServiceTimeIsThatOfAFreeEngine: it is prefill and expected answer at the
-// fastest engine's rates, whatever waits there.
-func TestServiceTimeIsThatOfAFreeEngine(t *testing.T) {
+// TestMinServiceTimeIsThatOfAnIdleEngine expects prefill plus answer at the rates of the
+// fastest engine, whatever its queue.
+func TestMinServiceTimeIsThatOfAnIdleEngine(t *testing.T) {
 	v := newTestView(2)
 	for i, e := range v.Engines("p") {
 		r := report(2, 0)
 		r.PrefillRate, r.DecodeRate, r.QueuedPrefill = float64(1000*(i+1)), 50, 1e6
 		v.ApplyReport(e.Name(), r)
 	}
-	a := testAsk()
-	want := tokensTime(1000, 2000) + tokensTime(v.opts.AnswerShare*100, 50)
+	a := testRequest()
+	want := timeForTokens(1000, 2000) + timeForTokens(v.opts.AnswerShare*100, 50)
 	if got := MinServiceTime(v, a, t0); got != want {
 		t.Errorf("service time %v, want %v", got, want)
 	}
@@ -28,12 +28,12 @@
 	}
 }
 
-// TestShortsAvoidWhatTheyMayMeet: among engines without known work a short prompt
-// goes to the one kept for its length, unless work of its own kind is ahead there.
-func TestShortsAvoidWhatTheyMayMeet(t *testing.T) {
+// TestShortPromptsAvoidEnginesForLongOnes expects that among idle engines a short prompt goes
+// to one that accepts no long prompts, unless such engines have a queue.
+func TestShortPromptsAvoidEnginesForLongOnes(t *testing.T) {
 	v := newTestView(6)
 	v.ApplyPeerWork("p", "a", "other", Work{3: 1e5, 10: 1e6}, t0)
-	a := testAsk()
+	a := testRequest()
 	kept := func() int {
 		n := 0
 		for seed := range uint64(50) {
--- a/internal/core/placement/types.go
+++ b/internal/core/placement/types.go
@@ -6,13 +6,13 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// State says whether an upstream may get new work.
+// State is whether an upstream may get new work.
 type State uint8
 
 // States of an upstream.
 const (
 	Live    State = iota
-	Suspect       // silent or failing; used only when nothing live is left
+	Suspect       // silent or failing; used only when no upstream is live
 	Leaving       // gets no new work
 	Dead
 )
@@ -32,7 +32,7 @@
 	return "unknown"
 }
 
-// Class separates requests by the length of their prompt.
+// Class is the class of a request by the length of its prompt.
 type Class uint8
 
 // Classes.
@@ -49,8 +49,8 @@
 	return "short"
 }
 
-// ClassOf returns the class of a prompt; from longFrom tokens on it is Long. A
-// longFrom of zero or less makes every prompt Short.
+// ClassOf returns the class of a prompt: Long from longFrom tokens, else Short. With a
+// longFrom of zero or less every prompt is Short.
 func ClassOf(tokens, longFrom int) Class {
 	if longFrom > 0 && tokens >= longFrom {
 		return Long
@@ -58,7 +58,7 @@
 	return Short
 }
 
-// Spec is an upstream as the settings name it.
+// Spec is an upstream as listed in the settings.
 type Spec struct {
 	Name    string // unique in the site
 	Address string // IP:port
@@ -69,12 +69,12 @@
 type Report struct {
 	Incarnation string
 	Seq         int64
-	// Taken is the time at which the engine took the report, on the clock of the
-	// view: the time of receipt less the report's age.
+	// Taken is when the engine measured its load, on the clock of the view: the time of
+	// receipt minus the report's age.
 	Taken       time.Time
 	Step        time.Duration // of one batch
-	PrefillRate float64       // tokens a second
-	DecodeRate  float64       // tokens a second of one stream
+	PrefillRate float64       // prompt tokens per second
+	DecodeRate  float64       // tokens per second of one stream
 
 	Queued           int   // requests not yet running
 	QueuedPrefill    int64 // prompt tokens still to be computed
@@ -89,14 +89,14 @@
 	Leaving     bool
 }
 
-// EventKind is what happened to a cached block.
+// EventKind is the kind of a CacheEvent.
 type EventKind uint8
 
 // Kinds of cache event.
 const (
 	Stored  EventKind = iota
-	Evicted           // Block is gone
-	Cleared           // all blocks are gone
+	Evicted           // Block was removed
+	Cleared           // all blocks were removed
 )
 
 // CacheEvent is one change of an engine's prefix cache.
@@ -106,16 +106,16 @@
 	Block uint64
 }
 
-// ID names one attempt of a request, and one engine of its gang.
+// ID identifies one attempt of a request and, for a gang, one member of it.
 type ID struct {
 	Request string
 	Attempt int
-	Member  int // of a gang, from 0
+	Member  int // index in the gang, from 0; 0 without a gang
 }
 
-// Placement is what a front notes when it sends an attempt to an upstream. For a
-// plain service only ID, Upstream and Deadline are needed. A gang has one
-// placement a member, each with its part of the tokens and a Member of its own.
+// Placement is what a front records when it sends an attempt to an upstream. For a
+// plain service only ID, Upstream and Deadline are needed. A gang has one placement
+// per member, each with its part of the tokens and its own ID.Member.
 type Placement struct {
 	ID        ID
 	Upstream  string
@@ -123,15 +123,15 @@
 	Priority  request.Priority // as sent to the engine: Decision.EnginePriority
 	Tokens    int              // of the prompt
 	MaxTokens int              // of the answer
-	Cached    int              // prompt tokens expected in the cache
-	Prefix    []uint64         // of the prompt; cached on the engine after its first token
+	Cached    int              // prompt tokens expected in the engine's cache
+	Prefix    []uint64         // see PrefixBlocks; assumed cached on the engine after the first token
 	Deadline  time.Time
 }
 
 // End is how an attempt ended.
 type End struct {
 	Complete     bool
-	AnswerTokens int // streamed by this attempt
+	AnswerTokens int // number streamed by this attempt
 }
 
 // Request is one request for an engine.
@@ -144,18 +144,18 @@
 	Prefix    []uint64 // see PrefixBlocks
 	Priority  request.Priority
 	Deadline  time.Time // zero: none
-	Exclude   []string  // upstreams that earlier attempts have ruled out
+	Exclude   []string  // upstreams ruled out by earlier attempts
 	Policy    string    // a settings.Policy* constant; empty is length-aware
-	LongFrom  int       // tokens
+	LongFrom  int       // tokens from which a prompt is long; zero: no length separation
 	Spill     string    // a settings.Spill* constant; empty is never
-	// SpillDomains are the other failure domains that can be reached now. The
-	// caller leaves them empty for work that must not be sent twice.
+	// SpillDomains are the other failure domains that can be reached now. It must be
+	// empty for requests that must not be sent twice.
 	SpillDomains []string
 }
 
 // MemoryNeeded returns the memory in tokens that the request holds at its end.
-func (a *Request) MemoryNeeded() int64 {
-	return int64(a.Tokens) + int64(a.MaxTokens)
+func (r *Request) MemoryNeeded() int64 {
+	return int64(r.Tokens) + int64(r.MaxTokens)
 }
 
 // Verdict is the kind of a Decision.
@@ -163,18 +163,19 @@
 
 // Verdicts.
 const (
-	// Placed: send it to Chosen.
+	// Placed: the request is to be sent to Chosen.
 	Placed Verdict = iota
-	// WaitMemory: Chosen is the best engine, and has no memory for it now. Ask
-	// again at Earliest, or have the owner of Chosen hold a reservation.
+	// WaitMemory: Chosen is the best engine, but lacks free memory now. The caller
+	// asks again at Earliest, or has the owner of Chosen queue a reservation.
 	WaitMemory
 	// NeedsGang: GangSize engines of GangDomain are needed together.
 	NeedsGang
-	// NeverPossible: longer than all that may be gathered, MemoryLimit tokens.
+	// NeverPossible: the request needs more memory than all engines of a gang could
+	// have, MemoryLimit tokens.
 	NeverPossible
-	// TooLate: the deadline cannot be met; Earliest is the earliest end.
+	// TooLate: the deadline cannot be met; Earliest is the earliest expected end.
 	TooLate
-	// NoEngine: none can take it now, which may change.
+	// NoEngine: no engine can take the request now, which may change.
 	NoEngine
 )
 
@@ -187,8 +188,7 @@
 	return names[v]
 }
 
-// Reason says in a constant word why a decision was taken or a candidate was
-// turned down.
+// Reason is why a decision was taken or a candidate was rejected.
 type Reason string
 
 // Reasons of a decision.
@@ -198,21 +198,21 @@
 	ReasonEarliest           Reason = "earliest_first_token"
 	ReasonPrefix             Reason = "cached_prefix"
 	ReasonOnly               Reason = "only_candidate"
-	ReasonBoundaryRelaxed    Reason = "no_engine_for_long" // a long prompt on an engine kept for short ones
+	ReasonBoundaryRelaxed    Reason = "no_engine_for_long" // no engine's limit admits the prompt, so limits are ignored
 	ReasonSuspectOnly        Reason = "only_suspects"
 	ReasonSpillDead          Reason = "spill_dead"
 	ReasonSpillOverload      Reason = "spill_overload"
 	ReasonMemoryFull         Reason = "memory_full"
 	ReasonOverOneEngine      Reason = "over_one_engine"
 	ReasonOverPool           Reason = "over_pool"
-	ReasonGangEnginesMissing Reason = "gang_engines_missing" // enough memory exists, not enough is live
+	ReasonGangEnginesMissing Reason = "gang_engines_missing" // all engines together have the memory, the eligible ones do not
 	ReasonDeadline           Reason = "deadline"
 	ReasonNoneLive           Reason = "none_live"
-	ReasonMemoryUnknown      Reason = "memory_unknown" // no report yet says how much an engine holds
+	ReasonMemoryUnknown      Reason = "memory_unknown" // an engine has not reported its total memory yet
 	ReasonFewerInFlight      Reason = "fewer_in_flight"
 )
 
-// Reasons why a candidate was turned down.
+// Reasons of a rejected candidate.
 const (
 	ReasonLater        Reason = "later_first_token"
 	ReasonTie          Reason = "tie"
@@ -220,60 +220,60 @@
 	ReasonNotDrawn     Reason = "not_drawn"
 )
 
-// Estimate is the expected course of a request on one engine.
+// Estimate holds the expected times of a request on one engine.
 type Estimate struct {
-	FirstToken time.Duration // the sum of the next five
+	FirstToken time.Duration // until the first token: the sum of the next five
 	Queue      time.Duration // work ahead
 	Prefill    time.Duration // of the uncached part of the prompt
-	Residual   time.Duration // the batch in progress
+	Residual   time.Duration // rest of the batch in progress
 	MemoryWait time.Duration // until enough memory is free
-	Stale      time.Duration // penalty of an old report
+	Stale      time.Duration // penalty for an old report
 
-	LessUrgent time.Duration // work that only an engine which interrupts nothing does first; not in the sum
+	LessUrgent time.Duration // less urgent work, ahead only on an engine that interrupts no prompt; not in the sum
 	Unseen     time.Duration // longer work that the engine may have begun since its report; not in the sum
 
 	Finish time.Duration // until the expected end of the answer
-	Cached int           // prompt tokens in the cache
+	Cached int           // prompt tokens in the engine's cache
 }
 
-// Candidate is one upstream that was looked at.
+// Candidate is one upstream that was considered.
 type Candidate struct {
 	Name     string
 	Address  string
 	Domain   string
 	Estimate Estimate
 	Requests int    // on the upstream, as far as known
-	Reason   Reason // why it was turned down; empty on the chosen one
+	Reason   Reason // why it was rejected; empty for the chosen one
 }
 
 // Backlog is the work ahead of a new request in a pool.
 type Backlog struct {
 	Tokens int64   // prompt tokens still to be computed
-	Rate   float64 // tokens a second of all live engines together
+	Rate   float64 // prompt tokens per second of all live engines together
 }
 
-// Drain returns the time until the backlog is worked off.
+// Drain returns the time in which the backlog is computed, at most 24 hours.
 func (b Backlog) Drain() time.Duration {
-	return tokensTime(float64(b.Tokens), b.Rate)
+	return timeForTokens(float64(b.Tokens), b.Rate)
 }
 
-// Decision is the answer to an Ask. It has all that a log line needs.
+// Decision is the result of Place or PlaceService, with the details for its log line.
 type Decision struct {
 	Verdict  Verdict
 	Reason   Reason
 	Class    Class
 	Chosen   Candidate    // with Placed and WaitMemory
-	Rejected [2]Candidate // the two best; empty names when there were fewer
+	Rejected [2]Candidate // the two best rejected; their names are empty when there were fewer
 	Spilled  bool         // Chosen is in another failure domain
 
 	// EnginePriority is the priority to send to the engine. Policies that do not
 	// use priorities send every request as Normal.
 	EnginePriority request.Priority
 
-	GangSize    int    // with NeedsGang: the fewest members that hold it
+	GangSize    int    // with NeedsGang: the smallest number of members that can hold the request
 	GangDomain  string // with NeedsGang
-	MemoryLimit int64  // with NeverPossible: tokens that can be gathered
+	MemoryLimit int64  // with NeverPossible: total memory of the domain's engines in tokens
 
-	Earliest time.Time // with WaitMemory and TooLate
+	Earliest time.Time // with WaitMemory: when memory is expected free; with TooLate: the expected end
 	Backlog  Backlog   // with WaitMemory, TooLate and NoEngine
 }
--- a/internal/core/placement/view.go
+++ b/internal/core/placement/view.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// View is what one front knows of all upstreams. Its methods are the inputs that
-// step it; Place and PlaceService read it.
+// View is what one front knows of all upstreams. Its methods update it; Place and
+// PlaceService read it.
 type View struct {
 	opts    Options
 	pools   map[string]*pool
@@ -17,13 +17,13 @@
 	flights map[ID]*flight
 	models  map[string]*modelStats
 
-	// Scratch of one placement, kept to save allocations.
-	able []*Engine
-	fit  []*Engine
-	room []*Engine
+	// Scratch space of one placement, kept to save allocations.
+	eligible   []*Engine
+	fitting    []*Engine
+	withMemory []*Engine
 }
 
-// pool is a set of like upstreams.
+// pool is a set of equivalent upstreams.
 type pool struct {
 	name   string
 	groups map[string]*group // by failure domain
@@ -53,14 +53,14 @@
 	}
 }
 
-// SetPool makes the upstreams of a pool those of the list. What is known of an
-// upstream is kept as long as its address and domain stay the same.
+// SetPool sets the upstreams of a pool. What is known of an upstream is kept as long as
+// its address and domain stay the same. An empty list removes the pool.
 func (v *View) SetPool(name string, specs []Spec) {
 	wanted := make(map[string]Spec, len(specs))
 	for _, s := range specs {
 		wanted[s.Name] = s
 	}
-	p := v.poolOf(name)
+	p := v.ensurePool(name)
 	for _, g := range p.groups {
 		v.dropUnwanted(g, wanted)
 	}
@@ -72,7 +72,7 @@
 	}
 }
 
-func (v *View) poolOf(name string) *pool {
+func (v *View) ensurePool(name string) *pool {
 	p := v.pools[name]
 	if p == nil {
 		p = &pool{name: name, groups: map[string]*group{}}
@@ -81,7 +81,7 @@
 	return p
 }
 
-func (p *pool) groupOf(domain string) *group {
+func (p *pool) ensureGroup(domain string) *group {
 	g := p.groups[domain]
 	if g == nil {
 		g = &group{pool: p.name, domain: domain, prefixes: newPrefixIndex()}
@@ -101,7 +101,7 @@
 	g.ranked = false
 }
 
-// forget removes all traces of an engine but its place in the group.
+// forget removes everything known of an engine except its entry in the group.
 func (v *View) forget(e *Engine) {
 	e.clearCache()
 	for id, f := range v.flights {
@@ -121,7 +121,7 @@
 		old.group.remove(old)
 		v.forget(old)
 	}
-	g := p.groupOf(s.Domain)
+	g := p.ensureGroup(s.Domain)
 	e := newEngine(s, g)
 	at, _ := slices.BinarySearchFunc(g.engines, e, byName)
 	g.engines = slices.Insert(g.engines, at, e)
@@ -138,12 +138,14 @@
 	return cmp.Compare(a.spec.Name, b.spec.Name)
 }
 
-// Engine returns the view of one upstream, nil when the settings do not name it.
+// Engine returns what is known of the upstream with the given name, or nil when no pool
+// has it.
 func (v *View) Engine(name string) *Engine {
 	return v.engines[name]
 }
 
-// Engines returns the upstreams of a pool, ordered by domain and name.
+// Engines returns the upstreams of a pool, ordered by domain and name, or nil for an
+// unknown pool.
 func (v *View) Engines(poolName string) []*Engine {
 	p := v.pools[poolName]
 	if p == nil {
@@ -159,8 +161,8 @@
 	return all
 }
 
-// SetState notes what the watchers think of an upstream. It returns false for an
-// unknown name. A dead upstream loses its cached prefixes and its last report.
+// SetState sets the state of an upstream. It returns false for an unknown name. When an
+// upstream dies, its cached prefixes and its last report are dropped.
 func (v *View) SetState(name string, s State) bool {
 	e := v.engines[name]
 	if e == nil {
@@ -172,16 +174,16 @@
 	e.state = s
 	e.group.ranked = false
 	if s == Dead {
-		e.restart()
+		e.reset()
 	}
 	return true
 }
 
-// ApplyReport takes a load report in. It returns false, and changes nothing, for
+// ApplyReport applies a load report. It returns false, and changes nothing, for
 // an unknown name and for a report that is not newer than the last.
 func (v *View) ApplyReport(name string, r Report) bool {
 	e := v.engines[name]
-	if e == nil || !e.newer(&r) {
+	if e == nil || !e.isNewer(&r) {
 		return false
 	}
 	if e.cacheIncarnation != r.Incarnation {
@@ -193,13 +195,13 @@
 	}
 	e.report = r
 	e.reported = true
-	e.settle(r.Taken.Add(-v.opts.ReportSlack))
+	e.removeReported(r.Taken.Add(-v.opts.ReportSlack))
 	return true
 }
 
-// ApplyCacheEvents takes cache events in, in any order and with gaps. It returns
-// the number of events that were missed; what they said stays unknown. An event
-// not later than the last one seen is ignored.
+// ApplyCacheEvents applies cache events, which may be in any order and have gaps. It
+// returns the number of missing events, whose changes stay unknown. An event that is not
+// later than the last applied one is ignored.
 func (v *View) ApplyCacheEvents(name, incarnation string, events []CacheEvent) (missed int64) {
 	e := v.engines[name]
 	if e == nil || e.state == Dead {
@@ -218,17 +220,17 @@
 	return missed
 }
 
-// rank orders the live engines by rendezvous hashing of their names, so that all
-// fronts that know the same engines agree on the order without talking, and one
-// engine more or less moves no other.
-func (g *group) rank() {
+// rankLive ranks the live engines by rendezvous hashing of their names, so that all
+// fronts that know the same engines agree on the order without communication, and adding
+// or removing an engine does not reorder the others.
+func (g *group) rankLive() {
 	if g.ranked {
 		return
 	}
 	live := make([]*Engine, 0, len(g.engines))
 	for _, e := range g.engines {
 		e.rank = unranked
-		if e.accepts() {
+		if e.acceptsWork() {
 			live = append(live, e)
 		}
 	}
@@ -242,8 +244,9 @@
 	g.ranked = true
 }
 
-// inState returns the engines to look at for a state, the live ones by rank.
-func (g *group) inState(s State) []*Engine {
+// enginesInState returns the engines to check for a state: the live ones by rank for Live,
+// all engines of the group for any other state.
+func (g *group) enginesInState(s State) []*Engine {
 	if s == Live {
 		return g.live
 	}
@@ -254,13 +257,13 @@
 	return xxhash.Sum64String(pool + "\x00" + engine)
 }
 
-// modelStats is what has been learnt of one model.
+// modelStats holds the learnt means of one model.
 type modelStats struct {
 	tokensPerByte mean
 	answerShare   mean
 }
 
-func (v *View) modelOf(name string) *modelStats {
+func (v *View) ensureModel(name string) *modelStats {
 	m := v.models[name]
 	if m == nil {
 		m = &modelStats{}
@@ -269,18 +272,18 @@
 	return m
 }
 
-// NotePrompt learns the tokens per byte of a model from a prompt whose tokens an
+// NotePrompt updates the tokens per byte of a model from a prompt whose tokens an
 // engine has counted.
 func (v *View) NotePrompt(model string, bytes, tokens int, now time.Time) {
 	if bytes <= 0 || tokens <= 0 {
 		return
 	}
 	ratio := float64(tokens) / float64(bytes)
-	v.modelOf(model).tokensPerByte.observe(ratio, now, v.opts.RateHalfLife)
+	v.ensureModel(model).tokensPerByte.observe(ratio, now, v.opts.RateHalfLife)
 }
 
-// TokensPerByte returns the tokens in one byte of a prompt. The prior is that of
-// the settings; zero or less takes the option's.
+// TokensPerByte returns the expected number of tokens per byte of a prompt. prior is the
+// value from the settings; zero or less means that of the options.
 func (v *View) TokensPerByte(model string, prior float64, now time.Time) float64 {
 	if prior <= 0 {
 		prior = v.opts.TokensPerByte
--- a/internal/core/placement/view_test.go
+++ b/internal/core/placement/view_test.go
@@ -40,7 +40,7 @@
 				v.SetState(e.Name(), tt.own)
 			}
 		}
-		a := testAsk()
+		a := testRequest()
 		a.Spill, a.SpillDomains = tt.rule, []string{"a", "b", "gone"}
 		if tt.edit != nil {
 			tt.edit(&a)
@@ -58,10 +58,10 @@
 func TestPlaceService(t *testing.T) {
 	v := NewView(Options{})
 	v.SetPool("basket", append(specs("a", 2), specs("b", 1)...))
-	ask := ServiceRequest{Pool: "basket", Domain: "a", Spill: settings.SpillDead, SpillDomains: []string{"b"}}
+	req := ServiceRequest{Pool: "basket", Domain: "a", Spill: settings.SpillDead, SpillDomains: []string{"b"}}
 	expect := func(name string, verdict Verdict, reason Reason) {
 		t.Helper()
-		d, err := PlaceService(v, ask, t0, newRand(1))
+		d, err := PlaceService(v, req, t0, newRand(1))
 		if err != nil || d.Chosen.Name != name || d.Verdict != verdict || d.Reason != reason {
 			t.Errorf("got %v %q %v %v", d.Verdict, d.Chosen.Name, d.Reason, err)
 		}
@@ -70,13 +70,13 @@
 	expect("a-001", Placed, ReasonFewerInFlight)
 	v.SetState("a-001", Leaving)
 	expect("a-000", Placed, ReasonOnly)
-	ask.Exclude = []string{"a-000"}
+	req.Exclude = []string{"a-000"}
 	expect("b-000", Placed, ReasonSpillDead)
-	ask.SpillDomains = nil
+	req.SpillDomains = nil
 	expect("", NoEngine, ReasonNoneLive)
 }
 
-// TestLagCorrection follows one placement from its note to the report that shows it.
+// TestLagCorrection follows one placement from NotePlaced to the report that includes it.
 func TestLagCorrection(t *testing.T) {
 	v := newTestView(1)
 	e := v.Engine("a-000")
@@ -90,7 +90,7 @@
 	expect(1, 800, 1050)
 	before := report(2, 0)
 	before.Taken = t0.Add(time.Second)
-	v.ApplyReport("a-000", before) // on its way when the report was taken
+	v.ApplyReport("a-000", before) // taken while the placement was on its way to the engine
 	expect(1, 800, 1050)
 	v.NoteFirstToken(ID{Request: "r"}, 200, t0.Add(2*time.Second))
 	expect(1, 0, 1050)
@@ -99,7 +99,7 @@
 	v.ApplyReport("a-000", after)
 	expect(0, 0, 0)
 	if v.ApplyReport("a-000", before) {
-		t.Error("an older report was taken in")
+		t.Error("an older report was applied")
 	}
 	if e.free() != testMemory-1050 {
 		t.Errorf("free %d: the request still holds its memory", e.free())
@@ -119,7 +119,7 @@
 	if depth := e.cachedDepth([]uint64{10, 11, 12, 99}, 4); depth != 3 {
 		t.Errorf("depth %d, want 3", depth)
 	}
-	a := testAsk()
+	a := testRequest()
 	a.Prefix = []uint64{10, 11}
 	if d, _ := Place(v, a, t0, newRand(1)); d.Chosen.Name != "a-000" || d.Reason != ReasonPrefix || d.Chosen.Estimate.Cached != 512 {
 		t.Errorf("cached prefix not used: %+v", d)
@@ -129,9 +129,9 @@
 	v.ApplyReport("a-000", full)
 	v.ApplyReport("a-001", report(2, 10_000_000))
 	if d, _ := Place(v, a, t0, newRand(1)); d.Chosen.Name != "a-001" {
-		t.Errorf("chose %+v, want the engine with room", d.Chosen)
+		t.Errorf("chose %+v, want the engine with free memory", d.Chosen)
 	}
-	v.ApplyCacheEvents("a-000", "a", []CacheEvent{stored(5, 13)}) // pushes out 10
+	v.ApplyCacheEvents("a-000", "a", []CacheEvent{stored(5, 13)}) // evicts 10
 	if e.CachedBlocks() != 3 || len(v.group("p", "a").prefixes.holders) != 3 || e.cached.has(10) {
 		t.Errorf("%d blocks, index %v", e.CachedBlocks(), v.group("p", "a").prefixes.holders)
 	}
@@ -141,12 +141,12 @@
 	}
 }
 
-// TestCachedPrefixIsFound has too many engines to draw the right one by luck.
+// TestCachedPrefixIsFound has so many engines that sampling alone rarely finds the right one.
 func TestCachedPrefixIsFound(t *testing.T) {
 	v := newTestView(40)
 	storeAll(v, "a-017", []uint64{1, 2, 3})
 	storeAll(v, "a-018", []uint64{1})
-	a := testAsk()
+	a := testRequest()
 	a.Prefix = []uint64{1, 2, 3, 4}
 	for seed := range uint64(20) {
 		if d, _ := Place(v, a, t0, newRand(seed)); d.Chosen.Name != "a-017" {
@@ -159,7 +159,7 @@
 	}
 }
 
-// TestEstimateParts works each part of an estimate out by hand.
+// TestEstimateParts compares each part of an estimate with a value computed by hand.
 func TestEstimateParts(t *testing.T) {
 	v := newTestView(1)
 	r := report(2, 12_000)
@@ -167,7 +167,7 @@
 	r.SplitKnown, r.QueuedByPriority = true, [request.NumPriorities]int64{0, 12_000, 4_000}
 	v.ApplyReport("a-000", r)
 	v.NotePlaced(Placement{ID: ID{Request: "r"}, Upstream: "a-000", Priority: request.Bulk, Tokens: 1600}, t0)
-	a := testAsk()
+	a := testRequest()
 	a.Policy = settings.PolicyLeastLoadedPriority
 	a.Tokens, a.MaxTokens = 8000, 0
 	d, err := Place(v, a, t0.Add(5*time.Second), newRand(1))
@@ -176,12 +176,12 @@
 	}
 	used := float64(testMemory - 600 + 1600)
 	want := Estimate{
-		Queue:      500 * time.Millisecond, // 12000, of which 8000 are done after the longest drain
+		Queue:      500 * time.Millisecond, // 12000, of which 8000 are done after MaxDrain
 		Prefill:    time.Second,
 		Residual:   30 * time.Millisecond,
 		Stale:      2 * time.Second, // beyond 3 s
 		LessUrgent: 700 * time.Millisecond,
-		MemoryWait: tokensTime(8000+1000, used/10),
+		MemoryWait: timeForTokens(8000+1000, used/10),
 	}
 	want.FirstToken = want.Queue + want.Prefill + want.Residual + want.Stale + want.MemoryWait
 	want.Finish = want.FirstToken
@@ -193,7 +193,7 @@
 	}
 	a.Deadline = t0.Add(9 * time.Second) // before the wait for memory ends, after the rest
 	if d, _ = Place(v, a, t0.Add(5*time.Second), newRand(1)); d.Verdict != WaitMemory {
-		t.Errorf("%v: refused for a guess", d.Verdict)
+		t.Errorf("%v: refused because of the estimated wait for memory", d.Verdict)
 	}
 }
 
@@ -219,15 +219,15 @@
 	v.ApplyPeerWork("p", "a", "h", Work{3: 7}, t0)
 	v.ApplyPeerWork("p", "a", "bad", Work{3: -1}, t0)
 	b := &v.group("p", "a").boundary
-	now, later := b.total(t0), b.total(t0.Add(peerWorkLife+1))
+	now, later := b.total(t0), b.total(t0.Add(peerWorkMaxAge+1))
 	if now.Total() != 7 || later.Total() != 0 {
 		t.Errorf("%v, later %v", now, later)
 	}
 }
 
-func TestAskWithoutSeparationKeepsLimits(t *testing.T) {
+func TestRequestWithoutSeparationKeepsLimits(t *testing.T) {
 	v := newTestView(4)
-	a := testAsk()
+	a := testRequest()
 	for i, longFrom := range []int{20_000, 0} {
 		a.LongFrom = longFrom
 		if _, err := Place(v, a, t0.Add(time.Duration(i)*time.Minute), newRand(1)); err != nil {
@@ -239,12 +239,12 @@
 	}
 }
 
-func TestGangMembersAreNotedEach(t *testing.T) {
+func TestGangMembersAreCountedOnceEach(t *testing.T) {
 	v := newTestView(2)
 	for i := range 2 {
 		p := Placement{ID: ID{Request: "r", Member: i}, Upstream: fmt.Sprintf("a-%03d", i), Tokens: 60_000}
 		if !v.NotePlaced(p, t0) || v.NotePlaced(p, t0) {
-			t.Errorf("member %d is not noted exactly once", i)
+			t.Errorf("member %d is not recorded exactly once", i)
 		}
 		if free := v.Engine(p.Upstream).free(); free != testMemory-60_000 {
 			t.Errorf("member %d: %d tokens free", i, free)
@@ -252,7 +252,7 @@
 	}
 }
 
-func TestGangTakesTheLargest(t *testing.T) {
+func TestGangSizeCountsTheLargestEngines(t *testing.T) {
 	v := newTestView(4)
 	for i, total := range []int64{100, 900, 300, 800} {
 		r := report(2, 0)
@@ -266,8 +266,8 @@
 	}
 }
 
-// TestRanksAgree has two fronts that learnt of the engines in another order, one of
-// them before an engine died.
+// TestRanksAgree has two fronts that added the engines in different orders, of which only the
+// second knows that one engine died.
 func TestRanksAgree(t *testing.T) {
 	list := specs("a", 9)
 	one, two := NewView(Options{}), NewView(Options{})
@@ -277,7 +277,7 @@
 		two.SetPool("p", list[:i+1])
 	}
 	order := func(v *View) (names []string) {
-		v.group("p", "a").rank()
+		v.group("p", "a").rankLive()
 		for _, e := range v.group("p", "a").live {
 			names = append(names, e.Name())
 		}
@@ -297,7 +297,7 @@
 		counts := map[string]int{}
 		rng := newRand(9)
 		for range 400 {
-			a := testAsk()
+			a := testRequest()
 			a.Policy = policy
 			d, _ := Place(v, a, t0, rng)
 			counts[d.Chosen.Name]++
@@ -321,10 +321,10 @@
 		v.NoteFinished(id, End{Complete: true, AnswerTokens: 50}, now.Add(5*time.Second))
 	}
 	e := v.Engine("a-000")
-	if rate := e.prefill(&v.opts, now); rate < 2000 || rate > 3000 {
+	if rate := e.estimatePrefillRate(&v.opts, now); rate < 2000 || rate > 3000 {
 		t.Errorf("prefill rate %.0f, want near the observed 2000", rate)
 	}
-	if rate := e.prefill(&v.opts, now.Add(time.Hour)); rate < 7900 {
+	if rate := e.estimatePrefillRate(&v.opts, now.Add(time.Hour)); rate < 7900 {
 		t.Errorf("prefill rate %.0f, want the reported 8000 once the observations are old", rate)
 	}
 	v.NotePrompt("m", 1000, 500, now)
@@ -336,7 +336,7 @@
 func TestPromotion(t *testing.T) {
 	v := newTestView(4)
 	sent := func(tokens int) request.Priority {
-		a := testAsk()
+		a := testRequest()
 		a.Tokens = tokens
 		d, _ := Place(v, a, t0, newRand(1))
 		return d.EnginePriority
@@ -349,7 +349,7 @@
 		}
 	}
 	v.ApplyPeerWork("p", "a", "other", Work{1: 1e6}, t0)
-	v.group("p", "a").boundary.checked = time.Time{}
+	v.group("p", "a").boundary.checkedAt = time.Time{}
 	if sent(1000) != request.Normal {
 		t.Error("promoted although the shortest prompts are all the work")
 	}
--- a/internal/core/placement/work.go
+++ b/internal/core/placement/work.go
@@ -9,11 +9,11 @@
 // firstBand tokens up. The last has no upper end.
 const NumBands = 13
 
-// firstBand is the upper end of the first band, in tokens.
+// firstBand is the upper end of the first band in tokens.
 const firstBand = 512
 
-// Work is the offered work of a pool in a failure domain: prompt tokens that no
-// cache held, by length of the prompt, faded by the half-life of the options.
+// Work is the work offered to a pool in a failure domain: uncached prompt tokens by band
+// of prompt length, decayed with Options.WorkHalfLife.
 type Work [NumBands]float64
 
 // band returns the band of a prompt length.
@@ -21,7 +21,7 @@
 	return min(bits.Len64(uint64(max(tokens, 0)/firstBand)), NumBands-1)
 }
 
-// bandEnds returns the lengths between which a band lies.
+// bandEnds returns the lower and upper end of a band in tokens.
 func bandEnds(i int) (low, high float64) {
 	high = float64(uint64(firstBand) << i)
 	if i == 0 {
@@ -51,8 +51,8 @@
 	return sum
 }
 
-// quantile returns the length up to which prompts make up the share of the work,
-// straight between the ends of a band. Without work it is infinite.
+// quantile returns the length in tokens up to which prompts make up the share of the work,
+// interpolated linearly within a band. Without work it is infinite.
 func (w *Work) quantile(share float64) float64 {
 	left := share * w.Total()
 	if !(left > 0) {
@@ -68,8 +68,8 @@
 	return math.Inf(1)
 }
 
-// distance returns the largest difference of the two distributions over length,
-// from 0 to 1.
+// distance returns the largest difference between the cumulative distributions of the two
+// works over length, from 0 to 1. It is 1 when one of them is zero.
 func (w *Work) distance(other *Work) float64 {
 	a, b := w.Total(), other.Total()
 	if a == 0 || b == 0 {
@@ -83,8 +83,8 @@
 	return most
 }
 
-// shareBelow returns the share of the work of prompts below a length, 0 without
-// any work.
+// shareBelow returns the share of the work that is of prompts shorter than length, or 0
+// without any work.
 func (w *Work) shareBelow(length float64) float64 {
 	total := w.Total()
 	if !(total > 0) {
