--- a/internal/core/fleet/address_test.go
+++ b/internal/core/fleet/address_test.go
@@ -21,31 +21,31 @@
 	return u
 }
 
-// TestLateEntryOfTheDeadDoesNotCostTheLiving is the pattern of servers that are cut off
-// and start anew behind the cut, at their address and under a new name: the last heartbeat
-// of the dead one arrives after its successor's first, and then it lapses.
-func TestLateEntryOfTheDeadDoesNotCostTheLiving(t *testing.T) {
+// TestLateEntryOfAStoppedServerKeepsItsSuccessor has servers that restart behind a network
+// partition, at their address and under a new name: the last heartbeat of the stopped server
+// arrives after the first one of its successor, and then its entry lapses.
+func TestLateEntryOfAStoppedServerKeepsItsSuccessor(t *testing.T) {
 	l := newList()
-	l.Apply([]Change{up("dead", 5)}, start)
-	l.Apply([]Change{at("dead:1", up("lives", 1))}, start.Add(100*time.Millisecond))
-	l.Apply([]Change{up("dead", 6)}, start.Add(200*time.Millisecond))
-	if got := l.listed(); got != "dead lives" {
+	l.Apply([]Change{newEntry("dead", 5)}, start)
+	l.Apply([]Change{atAddress("dead:1", newEntry("lives", 1))}, start.Add(100*time.Millisecond))
+	l.Apply([]Change{newEntry("dead", 6)}, start.Add(200*time.Millisecond))
+	if got := l.listedIDs(); got != "dead lives" {
 		t.Fatalf("with both entries %q", got)
 	}
 	l.Apply([]Change{{Name: "dead"}}, start.Add(300*time.Millisecond))
 	if u := get(t, l, "lives"); u.Displaced || u.Rivals != nil {
-		t.Errorf("alone it is %+v", u)
+		t.Errorf("alone at its address: %+v", u)
 	}
 }
 
-// TestTheOneListedLaterGetsTheWork holds also where the entry of the other one lapses and
-// comes again.
-func TestTheOneListedLaterGetsTheWork(t *testing.T) {
+// TestServerListedLaterIsPreferred checks that of two servers at an address the one listed
+// later is preferred, also when the other one's entry lapses and is written again.
+func TestServerListedLaterIsPreferred(t *testing.T) {
 	for name, changes := range map[string][]Change{
-		"a late heartbeat":               {up("a", 5), at("a:1", up("b", 1)), up("a", 6)},
-		"gone and back":                  {up("a", 5), at("a:1", up("b", 1)), {Name: "a"}, up("a", 6)},
-		"the other is listed once more":  {up("a", 5), at("a:1", up("b", 1)), {Name: "b"}, at("a:1", up("b", 2))},
-		"a start is told by one of them": {up("a", 5), at("a:1", life("b", 10, 1))},
+		"a late heartbeat":              {newEntry("a", 5), atAddress("a:1", newEntry("b", 1)), newEntry("a", 6)},
+		"gone and back":                 {newEntry("a", 5), atAddress("a:1", newEntry("b", 1)), {Name: "a"}, newEntry("a", 6)},
+		"the other is listed once more": {newEntry("a", 5), atAddress("a:1", newEntry("b", 1)), {Name: "b"}, atAddress("a:1", newEntry("b", 2))},
+		"only one reports a start time": {newEntry("a", 5), atAddress("a:1", entryWithStart("b", 10, 1))},
 	} {
 		l := newList()
 		l.Apply(changes, start)
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestAnswersDecideWhoHasAnAddress(t *testing.T) {
+func TestAnswersIdentifyTheServerAtAnAddress(t *testing.T) {
 	for name, c := range map[string]struct {
 		asked  string
 		itself bool
@@ -69,15 +69,15 @@
 	}{
 		"the one listed later answers": {"b", true, "b"},
 		"the other one answers":        {"a", true, "a"},
-		"another than the later":       {"b", false, "a"},
-		"another than the earlier":     {"a", false, "b"},
+		"not the later one":            {"b", false, "a"},
+		"not the earlier one":          {"a", false, "b"},
 	} {
 		l := newList()
-		l.Apply([]Change{up("a", 5), at("a:1", up("b", 1))}, start)
+		l.Apply([]Change{newEntry("a", 5), atAddress("a:1", newEntry("b", 1))}, start)
 		if !l.RecordResponder(get(t, l, c.asked), c.itself) {
-			t.Errorf("%s: nothing new", name)
+			t.Errorf("%s: reported as no change", name)
 		}
-		if got := l.listed(); got != c.want {
+		if got := l.listedIDs(); got != c.want {
 			t.Errorf("%s: listed %q", name, got)
 		}
 		other := map[string]string{"a": "b", "b": "a"}[c.want]
@@ -85,33 +85,33 @@
 			t.Errorf("%s: superseded %q", name, got)
 		}
 		l.Apply([]Change{{Name: c.want}}, start.Add(time.Second))
-		if got := l.listed(); got != other {
-			t.Errorf("%s: when it went, listed %q", name, got)
+		if got := l.listedIDs(); got != other {
+			t.Errorf("%s: listed %q after its entry was removed", name, got)
 		}
 	}
 }
 
-// TestAnswerSaysNothingOfServersThatCameLater has an answer to what was sent before a
-// successor was listed.
-func TestAnswerSaysNothingOfServersThatCameLater(t *testing.T) {
+// TestAnswerDoesNotAffectServersListedLater has an answer to a request that was sent before
+// a successor was listed.
+func TestAnswerDoesNotAffectServersListedLater(t *testing.T) {
 	l := newList()
-	l.Apply([]Change{up("a", 5), at("a:1", up("b", 1))}, start)
+	l.Apply([]Change{newEntry("a", 5), atAddress("a:1", newEntry("b", 1))}, start)
 	asked := get(t, l, "b")
-	l.Apply([]Change{at("a:1", up("c", 1))}, start.Add(time.Second))
+	l.Apply([]Change{atAddress("a:1", newEntry("c", 1))}, start.Add(time.Second))
 	l.RecordResponder(asked, true)
-	if got := l.listed(); got != "b c" {
+	if got := l.listedIDs(); got != "b c" {
 		t.Errorf("listed %q", got)
 	}
 	if l.RecordResponder(Upstream{ID: "c"}, false) {
-		t.Error("an upstream without rivals is tried again, whatever it answered")
+		t.Error("an answer changed an upstream without rivals, which is always tried again")
 	}
 }
 
-func TestToldStartsDecideForGood(t *testing.T) {
+func TestStartTimesDecideAtAnAddress(t *testing.T) {
 	l := newList()
-	l.Apply([]Change{life("a", 10, 5), at("a:1", life("b", 20, 1))}, start)
-	l.Apply([]Change{{Name: "b"}, life("a", 10, 6)}, start.Add(time.Second))
-	if got := l.listed(); got != "" {
+	l.Apply([]Change{entryWithStart("a", 10, 5), atAddress("a:1", entryWithStart("b", 20, 1))}, start)
+	l.Apply([]Change{{Name: "b"}, entryWithStart("a", 10, 6)}, start.Add(time.Second))
+	if got := l.listedIDs(); got != "" {
 		t.Errorf("listed %q", got)
 	}
 	if got := l.Snapshot().Superseded; !slices.Equal(got, []string{"a@10"}) {
@@ -119,56 +119,58 @@
 	}
 }
 
-// record is one drawn record of the store: of one of six servers, of which each pair
-// shares an address and those of the first two pairs tell their starts.
+// record is a random record of the store, of one of six servers. Each two servers share an
+// address, and those of the first two pairs report their start times.
 type record struct {
-	Server  int
-	Life    int64
-	Beat    int64
-	Leaving bool
-	Removed bool
-	Whole   bool // a read of all entries follows
+	Server    int
+	Run       int64
+	Heartbeat int64
+	Leaving   bool
+	Removed   bool
+	WholeRead bool // a read of all entries follows
 }
 
 const (
-	drawnServers = 6
-	tellingOnes  = 4
+	numServers       = 6
+	serversWithStart = 4
 )
 
 func (r record) name() string    { return string(rune('a' + r.Server)) }
 func (r record) address() string { return string(rune('A' + r.Server/2)) }
 
-// born returns the told start: lives of two servers at an address never start together.
+// born returns the reported start time, which differs between any two incarnations at an
+// address.
 func (r record) born() int64 {
-	if r.Server >= tellingOnes {
+	if r.Server >= serversWithStart {
 		return 0
 	}
-	return 10*r.Life + int64(r.Server) + 1
+	return 10*r.Run + int64(r.Server) + 1
 }
 
 func (r record) change() Change {
 	if r.Removed {
 		return Change{Name: r.name()}
 	}
-	c := at(r.address(), life(r.name(), r.born(), r.Beat))
+	c := atAddress(r.address(), entryWithStart(r.name(), r.born(), r.Heartbeat))
 	c.Upstream.Leaving = r.Leaving
 	return c
 }
 
-func drawRecords() gopter.Gen {
+func genRecords() gopter.Gen {
 	return gen.SliceOf(gopter.CombineGens(
-		gen.IntRange(0, drawnServers-1), gen.Int64Range(1, 3), gen.Int64Range(1, 4),
+		gen.IntRange(0, numServers-1), gen.Int64Range(1, 3), gen.Int64Range(1, 4),
 		gen.IntRange(0, 9), gen.IntRange(0, 9), gen.IntRange(0, 9),
 	).Map(func(v []any) record {
 		return record{
-			Server: v[0].(int), Life: v[1].(int64), Beat: v[2].(int64),
-			Leaving: v[3].(int) == 0, Removed: v[4].(int) < 2, Whole: v[5].(int) == 0,
+			Server: v[0].(int), Run: v[1].(int64), Heartbeat: v[2].(int64),
+			Leaving: v[3].(int) == 0, Removed: v[4].(int) < 2, WholeRead: v[5].(int) == 0,
 		}
 	}))
 }
 
-// entriesAfter returns what a whole read gives after some records: the newest of each key.
-func entriesAfter(records []record) []Change {
+// currentEntries returns the result of a whole read after some records: the newest entry of each
+// server.
+func currentEntries(records []record) []Change {
 	newest := map[string]Change{}
 	for _, r := range records {
 		newest[r.name()] = r.change()
@@ -183,12 +185,13 @@
 	return all
 }
 
-// standing is the plain model: the servers whose entry stands after all records and whose
-// address no later start was told for. Each is worked out from the whole history anew.
-func standing(records []record) []string {
+// expectedNames returns the servers that must be listed according to a simple model: those that
+// are registered after all records and for whose address no later start was reported. It
+// evaluates the whole history for each server.
+func expectedNames(records []record) []string {
 	var names []string
-	for server := range drawnServers {
-		var latest, removed int64 // start of its last life; highest beat of it before the last removal
+	for server := range numServers {
+		var latest, removed int64 // start of its last incarnation; its highest heartbeat before the last removal
 		for _, r := range records {
 			if r.Server == server && !r.Removed {
 				latest = max(latest, r.born())
@@ -200,11 +203,11 @@
 			case r.Server != server:
 			case r.Removed:
 				stands, removed = false, seen
-			case r.born() == 0, r.born() == latest && r.Beat >= removed:
+			case r.born() == 0, r.born() == latest && r.Heartbeat >= removed:
 				stands = true
 			}
 			if r.Server == server && !r.Removed && r.born() == latest {
-				seen = max(seen, r.Beat)
+				seen = max(seen, r.Heartbeat)
 			}
 		}
 		superseded := slices.ContainsFunc(records, func(r record) bool {
@@ -217,25 +220,25 @@
 	return names
 }
 
-// TestEveryEntryThatStandsIsListed draws entries of servers that share addresses, late and
-// repeated ones among them, removals, and whole reads at any point, with and without the
-// store away: once records stop coming, just the servers are listed whose entry stands
-// and that nothing succeeded.
-func TestEveryEntryThatStandsIsListed(t *testing.T) {
+// TestEveryRegisteredServerIsListed applies random entries of servers that share addresses,
+// also late and repeated ones, removals, and whole reads at any point, with and without an
+// outage of the store. After the last record exactly the servers are listed that are
+// registered and not superseded.
+func TestEveryRegisteredServerIsListed(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(23)
 	parameters.MinSuccessfulTests = 3000
 	properties := gopter.NewProperties(parameters)
-	properties.Property("listed as the model says", prop.ForAll(func(records []record, away bool) bool {
+	properties.Property("the list matches the model", prop.ForAll(func(records []record, outage bool) bool {
 		l, now := newList(), start
 		l.Apply(nil, now)
-		if away {
+		if outage {
 			now = now.Add(10 * time.Second)
 		}
 		for i, r := range records {
 			now = now.Add(time.Millisecond)
 			l.Apply([]Change{r.change()}, now)
-			if r.Whole {
-				l.Replace(entriesAfter(records[:i+1]), now)
+			if r.WholeRead {
+				l.Replace(currentEntries(records[:i+1]), now)
 			}
 		}
 		l.Expire(now.Add(5 * time.Second))
@@ -244,81 +247,81 @@
 			names = append(names, u.Name)
 		}
 		slices.Sort(names)
-		return slices.Equal(names, standing(records))
-	}, drawRecords(), gen.Bool()))
+		return slices.Equal(names, expectedNames(records))
+	}, genRecords(), gen.Bool()))
 	properties.TestingRun(t)
 }
 
-// site is one address at which servers live one after the other. Their entries are
-// written while they live and reach the list late, in any order.
-type site struct {
-	rng    *rand.Rand
-	list   *List
-	lives  int // the server that lives
-	now    time.Time
-	onWay  []Change // written, not yet read
-	known  map[string]bool
-	sent   []Upstream // not yet answered
-	itself []bool
+// addressSim simulates one address at which servers run one after the other. Their entries are
+// written while they run and reach the list late, in any order.
+type addressSim struct {
+	rng            *rand.Rand
+	list           *List
+	current        int // number of the server that runs
+	now            time.Time
+	inTransit      []Change // written, not yet read
+	known          map[string]bool
+	sent           []Upstream // not yet answered
+	answeredItself []bool
 }
 
 func serverName(i int) string { return "s" + string(rune('a'+i)) }
 
-func (s *site) step() {
+func (s *addressSim) step() {
 	s.now = s.now.Add(10 * time.Millisecond)
 	switch s.rng.IntN(5) {
 	case 0:
 		if s.rng.IntN(4) == 0 {
-			s.lives++
+			s.current++
 		}
-		s.onWay = append(s.onWay, at("x", up(serverName(s.lives), int64(s.now.Sub(start)))))
+		s.inTransit = append(s.inTransit, atAddress("x", newEntry(serverName(s.current), int64(s.now.Sub(start)))))
 	case 1, 2:
 		s.read()
 	case 3:
 		if list := s.list.Snapshot().Upstreams; len(list) > 0 {
 			u := list[s.rng.IntN(len(list))]
 			s.sent = append(s.sent, u)
-			s.itself = append(s.itself, u.Name == serverName(s.lives))
+			s.answeredItself = append(s.answeredItself, u.Name == serverName(s.current))
 		}
 	case 4:
 		s.answer()
 	}
 }
 
-// read takes in an entry that is on its way, or the lapse of one of a dead server.
-func (s *site) read() {
-	if len(s.onWay) == 0 {
+// read applies a random entry in transit, and sometimes the lapse of a stopped server's entry.
+func (s *addressSim) read() {
+	if len(s.inTransit) == 0 {
 		return
 	}
-	i := s.rng.IntN(len(s.onWay))
-	c := s.onWay[i]
-	s.onWay = slices.Delete(s.onWay, i, i+1)
+	i := s.rng.IntN(len(s.inTransit))
+	c := s.inTransit[i]
+	s.inTransit = slices.Delete(s.inTransit, i, i+1)
 	s.list.Apply([]Change{c}, s.now)
 	s.known[c.Name] = true
-	if dead := serverName(s.rng.IntN(s.lives + 1)); s.rng.IntN(3) == 0 && dead != serverName(s.lives) {
+	if dead := serverName(s.rng.IntN(s.current + 1)); s.rng.IntN(3) == 0 && dead != serverName(s.current) {
 		s.list.Apply([]Change{{Name: dead}}, s.now)
 	}
 }
 
-func (s *site) answer() {
+func (s *addressSim) answer() {
 	if len(s.sent) == 0 {
 		return
 	}
 	i := s.rng.IntN(len(s.sent))
-	s.list.RecordResponder(s.sent[i], s.itself[i])
-	s.sent, s.itself = slices.Delete(s.sent, i, i+1), slices.Delete(s.itself, i, i+1)
+	s.list.RecordResponder(s.sent[i], s.answeredItself[i])
+	s.sent, s.answeredItself = slices.Delete(s.sent, i, i+1), slices.Delete(s.answeredItself, i, i+1)
 }
 
-// TestTheLivingServerIsNeverLost plays servers that follow each other at one address,
-// entries and answers that come late and in any order, and lapses: at each moment the
-// server that lives is listed, once its entry was read.
-func TestTheLivingServerIsNeverLost(t *testing.T) {
+// TestRunningServerStaysListed simulates servers that follow each other at one address, with
+// entries and answers that arrive late and in any order, and lapses: the running server is
+// listed at all times after its first entry was read.
+func TestRunningServerStaysListed(t *testing.T) {
 	for seed := range uint64(400) {
-		s := &site{rng: rand.New(rand.NewPCG(seed, seed)), list: newList(), now: start, known: map[string]bool{}}
+		s := &addressSim{rng: rand.New(rand.NewPCG(seed, seed)), list: newList(), now: start, known: map[string]bool{}}
 		for range 150 {
 			s.step()
-			if name := serverName(s.lives); s.known[name] && !s.list.has(name) {
-				t.Fatalf("seed %d: %s lives, listed are %q", seed, name, s.list.listed())
+			if name := serverName(s.current); s.known[name] && !s.list.has(name) {
+				t.Fatalf("seed %d: %s runs, listed are %q", seed, name, s.list.listedIDs())
 			}
 		}
 	}
--- a/internal/core/fleet/cold.go
+++ b/internal/core/fleet/cold.go
@@ -2,67 +2,69 @@
 
 import "time"
 
-// beatsToBelieve is how many heartbeats of an upstream after a doubt tell how it is now: the
-// first may have been on its way.
-const beatsToBelieve = 2
+// heartbeatsUntilTrusted is the number of heartbeats after which an upstream's entry may again end an
+// assumed cold time. The first of them may have been sent before it was assumed.
+const heartbeatsUntilTrusted = 2
 
-// AssumeCold makes the upstreams of a failure domain count as cold until they say otherwise,
-// for what they said last may be over: the domain was not in use, or could not be reached.
+// AssumeCold treats the upstreams of a failure domain as cold for at least the time that coldFor gives
+// for their service, until their heartbeats report otherwise. What they last reported may be
+// out of date, because the domain was not in use or could not be reached.
 func (l *List) AssumeCold(domain string, coldFor func(service string) time.Duration, now time.Time) {
 	for _, e := range l.byName {
 		if e.Domain != domain {
 			continue
 		}
-		l.changes++
+		l.version++
 		e.coldUntil = later(e.coldUntil, now.Add(coldFor(e.Service)))
-		e.believeFrom = e.Heartbeat + beatsToBelieve
+		e.trustedFrom = e.Heartbeat + heartbeatsUntilTrusted
 	}
 }
 
-// UpdateCold notes what an answer of an upstream says: for how long it stays cold. It returns
-// false when that is known, or the upstream is not.
+// UpdateCold records for how long an upstream stays cold according to one of its answers. It
+// returns false when the upstream is unknown or this is no news.
 func (l *List) UpdateCold(id string, left time.Duration, now time.Time) bool {
 	until := now.Add(left)
 	for _, e := range l.byName {
 		if e.ID != id {
 			continue
 		}
-		if until.Sub(e.coldUntil) < coldSlack {
+		if until.Sub(e.coldUntil) < coldTolerance {
 			return false
 		}
-		l.changes++
+		l.version++
 		e.coldUntil = until
-		e.believeFrom = e.Heartbeat + beatsToBelieve
+		e.trustedFrom = e.Heartbeat + heartbeatsUntilTrusted
 		return true
 	}
 	return false
 }
 
-// coldSlack is the difference between two words on how long an upstream stays cold that is
-// none: they were written at different times.
-const coldSlack = 300 * time.Millisecond
+// coldTolerance is the largest difference between two reported ends of a cold time that are
+// treated as equal. They differ because the reports were written at different times.
+const coldTolerance = 300 * time.Millisecond
 
-// ColdChanged reports whether it matters that an upstream was cold until one time and is so
-// until another now.
+// ColdChanged reports whether the end of an upstream's cold time moved significantly from
+// before to after. Ends that have both passed at now are equal.
 func ColdChanged(before, after, now time.Time) bool {
 	if !before.After(now) && !after.After(now) {
 		return false
 	}
-	return after.Sub(before).Abs() >= coldSlack
+	return after.Sub(before).Abs() >= coldTolerance
 }
 
-// takeCold takes in for how long the entry of an upstream, read at a time, says that it stays
-// cold. Where the entry is the one that was known, time goes on.
-func (e *entry) takeCold(u *Upstream, fresh bool, now time.Time) {
-	var told time.Time
+// updateCold updates the end of the cold time from an entry that was read at now. An entry
+// before trustedFrom can only extend it. A later one sets it, unless the same entry was read
+// before (not fresh): its remaining time counts from the first read.
+func (e *entry) updateCold(u *Upstream, fresh bool, now time.Time) {
+	var reported time.Time
 	if u.ColdFor > 0 {
-		told = now.Add(u.ColdFor)
+		reported = now.Add(u.ColdFor)
 	}
 	switch {
-	case u.Heartbeat < e.believeFrom:
-		e.coldUntil = later(e.coldUntil, told)
+	case u.Heartbeat < e.trustedFrom:
+		e.coldUntil = later(e.coldUntil, reported)
 	case fresh:
-		e.coldUntil = told
+		e.coldUntil = reported
 	}
 }
 
--- a/internal/core/fleet/doc.go
+++ b/internal/core/fleet/doc.go
@@ -1,4 +1,4 @@
-// Package fleet keeps the list of a site's upstreams as the platform's store tells
-// it: who lives, who leaves, who has gone or started anew, and how old that knowledge
-// is. It is pure: no I/O, goroutines or clocks.
+// Package fleet keeps the list of a site's upstreams as registered in the platform's
+// store: which are live, leaving, removed or restarted, and when the store was last
+// read. It is pure: no I/O, goroutines or clocks.
 package fleet
--- a/internal/core/fleet/evacuation.go
+++ b/internal/core/fleet/evacuation.go
@@ -6,25 +6,26 @@
 	"time"
 )
 
-// EvacuationRecord is a record of the store about the evacuation of a failure domain.
+// EvacuationRecord is a record of the store that begins or ends the evacuation of a failure
+// domain.
 type EvacuationRecord struct {
 	Domain string
-	Begin  bool // else it has been taken back
+	Begin  bool // false ends the evacuation
 }
 
-// Evacuations are the failure domains whose upstreams are to get nothing new, as operators
-// wish. The zero value is ready for use. It is not safe for concurrent use.
+// Evacuations holds the failure domains that operators have evacuated: their upstreams get no
+// new work. The zero value is ready for use. It is not safe for concurrent use.
 //
-// Invariant: an evacuation that was read stands until a later read says that it was taken
-// back; that the store cannot be read ends none.
+// Invariant: an evacuation lasts until a later read shows that it has ended. A failure to
+// read the store ends none.
 type Evacuations struct {
 	domains map[string]bool
 }
 
-// Apply takes in the wishes that a read of the store brought, in their order. A whole read has
-// all that stand, but for those of unreadable domains: nothing new is known of them. It
-// returns the domains whose evacuation began and ended.
-func (e *Evacuations) Apply(wishes []EvacuationRecord, whole bool, unreadable []string) (begun, ended []string) {
+// Apply applies the records that a read of the store returned, in their order. A whole read
+// returns all evacuations in force, except those of unreadable domains, which stay as they
+// were. Apply returns the sorted domains whose evacuation has begun and has ended.
+func (e *Evacuations) Apply(records []EvacuationRecord, whole bool, unreadable []string) (begun, ended []string) {
 	before := e.domains
 	after := maps.Clone(before)
 	if whole {
@@ -33,34 +34,34 @@
 	if after == nil {
 		after = map[string]bool{}
 	}
-	for _, w := range wishes {
-		if w.Begin {
-			after[w.Domain] = true
+	for _, r := range records {
+		if r.Begin {
+			after[r.Domain] = true
 		} else {
-			delete(after, w.Domain)
+			delete(after, r.Domain)
 		}
 	}
 	e.domains = after
-	return missing(after, before), missing(before, after)
+	return difference(after, before), difference(before, after)
 }
 
-// missing returns the domains of one set that another lacks, in order.
-func missing(of, in map[string]bool) []string {
-	var some []string
-	for domain := range of {
-		if !in[domain] {
-			some = append(some, domain)
+// difference returns the sorted domains that are in the first set and not in the second.
+func difference(set, other map[string]bool) []string {
+	var result []string
+	for domain := range set {
+		if !other[domain] {
+			result = append(result, domain)
 		}
 	}
-	slices.Sort(some)
-	return some
+	slices.Sort(result)
+	return result
 }
 
-// SetEvacuated notes that the evacuation of a failure domain has begun or ended. Upstreams of
-// a domain that comes back may have become cold meanwhile: each counts as cold, for the time
-// that coldFor gives its service, until it says otherwise.
+// SetEvacuated records that the evacuation of a failure domain has begun or ended. Upstreams
+// may have become cold during an evacuation: at its end each is treated as cold for the time
+// that coldFor gives for its service, until its heartbeats report otherwise.
 func (l *List) SetEvacuated(domain string, evacuated bool, coldFor func(service string) time.Duration, now time.Time) {
-	l.changes++
+	l.version++
 	if evacuated {
 		l.evacuated[domain] = true
 		return
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -11,8 +11,8 @@
 
 func newList() *List { return New(Options{OutageAfter: time.Second, ReturnGrace: 2 * time.Second}) }
 
-func up(id string, beat int64) Change {
-	return Change{Name: id, Upstream: &Upstream{Incarnation: Incarnation{Name: id}, Service: "s", Address: id + ":1", Heartbeat: beat}}
+func newEntry(id string, heartbeat int64) Change {
+	return Change{Name: id, Upstream: &Upstream{Incarnation: Incarnation{Name: id}, Service: "s", Address: id + ":1", Heartbeat: heartbeat}}
 }
 
 func (l *List) has(id string) bool {
@@ -22,44 +22,44 @@
 
 func TestRemovedEntryIsGoneAtOnce(t *testing.T) {
 	l := newList()
-	l.Apply([]Change{up("a", 1), up("b", 1)}, start)
+	l.Apply([]Change{newEntry("a", 1), newEntry("b", 1)}, start)
 	l.Apply([]Change{{Name: "a"}}, start.Add(500*time.Millisecond))
 	if l.has("a") || !l.has("b") {
 		t.Errorf("got %v", l.Snapshot().Upstreams)
 	}
 }
 
-func TestEntryThatLapsedWithTheStoreAwayStaysForItsReturn(t *testing.T) {
+func TestEntryThatLapsedInAnOutageStaysForTheGracePeriod(t *testing.T) {
 	l := newList()
-	l.Apply([]Change{up("back", 1), up("dead", 1)}, start)
+	l.Apply([]Change{newEntry("back", 1), newEntry("dead", 1)}, start)
 	back := start.Add(10 * time.Second)
 	l.Apply([]Change{{Name: "back"}, {Name: "dead"}}, back)
 	if !l.has("back") || !l.has("dead") {
 		t.Fatal("lapsed entries were dropped at once")
 	}
-	l.Apply([]Change{up("back", 2)}, back.Add(time.Second))
+	l.Apply([]Change{newEntry("back", 2)}, back.Add(time.Second))
 	l.Expire(back.Add(2 * time.Second))
 	if !l.has("back") || l.has("dead") {
 		t.Errorf("got %v", l.Snapshot().Upstreams)
 	}
 }
 
-func TestLapseOfALeavingUpstreamIsItsEnd(t *testing.T) {
+func TestLapsedLeavingUpstreamIsRemoved(t *testing.T) {
 	l := newList()
-	leaving := up("a", 1)
+	leaving := newEntry("a", 1)
 	leaving.Upstream.Leaving = true
 	l.Apply([]Change{leaving}, start)
 	l.Apply([]Change{{Name: "a"}}, start.Add(10*time.Second))
 	if l.has("a") {
-		t.Error("it is still used")
+		t.Error("it is still listed")
 	}
 }
 
-func TestLeavingIsForGood(t *testing.T) {
+func TestLeavingIsPermanent(t *testing.T) {
 	l := newList()
-	leaving := up("a", 2)
+	leaving := newEntry("a", 2)
 	leaving.Upstream.Leaving = true
-	l.Apply([]Change{up("a", 1), leaving, up("a", 1), up("a", 3)}, start)
+	l.Apply([]Change{newEntry("a", 1), leaving, newEntry("a", 1), newEntry("a", 3)}, start)
 	if u, _ := l.Snapshot().Get("a"); !u.Leaving || u.Heartbeat != 3 {
 		t.Errorf("got %+v", u)
 	}
@@ -67,8 +67,8 @@
 
 func TestReplaceRemovesWhatIsMissing(t *testing.T) {
 	l := newList()
-	l.Apply([]Change{up("a", 1), up("b", 1)}, start)
-	l.Replace([]Change{up("b", 2)}, start.Add(100*time.Millisecond))
+	l.Apply([]Change{newEntry("a", 1), newEntry("b", 1)}, start)
+	l.Replace([]Change{newEntry("b", 2)}, start.Add(100*time.Millisecond))
 	if l.has("a") || !l.has("b") {
 		t.Errorf("got %v", l.Snapshot().Upstreams)
 	}
@@ -77,25 +77,25 @@
 	}
 }
 
-// life is an entry of a life of a server that was born at a time.
-func life(name string, born, beat int64) Change {
-	c := up(name, beat)
+// entryWithStart returns an entry of a server that reports its start time.
+func entryWithStart(name string, born, heartbeat int64) Change {
+	c := newEntry(name, heartbeat)
 	c.Upstream.Born = born
 	return c
 }
 
-func leaves(c Change) Change {
+func asLeaving(c Change) Change {
 	c.Upstream.Leaving = true
 	return c
 }
 
-func at(address string, c Change) Change {
+func atAddress(address string, c Change) Change {
 	c.Upstream.Address = address
 	return c
 }
 
-// listed returns the IDs of a list, those that leave with a sign.
-func (l *List) listed() string {
+// listedIDs returns the IDs in a list, with "-" after those of leaving upstreams.
+func (l *List) listedIDs() string {
 	var ids []string
 	for _, u := range l.Snapshot().Upstreams {
 		if u.Leaving {
@@ -106,68 +106,68 @@
 	return strings.Join(ids, " ")
 }
 
-func TestServerThatStartsAgainUnderItsName(t *testing.T) {
+func TestServerRestartsUnderItsName(t *testing.T) {
 	for name, c := range map[string]struct {
 		entries []Change
 		want    string
 	}{
-		"its counts start anew":           {[]Change{life("a", 10, 50), life("a", 20, 1)}, "a@20"},
-		"the earlier life was leaving":    {[]Change{leaves(life("a", 10, 50)), life("a", 20, 1)}, "a@20"},
-		"a late entry of the earlier":     {[]Change{life("a", 10, 50), life("a", 20, 1), leaves(life("a", 10, 99))}, "a@20"},
-		"twice":                           {[]Change{life("a", 10, 5), life("a", 20, 5), life("a", 30, 1), life("a", 20, 6)}, "a@30"},
-		"the new one leaves, for good":    {[]Change{life("a", 10, 5), leaves(life("a", 20, 2)), life("a", 20, 3)}, "a@20-"},
-		"a start that is left out":        {[]Change{life("a", 10, 5), leaves(up("a", 6)), life("a", 10, 7)}, "a@10-"},
-		"a start that comes late":         {[]Change{up("a", 5), life("a", 10, 6)}, "a"},
-		"no start, counts that fall":      {[]Change{up("a", 5), life("a", 10, 1)}, "a@10"},
-		"removed, an older heartbeat":     {[]Change{life("a", 10, 5), {Name: "a"}, life("a", 10, 4)}, ""},
-		"removed, left, a late heartbeat": {[]Change{leaves(life("a", 10, 5)), {Name: "a"}, life("a", 10, 6)}, "a@10-"},
-		"removed, then another life":      {[]Change{leaves(life("a", 10, 5)), {Name: "a"}, life("a", 20, 1)}, "a@20"},
-		"removed, then an earlier life":   {[]Change{life("a", 20, 1), {Name: "a"}, life("a", 10, 9)}, ""},
+		"heartbeats count from the start": {[]Change{entryWithStart("a", 10, 50), entryWithStart("a", 20, 1)}, "a@20"},
+		"the earlier run was leaving":     {[]Change{asLeaving(entryWithStart("a", 10, 50)), entryWithStart("a", 20, 1)}, "a@20"},
+		"a late entry of the earlier run": {[]Change{entryWithStart("a", 10, 50), entryWithStart("a", 20, 1), asLeaving(entryWithStart("a", 10, 99))}, "a@20"},
+		"twice":                           {[]Change{entryWithStart("a", 10, 5), entryWithStart("a", 20, 5), entryWithStart("a", 30, 1), entryWithStart("a", 20, 6)}, "a@30"},
+		"the new run leaves":              {[]Change{entryWithStart("a", 10, 5), asLeaving(entryWithStart("a", 20, 2)), entryWithStart("a", 20, 3)}, "a@20-"},
+		"an entry without the start time": {[]Change{entryWithStart("a", 10, 5), asLeaving(newEntry("a", 6)), entryWithStart("a", 10, 7)}, "a@10-"},
+		"start time only in a late entry": {[]Change{newEntry("a", 5), entryWithStart("a", 10, 6)}, "a"},
+		"no start time, lower heartbeat":  {[]Change{newEntry("a", 5), entryWithStart("a", 10, 1)}, "a@10"},
+		"removed, an older heartbeat":     {[]Change{entryWithStart("a", 10, 5), {Name: "a"}, entryWithStart("a", 10, 4)}, ""},
+		"leaving, removed, heartbeat":     {[]Change{asLeaving(entryWithStart("a", 10, 5)), {Name: "a"}, entryWithStart("a", 10, 6)}, "a@10-"},
+		"removed, then a later run":       {[]Change{asLeaving(entryWithStart("a", 10, 5)), {Name: "a"}, entryWithStart("a", 20, 1)}, "a@20"},
+		"removed, then an earlier run":    {[]Change{entryWithStart("a", 20, 1), {Name: "a"}, entryWithStart("a", 10, 9)}, ""},
 	} {
 		l := newList()
 		l.Apply(c.entries, start)
-		if got := l.listed(); got != c.want {
+		if got := l.listedIDs(); got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
 	}
 }
 
-func TestServerAtTheAddressOfAnotherEndsIt(t *testing.T) {
+func TestLaterStartAtAnAddressSupersedesTheServer(t *testing.T) {
 	for name, c := range map[string]struct {
 		entries []Change
 		want    string
 	}{
-		"a new one":                     {[]Change{life("a", 10, 50), at("a:1", life("b", 20, 1))}, "b@20"},
-		"a heartbeat of the one before": {[]Change{life("a", 10, 5), at("a:1", life("b", 20, 1)), life("a", 10, 6)}, "b@20"},
-		"the old one is heard of late":  {[]Change{at("a:1", life("b", 20, 1)), life("a", 10, 5)}, "b@20"},
+		"a new server":               {[]Change{entryWithStart("a", 10, 50), atAddress("a:1", entryWithStart("b", 20, 1))}, "b@20"},
+		"a heartbeat of the earlier": {[]Change{entryWithStart("a", 10, 5), atAddress("a:1", entryWithStart("b", 20, 1)), entryWithStart("a", 10, 6)}, "b@20"},
+		"the earlier is listed last": {[]Change{atAddress("a:1", entryWithStart("b", 20, 1)), entryWithStart("a", 10, 5)}, "b@20"},
 	} {
 		l := newList()
 		l.Apply(c.entries, start)
-		if got := l.listed(); got != c.want {
+		if got := l.listedIDs(); got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
 	}
 }
 
-func TestEntryThatNamesNoUpstreamEndsTheUse(t *testing.T) {
+func TestInvalidEntryRemovesTheUpstream(t *testing.T) {
 	l := newList()
-	l.Apply([]Change{life("a", 10, 1), life("b", 10, 1)}, start)
-	away := start.Add(time.Minute) // removals now count as lapses, which a void entry is not
-	l.Apply([]Change{{Name: "a", Invalid: true}, {Name: "unheard", Invalid: true}}, away)
-	if got := l.listed(); got != "b@10" {
+	l.Apply([]Change{entryWithStart("a", 10, 1), entryWithStart("b", 10, 1)}, start)
+	outageEnd := start.Add(time.Minute) // removals now count as lapses, but invalid entries do not
+	l.Apply([]Change{{Name: "a", Invalid: true}, {Name: "unknown", Invalid: true}}, outageEnd)
+	if got := l.listedIDs(); got != "b@10" {
 		t.Fatalf("listed %q", got)
 	}
-	l.Apply([]Change{life("a", 10, 2)}, away.Add(time.Second))
-	if got := l.listed(); got != "a@10 b@10" {
-		t.Errorf("its next entry lists it again: %q", got)
+	l.Apply([]Change{entryWithStart("a", 10, 2)}, outageEnd.Add(time.Second))
+	if got := l.listedIDs(); got != "a@10 b@10" {
+		t.Errorf("listed %q after its next valid entry", got)
 	}
 }
 
-func TestSuccessorShowsThatALifeIsOver(t *testing.T) {
+func TestSuccessor(t *testing.T) {
 	l := newList()
-	l.Apply([]Change{life("a", 10, 1), life("b", 10, 1), life("c", 10, 1)}, start)
+	l.Apply([]Change{entryWithStart("a", 10, 1), entryWithStart("b", 10, 1), entryWithStart("c", 10, 1)}, start)
 	before := l.Snapshot()
-	l.Apply([]Change{life("a", 20, 1), at("b:1", life("x", 30, 1)), {Name: "c"}}, start.Add(time.Millisecond))
+	l.Apply([]Change{entryWithStart("a", 20, 1), atAddress("b:1", entryWithStart("x", 30, 1)), {Name: "c"}}, start.Add(time.Millisecond))
 	after := l.Snapshot()
 	for id, want := range map[string]string{"a@10": "a@20", "b@10": "x@30", "c@10": ""} {
 		u, _ := before.Get(id)
@@ -177,46 +177,46 @@
 	}
 }
 
-// TestHeartbeatsLeaveTheSnapshotAsItIs guards against work for each read of the list that grows
-// with all upstreams: heartbeats alone change nothing that a snapshot shows.
-func TestHeartbeatsLeaveTheSnapshotAsItIs(t *testing.T) {
+// TestHeartbeatsDoNotChangeTheSnapshot guards against reads of the list whose cost grows with
+// the number of all upstreams: heartbeats alone must not change a snapshot.
+func TestHeartbeatsDoNotChangeTheSnapshot(t *testing.T) {
 	l := newList()
-	l.Apply([]Change{up("a", 1), up("b", 1)}, start)
+	l.Apply([]Change{newEntry("a", 1), newEntry("b", 1)}, start)
 	first := l.Snapshot()
-	l.Apply([]Change{up("a", 2), up("b", 2)}, start.Add(time.Second))
-	beaten := l.Snapshot()
-	if !beaten.SameAs(first) || !beaten.At.Equal(start.Add(time.Second)) {
-		t.Errorf("heartbeats have changed it, or its time is %s", beaten.At.Sub(start))
+	l.Apply([]Change{newEntry("a", 2), newEntry("b", 2)}, start.Add(time.Second))
+	after := l.Snapshot()
+	if !after.SameAs(first) || !after.At.Equal(start.Add(time.Second)) {
+		t.Errorf("heartbeats have changed the snapshot, or its time is %s", after.At.Sub(start))
 	}
-	l.Apply([]Change{up("a", 1)}, start.Add(time.Second)) // late
+	l.Apply([]Change{newEntry("a", 1)}, start.Add(time.Second)) // late
 	if !l.Snapshot().SameAs(first) {
-		t.Error("a late heartbeat has changed it")
+		t.Error("a late heartbeat has changed the snapshot")
 	}
-	leaving, moved := up("a", 3), up("b", 3)
+	leaving, moved := newEntry("a", 3), newEntry("b", 3)
 	leaving.Upstream.Leaving, moved.Upstream.Address = true, "c:1"
-	for name, c := range map[string]Change{"it leaves": leaving, "it moves": moved, "it has gone": {Name: "b"}, "a new one": up("d", 1)} {
+	for name, c := range map[string]Change{"it leaves": leaving, "it moves": moved, "it has gone": {Name: "b"}, "a new one": newEntry("d", 1)} {
 		before := l.Snapshot()
 		l.Apply([]Change{c}, start.Add(time.Second))
 		if l.Snapshot().SameAs(before) {
-			t.Errorf("%s: nothing has changed", name)
+			t.Errorf("%s: the snapshot has not changed", name)
 		}
 	}
 }
 
-// BenchmarkHeartbeats is a read of the list in which a third of the upstreams have beaten.
+// BenchmarkHeartbeats measures a read of the list with heartbeats of a third of the upstreams.
 func BenchmarkHeartbeats(b *testing.B) {
 	for _, upstreams := range []int{500, 1000, 2000} {
 		b.Run(strconv.Itoa(upstreams), func(b *testing.B) {
 			l := newList()
 			var all []Change
 			for i := range upstreams {
-				all = append(all, up(strconv.Itoa(i), 1))
+				all = append(all, newEntry(strconv.Itoa(i), 1))
 			}
 			l.Apply(all, start)
-			for beat := int64(2); b.Loop(); beat++ {
+			for heartbeat := int64(2); b.Loop(); heartbeat++ {
 				some := make([]Change, 0, upstreams/3)
 				for i := range upstreams / 3 {
-					some = append(some, up(strconv.Itoa(i), beat))
+					some = append(some, newEntry(strconv.Itoa(i), heartbeat))
 				}
 				l.Apply(some, start)
 				l.Snapshot()
--- a/internal/core/fleet/list.go
+++ b/internal/core/fleet/list.go
@@ -8,68 +8,68 @@
 
 // Options configure a List.
 type Options struct {
-	// OutageAfter is the time without a successful read from which the store counts
-	// as away. Entries that lapse meanwhile may belong to live servers.
+	// OutageAfter is the time without a successful read after which the store counts as
+	// unavailable. Entries that lapse during an outage may belong to live servers.
 	OutageAfter time.Duration
-	// ReturnGrace is how long after the store's return a lapsed entry is still used: a
-	// live server is back in the list by then.
+	// ReturnGrace is how long after an outage of the store a lapsed entry is still used.
+	// Live servers have registered again by then.
 	ReturnGrace time.Duration
 }
 
-// endedKept is how long an ended life is remembered. Late heartbeats were seen up to some
-// seconds after their time.
-const endedKept = time.Minute
+// endedRetention is how long the last entry of an ended incarnation and the latest start at an
+// address are kept. Heartbeats can arrive several seconds late.
+const endedRetention = time.Minute
 
-// entry is what the store tells of one server, or last told.
+// entry is the latest registration of a server in the store.
 type entry struct {
 	Upstream
-	listed int       // rises with each life that is listed for the first time
-	until  time.Time // it has lapsed and is used until then; zero: it stands
-	over   bool      // an answer has shown that another one has its address
-	// coldUntil is when it is warm again; in the past where it is.
+	order    int       // position in the order in which incarnations were first listed
+	graceEnd time.Time // the entry has lapsed and is used until then; zero: it is registered
+	replaced bool      // an answer has shown that another server has its address
+	// coldUntil is the end of the cold time; for a warm upstream it is past or zero.
 	coldUntil time.Time
-	// believeFrom is the heartbeat from which its word ends a doubt of its warmth.
-	believeFrom int64
+	// trustedFrom is the number of the heartbeat from which the entry may shorten coldUntil.
+	trustedFrom int64
 }
 
-// ended is the last entry of a life that is not listed any more.
-type ended struct {
+// endedEntry is the last entry of a server that is no longer listed.
+type endedEntry struct {
 	entry
 	at time.Time
 }
 
-// birth is the latest start that was told by the servers at an address.
-type birth struct {
+// addressStart is the latest start time that a server at an address has reported.
+type addressStart struct {
 	born int64 // Unix milliseconds
 	at   time.Time
 }
 
-// List is the state machine behind the snapshots. It is not safe for concurrent
-// use.
+// List tracks the registered upstreams and makes the snapshots. It is not safe for
+// concurrent use.
 //
-// The entries that stand and the choice between those of one address are kept apart, so
-// that no entry is lost while another one stands before it.
+// All entries are kept, and the choice between those of one address is made for each
+// snapshot, so that no entry is lost while another one takes precedence.
 //
 // Invariants: an upstream whose entry was removed while the store could be read is
-// never in a snapshot again until a new entry comes. One whose entry lapsed while the
-// store was away stays until Return after the first read. An entry of an earlier life,
-// or an older one of the same life, changes nothing. Each upstream whose entry stands is
-// in the snapshot unless a later start at its address was told, or an answer has shown
-// that another one that is listed lives there.
+// in no snapshot until a new entry arrives. One whose entry lapsed during an outage of the
+// store stays until ReturnGrace after the first read. An entry of an earlier incarnation,
+// or an older one of the same incarnation, changes nothing. Each registered upstream is
+// in the snapshot unless a later start at its address was reported, or an answer has shown
+// that another listed upstream runs there.
 type List struct {
-	opts   Options
-	byName map[string]*entry
-	ended  map[string]ended // by the server's name
-	births map[string]birth // by address
-	count  int              // lives listed so far
-	read   time.Time        // last successful read; zero: never
-	away   time.Time        // until then removals count as lapses
+	opts        Options
+	byName      map[string]*entry
+	ended       map[string]endedEntry   // by server name
+	starts      map[string]addressStart // by address
+	listedCount int                     // incarnations listed so far
+	lastRead    time.Time               // last successful read; zero: never
+	graceEnd    time.Time               // until then removals count as lapses during an outage
 
 	evacuated map[string]bool // failure domains
 
-	changes int       // of what snapshots show
-	last    *Snapshot // as of shown
-	shown   int       // of changes
+	version       int       // number of changes so far that a snapshot shows
+	cached        *Snapshot // the snapshot last made
+	cachedVersion int       // version of cached
 }
 
 // New returns an empty list.
@@ -77,28 +77,29 @@
 	return &List{
 		opts:      o,
 		byName:    map[string]*entry{},
-		ended:     map[string]ended{},
-		births:    map[string]birth{},
+		ended:     map[string]endedEntry{},
+		starts:    map[string]addressStart{},
 		evacuated: map[string]bool{},
 	}
 }
 
-// Apply notes a successful read of the store at now, with the changes it brought in
-// their order.
+// Apply applies the changes that a successful read of the store at now returned, in their
+// order.
 func (l *List) Apply(changes []Change, now time.Time) {
-	if !l.read.IsZero() && now.Sub(l.read) > l.opts.OutageAfter {
-		l.away = now.Add(l.opts.ReturnGrace)
+	if !l.lastRead.IsZero() && now.Sub(l.lastRead) > l.opts.OutageAfter {
+		l.graceEnd = now.Add(l.opts.ReturnGrace)
 	}
-	if now.After(l.read) { // a copy of a peer may be older
-		l.read = now
+	if now.After(l.lastRead) { // a copy from a peer may be older
+		l.lastRead = now
 	}
 	for _, c := range changes {
-		l.apply(c, now)
+		l.applyChange(c, now)
 	}
 	l.Expire(now)
 }
 
-// Replace notes a successful read of the whole list: what it lacks was removed.
+// Replace applies a successful read of the whole list: known servers that are not in it were
+// removed.
 func (l *List) Replace(all []Change, now time.Time) {
 	listed := make(map[string]bool, len(all))
 	for _, c := range all {
@@ -113,40 +114,40 @@
 	l.Apply(changes, now)
 }
 
-func (l *List) apply(c Change, now time.Time) {
+func (l *List) applyChange(c Change, now time.Time) {
 	if c.Upstream != nil {
-		l.put(*c.Upstream, now)
+		l.applyEntry(*c.Upstream, now)
 		return
 	}
 	e, known := l.byName[c.Name]
 	if !known {
 		return
 	}
-	if now.Before(l.away) && !e.Leaving && !c.Invalid {
-		if e.until.IsZero() {
-			e.until = l.away
+	if now.Before(l.graceEnd) && !e.Leaving && !c.Invalid {
+		if e.graceEnd.IsZero() {
+			e.graceEnd = l.graceEnd
 		}
 		return
 	}
-	l.drop(e, now)
+	l.remove(e, now)
 }
 
-func (l *List) drop(e *entry, now time.Time) {
-	l.changes++
+func (l *List) remove(e *entry, now time.Time) {
+	l.version++
 	delete(l.byName, e.Name)
-	l.ended[e.Name] = ended{*e, now}
+	l.ended[e.Name] = endedEntry{*e, now}
 }
 
-// put takes in an entry. Heartbeats may arrive late: one of an earlier life, or an older
-// one of the same life, changes nothing, and a life that leaves never comes back.
-func (l *List) put(u Upstream, now time.Time) {
-	before, known := l.lastOf(u)
+// applyEntry applies an entry. Heartbeats may arrive late: one of an earlier incarnation, or an older
+// one of the same incarnation, changes nothing, and leaving is permanent.
+func (l *List) applyEntry(u Upstream, now time.Time) {
+	before, known := l.lastEntry(u)
 	u.ID = u.Incarnation.ID()
-	fresh := l.isFresh(u)
+	fresh := l.isNewer(u)
 	switch {
-	case !known || laterLife(u, before.Upstream):
-		l.count++
-		before, fresh = entry{listed: l.count}, true
+	case !known || isLaterIncarnation(u, before.Upstream):
+		l.listedCount++
+		before, fresh = entry{order: l.listedCount}, true
 	case u.Born != 0 && u.Born < before.Born, u.Heartbeat < before.Heartbeat:
 		return
 	default:
@@ -154,42 +155,42 @@
 		u.Leaving = u.Leaving || before.Leaving
 	}
 	after := before
-	after.takeCold(&u, fresh, now)
-	after.Upstream, after.until = u, time.Time{}
-	if !known || !after.showsAs(&before) || l.byName[u.Name] == nil {
-		l.changes++
+	after.updateCold(&u, fresh, now)
+	after.Upstream, after.graceEnd = u, time.Time{}
+	if !known || !after.equalInSnapshot(&before) || l.byName[u.Name] == nil {
+		l.version++
 	}
 	l.byName[u.Name] = &after
 	delete(l.ended, u.Name)
-	if u.Born != 0 && u.Born >= l.births[u.Address].born {
-		if u.Born > l.births[u.Address].born {
-			l.changes++
+	if u.Born != 0 && u.Born >= l.starts[u.Address].born {
+		if u.Born > l.starts[u.Address].born {
+			l.version++
 		}
-		l.births[u.Address] = birth{u.Born, now}
+		l.starts[u.Address] = addressStart{u.Born, now}
 	}
 }
 
-// isFresh reports whether an entry was written after the one that stands.
-func (l *List) isFresh(u Upstream) bool {
+// isNewer reports whether an entry was written after the registered one.
+func (l *List) isNewer(u Upstream) bool {
 	e, stands := l.byName[u.Name]
-	return !stands || !e.until.IsZero() || u.Heartbeat != e.Heartbeat
+	return !stands || !e.graceEnd.IsZero() || u.Heartbeat != e.Heartbeat
 }
 
-// showsAs reports whether a snapshot shows the same for an entry as for another one: the
-// number of its heartbeat is not looked at.
-func (e *entry) showsAs(other *entry) bool {
+// equalInSnapshot reports whether two entries look the same in a snapshot. The number of the
+// heartbeat does not count.
+func (e *entry) equalInSnapshot(other *entry) bool {
 	a, b := e.Upstream, other.Upstream
 	a.Heartbeat, a.ColdFor, a.Rivals = b.Heartbeat, b.ColdFor, nil
 	b.Rivals = nil
-	return reflect.DeepEqual(a, b) && e.coldUntil.Equal(other.coldUntil) && e.listed == other.listed && e.over == other.over
+	return reflect.DeepEqual(a, b) && e.coldUntil.Equal(other.coldUntil) && e.order == other.order && e.replaced == other.replaced
 }
 
-// lastOf returns the last entry of the server that an entry is of. Of a life whose start
-// was not told and whose entry went, only its place among the others is remembered: its
-// counts may start anew.
-func (l *List) lastOf(u Upstream) (last entry, known bool) {
+// lastEntry returns the last entry of u's server. When that entry is gone and gave no start
+// time, only its position in the order of listing is kept: the server may have restarted and
+// count its heartbeats from the start.
+func (l *List) lastEntry(u Upstream) (last entry, known bool) {
 	e, stands := l.byName[u.Name]
-	if stands && e.until.IsZero() {
+	if stands && e.graceEnd.IsZero() {
 		return *e, true
 	}
 	if stands {
@@ -204,58 +205,59 @@
 	return last, true
 }
 
-// laterLife reports whether an entry belongs to a later life than the known one. Where a
-// start is not told, the entries are taken for those of one life.
-func laterLife(u, known Upstream) bool {
+// isLaterIncarnation reports whether u is of a later incarnation than the known entry. An entry without
+// a start time counts as one of the known incarnation.
+func isLaterIncarnation(u, known Upstream) bool {
 	if known.Born == 0 {
 		return u.Born != 0 && u.Heartbeat < known.Heartbeat
 	}
 	return u.Born > known.Born
 }
 
-// RecordResponder takes in which server answered what was sent to an upstream of a snapshot:
-// the upstream itself, or another one that has its address. It returns false when that
-// tells nothing new.
+// RecordResponder records which server answered a request sent to u, an upstream of a
+// snapshot: u itself, or another server at its address. It returns false when this changes
+// nothing.
 //
-// The rivals of one that answered had started before it: they were registered when the
-// snapshot was made, so before the request was sent.
+// When u itself answered, its rivals have ended: they were registered when the snapshot was
+// made, so they had started before the request was sent.
 func (l *List) RecordResponder(u Upstream, itself bool) bool {
-	over := u.Rivals
+	endedIDs := u.Rivals
 	if !itself {
-		over = []string{u.ID}
+		endedIDs = []string{u.ID}
 	}
 	changed := false
 	for _, e := range l.byName {
-		if len(u.Rivals) > 0 && !e.over && slices.Contains(over, e.ID) {
-			e.over, changed = true, true
-			l.changes++
+		if len(u.Rivals) > 0 && !e.replaced && slices.Contains(endedIDs, e.ID) {
+			e.replaced, changed = true, true
+			l.version++
 		}
 	}
 	return changed
 }
 
-// Expire drops lapsed entries whose time is over. It reports whether any went.
+// Expire removes lapsed entries whose grace period is over, and outdated records of ended
+// incarnations and starts. It reports whether an entry was removed.
 func (l *List) Expire(now time.Time) bool {
 	changed := false
 	for _, e := range l.byName {
-		if !e.until.IsZero() && !now.Before(e.until) {
-			l.drop(e, now)
+		if !e.graceEnd.IsZero() && !now.Before(e.graceEnd) {
+			l.remove(e, now)
 			changed = true
 		}
 	}
 	for name, e := range l.ended {
-		if now.Sub(e.at) > endedKept {
+		if now.Sub(e.at) > endedRetention {
 			delete(l.ended, name)
 		}
 	}
-	for address, b := range l.births {
-		if now.Sub(b.at) > endedKept {
-			l.changes++
-			delete(l.births, address)
+	for address, b := range l.starts {
+		if now.Sub(b.at) > endedRetention {
+			l.version++
+			delete(l.starts, address)
 		}
 	}
 	return changed
 }
 
 // ReadAt returns the time of the last successful read, zero before the first.
-func (l *List) ReadAt() time.Time { return l.read }
+func (l *List) ReadAt() time.Time { return l.lastRead }
--- a/internal/core/fleet/snapshot.go
+++ b/internal/core/fleet/snapshot.go
@@ -9,19 +9,20 @@
 // Snapshot is an immutable list, ordered by ID.
 type Snapshot struct {
 	Upstreams []Upstream
-	// Superseded are the IDs of the lives that are over though their entries stand.
+	// Superseded are the IDs of the upstreams that are still registered although their
+	// incarnation has ended.
 	Superseded []string
-	At         time.Time // of the read that it reflects
+	At         time.Time // of the last read of the store that it reflects
 	byID       map[string]int
-	change     int // of the list, which it shows
+	version    int // List.version when it was made
 }
 
-// SameAs reports whether two snapshots of one list show the same, but for their times.
+// SameAs reports whether two snapshots of one list are equal apart from At.
 func (s *Snapshot) SameAs(other *Snapshot) bool {
-	return s.byID != nil && other.byID != nil && s.change == other.change
+	return s.byID != nil && other.byID != nil && s.version == other.version
 }
 
-// Get returns an upstream by its ID.
+// Get returns the upstream with the given ID.
 func (s *Snapshot) Get(id string) (Upstream, bool) {
 	i, ok := s.byID[id]
 	if !ok {
@@ -41,9 +42,9 @@
 	return live
 }
 
-// Successor returns the upstream that shows that the life of another one, which is not
-// listed any more, is over: a later life of the same server, or another server at its
-// address.
+// Successor returns the upstream that replaced one that is no longer listed: a later
+// incarnation of the same server, or another server at its address. It returns false when of
+// is still listed or nothing replaced it.
 func (s *Snapshot) Successor(of Upstream) (Upstream, bool) {
 	if _, listed := s.byID[of.ID]; listed {
 		return Upstream{}, false
@@ -56,18 +57,18 @@
 	return Upstream{}, false
 }
 
-// Snapshot returns the present list.
+// Snapshot returns the current list.
 func (l *List) Snapshot() *Snapshot {
-	if l.last == nil || l.shown != l.changes {
-		l.last, l.shown = l.snapshot(), l.changes
+	if l.cached == nil || l.cachedVersion != l.version {
+		l.cached, l.cachedVersion = l.snapshot(), l.version
 	}
-	s := *l.last
-	s.At = l.read
+	s := *l.cached
+	s.At = l.lastRead
 	return &s
 }
 
 func (l *List) snapshot() *Snapshot {
-	s := &Snapshot{byID: make(map[string]int, len(l.byName)), change: l.changes}
+	s := &Snapshot{byID: make(map[string]int, len(l.byName)), version: l.version}
 	byAddress := make(map[string][]*entry, len(l.byName))
 	for _, e := range l.byName {
 		byAddress[e.Address] = append(byAddress[e.Address], e)
@@ -92,13 +93,14 @@
 	return s
 }
 
-// choose returns the upstreams of an address that may live there.
+// choose returns the upstreams of an address that may be running there.
 func (l *List) choose(address string, all []*entry) []Upstream {
-	latest := l.births[address].born
+	latest := l.starts[address].born
 	all = slices.DeleteFunc(slices.Clone(all), func(e *entry) bool { return e.Born != 0 && e.Born < latest })
-	// What answers showed counts only beside another one: alone, an upstream is tried.
-	if slices.ContainsFunc(all, func(e *entry) bool { return !e.over }) {
-		all = slices.DeleteFunc(all, func(e *entry) bool { return e.over })
+	// That an answer came from another server excludes an upstream only while there are
+	// others at the address. Otherwise it is tried again.
+	if slices.ContainsFunc(all, func(e *entry) bool { return !e.replaced }) {
+		all = slices.DeleteFunc(all, func(e *entry) bool { return e.replaced })
 	}
 	listed := make([]Upstream, len(all))
 	for i, e := range all {
@@ -108,7 +110,7 @@
 		for _, other := range all {
 			if other != e {
 				listed[i].Rivals = append(listed[i].Rivals, other.ID)
-				listed[i].Displaced = listed[i].Displaced || other.listed > e.listed
+				listed[i].Displaced = listed[i].Displaced || other.order > e.order
 			}
 		}
 	}
--- a/internal/core/fleet/upstream.go
+++ b/internal/core/fleet/upstream.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Incarnation names one life of a server: it may start again under the name that it had, and
-// holds and knows nothing of before then.
+// Incarnation identifies one run of a server. A server may restart under the same name, and
+// keeps no state from its earlier runs.
 type Incarnation struct {
 	Name string // under which the server is registered
-	Born int64  // Unix milliseconds of the start; zero: not told
+	Born int64  // start time in Unix milliseconds; zero: not reported
 }
 
-// ID returns the identifier of the life, unique among all lives of all servers.
+// ID returns the identifier of the incarnation, unique among all servers.
 func (l Incarnation) ID() string {
 	if l.Born == 0 {
 		return l.Name
@@ -20,36 +20,39 @@
 	return l.Name + "@" + strconv.FormatInt(l.Born, 10)
 }
 
-// Upstream is one life of a server. An address may pass to a server of another service.
+// Upstream is one incarnation of a server. A later server at its address may be of another
+// service.
 type Upstream struct {
-	ID string // of the life
+	ID string // see Incarnation.ID
 	Incarnation
 	Service   string
 	Address   string // IP:port
 	Domain    string // failure domain
-	Slots     int    // requests that run at once
+	Slots     int    // number of requests that run at once
 	Leaving   bool   // takes no new work
-	Heartbeat int64  // rises with each heartbeat of this life
-	// ColdFor is for how long its entry says that it bears few requests a second.
+	Heartbeat int64  // number of the heartbeat, increases within an incarnation
+	// ColdFor is how long the upstream stays cold according to its entry: until then it can
+	// take only a few requests per second.
 	ColdFor time.Duration
-	// ColdUntil is when it is warm again, by all that is known; in the past where it is.
+	// ColdUntil is the end of the cold time from all sources; for a warm upstream it is past
+	// or zero.
 	ColdUntil time.Time
-	// Evacuated says that operators want nothing new sent to its failure domain.
+	// Evacuated is set when operators have evacuated its failure domain.
 	Evacuated bool
-	// Rivals are the IDs of the other upstreams whose entries stand at the address, while
-	// it is not known which of them lives there; see List.Identified.
+	// Rivals are the IDs of the other upstreams that are registered at the same address,
+	// while it is unknown which of them runs there; see List.RecordResponder.
 	Rivals []string
-	// Displaced says that one of the rivals was listed later and most likely lives. This
-	// one is to get work only where no other upstream can take it.
+	// Displaced is set when a rival was listed later, which makes it the more likely to run
+	// there. A displaced upstream gets work only when no other upstream can take it.
 	Displaced bool
 }
 
-// TakesWork reports whether the upstream may get new work, by the store's records.
+// TakesWork reports whether the upstream may get new work according to the store's records.
 func (u *Upstream) TakesWork() bool { return !u.Leaving && !u.Evacuated }
 
 // Change is one record of the store about a server.
 type Change struct {
 	Name     string
-	Upstream *Upstream // nil: the entry was removed, or is Void
+	Upstream *Upstream // nil: the entry was removed or is Invalid
 	Invalid  bool      // the entry names no upstream: it cannot be read, or is another writer's
 }
