--- a/internal/core/route/doc.go
+++ b/internal/core/route/doc.go
@@ -1,5 +1,5 @@
-// Package route holds the checked table of routes of a site whose requests are
-// opaque: which host and path leads to which service, what may be repeated, how
-// long a caller waits, and whose key is whose. A Table is immutable; a newer one
-// replaces it whole. The package is pure: no I/O, goroutines or clocks.
+// Package route holds the validated route table of a site whose requests are opaque:
+// which host and path lead to which service, which requests may be repeated, how
+// long a caller waits, and which customer owns each key. A Table is immutable; a
+// newer one replaces it as a whole. The package is pure: no I/O, goroutines or clocks.
 package route
--- a/internal/core/route/route_test.go
+++ b/internal/core/route/route_test.go
@@ -65,10 +65,10 @@
 		t.Errorf("got %v", c)
 	}
 	if tb.CustomerOf("") != nil || tb.CustomerOf("k3") != nil {
-		t.Error("an unknown key has a holder")
+		t.Error("an unknown key has an owner")
 	}
 	if !tb.NeedsKey(tb.Match("h", "/x")) || tb.NeedsKey(tb.Match("h", "/o/x")) {
-		t.Error("the wrong route asks for a key")
+		t.Error("the wrong route requires a key")
 	}
 }
 
@@ -83,7 +83,7 @@
 		t.Errorf("got %v", got)
 	}
 	if one := (&Route{Targets: []Target{{Service: "a"}}}); one.Pick(0.5) != "a" {
-		t.Error("a target without weight is the only one")
+		t.Error("a single target without weight is not chosen")
 	}
 }
 
--- a/internal/core/route/table.go
+++ b/internal/core/route/table.go
@@ -8,12 +8,12 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/finding"
 )
 
-// Spec is an unchecked table.
+// Spec is a table before validation.
 type Spec struct {
-	Version   int64 // rises with each change
+	Version   int64 // increases with each change
 	Routes    []Route
 	Services  []Service
-	Customers []CustomerKeys // empty: no route asks for a key
+	Customers []CustomerKeys // empty: no route requires a key
 	Limits    Limits
 }
 
@@ -23,29 +23,30 @@
 	Keys []string
 }
 
-// Table is a checked, immutable table of routes.
+// Table is a validated, immutable route table.
 //
-// Invariants: each target of a route names a service of the table; a host's
-// prefixes are unique; keys are kept as hashes only, looked up by their hash, so
-// that the time of a look-up tells nothing of other keys.
+// Invariants: each target of a route names a service of the table; the prefixes of a
+// host are unique; keys are stored and looked up only as hashes, so that the time of
+// a lookup reveals nothing about other keys.
 type Table struct {
 	version  int64
 	hosts    map[string]map[string]*Route // by host and prefix
 	services map[string]*Service
 	keys     map[[sha256.Size]byte]*Customer
-	guarded  bool // some customer is named, so routes ask for keys
+	hasCustomers  bool // there are customers, so routes require keys unless anonymous
 	limits   Limits
 	routes   int
 }
 
-// NewTable checks a spec. The findings name each fault with its place.
+// NewTable returns the table of a spec. The findings list the faults with their places;
+// a route with a fault is left out of the table.
 func NewTable(s Spec) (*Table, finding.List) {
 	t := &Table{
 		version:  s.Version,
 		hosts:    map[string]map[string]*Route{},
 		services: make(map[string]*Service, len(s.Services)),
 		keys:     map[[sha256.Size]byte]*Customer{},
-		guarded:  len(s.Customers) > 0,
+		hasCustomers:  len(s.Customers) > 0,
 		limits:   s.Limits,
 	}
 	var found finding.List
@@ -91,20 +92,20 @@
 	t.routes++
 }
 
-// Version returns the version of the settings behind the table.
+// Version returns the version of the spec.
 func (t *Table) Version() int64 { return t.version }
 
 // Len returns the number of routes.
 func (t *Table) Len() int { return t.routes }
 
-// Limits returns the bounds of what callers may send.
+// Limits returns the limits on what callers may send.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Service returns a service by name, nil for an unknown one.
+// Service returns the service with the given name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Match returns the route of a host with the longest prefix of the path, nil when
-// there is none. The host may carry a port.
+// Match returns the route of a host with the longest prefix of the path, or nil. The
+// host may include a port.
 func (t *Table) Match(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -126,10 +127,10 @@
 	return nil
 }
 
-// NeedsKey reports whether a request on the route must carry a known key.
-func (t *Table) NeedsKey(r *Route) bool { return t.guarded && !r.Anonymous }
+// NeedsKey reports whether a request on the route must have a known key.
+func (t *Table) NeedsKey(r *Route) bool { return t.hasCustomers && !r.Anonymous }
 
-// CustomerOf returns the holder of a key, nil for an unknown key.
+// CustomerOf returns the customer that owns a key, or nil for an unknown key.
 func (t *Table) CustomerOf(key string) *Customer {
 	if key == "" {
 		return nil
--- a/internal/core/route/types.go
+++ b/internal/core/route/types.go
@@ -6,17 +6,17 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/cost"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind is which requests of a route may be repeated.
 type Kind uint8
 
 // Kinds of route.
 const (
-	// Once: a request runs once at the most.
+	// Once: a request runs at most once.
 	Once Kind = iota
 	// Idempotent: a request may run any number of times.
 	Idempotent
-	// Stream: the answer is a stream of events. It is repeatable only where the
-	// route is resumable.
+	// Stream: the answer is a stream of events. A request is repeatable only when
+	// the route is resumable.
 	Stream
 )
 
@@ -30,7 +30,7 @@
 	return kindNames[k]
 }
 
-// Target is a service that gets a share of a route's requests.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service string
 	Weight  int // share relative to the other targets, at least 0
@@ -42,22 +42,23 @@
 	Host         string // in lower case, without a port
 	Prefix       string // begins and ends with a slash
 	Kind         Kind
-	Resumable    bool          // a broken stream may go on at another server
-	Timeout      time.Duration // longest wait for the whole answer
-	Objective    time.Duration // to the answer, of streams to the first event
-	GapObjective time.Duration // of streams: longest pause between two events
+	Resumable    bool          // a broken stream may continue on another server
+	Timeout      time.Duration // longest wait for the complete answer
+	Objective    time.Duration // target time to the answer, for streams to the first event
+	GapObjective time.Duration // for streams: target for the longest pause between two events
 	Priority     int           // 0 is the most urgent
 	Targets      []Target
-	MaxAttempts  int  // upstreams that may run one request
-	Anonymous    bool // no key is asked for
+	MaxAttempts  int  // number of upstreams that may run one request
+	Anonymous    bool // no key is required
 }
 
-// Repeatable reports whether a request may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Pick returns the service for a request. draw is uniform in [0, 1).
+// Pick returns the service for a request, at random by the weights of the targets.
+// draw is a uniform random number in [0, 1).
 func (r *Route) Pick(draw float64) string {
 	sum := 0
 	for _, t := range r.Targets {
@@ -72,14 +73,14 @@
 	return r.Targets[0].Service
 }
 
-// Service is what the settings say of a group of equal upstreams.
+// Service holds the settings of a group of equivalent upstreams.
 type Service struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int           // of all callers together to one upstream; zero: no bound known
+	MaxConnections int           // of all callers together to one upstream; zero: no limit known
 	Engine         *cost.Figures // nil for a plain service
-	// ColdFor is how long a server stays cold after its start; zero: never. Meanwhile it
-	// takes ColdPerSecond requests from all callers together.
+	// ColdFor is how long a server stays cold after its start; zero: it is never cold. A
+	// cold server takes only ColdPerSecond requests per second from all callers together.
 	ColdFor       time.Duration
 	ColdPerSecond float64
 }
@@ -87,13 +88,13 @@
 // Customer is the owner of a key.
 type Customer struct {
 	Name     string
-	Priority *int // goes before the route's; nil: none
+	Priority *int // overrides the route's; nil: not set
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on what a caller may send.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
 	HeaderTimeout time.Duration // for the whole header
-	IdleTimeout   time.Duration // of a kept connection between two requests
+	IdleTimeout   time.Duration // of a keep-alive connection between two requests
 }
