--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -9,24 +9,24 @@
 	DefaultFloor  = 3
 )
 
-// numSlots divides the window; an event is forgotten between 1-1/numSlots and 1
-// windows after it.
+// numSlots is the number of slots in a window. An event expires between 1-1/numSlots
+// and 1 windows after it.
 const numSlots = 10
 
 // BudgetOptions configures a Budget.
 type BudgetOptions struct {
 	Ratio  float64       // retries as a share of recent successes; DefaultRatio when zero, none when negative
-	Window time.Duration // what counts as recent; DefaultWindow when zero
-	Floor  int           // retries a window without any success; DefaultFloor when zero, none when negative
+	Window time.Duration // how long successes and retries count; DefaultWindow when zero
+	Floor  int           // retries per window without any success; DefaultFloor when zero, none when negative
 }
 
 type slot struct {
-	earned  int
+	deposits  int
 	retries int
 }
 
-// Budget allows retries as a share of recent successes. It is not safe for
-// concurrent use.
+// Budget limits retries to a share of recent successes plus a floor. It is not safe
+// for concurrent use.
 type Budget struct {
 	opts  BudgetOptions
 	slots [numSlots]slot
@@ -35,7 +35,7 @@
 	tick  int64     // number of the newest slot
 }
 
-// NewBudget returns a Budget without any success yet.
+// NewBudget returns a Budget without any recorded success.
 func NewBudget(o BudgetOptions) *Budget {
 	if o.Ratio == 0 {
 		o.Ratio = DefaultRatio
@@ -51,19 +51,20 @@
 	return &Budget{opts: o}
 }
 
-// SetRatio changes the share, as the settings do; a negative one allows none.
+// SetRatio changes BudgetOptions.Ratio, the share of recent successes; a negative one
+// counts as zero.
 func (b *Budget) SetRatio(ratio float64) { b.opts.Ratio = max(ratio, 0) }
 
-// SetFloor changes the retries a window without any event earned, as a daemon does
-// whose part of a site's budget follows the number of daemons.
+// SetFloor changes BudgetOptions.Floor; a negative one counts as zero. A daemon calls it
+// when the number of daemons that share a site's budget changes.
 func (b *Budget) SetFloor(floor int) { b.opts.Floor = max(floor, 0) }
 
-// Deposit counts one event of those that retries are a share of: a complete answer,
-// or a request where the site's bound is a share of requests.
+// Deposit counts one event of the kind that retries are a share of: a complete answer,
+// or a request where the site limits retries to a share of requests.
 func (b *Budget) Deposit(now time.Time) {
 	b.advance(now)
-	b.slots[b.index()].earned++
-	b.sum.earned++
+	b.slots[b.index()].deposits++
+	b.sum.deposits++
 }
 
 // TryRetry takes one retry from the budget; it returns false when none is left.
@@ -77,8 +78,8 @@
 	return true
 }
 
-// TryOptionalRetry takes one retry of the half that is not kept for failures; it returns false when
-// only that is left.
+// TryOptionalRetry takes one retry from the budget unless half of it or less is left: that half
+// is reserved for failures. It returns false when no retry was taken.
 func (b *Budget) TryOptionalRetry(now time.Time) bool {
 	b.advance(now)
 	if b.Left() <= b.allowed()/2 {
@@ -87,17 +88,17 @@
 	return b.TryRetry(now)
 }
 
-// Left returns how many retries the budget still allows, as of the last event.
+// Left returns the number of retries that the budget still allows, as of the last event.
 func (b *Budget) Left() int {
 	return max(b.allowed()-b.sum.retries, 0)
 }
 
-// allowed returns the retries of the window.
-func (b *Budget) allowed() int { return b.opts.Floor + int(b.opts.Ratio*float64(b.sum.earned)) }
+// allowed returns the number of retries allowed in the current window.
+func (b *Budget) allowed() int { return b.opts.Floor + int(b.opts.Ratio*float64(b.sum.deposits)) }
 
 func (b *Budget) index() int { return int(b.tick % numSlots) }
 
-// advance forgets the slots that have left the window. A clock that goes back
+// advance clears the slots that have left the window. A clock that goes back
 // changes nothing.
 func (b *Budget) advance(now time.Time) {
 	if b.begin.IsZero() {
@@ -106,7 +107,7 @@
 	tick := int64(now.Sub(b.begin) / (b.opts.Window / numSlots))
 	for n := min(tick-b.tick, numSlots); n > 0; n-- {
 		s := &b.slots[(tick-n+1)%numSlots]
-		b.sum.earned -= s.earned
+		b.sum.deposits -= s.deposits
 		b.sum.retries -= s.retries
 		*s = slot{}
 	}
--- a/internal/core/retry/policy.go
+++ b/internal/core/retry/policy.go
@@ -6,7 +6,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// End says how an attempt ended without a whole answer.
+// End is how an attempt ended without a complete answer.
 type End uint8
 
 // Ends of an attempt.
@@ -14,14 +14,14 @@
 	// NotWritten: the connection was refused or broke before a byte of the
 	// request was written.
 	NotWritten End = iota
-	// Refused: the upstream answered that it did not start the request. Its word is
-	// not proof.
+	// Refused: the upstream answered that it did not start the request. This is no
+	// proof that it did not.
 	Refused
 	// Silent: no chunk within the idle limit.
 	Silent
 	// Broken: the stream ended or had a gap before the final marker.
 	Broken
-	// Died: the upstream is gone.
+	// Died: the upstream's process has ended.
 	Died
 	// InvalidAnswer: the upstream's answer contradicts itself or cannot be read.
 	InvalidAnswer
@@ -34,7 +34,7 @@
 
 var endNames = [...]string{"not_written", "refused", "silent", "broken", "died", "garbage", "declined", "faulted"}
 
-// String returns the end's name for logs.
+// String returns the name used in logs.
 func (e End) String() string {
 	if int(e) >= len(endNames) {
 		return "unknown"
@@ -42,26 +42,26 @@
 	return endNames[e]
 }
 
-// Attempt is one attempt of a request, ended.
+// Attempt is an ended attempt of a request.
 type Attempt struct {
 	Number         int  // from 1
 	End            End  //
-	EarlierWritten bool // a byte was written by an earlier attempt, whatever came of it
-	Reachable      bool // a new connection to the upstream works, and it still knows the attempt
+	EarlierWritten bool // an earlier attempt wrote at least one byte, whatever its end
+	Reachable      bool // a new connection to the upstream works, and it still has the attempt's state
 	Resumes        int  // resumes of this attempt so far
-	Runs           int  // attempts so far that may have run, this one included
-	MaxRuns        int  // runs that the request may have; zero: the policy's MaxAttempts
-	BudgetTaken    bool // the repeat that follows has been taken from the budget already
+	Runs           int  // attempts so far that may have run, including this one
+	MaxRuns        int  // limit of Runs for the request; zero: no limit but MaxAttempts
+	BudgetTaken    bool // the next attempt has been taken from the budget already
 }
 
 // mayHaveRun reports whether some upstream may have started the request.
 func (a Attempt) mayHaveRun() bool { return a.EarlierWritten || a.End.MayHaveRun() }
 
-// MayHaveRun reports whether an attempt that ended so may have been started.
+// MayHaveRun reports whether an attempt with this end may have been started by the upstream.
 func (e End) MayHaveRun() bool { return e != NotWritten && e != Declined }
 
-// spends reports whether another attempt is taken from the budget.
-func (p *Policy) spends(a Attempt) bool {
+// chargesBudget reports whether another attempt is taken from the budget.
+func (p *Policy) chargesBudget(a Attempt) bool {
 	if a.BudgetTaken {
 		return false
 	}
@@ -76,14 +76,14 @@
 
 // Actions after an attempt.
 const (
-	GiveUp         Action = iota // tell the caller Decision.Refusal
-	RetryElsewhere               // cancel the attempt and start the next on another upstream
-	Resume                       // read on from the next index on a new connection, same attempt
+	GiveUp         Action = iota // return Decision.Refusal to the caller
+	RetryElsewhere               // cancel the attempt and start the next one on another upstream
+	Resume                       // continue the attempt's stream from the next index on a new connection
 )
 
 var actionNames = [...]string{"give_up", "elsewhere", "resume"}
 
-// String returns the action's name for logs.
+// String returns the name used in logs.
 func (a Action) String() string {
 	if int(a) >= len(actionNames) {
 		return "unknown"
@@ -94,7 +94,7 @@
 // Decision is what follows an attempt.
 type Decision struct {
 	Action  Action
-	Attempt int              // number of the attempt to go on with; zero with GiveUp
+	Attempt int              // number of the attempt to continue with; zero with GiveUp
 	Refusal *request.Refusal // with GiveUp
 }
 
@@ -108,13 +108,13 @@
 
 // PolicyOptions configures a Policy.
 type PolicyOptions struct {
-	MaxAttempts  int           // attempts a request, the first included; DefaultMaxAttempts when zero
-	MaxResumes   int           // resumes an attempt; DefaultMaxResumes when zero
-	MinRemaining time.Duration // time a new attempt needs at the least; DefaultMinRemaining when zero
-	RetryAfter   time.Duration // told to callers whose request was not run; DefaultRetryAfter when zero
-	// ChargeArrivals takes every further attempt from the budget that follows one which
-	// arrived, also after a death. For sites that bound what arrives at the upstreams,
-	// not only what runs there.
+	MaxAttempts  int           // attempts per request, including the first; DefaultMaxAttempts when zero
+	MaxResumes   int           // resumes per attempt; DefaultMaxResumes when zero
+	MinRemaining time.Duration // least time before the deadline for a new attempt; DefaultMinRemaining when zero
+	RetryAfter   time.Duration // sent to callers whose request was not run; DefaultRetryAfter when zero
+	// ChargeArrivals charges the budget for each attempt after one that may have arrived at
+	// an upstream, even when that upstream died. It is for sites that limit the requests
+	// that arrive at the upstreams, not only those that run there.
 	ChargeArrivals bool
 }
 
@@ -125,7 +125,7 @@
 	budget *Budget
 }
 
-// NewPolicy returns a Policy that spends from budget.
+// NewPolicy returns a Policy that takes retries from budget.
 func NewPolicy(o PolicyOptions, budget *Budget) *Policy {
 	if o.MaxAttempts <= 0 {
 		o.MaxAttempts = DefaultMaxAttempts
@@ -157,14 +157,14 @@
 	if a.Number >= p.opts.MaxAttempts || a.MaxRuns > 0 && a.Runs >= a.MaxRuns {
 		return p.giveUp(a, r, request.CodeUpstreamFailed, "attempts used up")
 	}
-	if p.spends(a) && !p.budget.TryRetry(now) {
+	if p.chargesBudget(a) && !p.budget.TryRetry(now) {
 		return p.giveUp(a, r, request.CodeUpstreamFailed, "retry budget used up")
 	}
 	return Decision{Action: RetryElsewhere, Attempt: a.Number + 1}
 }
 
-// canResume reports whether the same execution can be read on: no work is
-// repeated, so it needs no budget.
+// canResume reports whether the stream of the same attempt can be continued. This
+// repeats no work, so it needs no budget.
 func (p *Policy) canResume(a Attempt) bool {
 	if a.End != Silent && a.End != Broken {
 		return false
@@ -181,8 +181,8 @@
 	return Decision{Action: GiveUp, Refusal: refusal}
 }
 
-// outcomeOf tells the truth about a request that is given up: "not run" only when
-// no upstream ever had a byte of it.
+// outcomeOf returns the outcome of a request that is given up: NotRun only when no
+// upstream can have started it.
 func outcomeOf(a Attempt, r *request.Request) request.Outcome {
 	switch {
 	case !a.mayHaveRun():
--- a/internal/core/retry/retry_test.go
+++ b/internal/core/retry/retry_test.go
@@ -72,7 +72,7 @@
 	params := gopter.DefaultTestParametersWithSeed(21)
 	params.MinSuccessfulTests = 1000
 	props := gopter.NewProperties(params)
-	props.Property("one write at most, and not_run only without any", prop.ForAll(
+	props.Property("at most one write, and not_run only without any", prop.ForAll(
 		func(seed uint64) bool {
 			rng := rand.New(rand.NewPCG(seed, 2))
 			p := NewPolicy(PolicyOptions{MaxAttempts: 50}, NewBudget(BudgetOptions{Floor: 50}))
@@ -95,13 +95,13 @@
 	props.TestingRun(t)
 }
 
-// TestBudgetBoundsRetries checks every window of any history against the bound,
-// with the slot width as slack.
+// TestBudgetBoundsRetries compares the retries in all windows of random histories with the
+// bound, with a tolerance of one slot.
 func TestBudgetBoundsRetries(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(22)
 	props := gopter.NewProperties(params)
 	const window = 10 * time.Second
-	props.Property("retries in a window stay under floor + ratio × successes", prop.ForAll(
+	props.Property("retries in a window are at most floor + ratio × successes", prop.ForAll(
 		func(seed uint64) bool {
 			rng := rand.New(rand.NewPCG(seed, 3))
 			b := NewBudget(BudgetOptions{Ratio: 0.2, Window: window, Floor: 2})
@@ -135,7 +135,7 @@
 	return n
 }
 
-func TestBudgetForgets(t *testing.T) {
+func TestBudgetWindowExpires(t *testing.T) {
 	b := NewBudget(BudgetOptions{Ratio: 0.5, Floor: -1})
 	if b.TryRetry(start) {
 		t.Fatal("a retry without any success")
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestCountedArrivalsSpendAndMissedConnectionsDoNot(t *testing.T) {
+func TestArrivalsAreChargedAndRefusedConnectionsAreNot(t *testing.T) {
 	for end, want := range map[End]Action{NotWritten: RetryElsewhere, Died: GiveUp, Declined: GiveUp, Broken: GiveUp} {
 		p := NewPolicy(PolicyOptions{ChargeArrivals: true}, NewBudget(BudgetOptions{Ratio: -1, Floor: -1}))
 		if d := p.Next(Attempt{Number: 1, End: end}, newRequest(true), start); d.Action != want {
@@ -171,7 +171,7 @@
 	}
 }
 
-func TestRunsAreBoundedApartFromAttempts(t *testing.T) {
+func TestMaxRunsIsIndependentOfMaxAttempts(t *testing.T) {
 	p := NewPolicy(PolicyOptions{MaxAttempts: 9}, NewBudget(BudgetOptions{Floor: 9}))
 	if d := p.Next(Attempt{Number: 3, End: Declined, Runs: 1, MaxRuns: 2}, newRequest(true), start); d.Action != RetryElsewhere {
 		t.Errorf("after one run: %s", d.Action)
@@ -181,23 +181,23 @@
 	}
 }
 
-func TestSpareRetriesLeaveHalfOfTheBudget(t *testing.T) {
+func TestOptionalRetriesLeaveHalfOfTheBudget(t *testing.T) {
 	const floor = 6
 	b := NewBudget(BudgetOptions{Ratio: -1, Window: time.Minute, Floor: floor})
 	now := time.Unix(1_800_000_000, 0)
-	spare := 0
+	optional := 0
 	for b.TryOptionalRetry(now) {
-		spare++
+		optional++
 	}
-	if spare != floor/2 {
-		t.Errorf("%d spare retries of %d", spare, floor)
+	if optional != floor/2 {
+		t.Errorf("%d optional retries of %d", optional, floor)
 	}
-	for range floor - spare {
+	for range floor - optional {
 		if !b.TryRetry(now) {
-			t.Error("none is left for a failure")
+			t.Error("no retry is left for a failure")
 		}
 	}
 	if b.TryRetry(now) {
-		t.Error("more than the budget")
+		t.Error("more retries than the budget allows")
 	}
 }
