--- a/internal/core/request/doc.go
+++ b/internal/core/request/doc.go
@@ -1,4 +1,4 @@
-// Package request holds the types of one caller's request that every other
-// package shares: what is asked, in which order of urgency, until when, and how
-// it ended. It is pure: no I/O, goroutines or clocks.
+// Package request defines the types that all other packages share for one caller's
+// request: its target, size, priority, deadline and outcome. It is pure: no I/O,
+// goroutines or clocks.
 package request
--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -29,7 +29,7 @@
 	return priorityNames[p]
 }
 
-// ParsePriority returns the priority of a name; ok is false for any other word.
+// ParsePriority returns the priority with the given name; ok is false for an unknown name.
 func ParsePriority(s string) (p Priority, ok bool) {
 	for i, n := range priorityNames {
 		if n == s {
@@ -39,7 +39,7 @@
 	return 0, false
 }
 
-// Kind tells model generation from a plain service's call.
+// Kind distinguishes model generation from a call to a plain service.
 type Kind uint8
 
 // Kinds of request.
@@ -48,15 +48,15 @@
 	Call
 )
 
-// Request is one admitted or yet to be admitted request. It is immutable after
-// the front door has built it.
+// Request is one request, admitted or not. It is immutable once the daemon that
+// received it has built it.
 type Request struct {
 	ID        string
 	Customer  string
 	Path      string // settings path of the customer
 	Kind      Kind
 	Target    string // model or service
-	Operation string // of a service, else empty
+	Operation string // of a service; empty for a model
 
 	PromptTokens int      // estimated before an engine has counted them
 	MaxTokens    int      // upper bound of the answer
@@ -65,17 +65,18 @@
 
 	Priority   Priority
 	Arrived    time.Time
-	Deadline   time.Time // the whole answer is wanted by then
-	Repeatable bool      // false: at most one dispatch, ever
-	Key        string    // idempotency key, empty without one
+	Deadline   time.Time // for the complete answer
+	Repeatable bool      // false: must be sent to an upstream at most once
+	Key        string    // idempotency key; empty: none
 }
 
-// Remaining returns the time left until the deadline, negative when past.
+// Remaining returns the time left until the deadline; it is negative after it.
 func (r *Request) Remaining(now time.Time) time.Duration {
 	return r.Deadline.Sub(now)
 }
 
-// TotalTokens returns the memory in tokens that the request needs at its end.
+// TotalTokens returns the memory in tokens that the request needs with a complete answer
+// of MaxTokens.
 func (r *Request) TotalTokens() int {
 	return r.PromptTokens + r.MaxTokens
 }
