--- a/internal/core/fleet/address_test.go
+++ b/internal/core/fleet/address_test.go
@@ -26,14 +26,14 @@
 // arrives after the first one of its successor, and then its entry lapses.
 func TestLateEntryOfAStoppedServerKeepsItsSuccessor(t *testing.T) {
 	l := newList()
-	l.Apply([]Change{newEntry("dead", 5)}, start)
-	l.Apply([]Change{atAddress("dead:1", newEntry("lives", 1))}, start.Add(100*time.Millisecond))
-	l.Apply([]Change{newEntry("dead", 6)}, start.Add(200*time.Millisecond))
-	if got := l.listedIDs(); got != "dead lives" {
+	l.Apply([]Change{newEntry("stopped", 5)}, start)
+	l.Apply([]Change{atAddress("stopped:1", newEntry("successor", 1))}, start.Add(100*time.Millisecond))
+	l.Apply([]Change{newEntry("stopped", 6)}, start.Add(200*time.Millisecond))
+	if got := l.listedIDs(); got != "stopped successor" {
 		t.Fatalf("with both entries %q", got)
 	}
-	l.Apply([]Change{{Name: "dead"}}, start.Add(300*time.Millisecond))
-	if u := get(t, l, "lives"); u.Displaced || u.Rivals != nil {
+	l.Apply([]Change{{Name: "stopped"}}, start.Add(300*time.Millisecond))
+	if u := get(t, l, "successor"); u.Displaced || u.Rivals != nil {
 		t.Errorf("alone at its address: %+v", u)
 	}
 }
@@ -197,14 +197,14 @@
 				latest = max(latest, r.born())
 			}
 		}
-		stands, seen := false, int64(0)
+		registered, seen := false, int64(0)
 		for _, r := range records {
 			switch {
 			case r.Server != server:
 			case r.Removed:
-				stands, removed = false, seen
+				registered, removed = false, seen
 			case r.born() == 0, r.born() == latest && r.Heartbeat >= removed:
-				stands = true
+				registered = true
 			}
 			if r.Server == server && !r.Removed && r.born() == latest {
 				seen = max(seen, r.Heartbeat)
@@ -213,7 +213,7 @@
 		superseded := slices.ContainsFunc(records, func(r record) bool {
 			return !r.Removed && r.Server != server && r.Server/2 == server/2 && r.born() > latest
 		})
-		if stands && !superseded {
+		if registered && !superseded {
 			names = append(names, record{Server: server}.name())
 		}
 	}
--- a/internal/core/fleet/list.go
+++ b/internal/core/fleet/list.go
@@ -172,8 +172,8 @@
 
 // isNewer reports whether an entry was written after the registered one.
 func (l *List) isNewer(u Upstream) bool {
-	e, stands := l.byName[u.Name]
-	return !stands || !e.graceEnd.IsZero() || u.Heartbeat != e.Heartbeat
+	e, listed := l.byName[u.Name]
+	return !listed || !e.graceEnd.IsZero() || u.Heartbeat != e.Heartbeat
 }
 
 // equalInSnapshot reports whether two entries look the same in a snapshot. The number of the
@@ -189,11 +189,11 @@
 // time, only its position in the order of listing is kept: the server may have restarted and
 // count its heartbeats from the start.
 func (l *List) lastEntry(u Upstream) (last entry, known bool) {
-	e, stands := l.byName[u.Name]
-	if stands && e.graceEnd.IsZero() {
+	e, listed := l.byName[u.Name]
+	if listed && e.graceEnd.IsZero() {
 		return *e, true
 	}
-	if stands {
+	if listed {
 		last = *e
 	} else {
 		last = l.ended[u.Name].entry
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -116,22 +116,22 @@
 
 // addCached adds the engines that have the longest part of the prompt cached.
 func (t *task) addCached(top *topThree, s *estimator, g *group, c *candidates) {
-	looked, offered := 0, 0
-	for depth := s.prefix.depth; depth > 0 && looked < maxPrefixHolders; depth-- {
+	checked, added := 0, 0
+	for depth := s.prefix.depth; depth > 0 && checked < maxPrefixHolders; depth-- {
 		holders := g.prefixes.holders[s.prefix.blocks[depth-1]]
 		start := t.rng.IntN(len(holders))
 		for i := range holders {
-			if looked == maxPrefixHolders || offered == t.view.opts.Samples {
+			if checked == maxPrefixHolders || added == t.view.opts.Samples {
 				return
 			}
-			looked++
+			checked++
 			e := holders[(start+i)%len(holders)]
 			if t.isCandidate(e, c) {
-				offered++
+				added++
 				t.addCandidate(top, s, e)
 			}
 		}
-		if offered > 0 {
+		if added > 0 {
 			return
 		}
 	}
--- a/internal/core/placement/estimate.go
+++ b/internal/core/placement/estimate.go
@@ -137,17 +137,17 @@
 	return int64(x.FirstToken + x.LessUrgent + x.Unseen)
 }
 
-// memoryWait estimates the time until enough memory is free. It assumes that the memory
-// in use is freed once in the mean time for which a request holds memory.
+// memoryWait estimates the time until enough memory is free. It assumes that an amount equal
+// to all memory in use is freed within the mean time that a request holds memory.
 func (s *estimator) memoryWait(e *Engine) time.Duration {
 	need := s.req.MemoryNeeded()
 	if e.hasFreeMemory(need) {
 		return 0
 	}
 	prior := s.opts.MemoryHoldTime.Seconds()
-	residence := e.group.residence.value(prior, s.now, s.opts.RateHalfLife)
+	holdTime := e.group.holdTime.value(prior, s.now, s.opts.RateHalfLife)
 	used := e.report.MemoryTotal - e.free()
-	return timeForTokens(float64(need-e.free()), float64(used)/max(residence, 0.001))
+	return timeForTokens(float64(need-e.free()), float64(used)/max(holdTime, 0.001))
 }
 
 // missesDeadline reports whether the answer is expected to end after the deadline.
--- a/internal/core/placement/experiment_test.go
+++ b/internal/core/placement/experiment_test.go
@@ -16,12 +16,12 @@
 // and engines that compute one chunk of one prompt at a time, most urgent first,
 // hold memory until the answer ends, and report their load with a delay.
 const (
-	expRate           = 8000.0 // prompt tokens a second of an engine
+	expRate           = 8000.0 // prompt tokens per second of an engine
 	expChunk          = 1024
 	expMemory         = 600_000
-	expMaxRequests    = 12_000                 // requests
-	expReportInterval = 500 * time.Millisecond // between two reports
-	expReportDelay    = 300 * time.Millisecond // of a report
+	expMaxRequests    = 12_000
+	expReportInterval = 500 * time.Millisecond
+	expReportDelay    = 300 * time.Millisecond
 	expShareInterval  = time.Second
 	expLongFrom       = 32_000
 	expLongShare      = 0.02 // of the requests, above 100k tokens
@@ -36,8 +36,8 @@
 	at             time.Time
 	tokens         int
 	answer         int
-	callerPriority request.Priority // of the caller
-	priority       request.Priority // as sent
+	callerPriority request.Priority
+	priority       request.Priority // as sent to the engine
 	left           int
 	first          time.Duration
 	done           bool
--- a/internal/core/placement/flight.go
+++ b/internal/core/placement/flight.go
@@ -93,7 +93,7 @@
 	if !end.Complete {
 		return
 	}
-	f.engine.group.residence.observe(now.Sub(f.placed).Seconds(), now, v.opts.RateHalfLife)
+	f.engine.group.holdTime.observe(now.Sub(f.placed).Seconds(), now, v.opts.RateHalfLife)
 	if f.MaxTokens > 0 {
 		share := float64(end.AnswerTokens) / float64(f.MaxTokens)
 		v.ensureModel(f.Model).answerShare.observe(share, now, v.opts.RateHalfLife)
--- a/internal/core/placement/options.go
+++ b/internal/core/placement/options.go
@@ -6,7 +6,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/option"
 )
 
-// Options tunes a View. A zero field takes its default.
+// Options tunes a View. A zero field takes its default, the number at the end of its comment.
 type Options struct {
 	Samples int // candidates sampled for one placement, 3
 
@@ -33,7 +33,7 @@
 	SimilarRatio   float64       // engines whose limit is at most this multiple of the prompt are sampled first, 4
 	LongSlack      float64       // the first engine's limit is below this multiple of LongFrom, 2
 	PromotePart    float64       // prompts shorter than this multiple of LongFrom are sent as urgent, 0.125
-	PromoteShare   float64       // and only while they are at most this share of the work, 0.25
+	PromoteShare   float64       // but only while such prompts are at most this share of the work, 0.25
 	DemoteFrom     float64       // prompts from this multiple of LongFrom are sent as bulk, 4
 	BoundaryMargin float64       // number of engines by which the work must shift before the boundary is recomputed, 0.75
 	BoundaryDwell  time.Duration // least time between two checks of the boundary, 2 s
--- a/internal/core/placement/place.go
+++ b/internal/core/placement/place.go
@@ -63,9 +63,9 @@
 	if !usesPriority(r.Policy) {
 		return request.Normal
 	}
-	asked := min(r.Priority, lowestPriority)
-	if asked != request.Normal || !t.separates() {
-		return asked
+	requested := min(r.Priority, lowestPriority)
+	if requested != request.Normal || !t.separates() {
+		return requested
 	}
 	if float64(r.Tokens) >= t.view.opts.demoteFrom(r.LongFrom) {
 		return request.Bulk
@@ -73,7 +73,7 @@
 	if g.boundary.promotes && float64(r.Tokens) < t.view.opts.promoteBelow(r.LongFrom) {
 		return request.Urgent
 	}
-	return asked
+	return requested
 }
 
 // task is one call of Place.
--- a/internal/core/placement/service_time.go
+++ b/internal/core/placement/service_time.go
@@ -16,16 +16,16 @@
 	}
 	g.rankLive()
 	s := v.newEstimator(g, &r, lowestPriority, now)
-	var least time.Duration
+	var shortest time.Duration
 	for i, e := range g.live {
 		if i == maxEnginesConsidered {
 			break
 		}
 		answer := s.answerShare * float64(r.MaxTokens)
 		took := timeForTokens(float64(r.Tokens), e.estimatePrefillRate(s.opts, now)) + timeForTokens(answer, e.estimateDecodeRate(s.opts, now))
-		if least == 0 || took < least {
-			least = took
+		if shortest == 0 || took < shortest {
+			shortest = took
 		}
 	}
-	return least
+	return shortest
 }
--- a/internal/core/placement/view.go
+++ b/internal/core/placement/view.go
@@ -37,9 +37,9 @@
 	prefixes prefixIndex
 	boundary boundary
 
-	ranked    bool      // ranks are up to date
-	live      []*Engine // by rank
-	residence mean      // seconds for which a request holds memory
+	ranked   bool      // ranks are up to date
+	live     []*Engine // by rank
+	holdTime mean      // seconds for which a request holds memory
 }
 
 // NewView returns an empty view.
--- a/internal/core/placement/work.go
+++ b/internal/core/placement/work.go
@@ -75,12 +75,12 @@
 	if a == 0 || b == 0 {
 		return 1
 	}
-	var sum, most float64
+	var sum, largest float64
 	for i := range w {
 		sum += w[i]/a - other[i]/b
-		most = max(most, math.Abs(sum))
+		largest = max(largest, math.Abs(sum))
 	}
-	return most
+	return largest
 }
 
 // shareBelow returns the share of the work that is of prompts shorter than length, or 0
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -21,8 +21,8 @@
 }
 
 type slot struct {
-	deposits  int
-	retries int
+	deposits int
+	retries  int
 }
 
 // Budget limits retries to a share of recent successes plus a floor. It is not safe
--- a/internal/core/route/table.go
+++ b/internal/core/route/table.go
@@ -29,25 +29,25 @@
 // host are unique; keys are stored and looked up only as hashes, so that the time of
 // a lookup reveals nothing about other keys.
 type Table struct {
-	version  int64
-	hosts    map[string]map[string]*Route // by host and prefix
-	services map[string]*Service
-	keys     map[[sha256.Size]byte]*Customer
-	hasCustomers  bool // there are customers, so routes require keys unless anonymous
-	limits   Limits
-	routes   int
+	version      int64
+	hosts        map[string]map[string]*Route // by host and prefix
+	services     map[string]*Service
+	keys         map[[sha256.Size]byte]*Customer
+	hasCustomers bool // there are customers, so routes require keys unless anonymous
+	limits       Limits
+	routes       int
 }
 
 // NewTable returns the table of a spec. The findings list the faults with their places;
 // a route with a fault is left out of the table.
 func NewTable(s Spec) (*Table, finding.List) {
 	t := &Table{
-		version:  s.Version,
-		hosts:    map[string]map[string]*Route{},
-		services: make(map[string]*Service, len(s.Services)),
-		keys:     map[[sha256.Size]byte]*Customer{},
-		hasCustomers:  len(s.Customers) > 0,
-		limits:   s.Limits,
+		version:      s.Version,
+		hosts:        map[string]map[string]*Route{},
+		services:     make(map[string]*Service, len(s.Services)),
+		keys:         map[[sha256.Size]byte]*Customer{},
+		hasCustomers: len(s.Customers) > 0,
+		limits:       s.Limits,
 	}
 	var found finding.List
 	for i := range s.Services {
