--- a/internal/core/membership/bench_test.go
+++ b/internal/core/membership/bench_test.go
@@ -16,8 +16,8 @@
 	return sizes
 }
 
-// settled returns two hosts of one domain that know a whole site.
-func settled(b *testing.B, hosts int) (s *site, one, two *Members) {
+// settledSite returns two hosts of one domain that know a whole site.
+func settledSite(b *testing.B, hosts int) (s *site, one, two *Members) {
 	b.Helper()
 	s = newSite(b, 1)
 	for i, size := range domainsOf(hosts) {
@@ -38,14 +38,14 @@
 func BenchmarkExchange(b *testing.B) {
 	for _, hosts := range []int{8, 60, 420} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
-			s, one, two := settled(b, hosts)
+			s, one, two := settledSite(b, hosts)
 			w := newWire()
 			b.ReportAllocs()
 			for b.Loop() {
 				s.now = s.now.Add(time.Millisecond)
 				for _, e := range one.order {
-					if one.local(e) && e.id.Host != two.Self().Host {
-						e.beat()
+					if one.isLocal(e) && e.id.Host != two.Self().Host {
+						e.advanceHeartbeat()
 					}
 				}
 				exchangeOnce(s, w, one, two)
@@ -73,7 +73,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, hosts := range []int{8, 60, 420} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
-			s, one, _ := settled(b, hosts)
+			s, one, _ := settledSite(b, hosts)
 			b.ReportAllocs()
 			for b.Loop() {
 				one.Tick(s.now, s.rng)
@@ -85,7 +85,7 @@
 func BenchmarkView(b *testing.B) {
 	for _, hosts := range []int{8, 60, 420} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
-			s, one, _ := settled(b, hosts)
+			s, one, _ := settledSite(b, hosts)
 			b.ReportAllocs()
 			for b.Loop() {
 				one.View(s.now)
@@ -97,7 +97,7 @@
 func BenchmarkOwner(b *testing.B) {
 	for _, hosts := range []int{8, 60, 420} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
-			s, one, _ := settled(b, hosts)
+			s, one, _ := settledSite(b, hosts)
 			view := one.View(s.now)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -110,7 +110,7 @@
 func BenchmarkLocalOwner(b *testing.B) {
 	for _, hosts := range []int{8, 60, 420} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
-			s, one, _ := settled(b, hosts)
+			s, one, _ := settledSite(b, hosts)
 			view := one.View(s.now)
 			domain := view[0].Domain
 			b.ReportAllocs()
@@ -127,7 +127,7 @@
 func BenchmarkSite(b *testing.B) {
 	for _, hosts := range []int{8, 60, 420} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
-			s, _, _ := settled(b, hosts)
+			s, _, _ := settledSite(b, hosts)
 			s.wire = newWire()
 			const span = 30 * time.Second
 			for b.Loop() {
@@ -141,16 +141,16 @@
 			}
 			b.ReportMetric(float64(total)/float64(hosts)/span.Seconds(), "mean-B/s")
 			b.ReportMetric(float64(most)/span.Seconds(), "most-B/s")
-			local, remote := oldest(s)
+			local, remote := longestSilence(s)
 			b.ReportMetric(local.Seconds(), "oldest-local-s")
 			b.ReportMetric(remote.Seconds(), "oldest-remote-s")
 		})
 	}
 }
 
-// oldest returns for how long the longest unheard host of the same and of
+// longestSilence returns for how long the longest unheard host of the same and of
 // another domain was not heard.
-func oldest(s *site) (local, remote time.Duration) {
+func longestSilence(s *site) (local, remote time.Duration) {
 	for _, m := range s.hosts {
 		for _, v := range m.View(s.now) {
 			silence := s.now.Sub(v.LastHeard)
--- a/internal/core/membership/exchange.go
+++ b/internal/core/membership/exchange.go
@@ -8,9 +8,9 @@
 
 // Rough sizes on the wire, for the bound of a message.
 const (
-	beatBytes    = 16
-	recordBytes  = 128
-	sectionBytes = 32
+	heartbeatBytes = 16
+	recordBytes    = 128
+	sectionBytes   = 32
 )
 
 // Numbers of addresses that an asker of another domain is told.
@@ -25,10 +25,10 @@
 		return nil, ErrMalformed
 	}
 	m.advance(now)
-	m.meet(req.From)
+	m.markHeard(req.From)
 	resp := &Response{From: m.self.id}
 	local := req.From.Domain == m.self.id.Domain
-	w := m.writer(req.From.Domain)
+	w := m.newDeltaBuilder(req.From.Domain)
 	asked := make(map[uint64]bool, len(req.Have.Keys))
 	for i, key := range req.Have.Keys {
 		have := req.Have.Versions[i]
@@ -41,18 +41,18 @@
 		case local && have > e.version:
 			resp.Want.add(key, e.version)
 		default:
-			w.tell(e, have, true)
+			w.add(e, have, true)
 		}
 	}
 	for _, e := range m.order {
-		covered := m.local(e) || local && e.id.Domain == req.Other
+		covered := m.isLocal(e) || local && e.id.Domain == req.Other
 		if covered && !asked[e.key] {
-			w.tell(e, 0, false)
+			w.add(e, 0, false)
 		}
 	}
 	resp.News = w.delta
 	if !local {
-		resp.Hints = m.someHints(&req.From, rng)
+		resp.Hints = m.pickHints(&req.From, rng)
 	}
 	if local && req.Other == "" {
 		resp.Domains = m.otherDomains()
@@ -60,11 +60,11 @@
 	return resp, nil
 }
 
-// someHints tells an asker two random hosts of its own domain and one of a
+// pickHints tells an asker two random hosts of its own domain and one of a
 // third. So hosts meet that know only this domain, and groups of a domain that
 // have lost sight of each other.
-func (m *Members) someHints(asker *Identity, rng *rand.Rand) []Hint {
-	third := m.thirdDomain(asker.Domain, rng)
+func (m *Members) pickHints(asker *Identity, rng *rand.Rand) []Hint {
+	third := m.pickThirdDomain(asker.Domain, rng)
 	var own, other []Hint
 	for _, e := range m.order {
 		if e.id.Host == asker.Host || m.state(e) == Dead {
@@ -81,8 +81,8 @@
 	return append(pick(own, ownHints, rng), pick(other, thirdHints, rng)...)
 }
 
-// thirdDomain returns a random domain that is neither the own nor the asker's.
-func (m *Members) thirdDomain(asker string, rng *rand.Rand) string {
+// pickThirdDomain returns a random domain that is neither the own nor the asker's.
+func (m *Members) pickThirdDomain(asker string, rng *rand.Rand) string {
 	domains := slices.DeleteFunc(m.otherDomains(), func(d string) bool { return d == asker })
 	if len(domains) == 0 {
 		return ""
@@ -100,7 +100,7 @@
 	return from[:n]
 }
 
-func (m *Members) takeHints(hints []Hint) {
+func (m *Members) storeHints(hints []Hint) {
 	hints = hints[:min(len(hints), ownHints+thirdHints)]
 	for _, h := range hints {
 		delete(m.hints, h.Domain)
@@ -121,17 +121,17 @@
 		return nil, ErrMalformed
 	}
 	m.advance(now)
-	m.meet(resp.From)
+	m.markHeard(resp.From)
 	m.apply(&resp.News, resp.From.Domain)
 	for _, d := range resp.Domains {
 		m.noteDomain(d)
 	}
-	m.takeHints(resp.Hints)
-	w := m.writer(resp.From.Domain)
+	m.storeHints(resp.Hints)
+	w := m.newDeltaBuilder(resp.From.Domain)
 	for i, key := range resp.Want.Keys {
 		if e := m.byKey[key]; e != nil {
 			have := resp.Want.Versions[i]
-			w.tell(e, have, have > 0)
+			w.add(e, have, have > 0)
 		}
 	}
 	if w.delta.empty() {
@@ -146,7 +146,7 @@
 		return ErrMalformed
 	}
 	m.advance(now)
-	m.meet(push.From)
+	m.markHeard(push.From)
 	m.apply(&push.News, push.From.Domain)
 	return nil
 }
@@ -159,7 +159,7 @@
 	}
 	m.self.version++
 	m.self.leaveVersion = m.self.version
-	m.newlyLeft = append(m.newlyLeft, m.self)
+	m.pendingLeaves = append(m.pendingLeaves, m.self)
 }
 
 // Forwards returns the pushes that pass on what was learned since the last call and must not
@@ -167,13 +167,13 @@
 // domain, those of leaves from a gateway also to one host of each other domain when the leaving
 // host is of the own one.
 func (m *Members) Forwards(rng *rand.Rand) []Outgoing {
-	out := m.publishedPushes(rng)
-	if len(m.newlyLeft) == 0 {
+	out := m.takeSectionPushes(rng)
+	if len(m.pendingLeaves) == 0 {
 		return out
 	}
-	left := m.newlyLeft
-	m.newlyLeft = nil
-	for _, address := range m.someLocal(rng, leaveFanout) {
+	left := m.pendingLeaves
+	m.pendingLeaves = nil
+	for _, address := range m.pickLocalAddresses(rng, leaveFanout) {
 		out = append(out, m.leavePush(address, m.self.id.Domain, left))
 	}
 	if !m.isGateway() && m.self.leaveVersion == 0 {
@@ -187,33 +187,33 @@
 	return out
 }
 
-// publishedPushes passes on sections of hosts of the own domain, with the hosts: where exchanges
+// takeSectionPushes passes on sections of hosts of the own domain, with the hosts: where exchanges
 // are rare, what one publishes, and a host that is new, reach all at once. Those of many hosts,
 // as when all start, are left to exchanges.
-func (m *Members) publishedPushes(rng *rand.Rand) []Outgoing {
-	published := m.published
+func (m *Members) takeSectionPushes(rng *rand.Rand) []Outgoing {
+	published := m.pendingSections
 	if len(published) == 0 {
 		return nil
 	}
-	m.published = make(map[*entry][]Section)
-	if m.stretch() == 1 || !m.settled() || len(published) > mostToldAtOnce {
+	m.pendingSections = make(map[*entry][]Section)
+	if m.intervalFactor() == 1 || !m.settled() || len(published) > maxPushedEntries {
 		return nil // exchanges are soon enough, or do it with less
 	}
 	p := &Push{From: m.self.id}
 	for e, sections := range published {
-		if m.byHost[e.id.Host] != e || !m.local(e) || m.state(e) == Dead {
+		if m.byHost[e.id.Host] != e || !m.isLocal(e) || m.state(e) == Dead {
 			continue
 		}
 		// Version 0: the receiver may lack others of its sections.
 		p.News.Records = append(p.News.Records, Record{
-			Key: e.key, ID: &e.id, LeaveVersion: e.leaveVersion, Age: toAge(m.clock.Sub(e.heard)), Sections: sections,
+			Key: e.key, ID: &e.id, LeaveVersion: e.leaveVersion, Age: encodeAge(m.clock.Sub(e.lastHeard)), Sections: sections,
 		})
 	}
 	if len(p.News.Records) == 0 {
 		return nil
 	}
 	var out []Outgoing
-	for _, address := range m.someLocal(rng, publishFanout) {
+	for _, address := range m.pickLocalAddresses(rng, publishFanout) {
 		out = append(out, Outgoing{Address: address, Push: p})
 	}
 	return out
@@ -222,7 +222,7 @@
 func (m *Members) leavePush(address, domain string, left []*entry) Outgoing {
 	p := &Push{From: m.self.id}
 	for _, e := range left {
-		if !m.mayTell(e, domain) {
+		if !m.mayShare(e, domain) {
 			continue
 		}
 		// Version 0: the receiver holds no section by this record.
@@ -230,60 +230,60 @@
 			Key:          e.key,
 			ID:           &e.id,
 			LeaveVersion: e.leaveVersion,
-			Age:          toAge(m.clock.Sub(e.heard)),
+			Age:          encodeAge(m.clock.Sub(e.lastHeard)),
 		})
 	}
 	return Outgoing{Address: address, Push: p}
 }
 
-func (m *Members) someLocal(rng *rand.Rand, n int) []string {
+func (m *Members) pickLocalAddresses(rng *rand.Rand, n int) []string {
 	var addresses []string
 	for _, e := range m.order {
-		if m.local(e) && m.reachable(e) {
+		if m.isLocal(e) && m.reachable(e) {
 			addresses = append(addresses, e.id.Address)
 		}
 	}
 	return pick(addresses, n, rng)
 }
 
-// mayTell tells whether a host of a domain may hear of an entry from here.
-func (m *Members) mayTell(e *entry, domain string) bool {
+// mayShare tells whether a host of a domain may hear of an entry from here.
+func (m *Members) mayShare(e *entry, domain string) bool {
 	if m.state(e) == Dead {
 		return false
 	}
-	return domain == m.self.id.Domain || m.local(e)
+	return domain == m.self.id.Domain || m.isLocal(e)
 }
 
-// writer collects news for one host.
-type writer struct {
-	m      *Members
-	domain string // of the receiver
-	room   int
-	delta  Delta
+// deltaBuilder collects news for one host.
+type deltaBuilder struct {
+	m         *Members
+	domain    string // of the receiver
+	remaining int
+	delta     Delta
 }
 
-func (m *Members) writer(domain string) *writer {
-	return &writer{m: m, domain: domain, room: m.cfg.MaxDeltaBytes}
+func (m *Members) newDeltaBuilder(domain string) *deltaBuilder {
+	return &deltaBuilder{m: m, domain: domain, remaining: m.cfg.MaxDeltaBytes}
 }
 
-// tell adds what a receiver that holds a version of a host lacks. A receiver
+// add adds what a receiver that holds a version of a host lacks. A receiver
 // that does not know the host gets its identity too.
-func (w *writer) tell(e *entry, have uint64, known bool) {
-	if w.room <= 0 || !w.m.mayTell(e, w.domain) {
+func (w *deltaBuilder) add(e *entry, have uint64, known bool) {
+	if w.remaining <= 0 || !w.m.mayShare(e, w.domain) {
 		return
 	}
-	version := w.exported(e)
+	version := w.exportedVersion(e)
 	leaveNews := e.leaveVersion > have
 	if known && version <= have && !leaveNews {
 		return
 	}
-	age := toAge(w.m.clock.Sub(e.heard))
-	sections := w.m.newer(e, have, w.domain)
+	age := encodeAge(w.m.clock.Sub(e.lastHeard))
+	sections := w.m.newerSections(e, have, w.domain)
 	if known && len(sections) == 0 && !leaveNews {
 		w.delta.Keys = append(w.delta.Keys, e.key)
 		w.delta.Versions = append(w.delta.Versions, version)
 		w.delta.Ages = append(w.delta.Ages, age)
-		w.room -= beatBytes
+		w.remaining -= heartbeatBytes
 		return
 	}
 	r := Record{Key: e.key, Version: version, LeaveVersion: e.leaveVersion, Age: age}
@@ -291,31 +291,31 @@
 		r.ID = &e.id
 	}
 	w.addSections(&r, sections)
-	w.room -= recordBytes
+	w.remaining -= recordBytes
 	w.delta.Records = append(w.delta.Records, r)
 }
 
 // addSections adds sections, oldest first, until the message is full. The
 // record's version then ends before the first one that is left out.
-func (w *writer) addSections(r *Record, sections []Section) {
+func (w *deltaBuilder) addSections(r *Record, sections []Section) {
 	for i, s := range sections {
-		if i > 0 && w.room < len(s.Data)+sectionBytes {
+		if i > 0 && w.remaining < len(s.Data)+sectionBytes {
 			r.Version = min(r.Version, s.Version-1)
 			return
 		}
-		w.room -= len(s.Data) + sectionBytes
+		w.remaining -= len(s.Data) + sectionBytes
 		r.Sections = append(r.Sections, s)
 	}
 }
 
-// exported returns the version of a host that is told to the receiver. Other
+// exportedVersion returns the version of a host that is told to the receiver. Other
 // domains are told of beats in steps, so that gateways do not carry each of
 // them; a leave and wide sections go at once.
-func (w *writer) exported(e *entry) uint64 {
+func (w *deltaBuilder) exportedVersion(e *entry) uint64 {
 	if w.domain == w.m.self.id.Domain {
 		return e.version
 	}
-	step := uint64(w.m.cfg.RemoteQuantum) << beatShift
+	step := uint64(w.m.cfg.RemoteQuantum) << heartbeatShift
 	version := max(e.version/step*step, e.leaveVersion)
 	for _, s := range e.sections {
 		if s.Wide {
@@ -333,7 +333,7 @@
 		if e == nil || !m.accepts(e, from) || d.Versions[i] <= e.version {
 			continue
 		}
-		m.raise(e, d.Versions[i], d.Ages[i])
+		m.raiseVersion(e, d.Versions[i], d.Ages[i])
 	}
 	for i := range d.Records {
 		m.applyRecord(&d.Records[i], from)
@@ -343,24 +343,24 @@
 func (m *Members) applyRecord(r *Record, from string) {
 	e := m.byKey[r.Key]
 	if r.ID != nil && (from == m.self.id.Domain || from == r.ID.Domain) {
-		e = m.introduce(*r.ID, m.clock.Add(-fromAge(r.Age)))
+		e = m.upsertEntry(*r.ID, m.clock.Add(-decodeAge(r.Age)))
 	}
 	if e == nil || e == m.self {
 		return
 	}
 	if r.LeaveVersion > 0 && e.leaveVersion == 0 {
 		e.leaveVersion = r.LeaveVersion
-		m.newlyLeft = append(m.newlyLeft, e)
+		m.pendingLeaves = append(m.pendingLeaves, e)
 	}
 	if !m.accepts(e, from) {
 		return
 	}
-	if taken := e.takeSections(r.Sections, m.clock); len(taken) > 0 {
-		m.published[e] = append(m.published[e], taken...)
-		m.publishedCount++
+	if taken := e.applySections(r.Sections, m.clock); len(taken) > 0 {
+		m.pendingSections[e] = append(m.pendingSections[e], taken...)
+		m.sectionsVersion++
 	}
 	if r.Version > e.version {
-		m.raise(e, r.Version, r.Age)
+		m.raiseVersion(e, r.Version, r.Age)
 	}
 }
 
@@ -374,9 +374,9 @@
 	return from == m.self.id.Domain || from == e.id.Domain
 }
 
-func (m *Members) raise(e *entry, version uint64, age uint32) {
+func (m *Members) raiseVersion(e *entry, version uint64, age uint32) {
 	e.version = version
-	if heard := m.clock.Add(-fromAge(age)); heard.After(e.heard) {
-		e.heard = heard
+	if heard := m.clock.Add(-decodeAge(age)); heard.After(e.lastHeard) {
+		e.lastHeard = heard
 	}
 }
--- a/internal/core/membership/fuzz_test.go
+++ b/internal/core/membership/fuzz_test.go
@@ -45,7 +45,7 @@
 			_ = m.HandlePush(epoch, &push)
 		}
 		for _, v := range m.View(epoch) {
-			if v.Host == "a" && (v.Identity != testIdentity("a", "a", 5) || v.State != Live || v.Seq != 1<<beatShift) {
+			if v.Host == "a" && (v.Identity != testIdentity("a", "a", 5) || v.State != Live || v.Seq != 1<<heartbeatShift) {
 				t.Errorf("the own host became %+v", v)
 			}
 			if v.Host == "" {
--- a/internal/core/membership/growth_test.go
+++ b/internal/core/membership/growth_test.go
@@ -19,15 +19,15 @@
 	return float64(total) / float64(len(s.hosts)) / span.Seconds()
 }
 
-// TestBytesOfAHostDoNotGrowWithTheRegion guards against exchanges that tell of all hosts as
+// TestBytesPerHostDoNotGrowWithTheRegion guards against exchanges that tell of all hosts as
 // often as in a small region: what each sends would grow as all together do.
-func TestBytesOfAHostDoNotGrowWithTheRegion(t *testing.T) {
+func TestBytesPerHostDoNotGrowWithTheRegion(t *testing.T) {
 	t.Parallel()
 	sent := map[int]float64{}
 	for _, each := range []int{20, 40} {
-		s := region(t, 5, each, placeSection)
+		s := newRegion(t, 5, each, placeSection)
 		s.run(15 * time.Second)
-		if wrong := s.wrong("region", "region", Live); wrong != "" {
+		if wrong := s.mismatch("region", "region", Live); wrong != "" {
 			t.Fatal(wrong)
 		}
 		sent[5*each] = sentPerHost(s, 10*time.Second)
@@ -37,32 +37,32 @@
 	}
 }
 
-// TestSilenceOfLivingHostsStaysUnderTheLimit: what makes a host suspect grows as news of it gets
+// TestSilenceOfLiveHostsStaysBelowTheSuspectLimit: what makes a host suspect grows as news of it gets
 // rarer, and no living host is suspect.
-func TestSilenceOfLivingHostsStaysUnderTheLimit(t *testing.T) {
+func TestSilenceOfLiveHostsStaysBelowTheSuspectLimit(t *testing.T) {
 	t.Parallel()
 	for _, each := range []int{20, 40} {
-		s := region(t, 5, each, placeSection)
+		s := newRegion(t, 5, each, placeSection)
 		s.run(30 * time.Second)
-		silent, _ := oldest(s)
-		suspect, _ := s.hosts[0].limits(s.hosts[1].self)
+		silent, _ := longestSilence(s)
+		suspect, _ := s.hosts[0].silenceLimits(s.hosts[1].self)
 		if silent > suspect*9/10 {
 			t.Errorf("%d hosts: one was not heard for %s, which makes it suspect after %s", 5*each, silent, suspect)
 		}
-		if wrong := s.wrong("region", "region", Live); wrong != "" {
+		if wrong := s.mismatch("region", "region", Live); wrong != "" {
 			t.Error(wrong)
 		}
 	}
 }
 
-// TestDeadHostIsSeenByAll: later in a large region, within its own limit.
-func TestDeadHostIsSeenByAll(t *testing.T) {
+// TestDeadHostIsDetectedByAll: later in a large region, within its own limit.
+func TestDeadHostIsDetectedByAll(t *testing.T) {
 	t.Parallel()
-	s := region(t, 5, 40, placeSection)
+	s := newRegion(t, 5, 40, placeSection)
 	s.run(30 * time.Second)
 	dead := s.hosts[77]
 	s.kill(dead)
-	_, limit := s.hosts[0].limits(dead.self)
+	_, limit := s.hosts[0].silenceLimits(dead.self)
 	s.run(2 * limit)
 	for _, m := range s.hosts {
 		if got, known := s.stateAt(m, dead.Self().Host); m != dead && known && got != Dead {
@@ -71,11 +71,11 @@
 	}
 }
 
-// TestNewHostOfALargeRegionIsKnownToAllAtOnce guards against tasks that two hosts do for all,
+// TestNewHostOfALargeRegionIsKnownWithinSeconds guards against tasks that two hosts do for all,
 // because some do not know the one that comes first. Where it is told with what it publishes.
-func TestNewHostOfALargeRegionIsKnownToAllAtOnce(t *testing.T) {
+func TestNewHostOfALargeRegionIsKnownWithinSeconds(t *testing.T) {
 	t.Parallel()
-	s := region(t, 5, 40, placeSection)
+	s := newRegion(t, 5, 40, placeSection)
 	s.run(30 * time.Second)
 	m := New(Config{Self: testIdentity("new", "region", 1), NearBy: placeSection}, s.now)
 	s.must(m.Publish(s.now, placeSection, []byte("place-0"), false))
@@ -94,11 +94,11 @@
 	}
 }
 
-// TestManyHostsThatStartTogetherMeetSoon: they exchange as often as in a small region until
+// TestHostsThatStartTogetherDiscoverEachOtherSoon: they exchange as often as in a small region until
 // they have met.
-func TestManyHostsThatStartTogetherMeetSoon(t *testing.T) {
+func TestHostsThatStartTogetherDiscoverEachOtherSoon(t *testing.T) {
 	t.Parallel()
-	s := region(t, 5, 60, placeSection)
+	s := newRegion(t, 5, 60, placeSection)
 	s.run(8 * time.Second)
 	for _, m := range s.hosts {
 		if n := len(m.order); n < len(s.hosts) {
@@ -112,14 +112,14 @@
 func BenchmarkRegion(b *testing.B) {
 	for _, hosts := range []int{100, 300, 985, 1970} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
-			s := region(b, 5, hosts/5, placeSection)
+			s := newRegion(b, 5, hosts/5, placeSection)
 			s.run(60 * time.Second)
 			const span = 20 * time.Second
 			for b.Loop() {
 				b.ReportMetric(sentPerHost(s, span), "sent-B/s")
 			}
-			silent, _ := oldest(s)
-			suspect, dead := s.hosts[0].limits(s.hosts[1].self)
+			silent, _ := longestSilence(s)
+			suspect, dead := s.hosts[0].silenceLimits(s.hosts[1].self)
 			b.ReportMetric(silent.Seconds(), "oldest-s")
 			b.ReportMetric(suspect.Seconds(), "suspect-s")
 			b.ReportMetric(dead.Seconds(), "dead-s")
@@ -128,12 +128,12 @@
 	}
 }
 
-// TestWhatAHostOfALargeRegionPublishesReachesAllAtOnce: it may say that a request kills those
+// TestSectionsInALargeRegionSpreadWithinSeconds: it may say that a request kills those
 // who run it.
-func TestWhatAHostOfALargeRegionPublishesReachesAllAtOnce(t *testing.T) {
+func TestSectionsInALargeRegionSpreadWithinSeconds(t *testing.T) {
 	t.Parallel()
 	const section = "evidence"
-	s := region(t, 5, 40, placeSection)
+	s := newRegion(t, 5, 40, placeSection)
 	s.run(30 * time.Second)
 	for n := range 3 {
 		one := s.hosts[50+n]
--- a/internal/core/membership/members.go
+++ b/internal/core/membership/members.go
@@ -36,23 +36,23 @@
 
 // Defaults of Config.
 const (
-	defaultBeat          = time.Second
-	defaultSuspectAfter  = 5 * time.Second
-	defaultDeadAfter     = 12 * time.Second
-	defaultRemoteFactor  = 10
-	defaultRemoteQuantum = 16
-	defaultForgetAfter   = time.Hour
-	defaultPartners      = 8
-	defaultFarPartners   = 2
-	defaultRotateEvery   = 10 * time.Second
-	defaultProbeEvery    = 5 * time.Second
-	defaultGateways      = 2
-	defaultGatewayEvery  = 5 * time.Second
-	defaultMaxDeltaBytes = 32 << 10
+	defaultHeartbeatInterval = time.Second
+	defaultSuspectAfter      = 5 * time.Second
+	defaultDeadAfter         = 12 * time.Second
+	defaultRemoteFactor      = 10
+	defaultRemoteQuantum     = 16
+	defaultForgetAfter       = time.Hour
+	defaultPartners          = 8
+	defaultFarPartners       = 2
+	defaultRotateEvery       = 10 * time.Second
+	defaultProbeEvery        = 5 * time.Second
+	defaultGateways          = 2
+	defaultGatewayEvery      = 5 * time.Second
+	defaultMaxDeltaBytes     = 32 << 10
 )
 
 func (c *Config) setDefaults() {
-	option.Default(&c.Beat, defaultBeat)
+	option.Default(&c.Beat, defaultHeartbeatInterval)
 	option.Default(&c.SuspectAfter, defaultSuspectAfter)
 	option.Default(&c.DeadAfter, defaultDeadAfter)
 	option.Default(&c.RemoteFactor, defaultRemoteFactor)
@@ -74,8 +74,8 @@
 	version       uint64 // every section up to it that reaches this domain is held
 	leaveVersion  uint64
 	listedLeaving bool
-	heard         time.Time
-	failed        time.Time          // last call to it that failed, zero once it is heard
+	lastHeard     time.Time
+	failedAt      time.Time          // last call to it that failed, zero once it is heard
 	sections      map[string]Section // Age unused
 	publishedAt   map[string]time.Time
 }
@@ -99,20 +99,20 @@
 	listed     map[string]bool     // by host: leaving, as the list last said
 	superseded bool
 
-	locals      int       // known hosts of the own domain, the own one among them
-	grew        time.Time // when many hosts were last told of for the first time
-	clock       time.Time // newest time seen
-	nextBeat    time.Time
-	nextProbe   time.Time
-	nextRotate  time.Time
-	nextGateway time.Time
-	partners    []string
-	turn        int             // of partners
-	domains     map[string]bool // other domains that were heard of
-	newlyLeft   []*entry
-	published   map[*entry][]Section // learned since the last Forwards
-
-	publishedCount int
+	localCount      int       // known hosts of the own domain, the own one among them
+	grewAt          time.Time // when many hosts were last told of for the first time
+	clock           time.Time // newest time seen
+	nextHeartbeat   time.Time
+	nextProbe       time.Time
+	nextRotate      time.Time
+	nextGateway     time.Time
+	partners        []string
+	partnerIndex    int             // of partners
+	domains         map[string]bool // other domains that were heard of
+	pendingLeaves   []*entry
+	pendingSections map[*entry][]Section // learned since the last Forwards
+
+	sectionsVersion int
 }
 
 // New returns a state machine that knows only its own host.
@@ -127,12 +127,12 @@
 		domains:  make(map[string]bool),
 		hints:    make(map[string][]string),
 
-		published: make(map[*entry][]Section),
-		clock:     now,
-		grew:      now,
+		pendingSections: make(map[*entry][]Section),
+		clock:           now,
+		grewAt:          now,
 	}
-	m.self = m.put(cfg.Self, now)
-	m.self.version = 1 << beatShift
+	m.self = m.addEntry(cfg.Self, now)
+	m.self.version = 1 << heartbeatShift
 	return m
 }
 
@@ -178,12 +178,12 @@
 		m.noteDomain(l.Domain)
 		listed[l.Host] = l.Leaving
 		m.contacts[l.Address] = contact{address: l.Address, host: l.Host, domain: l.Domain}
-		m.markListed(l)
+		m.applyListedState(l)
 	}
 	m.listed = listed
 }
 
-func (m *Members) markListed(l Listed) {
+func (m *Members) applyListedState(l Listed) {
 	e := m.byHost[l.Host]
 	if e == nil {
 		return
@@ -213,12 +213,12 @@
 }
 
 func (m *Members) member(e *entry) Member {
-	return Member{Identity: e.id, Seq: e.version, State: m.state(e), LastHeard: e.heard}
+	return Member{Identity: e.id, Seq: e.version, State: m.state(e), LastHeard: e.lastHeard}
 }
 
 func (m *Members) state(e *entry) State {
-	silence := m.clock.Sub(e.heard)
-	suspect, dead := m.limits(e)
+	silence := m.clock.Sub(e.lastHeard)
+	suspect, dead := m.silenceLimits(e)
 	switch {
 	case e != m.self && silence >= dead:
 		return Dead
@@ -230,7 +230,7 @@
 	return Live
 }
 
-func (m *Members) limits(e *entry) (suspect, dead time.Duration) {
+func (m *Members) silenceLimits(e *entry) (suspect, dead time.Duration) {
 	factor := m.silenceFactor()
 	suspect = time.Duration(factor * float64(m.cfg.SuspectAfter))
 	dead = time.Duration(factor * float64(m.cfg.DeadAfter))
@@ -249,27 +249,27 @@
 	if gap <= 0 {
 		return
 	}
-	if pause := gap - m.mostQuiet(); pause > 0 {
+	if pause := gap - m.maxInputGap(); pause > 0 {
 		for _, e := range m.order {
-			e.heard = e.heard.Add(pause)
+			e.lastHeard = e.lastHeard.Add(pause)
 		}
 	}
 	m.clock = now
-	m.self.heard = now
+	m.self.lastHeard = now
 }
 
-// mostQuiet is the longest time between two inputs of a process that is not paused.
-func (m *Members) mostQuiet() time.Duration { return m.stretched(m.cfg.SuspectAfter / 2) }
+// maxInputGap is the longest time between two inputs of a process that is not paused.
+func (m *Members) maxInputGap() time.Duration { return m.scaleInterval(m.cfg.SuspectAfter / 2) }
 
-// put makes an entry the newest of its host.
-func (m *Members) put(id Identity, heard time.Time) *entry {
+// addEntry makes an entry the newest of its host.
+func (m *Members) addEntry(id Identity, heard time.Time) *entry {
 	if old := m.byHost[id.Host]; old != nil {
-		m.drop(old)
+		m.removeEntry(old)
 	}
 	e := &entry{
 		id:          id,
 		key:         id.key(),
-		heard:       heard,
+		lastHeard:   heard,
 		sections:    make(map[string]Section),
 		publishedAt: make(map[string]time.Time),
 	}
@@ -278,19 +278,19 @@
 	m.byHost[id.Host] = e
 	m.byKey[e.key] = e
 	if id.Domain == m.cfg.Self.Domain {
-		m.locals++
+		m.localCount++
 	}
 	m.noteDomain(id.Domain)
 	return e
 }
 
-// beatShift is the number of low bits of a version that count the sections
+// heartbeatShift is the number of low bits of a version that count the sections
 // published since the last beat. So the beat can be told from a version however
 // often sections change. More sections than fit only bring a beat forward.
-const beatShift = 6
+const heartbeatShift = 6
 
-func (e *entry) beat() {
-	e.version = (e.version>>beatShift + 1) << beatShift
+func (e *entry) advanceHeartbeat() {
+	e.version = (e.version>>heartbeatShift + 1) << heartbeatShift
 }
 
 // maxDomains bounds the domains that are exchanged with.
@@ -302,13 +302,13 @@
 	}
 }
 
-func (m *Members) drop(e *entry) {
+func (m *Members) removeEntry(e *entry) {
 	at, _ := slices.BinarySearchFunc(m.order, e.id.Host, compareHost)
 	m.order = slices.Delete(m.order, at, at+1)
 	delete(m.byHost, e.id.Host)
 	delete(m.byKey, e.key)
-	if m.local(e) {
-		m.locals--
+	if m.isLocal(e) {
+		m.localCount--
 	}
 }
 
@@ -316,9 +316,9 @@
 	return strings.Compare(e.id.Host, host)
 }
 
-// introduce returns the entry of an identity, nil when a newer incarnation of
+// upsertEntry returns the entry of an identity, nil when a newer incarnation of
 // it is known or when it is the own host.
-func (m *Members) introduce(id Identity, heard time.Time) *entry {
+func (m *Members) upsertEntry(id Identity, heard time.Time) *entry {
 	if id.Host == m.self.id.Host {
 		m.superseded = m.superseded || id.Incarnation > m.self.id.Incarnation
 		return nil
@@ -330,30 +330,30 @@
 	if e != nil && id.Incarnation == e.id.Incarnation {
 		return e
 	}
-	fresh := m.put(id, heard)
+	fresh := m.addEntry(id, heard)
 	// The list may have told of the host before it was heard of. Of a host that
 	// was known the list's word is about the former incarnation.
 	fresh.listedLeaving = e == nil && m.listed[id.Host]
 	return fresh
 }
 
-// meet notes that a host was heard directly.
-func (m *Members) meet(id Identity) {
-	e := m.introduce(id, m.clock)
+// markHeard notes that a host was heard directly.
+func (m *Members) markHeard(id Identity) {
+	e := m.upsertEntry(id, m.clock)
 	if e == nil {
 		return
 	}
-	e.failed = time.Time{}
-	if e.heard.Before(m.clock) {
-		e.heard = m.clock
+	e.failedAt = time.Time{}
+	if e.lastHeard.Before(m.clock) {
+		e.lastHeard = m.clock
 	}
 }
 
-// forget drops the hosts that have been dead for long.
-func (m *Members) forget() {
+// forgetDead drops the hosts that have been dead for long.
+func (m *Members) forgetDead() {
 	for _, e := range slices.Clone(m.order) {
-		if e != m.self && m.clock.Sub(e.heard) >= m.cfg.ForgetAfter {
-			m.drop(e)
+		if e != m.self && m.clock.Sub(e.lastHeard) >= m.cfg.ForgetAfter {
+			m.removeEntry(e)
 		}
 	}
 }
--- a/internal/core/membership/members_test.go
+++ b/internal/core/membership/members_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestDomainsMeetThroughOneSeed(t *testing.T) {
+func TestDomainsDiscoverEachOtherThroughOneSeed(t *testing.T) {
 	s := newSite(t, 1)
 	s.gob = true
 	s.addDomain("a", 6)
@@ -16,16 +16,16 @@
 	s.run(40 * time.Second)
 	for _, viewers := range []string{"a", "b", "c"} {
 		for _, domain := range []string{"a", "b", "c"} {
-			if w := s.wrong(viewers, domain, Live); w != "" {
+			if w := s.mismatch(viewers, domain, Live); w != "" {
 				t.Error(w)
 			}
 		}
 	}
 }
 
-// TestNobodyIsSuspectedWithoutCause runs a site of as many domains as are
+// TestRunningHostsAreNeverSuspected runs a site of as many domains as are
 // planned, whose hosts all know one seed, and then watches it for two minutes.
-func TestNobodyIsSuspectedWithoutCause(t *testing.T) {
+func TestRunningHostsAreNeverSuspected(t *testing.T) {
 	s := newSite(t, 11)
 	for i := range 12 {
 		for _, domain := range []string{"a", "b", "c", "d", "e", "f", "g"} {
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestSilentHostDiesAndComesBack(t *testing.T) {
+func TestSilentHostBecomesDeadAndRecovers(t *testing.T) {
 	s := newSite(t, 2)
 	s.addDomain("a", 8)
 	s.run(20 * time.Second)
@@ -65,12 +65,12 @@
 	}
 	s.at["a-03:1"] = lost
 	s.run(20 * time.Second)
-	if w := s.wrong("a", "a", Live); w != "" {
+	if w := s.mismatch("a", "a", Live); w != "" {
 		t.Error(w)
 	}
 }
 
-func TestDomainCutOffGoesOnAndHeals(t *testing.T) {
+func TestPartitionedDomainKeepsWorkingAndRecovers(t *testing.T) {
 	s := newSite(t, 3)
 	s.gob = true
 	s.addDomain("a", 4)
@@ -83,7 +83,7 @@
 		viewers, domain string
 		want            State
 	}{{"a", "c", Dead}, {"c", "a", Dead}, {"c", "b", Dead}, {"c", "c", Live}, {"a", "b", Live}, {"a", "a", Live}} {
-		if w := s.wrong(c.viewers, c.domain, c.want); w != "" {
+		if w := s.mismatch(c.viewers, c.domain, c.want); w != "" {
 			t.Errorf("cut: %s", w)
 		}
 	}
@@ -91,14 +91,14 @@
 	s.run(40 * time.Second)
 	for _, viewers := range []string{"a", "b", "c"} {
 		for _, domain := range []string{"a", "b", "c"} {
-			if w := s.wrong(viewers, domain, Live); w != "" {
+			if w := s.mismatch(viewers, domain, Live); w != "" {
 				t.Errorf("healed: %s", w)
 			}
 		}
 	}
 }
 
-func TestCutBetweenTwoDomainsIsNotBridgedByAThird(t *testing.T) {
+func TestPartitionBetweenTwoDomainsIsNotBridgedByAThird(t *testing.T) {
 	s := newSite(t, 4)
 	s.addDomain("a", 3)
 	s.addDomain("b", 3)
@@ -106,15 +106,15 @@
 	s.run(40 * time.Second)
 	s.cut = func(from, to string) bool { return from+to == "ab" || from+to == "ba" }
 	s.run(2 * time.Minute)
-	if w := s.wrong("a", "b", Dead); w != "" {
+	if w := s.mismatch("a", "b", Dead); w != "" {
 		t.Error(w)
 	}
-	if w := s.wrong("c", "a", Live); w != "" {
+	if w := s.mismatch("c", "a", Live); w != "" {
 		t.Error(w)
 	}
 }
 
-func TestHostsThatKnowOnlyTheListMeet(t *testing.T) {
+func TestHostsDiscoverEachOtherThroughTheList(t *testing.T) {
 	s := newSite(t, 5)
 	var list []Listed
 	for _, host := range []string{"x", "y", "z"} {
@@ -124,7 +124,7 @@
 	}
 	s.hosts[1].HostList(s.now, list)
 	s.run(20 * time.Second)
-	if w := s.wrong("a", "a", Live); w != "" {
+	if w := s.mismatch("a", "a", Live); w != "" {
 		t.Error(w)
 	}
 }
@@ -152,10 +152,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := New(Config{Self: testIdentity("a", "a", 1)}, epoch)
-			hear(t, m, testIdentity("b", "a", 1))
+			receivePush(t, m, testIdentity("b", "a", 1))
 			for i, list := range c.lists {
 				if c.newer && i == len(c.lists)-1 {
-					hear(t, m, testIdentity("b", "a", 2))
+					receivePush(t, m, testIdentity("b", "a", 2))
 				}
 				m.HostList(epoch, list)
 			}
@@ -166,14 +166,14 @@
 	}
 }
 
-func hear(t *testing.T, m *Members, id Identity) {
+func receivePush(t *testing.T, m *Members, id Identity) {
 	t.Helper()
 	if err := m.HandlePush(m.clock, &Push{From: id}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestOwnPauseKillsNobody(t *testing.T) {
+func TestOwnPauseMarksNoHostDead(t *testing.T) {
 	s := newSite(t, 6)
 	s.addDomain("a", 4)
 	s.run(20 * time.Second)
@@ -185,13 +185,13 @@
 	}
 }
 
-func TestOwnNewerIncarnationIsNoticed(t *testing.T) {
+func TestNewerOwnIncarnationSupersedes(t *testing.T) {
 	m := New(Config{Self: testIdentity("a", "a", 5)}, epoch)
-	hear(t, m, testIdentity("a", "a", 4))
+	receivePush(t, m, testIdentity("a", "a", 4))
 	if m.Superseded() {
 		t.Error("superseded by an older incarnation")
 	}
-	hear(t, m, testIdentity("a", "a", 6))
+	receivePush(t, m, testIdentity("a", "a", 6))
 	if !m.Superseded() {
 		t.Error("not superseded by a newer incarnation")
 	}
@@ -215,7 +215,7 @@
 	}
 }
 
-func TestForgottenAfterAnHour(t *testing.T) {
+func TestDeadHostIsForgottenAfterAnHour(t *testing.T) {
 	s := newSite(t, 8)
 	s.addDomain("a", 3)
 	s.run(20 * time.Second)
@@ -226,7 +226,7 @@
 	}
 }
 
-func TestSectionsReachWhoMayHaveThem(t *testing.T) {
+func TestWideSectionsReachAllDomainsAndOthersTheirOwn(t *testing.T) {
 	s := newSite(t, 9)
 	s.gob = true
 	s.addDomain("a", 4)
--- a/internal/core/membership/message.go
+++ b/internal/core/membership/message.go
@@ -107,7 +107,7 @@
 	return id.Host != "" && id.Domain != "" && id.Address != ""
 }
 
-func toAge(d time.Duration) uint32 {
+func encodeAge(d time.Duration) uint32 {
 	if d <= 0 {
 		return 0
 	}
@@ -115,6 +115,6 @@
 	return uint32(min((d+ageUnit-1)/ageUnit, most))
 }
 
-func fromAge(age uint32) time.Duration {
+func decodeAge(age uint32) time.Duration {
 	return time.Duration(age) * ageUnit
 }
--- a/internal/core/membership/near_test.go
+++ b/internal/core/membership/near_test.go
@@ -9,8 +9,8 @@
 
 const placeSection = "place"
 
-// region is a domain of hosts in several places that know where they are.
-func region(t testing.TB, places, each int, nearBy string) *site {
+// newRegion is a domain of hosts in several places that know where they are.
+func newRegion(t testing.TB, places, each int, nearBy string) *site {
 	s := newSite(t, 1)
 	for p := range places {
 		for i := range each {
@@ -43,27 +43,27 @@
 	return float64(far) / float64(all)
 }
 
-// TestPartnersAreNear is the pattern of a region with many hosts in a few failure domains:
+// TestMostPartnersAreNear is the pattern of a region with many hosts in a few failure domains:
 // most exchanges stay inside one, and every host still hears of all others in time.
-func TestPartnersAreNear(t *testing.T) {
-	s := region(t, 5, 20, placeSection)
+func TestMostPartnersAreNear(t *testing.T) {
+	s := newRegion(t, 5, 20, placeSection)
 	s.run(20 * time.Second)
 	if share := farShare(s); share > 0.3 || share < 0.1 {
 		t.Errorf("%.2f of the partners are far", share)
 	}
-	if wrong := s.wrong("region", "region", Live); wrong != "" {
+	if wrong := s.mismatch("region", "region", Live); wrong != "" {
 		t.Error(wrong)
 	}
-	local, _ := oldest(s)
+	local, _ := longestSilence(s)
 	if most := defaultSuspectAfter; local >= most {
 		t.Errorf("some host was not heard for %s, which makes it suspect", local)
 	}
 }
 
-// TestHostsOfFewPlacesKeepTheirPartners: with no or few hosts near, others take the places.
-func TestHostsOfFewPlacesKeepTheirPartners(t *testing.T) {
+// TestFarHostsFillPartnersWhereFewAreNear: with no or few hosts near, others take the places.
+func TestFarHostsFillPartnersWhereFewAreNear(t *testing.T) {
 	for _, each := range []int{1, 3} {
-		s := region(t, 10, each, placeSection)
+		s := newRegion(t, 10, each, placeSection)
 		s.run(10 * time.Second)
 		for _, m := range s.hosts {
 			if n := len(m.partners); n != defaultPartners {
@@ -73,10 +73,10 @@
 	}
 }
 
-// TestCutPlaceGoesOnAlone: hosts behind a cut have their near partners, and meet the others
+// TestPartitionedPlaceKeepsWorkingAndRecovers: hosts behind a cut have their near partners, and meet the others
 // again after it.
-func TestCutPlaceGoesOnAlone(t *testing.T) {
-	s := region(t, 3, 10, placeSection)
+func TestPartitionedPlaceKeepsWorkingAndRecovers(t *testing.T) {
+	s := newRegion(t, 3, 10, placeSection)
 	s.run(15 * time.Second)
 	place := func(address string) string { return string(s.at[address].self.sections[placeSection].Data) }
 	s.cutHosts = func(from, to *Members) bool {
@@ -93,7 +93,7 @@
 	}
 	s.cutHosts = nil
 	s.run(40 * time.Second) // an address that failed is left alone for 30 s
-	if wrong := s.wrong("region", "region", Live); wrong != "" {
+	if wrong := s.mismatch("region", "region", Live); wrong != "" {
 		t.Error(wrong)
 	}
 }
@@ -103,7 +103,7 @@
 func BenchmarkNearPartners(b *testing.B) {
 	for _, c := range []struct{ name, nearBy string }{{"any", ""}, {"near", placeSection}} {
 		b.Run(c.name, func(b *testing.B) {
-			s := region(b, 5, 60, c.nearBy)
+			s := newRegion(b, 5, 60, c.nearBy)
 			s.run(30 * time.Second)
 			s.wire = newWire()
 			const span = 10 * time.Second
@@ -115,7 +115,7 @@
 			for _, n := range s.wire.sent {
 				total += n
 			}
-			local, _ := oldest(s)
+			local, _ := longestSilence(s)
 			share := farShare(s)
 			b.ReportMetric(float64(total)/float64(len(s.hosts))/span.Seconds(), "sent-B/s")
 			b.ReportMetric(share*float64(total)/float64(len(s.hosts))/span.Seconds(), "far-B/s")
--- a/internal/core/membership/properties_test.go
+++ b/internal/core/membership/properties_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// play turns numbers into what may happen to a site of two domains. Hosts 0 and
+// runSteps turns numbers into what may happen to a site of two domains. Hosts 0 and
 // 3 only watch, so that their views can be followed.
-func play(s *site, steps []uint32, h *history) {
+func runSteps(s *site, steps []uint32, h *history) {
 	watchers := []*Members{s.hosts[0], s.hosts[3]}
 	var leftovers []*Members // stopped processes that may go on with an old incarnation
 	for _, step := range steps {
@@ -102,12 +102,12 @@
 	return s
 }
 
-func TestIncarnationsAndLeavesNeverGoBack(t *testing.T) {
+func TestIncarnationsAndLeavesAreNeverReverted(t *testing.T) {
 	checkProperty(t, "monotone", prop.ForAll(
 		func(seed uint64, steps []uint32) string {
 			s := newPropertySite(t, seed)
 			h := &history{newest: make(map[[2]string]uint64), left: make(map[string]map[string]bool)}
-			play(s, steps, h)
+			runSteps(s, steps, h)
 			return h.fault
 		},
 		gen.UInt64(), gen.SliceOfN(12, gen.UInt32()),
@@ -119,24 +119,24 @@
 		func(seed uint64, steps []uint32) string {
 			s := newPropertySite(t, seed)
 			h := &history{newest: make(map[[2]string]uint64), left: make(map[string]map[string]bool)}
-			play(s, steps, h)
+			runSteps(s, steps, h)
 			s.cut = func(string, string) bool { return false }
 			s.run(2 * time.Minute)
-			return disagreement(s)
+			return firstDisagreement(s)
 		},
 		gen.UInt64(), gen.SliceOfN(12, gen.UInt32()),
 	))
 }
 
-// disagreement returns where a running host's view differs from the truth, or
+// firstDisagreement returns where a running host's view differs from the truth, or
 // where two hosts name different owners.
-func disagreement(s *site) string {
+func firstDisagreement(s *site) string {
 	for _, viewer := range s.hosts {
 		if s.at[viewer.Self().Address] != viewer {
 			continue
 		}
 		for _, m := range s.hosts {
-			if w := mistaken(s, viewer, m); w != "" {
+			if w := viewMismatch(s, viewer, m); w != "" {
 				return w
 			}
 		}
@@ -151,7 +151,7 @@
 	return ""
 }
 
-func mistaken(s *site, viewer, m *Members) string {
+func viewMismatch(s *site, viewer, m *Members) string {
 	want := Live
 	running := s.at[m.Self().Address] == m
 	switch {
@@ -167,7 +167,7 @@
 	return fmt.Sprintf("%s sees %s %s (known %t), want %s", viewer.Self().Host, m.Self().Host, got, known, want)
 }
 
-func TestRankMovesOnlyWhatItMust(t *testing.T) {
+func TestRankMovesOnlyKeysOfARemovedOwner(t *testing.T) {
 	checkProperty(t, "rendezvous", prop.ForAll(
 		func(seed uint64, key string, n int) string {
 			rng := rand.New(rand.NewPCG(seed, 2))
--- a/internal/core/membership/rendezvous.go
+++ b/internal/core/membership/rendezvous.go
@@ -10,16 +10,16 @@
 // Owner returns the live member that comes first for a key by rendezvous
 // hashing; ok is false when no member is live. Hosts with equal views agree.
 func Owner(key string, members []Member) (owner Member, ok bool) {
-	return first(key, members, func(*Member) bool { return true })
+	return highestRanked(key, members, func(*Member) bool { return true })
 }
 
 // LocalOwner is Owner among the members of one domain. It is asked for each engine
 // of a domain again and again, so it copies no members.
 func LocalOwner(key, domain string, members []Member) (owner Member, ok bool) {
-	return first(key, members, func(m *Member) bool { return m.Domain == domain })
+	return highestRanked(key, members, func(m *Member) bool { return m.Domain == domain })
 }
 
-func first(key string, members []Member, among func(*Member) bool) (owner Member, ok bool) {
+func highestRanked(key string, members []Member, among func(*Member) bool) (owner Member, ok bool) {
 	var best uint64
 	prefix := xxhash.Sum64String(key)
 	for i := range members {
--- a/internal/core/membership/sections.go
+++ b/internal/core/membership/sections.go
@@ -22,13 +22,13 @@
 	m.self.version++
 	m.self.sections[name] = Section{Name: name, Version: m.self.version, Wide: wide, Data: data}
 	m.self.publishedAt[name] = now
-	m.published[m.self] = append(m.published[m.self], m.self.sections[name])
-	m.publishedCount++
+	m.pendingSections[m.self] = append(m.pendingSections[m.self], m.self.sections[name])
+	m.sectionsVersion++
 	return nil
 }
 
 // Published returns a number that changes when some host's section is new here.
-func (m *Members) Published() int { return m.publishedCount }
+func (m *Members) Published() int { return m.sectionsVersion }
 
 // Sections returns a section of every host that has it and is not dead, the
 // own one included, ordered by host.
@@ -52,15 +52,15 @@
 	return views
 }
 
-// newer returns the sections above a version that may go to a domain, oldest
+// newerSections returns the sections above a version that may go to a domain, oldest
 // version first.
-func (m *Members) newer(e *entry, have uint64, domain string) []Section {
+func (m *Members) newerSections(e *entry, have uint64, domain string) []Section {
 	var news []Section
 	for _, s := range e.sections {
 		if s.Version <= have || !s.Wide && e.id.Domain != domain {
 			continue
 		}
-		s.Age = toAge(m.clock.Sub(e.publishedAt[s.Name]))
+		s.Age = encodeAge(m.clock.Sub(e.publishedAt[s.Name]))
 		news = append(news, s)
 	}
 	slices.SortFunc(news, func(a, b Section) int {
@@ -72,13 +72,13 @@
 	return news
 }
 
-// takeSections takes sections in and returns those that are newer than what is known.
-func (e *entry) takeSections(sections []Section, now time.Time) (taken []Section) {
+// applySections takes sections in and returns those that are newer than what is known.
+func (e *entry) applySections(sections []Section, now time.Time) (taken []Section) {
 	for _, s := range sections {
 		if len(s.Data) > MaxSectionBytes || s.Version <= e.sections[s.Name].Version {
 			continue
 		}
-		e.publishedAt[s.Name] = now.Add(-fromAge(s.Age))
+		e.publishedAt[s.Name] = now.Add(-decodeAge(s.Age))
 		taken = append(taken, s)
 		s.Age = 0
 		e.sections[s.Name] = s
--- a/internal/core/membership/sim_test.go
+++ b/internal/core/membership/sim_test.go
@@ -111,9 +111,9 @@
 			s.push(from, to, o.Push)
 			continue
 		}
-		resp, err := to.HandleRequest(s.now, carry(s, from, o.Request), s.rng)
+		resp, err := to.HandleRequest(s.now, transmit(s, from, o.Request), s.rng)
 		s.must(err)
-		push, err := from.HandleResponse(s.now, carry(s, to, resp))
+		push, err := from.HandleResponse(s.now, transmit(s, to, resp))
 		s.must(err)
 		if push != nil {
 			s.push(from, to, push)
@@ -124,12 +124,12 @@
 }
 
 func (s *site) push(from, to *Members, push *Push) {
-	s.must(to.HandlePush(s.now, carry(s, from, push)))
+	s.must(to.HandlePush(s.now, transmit(s, from, push)))
 	s.send(to, to.Forwards(s.rng))
 }
 
-// carry returns a message as it arrives.
-func carry[T any](s *site, from *Members, sent *T) *T {
+// transmit returns a message as it arrives.
+func transmit[T any](s *site, from *Members, sent *T) *T {
 	if s.wire != nil {
 		s.wire.count(from.Self().Host, sent)
 	}
@@ -160,9 +160,9 @@
 	return 0, false
 }
 
-// wrong returns the first disagreement with an expected state of all hosts of a
+// mismatch returns the first disagreement with an expected state of all hosts of a
 // domain, as seen by the running hosts of another.
-func (s *site) wrong(viewers, domain string, want State) string {
+func (s *site) mismatch(viewers, domain string, want State) string {
 	for _, m := range s.hosts {
 		if m.Self().Domain != viewers || s.at[m.Self().Address] != m {
 			continue
--- a/internal/core/membership/tick.go
+++ b/internal/core/membership/tick.go
@@ -20,10 +20,10 @@
 	// publishFanout is the hosts that each host passes on what one publishes: one in a
 	// hundred is left to exchanges, which are rare where this is done.
 	publishFanout = 5
-	// mostToldAtOnce is the hosts whose sections are passed on at once.
-	mostToldAtOnce = 8
-	aloneProbes    = 3 // addresses tried in a tick while no other host is known
-	failureQuiet   = 30 * time.Second
+	// maxPushedEntries is the hosts whose sections are passed on at once.
+	maxPushedEntries = 8
+	aloneProbes      = 3 // addresses tried in a tick while no other host is known
+	failureBackoff   = 30 * time.Second
 )
 
 // Tick raises the own version when a beat is due and returns the exchanges to
@@ -32,10 +32,10 @@
 // unknown address.
 func (m *Members) Tick(now time.Time, rng *rand.Rand) []Outgoing {
 	m.advance(now)
-	if !now.Before(m.nextBeat) {
-		m.nextBeat = now.Add(m.stretched(m.cfg.Beat))
-		m.self.beat()
-		m.forget()
+	if !now.Before(m.nextHeartbeat) {
+		m.nextHeartbeat = now.Add(m.scaleInterval(m.cfg.Beat))
+		m.self.advanceHeartbeat()
+		m.forgetDead()
 	}
 	var out []Outgoing
 	partner := m.nextPartner(rng)
@@ -54,7 +54,7 @@
 	m.advance(now)
 	for _, e := range m.order {
 		if e.id.Address == address && e != m.self {
-			e.failed = now
+			e.failedAt = now
 		}
 	}
 }
@@ -62,9 +62,9 @@
 // exchange opens an exchange inside the own domain, or with an address of which
 // nothing is known.
 func (m *Members) exchange(address string, rng *rand.Rand) Outgoing {
-	r := &Request{From: m.self.id, Other: m.pickOther(rng)}
+	r := &Request{From: m.self.id, Other: m.pickOtherDomain(rng)}
 	for _, e := range m.order {
-		covered := m.local(e) || e.id.Domain == r.Other
+		covered := m.isLocal(e) || e.id.Domain == r.Other
 		if covered && m.state(e) != Dead {
 			r.Have.add(e.key, e.version)
 		}
@@ -84,10 +84,10 @@
 	return Outgoing{Address: address, Request: r}
 }
 
-// pickOther returns one of the other domains, now and then none, to be told of
+// pickOtherDomain returns one of the other domains, now and then none, to be told of
 // domains that are not known here. A random choice pairs each domain with each
 // partner in time, as two turns of fixed lengths do not.
-func (m *Members) pickOther(rng *rand.Rand) string {
+func (m *Members) pickOtherDomain(rng *rand.Rand) string {
 	domains := append(m.otherDomains(), "")
 	return domains[rng.IntN(len(domains))]
 }
@@ -110,15 +110,15 @@
 		return e == nil || !m.reachable(e)
 	})
 	if len(m.partners) > 1 && !m.clock.Before(m.nextRotate) {
-		m.nextRotate = m.clock.Add(m.stretched(m.cfg.RotateEvery))
+		m.nextRotate = m.clock.Add(m.scaleInterval(m.cfg.RotateEvery))
 		m.partners = m.partners[1:]
 	}
 	m.fillPartners(rng)
 	if len(m.partners) == 0 {
 		return nil
 	}
-	m.turn = (m.turn + 1) % len(m.partners)
-	return m.byHost[m.partners[m.turn]]
+	m.partnerIndex = (m.partnerIndex + 1) % len(m.partners)
+	return m.byHost[m.partners[m.partnerIndex]]
 }
 
 // fillPartners draws partners for the free places: near ones, but for a few that join what
@@ -131,8 +131,8 @@
 	var near, far []string
 	for _, e := range m.order {
 		switch {
-		case !m.local(e) || !m.reachable(e) || slices.Contains(m.partners, e.id.Host):
-		case m.near(e):
+		case !m.isLocal(e) || !m.reachable(e) || slices.Contains(m.partners, e.id.Host):
+		case m.isNear(e):
 			near = append(near, e.id.Host)
 		default:
 			far = append(far, e.id.Host)
@@ -141,7 +141,7 @@
 	shuffle(near, rng)
 	shuffle(far, rng)
 	m.dropFarPartners(len(near))
-	n := min(max(m.cfg.FarPartners-m.farPartners(), 0), len(far))
+	n := min(max(m.cfg.FarPartners-m.countFarPartners(), 0), len(far))
 	for _, host := range slices.Concat(far[:n], near, far[n:]) {
 		if len(m.partners) >= m.cfg.Partners {
 			return
@@ -154,7 +154,7 @@
 	rng.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
 }
 
-func (m *Members) farPartners() int {
+func (m *Members) countFarPartners() int {
 	n := 0
 	for _, host := range m.partners {
 		if m.isFar(host) {
@@ -167,7 +167,7 @@
 // dropFarPartners drops the oldest far partners that are too many, as those are that were
 // met first at a start, up to the number of near hosts that can take their places.
 func (m *Members) dropFarPartners(most int) {
-	excess := min(m.farPartners()-m.cfg.FarPartners, most)
+	excess := min(m.countFarPartners()-m.cfg.FarPartners, most)
 	m.partners = slices.DeleteFunc(m.partners, func(host string) bool {
 		if excess <= 0 || !m.isFar(host) {
 			return false
@@ -179,12 +179,12 @@
 
 func (m *Members) isFar(host string) bool {
 	e := m.byHost[host]
-	return e != nil && !m.near(e)
+	return e != nil && !m.isNear(e)
 }
 
-// near reports whether a host is near the own one. One that has not told where it is counts
+// isNear reports whether a host is isNear the own one. One that has not told where it is counts
 // as far.
-func (m *Members) near(e *entry) bool {
+func (m *Members) isNear(e *entry) bool {
 	if m.cfg.NearBy == "" {
 		return true
 	}
@@ -193,7 +193,7 @@
 	return ok && told && bytes.Equal(own.Data, other.Data)
 }
 
-func (m *Members) local(e *entry) bool {
+func (m *Members) isLocal(e *entry) bool {
 	return e.id.Domain == m.self.id.Domain
 }
 
@@ -202,7 +202,7 @@
 	if e == m.self || m.state(e) == Dead {
 		return false
 	}
-	return e.failed.IsZero() || m.clock.Sub(e.failed) >= failureQuiet
+	return e.failedAt.IsZero() || m.clock.Sub(e.failedAt) >= failureBackoff
 }
 
 // Gateways returns the hosts of a domain that exchange with other domains.
@@ -294,7 +294,7 @@
 			heard[e.id.Address] = true
 			continue
 		}
-		if m.local(e) {
+		if m.isLocal(e) {
 			heard[e.id.Address] = true
 			silent = append(silent, e.id.Address)
 		}
