--- a/internal/core/membership/bench_test.go
+++ b/internal/core/membership/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// domainsOf splits a site's hosts as they are planned: 60 a domain.
+// domainsOf splits a site's hosts into domains of 60, as planned.
 func domainsOf(hosts int) []int {
 	const most = 60
 	var sizes []int
@@ -16,7 +16,7 @@
 	return sizes
 }
 
-// settledSite returns two hosts of one domain that know a whole site.
+// settledSite returns a site whose hosts all know each other, and two hosts of one domain.
 func settledSite(b *testing.B, hosts int) (s *site, one, two *Members) {
 	b.Helper()
 	s = newSite(b, 1)
@@ -32,9 +32,9 @@
 	return s, s.hosts[0], s.hosts[1]
 }
 
-// BenchmarkExchange runs whole exchanges between two hosts that know a site,
-// encoding included. Before each, the opener hears a beat of every other host of
-// the domain, which the answerer lacks. Bytes are those of gob.
+// BenchmarkExchange runs complete exchanges between two hosts that know a site,
+// including the encoding. Before each, the opener gets a heartbeat of every other
+// host of the domain, which the answerer lacks. Bytes are those of gob.
 func BenchmarkExchange(b *testing.B) {
 	for _, hosts := range []int{8, 60, 420} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
@@ -121,9 +121,8 @@
 	}
 }
 
-// BenchmarkSite reports the bytes that a host sends a second, by gob alone, in a
-// site of the full size. Each message's gob here carries its type descriptions,
-// so they are taken out.
+// BenchmarkSite reports the gob bytes that a host sends per second, without type
+// descriptions, which a connection carries only once.
 func BenchmarkSite(b *testing.B) {
 	for _, hosts := range []int{8, 60, 420} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
@@ -148,8 +147,8 @@
 	}
 }
 
-// longestSilence returns for how long the longest unheard host of the same and of
-// another domain was not heard.
+// longestSilence returns the longest time for which a host of the viewer's own
+// domain, and of another domain, was not heard from.
 func longestSilence(s *site) (local, remote time.Duration) {
 	for _, m := range s.hosts {
 		for _, v := range m.View(s.now) {
--- a/internal/core/membership/doc.go
+++ b/internal/core/membership/doc.go
@@ -1,13 +1,13 @@
-// Package membership is the pure state machine of the hosts of a site: who
-// they are, whether they were heard lately, who is leaving, and what small
-// sections of data each of them has published.
+// Package membership is the pure state machine that tracks the hosts of a site:
+// their identities, whether they were heard from recently, which of them are
+// leaving, and the small sections of data that each of them publishes.
 //
-// Spread is by anti-entropy. Every host owns one counter, its version, which
-// it raises with each beat and with each section it publishes. An exchange
-// starts with a digest of (key, version) pairs; the answer holds what the asker
-// lacks and names what the answerer lacks, which the asker then pushes. Holding
-// version v of a host means holding every section of it up to v, so that the
-// digest needs no word about sections.
+// State spreads by anti-entropy gossip. Every host has one counter, its version,
+// which it raises with each heartbeat and with each section it publishes. An exchange
+// starts with a digest of (key, version) pairs; the response holds what the
+// requester lacks and lists what the responder lacks, which the requester then
+// pushes. Holding version v of a host means holding every section of it up to v,
+// so the digest need not mention sections.
 //
 // Inside a domain all hosts exchange. Between domains only gateways do, the
 // first few live hosts of a domain by rendezvous hashing, and a record enters
@@ -16,7 +16,7 @@
 //
 // Invariants:
 //   - a newer incarnation of a host replaces an older one, never the reverse;
-//   - a host that said it leaves is never Live again in that incarnation;
+//   - a host that announced that it leaves is never Live again in that incarnation;
 //   - the platform's list alone never makes a host live or dead;
 //   - a record is not passed on once its host counts as dead here, and carries
 //     its age, so that old news cannot make a dead host look live.
--- a/internal/core/membership/exchange.go
+++ b/internal/core/membership/exchange.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Rough sizes on the wire, for the bound of a message.
+// Approximate encoded sizes, for bounding the size of a message.
 const (
 	heartbeatBytes = 16
 	recordBytes    = 128
 	sectionBytes   = 32
 )
 
-// Numbers of addresses that an asker of another domain is told.
+// Numbers of addresses in a response to a requester of another domain.
 const (
-	ownHints   = 2 // of its own domain
-	thirdHints = 1 // of a third one
+	ownHints   = 2 // of the requester's domain
+	thirdHints = 1 // of a third domain
 )
 
-// HandleRequest answers an exchange opened by another host.
+// HandleRequest responds to an exchange opened by another host. It returns
+// ErrMalformed for an invalid request.
 func (m *Members) HandleRequest(now time.Time, req *Request, rng *rand.Rand) (*Response, error) {
 	if err := req.Have.check(); err != nil || !req.From.valid() {
 		return nil, ErrMalformed
@@ -60,9 +61,9 @@
 	return resp, nil
 }
 
-// pickHints tells an asker two random hosts of its own domain and one of a
-// third. So hosts meet that know only this domain, and groups of a domain that
-// have lost sight of each other.
+// pickHints returns two random hosts of the requester's domain and one of a
+// third domain. They connect hosts that know only this domain, and groups of a
+// domain that have lost contact with each other.
 func (m *Members) pickHints(asker *Identity, rng *rand.Rand) []Hint {
 	third := m.pickThirdDomain(asker.Domain, rng)
 	var own, other []Hint
@@ -81,7 +82,7 @@
 	return append(pick(own, ownHints, rng), pick(other, thirdHints, rng)...)
 }
 
-// pickThirdDomain returns a random domain that is neither the own nor the asker's.
+// pickThirdDomain returns a random domain other than this host's and the requester's.
 func (m *Members) pickThirdDomain(asker string, rng *rand.Rand) string {
 	domains := slices.DeleteFunc(m.otherDomains(), func(d string) bool { return d == asker })
 	if len(domains) == 0 {
@@ -90,7 +91,7 @@
 	return domains[rng.IntN(len(domains))]
 }
 
-// pick returns up to n random elements. It reorders what it is given.
+// pick returns up to n random elements of from, which it reorders.
 func pick[T any](from []T, n int, rng *rand.Rand) []T {
 	n = min(n, len(from))
 	for i := range n {
@@ -114,8 +115,9 @@
 	}
 }
 
-// HandleResponse takes the answer to an own request and returns what the other
-// side wants, nil when that is nothing.
+// HandleResponse applies the response to a request of this host. It returns a
+// push with the records that the responder wants, nil when it wants none, or
+// ErrMalformed for an invalid response.
 func (m *Members) HandleResponse(now time.Time, resp *Response) (*Push, error) {
 	if resp.News.check() != nil || resp.Want.check() != nil || !resp.From.valid() {
 		return nil, ErrMalformed
@@ -140,7 +142,8 @@
 	return &Push{From: m.self.id, News: w.delta}, nil
 }
 
-// HandlePush takes news that came unasked or was wanted.
+// HandlePush applies records that another host pushed, unasked or because this
+// host wanted them. It returns ErrMalformed for an invalid push.
 func (m *Members) HandlePush(now time.Time, push *Push) error {
 	if push.News.check() != nil || !push.From.valid() {
 		return ErrMalformed
@@ -151,7 +154,7 @@
 	return nil
 }
 
-// Leave marks the own host as leaving, for the rest of this incarnation.
+// Leave marks this host as leaving for the rest of its incarnation.
 func (m *Members) Leave(now time.Time) {
 	m.advance(now)
 	if m.self.leaveVersion > 0 {
@@ -163,9 +166,9 @@
 }
 
 // Forwards returns the pushes that pass on what was learned since the last call and must not
-// wait for exchanges: leaves, and what hosts have published. They go to a few hosts of the own
-// domain, those of leaves from a gateway also to one host of each other domain when the leaving
-// host is of the own one.
+// wait for exchanges: leaves and published sections. They go to a few hosts of this domain. A
+// gateway or a leaving host also pushes the leaves of its domain's hosts to one host of each other
+// domain.
 func (m *Members) Forwards(rng *rand.Rand) []Outgoing {
 	out := m.takeSectionPushes(rng)
 	if len(m.pendingLeaves) == 0 {
@@ -187,9 +190,9 @@
 	return out
 }
 
-// takeSectionPushes passes on sections of hosts of the own domain, with the hosts: where exchanges
-// are rare, what one publishes, and a host that is new, reach all at once. Those of many hosts,
-// as when all start, are left to exchanges.
+// takeSectionPushes returns pushes of the new sections of hosts of this domain, with the hosts'
+// identities: where exchanges are rare, new sections and new hosts reach all hosts without delay.
+// Sections of many hosts at once, as when all start, are left to exchanges.
 func (m *Members) takeSectionPushes(rng *rand.Rand) []Outgoing {
 	published := m.pendingSections
 	if len(published) == 0 {
@@ -197,14 +200,14 @@
 	}
 	m.pendingSections = make(map[*entry][]Section)
 	if m.intervalFactor() == 1 || !m.settled() || len(published) > maxPushedEntries {
-		return nil // exchanges are soon enough, or do it with less
+		return nil // exchanges are frequent enough, or need fewer bytes
 	}
 	p := &Push{From: m.self.id}
 	for e, sections := range published {
 		if m.byHost[e.id.Host] != e || !m.isLocal(e) || m.state(e) == Dead {
 			continue
 		}
-		// Version 0: the receiver may lack others of its sections.
+		// Version 0: the receiver may lack other sections of this host.
 		p.News.Records = append(p.News.Records, Record{
 			Key: e.key, ID: &e.id, LeaveVersion: e.leaveVersion, Age: encodeAge(m.clock.Sub(e.lastHeard)), Sections: sections,
 		})
@@ -225,7 +228,7 @@
 		if !m.mayShare(e, domain) {
 			continue
 		}
-		// Version 0: the receiver holds no section by this record.
+		// Version 0: the record carries no sections.
 		p.News.Records = append(p.News.Records, Record{
 			Key:          e.key,
 			ID:           &e.id,
@@ -246,7 +249,7 @@
 	return pick(addresses, n, rng)
 }
 
-// mayShare tells whether a host of a domain may hear of an entry from here.
+// mayShare reports whether an entry may be sent from here to a host of a domain.
 func (m *Members) mayShare(e *entry, domain string) bool {
 	if m.state(e) == Dead {
 		return false
@@ -254,10 +257,10 @@
 	return domain == m.self.id.Domain || m.isLocal(e)
 }
 
-// deltaBuilder collects news for one host.
+// deltaBuilder collects the delta for one receiver.
 type deltaBuilder struct {
 	m         *Members
-	domain    string // of the receiver
+	domain    string // the receiver's
 	remaining int
 	delta     Delta
 }
@@ -266,8 +269,8 @@
 	return &deltaBuilder{m: m, domain: domain, remaining: m.cfg.MaxDeltaBytes}
 }
 
-// add adds what a receiver that holds a version of a host lacks. A receiver
-// that does not know the host gets its identity too.
+// add adds what a receiver that holds version have of a host lacks. A receiver
+// that does not know the host also gets its identity.
 func (w *deltaBuilder) add(e *entry, have uint64, known bool) {
 	if w.remaining <= 0 || !w.m.mayShare(e, w.domain) {
 		return
@@ -296,7 +299,7 @@
 }
 
 // addSections adds sections, oldest first, until the message is full. The
-// record's version then ends before the first one that is left out.
+// record's version is then the one before the first section left out.
 func (w *deltaBuilder) addSections(r *Record, sections []Section) {
 	for i, s := range sections {
 		if i > 0 && w.remaining < len(s.Data)+sectionBytes {
@@ -308,9 +311,9 @@
 	}
 }
 
-// exportedVersion returns the version of a host that is told to the receiver. Other
-// domains are told of beats in steps, so that gateways do not carry each of
-// them; a leave and wide sections go at once.
+// exportedVersion returns the version of a host that is sent to the receiver.
+// Other domains get heartbeats in steps, so that gateways do not pass on each of
+// them; leaves and wide sections are sent without that delay.
 func (w *deltaBuilder) exportedVersion(e *entry) uint64 {
 	if w.domain == w.m.self.id.Domain {
 		return e.version
@@ -322,7 +325,7 @@
 			version = max(version, s.Version)
 		}
 	}
-	// A leave may be known before the version at which it was said.
+	// A leave may be known before the version at which it was announced.
 	return min(version, e.version)
 }
 
@@ -364,8 +367,8 @@
 	}
 }
 
-// accepts tells whether a sender's domain may raise the version of a host. A
-// sender of another domain holds only wide sections, so it cannot vouch for the
+// accepts reports whether a sender of a domain may raise the version of a host.
+// A sender of another domain holds only wide sections, so it may not raise the
 // versions of hosts of this domain.
 func (m *Members) accepts(e *entry, from string) bool {
 	if e == m.self {
--- a/internal/core/membership/fuzz_test.go
+++ b/internal/core/membership/fuzz_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// FuzzMessages feeds decoded bytes to a host. A message may be refused, but it
-// must neither crash the host nor change what it says of itself.
+// FuzzMessages passes messages decoded from arbitrary bytes to a host. A message
+// may be refused, but it must neither crash the host nor change its own record.
 func FuzzMessages(f *testing.F) {
 	from := testIdentity("b", "a", 1)
 	foreign := testIdentity("c", "b", 1)
@@ -46,7 +46,7 @@
 		}
 		for _, v := range m.View(epoch) {
 			if v.Host == "a" && (v.Identity != testIdentity("a", "a", 5) || v.State != Live || v.Seq != 1<<heartbeatShift) {
-				t.Errorf("the own host became %+v", v)
+				t.Errorf("the host's own record became %+v", v)
 			}
 			if v.Host == "" {
 				t.Error("a member without a name")
--- a/internal/core/membership/growth_test.go
+++ b/internal/core/membership/growth_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// sentPerHost returns the bytes that a host of a region sends a second on average, all of them
-// having met.
+// sentPerHost returns the mean number of bytes that a host of a region sends per second once all
+// hosts know each other.
 func sentPerHost(s *site, span time.Duration) float64 {
 	s.wire = newWire()
 	s.run(span)
@@ -19,8 +19,8 @@
 	return float64(total) / float64(len(s.hosts)) / span.Seconds()
 }
 
-// TestBytesPerHostDoNotGrowWithTheRegion guards against exchanges that tell of all hosts as
-// often as in a small region: what each sends would grow as all together do.
+// TestBytesPerHostDoNotGrowWithTheRegion guards against exchanges that cover all hosts as often as
+// in a small region: the bytes that each host sends would grow with the number of hosts.
 func TestBytesPerHostDoNotGrowWithTheRegion(t *testing.T) {
 	t.Parallel()
 	sent := map[int]float64{}
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestSilenceOfLiveHostsStaysBelowTheSuspectLimit: what makes a host suspect grows as news of it gets
-// rarer, and no living host is suspect.
+// TestSilenceOfLiveHostsStaysBelowTheSuspectLimit guards against live hosts being suspected in a
+// large region, where heartbeats spread more slowly: the limit has to grow with the region.
 func TestSilenceOfLiveHostsStaysBelowTheSuspectLimit(t *testing.T) {
 	t.Parallel()
 	for _, each := range []int{20, 40} {
@@ -47,7 +47,7 @@
 		silent, _ := longestSilence(s)
 		suspect, _ := s.hosts[0].silenceLimits(s.hosts[1].self)
 		if silent > suspect*9/10 {
-			t.Errorf("%d hosts: one was not heard for %s, which makes it suspect after %s", 5*each, silent, suspect)
+			t.Errorf("%d hosts: one was not heard from for %s, and is suspect after %s", 5*each, silent, suspect)
 		}
 		if wrong := s.mismatch("region", "region", Live); wrong != "" {
 			t.Error(wrong)
@@ -55,7 +55,8 @@
 	}
 }
 
-// TestDeadHostIsDetectedByAll: later in a large region, within its own limit.
+// TestDeadHostIsDetectedByAll checks that all hosts of a large region see a dead host as dead
+// within the limit of a region of that size.
 func TestDeadHostIsDetectedByAll(t *testing.T) {
 	t.Parallel()
 	s := newRegion(t, 5, 40, placeSection)
@@ -66,13 +67,14 @@
 	s.run(2 * limit)
 	for _, m := range s.hosts {
 		if got, known := s.stateAt(m, dead.Self().Host); m != dead && known && got != Dead {
-			t.Fatalf("%s sees it %s", m.Self().Host, got)
+			t.Fatalf("%s sees the dead host as %s", m.Self().Host, got)
 		}
 	}
 }
 
-// TestNewHostOfALargeRegionIsKnownWithinSeconds guards against tasks that two hosts do for all,
-// because some do not know the one that comes first. Where it is told with what it publishes.
+// TestNewHostOfALargeRegionIsKnownWithinSeconds guards against two hosts doing a task that one is
+// to do for all, because some do not know the new host, which ranks first. Its sections spread
+// along with it.
 func TestNewHostOfALargeRegionIsKnownWithinSeconds(t *testing.T) {
 	t.Parallel()
 	s := newRegion(t, 5, 40, placeSection)
@@ -89,26 +91,26 @@
 			unknown++
 		}
 	}
-	if unknown > 2 { // a push may miss one, which an exchange tells
-		t.Errorf("%d of 200 do not know it after 2 s", unknown)
+	if unknown > 2 { // pushes may miss a host, which an exchange updates later
+		t.Errorf("%d of 200 hosts do not know the new host after 2 s", unknown)
 	}
 }
 
-// TestHostsThatStartTogetherDiscoverEachOtherSoon: they exchange as often as in a small region until
-// they have met.
+// TestHostsThatStartTogetherDiscoverEachOtherSoon guards against a slow start of a large region:
+// its hosts have to exchange as often as in a small one until they know each other.
 func TestHostsThatStartTogetherDiscoverEachOtherSoon(t *testing.T) {
 	t.Parallel()
 	s := newRegion(t, 5, 60, placeSection)
 	s.run(8 * time.Second)
 	for _, m := range s.hosts {
 		if n := len(m.order); n < len(s.hosts) {
-			t.Fatalf("%s knows %d of %d after 8 s", m.Self().Host, n, len(s.hosts))
+			t.Fatalf("%s knows %d of %d hosts after 8 s", m.Self().Host, n, len(s.hosts))
 		}
 	}
 }
 
-// BenchmarkRegion tells what a host of a region sends and for how long the longest unheard one
-// was not heard, by the number of hosts.
+// BenchmarkRegion reports the bytes sent per host, the longest silence and the silence limits, by
+// the number of hosts of a region.
 func BenchmarkRegion(b *testing.B) {
 	for _, hosts := range []int{100, 300, 985, 1970} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
@@ -128,8 +130,8 @@
 	}
 }
 
-// TestSectionsInALargeRegionSpreadWithinSeconds: it may say that a request kills those
-// who run it.
+// TestSectionsInALargeRegionSpreadWithinSeconds guards against urgent sections, such as evidence
+// that a request crashes engines, waiting for the rare exchanges of a large region.
 func TestSectionsInALargeRegionSpreadWithinSeconds(t *testing.T) {
 	t.Parallel()
 	const section = "evidence"
@@ -146,8 +148,8 @@
 				unknown++
 			}
 		}
-		if unknown > 2 { // pushes may miss one, which an exchange tells
-			t.Errorf("%d of 200 do not know it after 2 s", unknown)
+		if unknown > 2 { // pushes may miss a host, which an exchange updates later
+			t.Errorf("%d of 200 hosts do not have the section after 2 s", unknown)
 		}
 	}
 }
--- a/internal/core/membership/member.go
+++ b/internal/core/membership/member.go
@@ -7,15 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what a host thinks of another one.
+// State is the state of a host as another host sees it.
 type State uint8
 
 // States of a member.
 const (
-	Live    State = iota // heard lately
-	Suspect              // silent for longer than is usual
-	Dead                 // silent for so long that nothing is sent there but probes
-	Leaving              // heard lately, takes no new work
+	Live    State = iota // heard from recently
+	Suspect              // silent for longer than usual
+	Dead                 // silent for so long that only probes are sent to it
+	Leaving              // heard from recently, takes no new work
 )
 
 var stateNames = [...]string{"live", "suspect", "dead", "leaving"}
@@ -28,20 +28,21 @@
 	return stateNames[s]
 }
 
-// Identity is what does not change during one life of a host's daemon.
+// Identity holds the properties of a host that do not change during one
+// incarnation of its daemon.
 type Identity struct {
 	Host        string
 	Domain      string
 	Region      string
 	Address     string // IP:port of the peer listener
-	Incarnation uint64 // rises with each start of the daemon
+	Incarnation uint64 // increases with each start of the daemon
 }
 
-// keyBits keeps keys short on the wire. Two of 420 hosts share a key with a
-// chance of 3e-10.
+// keyBits keeps keys short on the wire. The probability that any two of 420
+// hosts share a key is 3e-10.
 const keyBits = 48
 
-// key names one life of a host in digests.
+// key returns the hash that identifies one incarnation of a host in digests.
 func (id *Identity) key() uint64 {
 	h := xxhash.Sum64String(id.Host)
 	h ^= id.Incarnation * 0x9e3779b97f4a7c15
@@ -50,25 +51,25 @@
 	return h >> (64 - keyBits)
 }
 
-// Member is one host as it is seen from here.
+// Member is one host as this host sees it.
 type Member struct {
 	Identity
-	Seq       uint64 // version of the host up to which everything is known here
+	Seq       uint64 // version of the host up to which all its sections are held here
 	State     State
-	LastHeard time.Time // when the newest beat known here was made, by the local clock
+	LastHeard time.Time // local time at which the newest heartbeat known here was made
 }
 
-// SectionView is one host's section as it is known here.
+// SectionView is a section of one host as it is known here.
 type SectionView struct {
 	Host        string
 	Domain      string
 	Incarnation uint64
-	Version     uint64    // rises with each change, comparable within an incarnation
-	At          time.Time // when it was published, by the local clock, give or take the way
-	Data        []byte    // shared, not to be changed
+	Version     uint64    // increases with each change, comparable within an incarnation
+	At          time.Time // local time of publication, off by up to the transmission time
+	Data        []byte    // shared, must not be modified
 }
 
-// Listed is one entry host of the platform's list.
+// Listed is one host of the platform's list.
 type Listed struct {
 	Host    string
 	Domain  string
--- a/internal/core/membership/members.go
+++ b/internal/core/membership/members.go
@@ -8,30 +8,30 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/option"
 )
 
-// Config sets a Members up. Zero durations and counts take the defaults. All
-// hosts of a site should use the same values.
+// Config configures a Members. Zero durations and counts select the defaults.
+// All hosts of a site should use the same values.
 type Config struct {
 	Self Identity
 
-	Beat          time.Duration // between two beats of the own version; default 1 s
-	SuspectAfter  time.Duration // silence after which a host of the own domain is suspect; default 5 s
+	Beat          time.Duration // time between two heartbeats, each of which raises the own version; default 1 s
+	SuspectAfter  time.Duration // silence after which a host of this domain is suspect; default 5 s
 	DeadAfter     time.Duration // silence after which it is dead; default 12 s
-	RemoteFactor  int           // the two limits times this hold for other domains; default 10
-	RemoteQuantum int           // beats told to other domains at once; default 16
+	RemoteFactor  int           // multiplies both limits for hosts of other domains; default 10
+	RemoteQuantum int           // heartbeats per version step sent to other domains; default 16
 	ForgetAfter   time.Duration // silence after which a dead host is forgotten; default 1 h
 
-	Partners int // hosts of the own domain that exchanges go to at a time; default 8
-	// NearBy names a section by whose data hosts of the own domain are near each other, as
-	// those of one failure domain where a domain has several: most partners are near. Empty:
-	// all are alike.
+	Partners int // hosts of this domain that this one exchanges with at a time; default 8
+	// NearBy names a section: hosts of this domain that publish equal data in it are near each
+	// other, such as those of one failure domain where a domain has several. Most partners are
+	// near ones. Empty: all hosts count as near.
 	NearBy      string
-	FarPartners int // of the partners, those that are not near; default 2
+	FarPartners int // number of partners that are not near; default 2
 
-	RotateEvery   time.Duration // after which the oldest partner is replaced; default 10 s
-	ProbeEvery    time.Duration // between tries of a silent or unknown address; default 5 s
-	Gateways      int           // hosts of a domain that exchange with others; default 2
-	GatewayEvery  time.Duration // between two exchanges with one other domain; default 5 s
-	MaxDeltaBytes int           // rough bound of the news in one message; default 32 KiB
+	RotateEvery   time.Duration // time after which the oldest partner is replaced; default 10 s
+	ProbeEvery    time.Duration // time between two probes of silent or unknown addresses; default 5 s
+	Gateways      int           // hosts of a domain that exchange with other domains; default 2
+	GatewayEvery  time.Duration // time between two exchanges with the same other domain; default 5 s
+	MaxDeltaBytes int           // approximate limit of the delta in one message; default 32 KiB
 }
 
 // Defaults of Config.
@@ -67,20 +67,20 @@
 	option.Default(&c.MaxDeltaBytes, defaultMaxDeltaBytes)
 }
 
-// entry is what is known of one host's newest incarnation.
+// entry is what is known about one host's newest incarnation.
 type entry struct {
 	id            Identity
 	key           uint64
-	version       uint64 // every section up to it that reaches this domain is held
+	version       uint64 // all sections up to it that are sent to this domain are held
 	leaveVersion  uint64
 	listedLeaving bool
 	lastHeard     time.Time
-	failedAt      time.Time          // last call to it that failed, zero once it is heard
+	failedAt      time.Time          // time of the last failed call to it, zero once it is heard from
 	sections      map[string]Section // Age unused
 	publishedAt   map[string]time.Time
 }
 
-// contact is an address that is known only by the daemon file or the list.
+// contact is an address known only from the daemon's configuration or the list.
 type contact struct {
 	address string
 	host    string // empty for a seed
@@ -95,27 +95,27 @@
 	byHost     map[string]*entry
 	byKey      map[uint64]*entry
 	contacts   map[string]contact  // by address
-	hints      map[string][]string // by domain: addresses that another domain told last
-	listed     map[string]bool     // by host: leaving, as the list last said
+	hints      map[string][]string // by domain: addresses in the last hints
+	listed     map[string]bool     // by host: whether the last list has it as leaving
 	superseded bool
 
-	localCount      int       // known hosts of the own domain, the own one among them
-	grewAt          time.Time // when many hosts were last told of for the first time
-	clock           time.Time // newest time seen
+	localCount      int       // known hosts of this domain, this one included
+	grewAt          time.Time // when a message last introduced many hosts at once
+	clock           time.Time // latest time passed in
 	nextHeartbeat   time.Time
 	nextProbe       time.Time
 	nextRotate      time.Time
 	nextGateway     time.Time
 	partners        []string
-	partnerIndex    int             // of partners
-	domains         map[string]bool // other domains that were heard of
+	partnerIndex    int             // into partners, of the last exchange
+	domains         map[string]bool // other known domains
 	pendingLeaves   []*entry
-	pendingSections map[*entry][]Section // learned since the last Forwards
+	pendingSections map[*entry][]Section // new since the last Forwards
 
 	sectionsVersion int
 }
 
-// New returns a state machine that knows only its own host.
+// New returns a Members that knows only its own host.
 func New(cfg Config, now time.Time) *Members {
 	cfg.setDefaults()
 	m := &Members{
@@ -136,18 +136,18 @@
 	return m
 }
 
-// Self returns the own identity.
+// Self returns the identity of this host.
 func (m *Members) Self() Identity {
 	return m.self.id
 }
 
-// Superseded tells whether a newer incarnation of the own host was heard of.
-// The process then is a leftover and has to stop taking work.
+// Superseded reports whether a newer incarnation of this host exists. This
+// process is then a leftover and must stop accepting work.
 func (m *Members) Superseded() bool {
 	return m.superseded
 }
 
-// AddSeeds adds addresses to start from.
+// AddSeeds adds addresses through which to discover other hosts.
 func (m *Members) AddSeeds(addresses []string) {
 	for _, a := range addresses {
 		if a == m.self.id.Address {
@@ -159,10 +159,11 @@
 	}
 }
 
-// HostList takes a list that was read from the platform. It adds addresses to
-// try and marks hosts as leaving when their entry turns to leaving. A host that
-// is missing loses nothing, and a mark by the list ends with the list's own
-// word or a newer incarnation: the list may be about the host's former life.
+// HostList applies a host list read from the platform. It adds addresses to
+// probe and marks hosts as leaving when their entry changes to leaving. A host
+// missing from the list keeps its state. The mark ends when the list no longer
+// has the host as leaving, or with a newer incarnation: the list may refer to
+// the previous incarnation.
 func (m *Members) HostList(now time.Time, list []Listed) {
 	m.advance(now)
 	for addr, c := range m.contacts {
@@ -197,8 +198,7 @@
 	}
 }
 
-// View returns all members that are not forgotten, the own host among them,
-// ordered by host.
+// View returns all known members, this host included, ordered by host.
 func (m *Members) View(now time.Time) []Member {
 	m.advance(now)
 	return m.view()
@@ -241,9 +241,9 @@
 	return suspect, dead
 }
 
-// advance moves the clock. A gap that is far longer than the time between two
-// inputs means that this process was paused: the others' silence is then not
-// counted against them.
+// advance moves the clock forward. A gap far longer than the time between two
+// inputs means that this process was paused; it does not count as silence of
+// the other hosts.
 func (m *Members) advance(now time.Time) {
 	gap := now.Sub(m.clock)
 	if gap <= 0 {
@@ -258,10 +258,10 @@
 	m.self.lastHeard = now
 }
 
-// maxInputGap is the longest time between two inputs of a process that is not paused.
+// maxInputGap returns the longest time between two inputs of a process that is not paused.
 func (m *Members) maxInputGap() time.Duration { return m.scaleInterval(m.cfg.SuspectAfter / 2) }
 
-// addEntry makes an entry the newest of its host.
+// addEntry adds an entry for an incarnation and replaces the host's older one.
 func (m *Members) addEntry(id Identity, heard time.Time) *entry {
 	if old := m.byHost[id.Host]; old != nil {
 		m.removeEntry(old)
@@ -285,15 +285,15 @@
 }
 
 // heartbeatShift is the number of low bits of a version that count the sections
-// published since the last beat. So the beat can be told from a version however
-// often sections change. More sections than fit only bring a beat forward.
+// published since the last heartbeat. The heartbeat can thus be derived from a version
+// however often sections change. More sections than fit only advance the heartbeat.
 const heartbeatShift = 6
 
 func (e *entry) advanceHeartbeat() {
 	e.version = (e.version>>heartbeatShift + 1) << heartbeatShift
 }
 
-// maxDomains bounds the domains that are exchanged with.
+// maxDomains limits the number of other domains to exchange with.
 const maxDomains = 64
 
 func (m *Members) noteDomain(domain string) {
@@ -316,8 +316,8 @@
 	return strings.Compare(e.id.Host, host)
 }
 
-// upsertEntry returns the entry of an identity, nil when a newer incarnation of
-// it is known or when it is the own host.
+// upsertEntry returns the entry of an identity and adds it when it is new. It
+// returns nil when a newer incarnation is known or when it is this host.
 func (m *Members) upsertEntry(id Identity, heard time.Time) *entry {
 	if id.Host == m.self.id.Host {
 		m.superseded = m.superseded || id.Incarnation > m.self.id.Incarnation
@@ -331,13 +331,13 @@
 		return e
 	}
 	fresh := m.addEntry(id, heard)
-	// The list may have told of the host before it was heard of. Of a host that
-	// was known the list's word is about the former incarnation.
+	// The list may have named the host before it was discovered. For a host that
+	// was known, the list refers to the previous incarnation.
 	fresh.listedLeaving = e == nil && m.listed[id.Host]
 	return fresh
 }
 
-// markHeard notes that a host was heard directly.
+// markHeard records that a message came from the host itself.
 func (m *Members) markHeard(id Identity) {
 	e := m.upsertEntry(id, m.clock)
 	if e == nil {
@@ -349,7 +349,7 @@
 	}
 }
 
-// forgetDead drops the hosts that have been dead for long.
+// forgetDead removes the hosts that have been silent for ForgetAfter.
 func (m *Members) forgetDead() {
 	for _, e := range slices.Clone(m.order) {
 		if e != m.self && m.clock.Sub(e.lastHeard) >= m.cfg.ForgetAfter {
--- a/internal/core/membership/members_test.go
+++ b/internal/core/membership/members_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestRunningHostsAreNeverSuspected runs a site of as many domains as are
-// planned, whose hosts all know one seed, and then watches it for two minutes.
+// TestRunningHostsAreNeverSuspected runs a site of the planned number of domains,
+// whose hosts all know one seed, and then checks all views for two minutes.
 func TestRunningHostsAreNeverSuspected(t *testing.T) {
 	s := newSite(t, 11)
 	for i := range 12 {
@@ -129,7 +129,7 @@
 	}
 }
 
-// TestHostList feeds a host that hears "b" lists in turn.
+// TestHostList applies lists in turn at a host that hears from "b".
 func TestHostList(t *testing.T) {
 	live := []Listed{{Host: "b", Domain: "a", Address: "b:1"}}
 	leaving := []Listed{{Host: "b", Domain: "a", Address: "b:1", Leaving: true}}
@@ -144,10 +144,10 @@
 		{name: "listed live", lists: [][]Listed{live}, want: Live},
 		{name: "listed leaving", lists: [][]Listed{leaving}, want: Leaving},
 		{name: "turned to leaving", lists: [][]Listed{live, leaving}, want: Leaving},
-		{name: "leaving, then gone", lists: [][]Listed{leaving, nil}, want: Leaving},
-		{name: "leaving taken back", lists: [][]Listed{leaving, live}, want: Live},
-		{name: "stale word about the former life", lists: [][]Listed{leaving, leaving}, newer: true, want: Live},
-		{name: "new life leaves too", lists: [][]Listed{live, leaving}, newer: true, want: Leaving},
+		{name: "leaving, then absent", lists: [][]Listed{leaving, nil}, want: Leaving},
+		{name: "leaving withdrawn", lists: [][]Listed{leaving, live}, want: Live},
+		{name: "stale mark of the previous incarnation", lists: [][]Listed{leaving, leaving}, newer: true, want: Live},
+		{name: "new incarnation leaves too", lists: [][]Listed{live, leaving}, newer: true, want: Leaving},
 		{name: "entries without a name", lists: [][]Listed{{{Leaving: true}}}, want: Live},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -222,7 +222,7 @@
 	s.kill(s.hosts[2])
 	s.run(defaultForgetAfter + time.Minute)
 	if _, known := s.stateAt(s.hosts[0], "a-02"); known {
-		t.Error("a host that is long dead is still kept")
+		t.Error("a host dead for longer than ForgetAfter is still known")
 	}
 }
 
@@ -245,7 +245,7 @@
 			continue
 		}
 		if late := far[0].At.Sub(published).Abs(); late > time.Second {
-			t.Errorf("%s dates the section %v off", m.Self().Host, late)
+			t.Errorf("%s has the publication time of the section off by %v", m.Self().Host, late)
 		}
 		if want := m.Self().Domain == "a"; (len(near) == 1) != want {
 			t.Errorf("%s has %d near sections", m.Self().Host, len(near))
@@ -256,8 +256,8 @@
 	}
 }
 
-// TestManyLargeSectionsArriveInBoundedMessages publishes more than one message
-// may hold.
+// TestManyLargeSectionsArriveInBoundedMessages publishes more data than one
+// message may hold.
 func TestManyLargeSectionsArriveInBoundedMessages(t *testing.T) {
 	s := newSite(t, 10)
 	s.gob = true
--- a/internal/core/membership/message.go
+++ b/internal/core/membership/message.go
@@ -8,12 +8,12 @@
 // ErrMalformed is returned for a message whose parts do not fit together.
 var ErrMalformed = errors.New("malformed membership message")
 
-// ageUnit is the unit of ages on the wire. Ages are rounded up, so that news
-// never gets younger on its way.
+// ageUnit is the unit of ages on the wire. Ages are rounded up, so that
+// information never gets younger in transit.
 const ageUnit = 20 * time.Millisecond
 
-// Digest says which versions the sender holds. The slices run in parallel,
-// which gob encodes in fewer bytes than a slice of structs.
+// Digest lists the versions that the sender holds, in parallel slices, which
+// gob encodes in fewer bytes than a slice of structs.
 type Digest struct {
 	Keys     []uint64
 	Versions []uint64
@@ -24,22 +24,22 @@
 	Name    string
 	Version uint64
 	Age     uint32 // since it was published, in units of 20 ms
-	Wide    bool
+	Wide    bool   // sent to all domains
 	Data    []byte
 }
 
-// Record tells of one host. ID is left out when the receiver knows the key.
+// Record describes one host. ID is nil when the receiver knows the key.
 type Record struct {
 	Key          uint64
 	ID           *Identity
-	Version      uint64 // all sections up to it are held by a receiver that applies this
-	LeaveVersion uint64 // version at which the host said that it leaves, 0 if it did not
+	Version      uint64 // a receiver that applies this record holds all sections up to it
+	LeaveVersion uint64 // version at which the host announced that it leaves, 0 if it did not
 	Age          uint32 // since the version was made, in units of 20 ms
 	Sections     []Section
 }
 
-// Delta is news. Keys, Versions and Ages run in parallel and tell of hosts of
-// which only the version rose.
+// Delta holds what a receiver lacks. Keys, Versions and Ages are parallel slices
+// for hosts of which only the version has risen.
 type Delta struct {
 	Keys     []uint64
 	Versions []uint64
@@ -50,11 +50,11 @@
 // Request opens an exchange.
 type Request struct {
 	From  Identity
-	Other string // domain beside the sender's own that Have covers, may be empty
+	Other string // domain that Have covers besides the sender's own, may be empty
 	Have  Digest
 }
 
-// Hint is an address to try. It says nothing of the state of the host there.
+// Hint is an address to try. It implies nothing about the state of the host.
 type Hint struct {
 	Domain  string
 	Address string
@@ -64,12 +64,12 @@
 type Response struct {
 	From    Identity
 	News    Delta
-	Want    Digest   // of the request's keys, with the versions that the answerer holds
-	Domains []string // other domains known, when the request named none
-	Hints   []Hint   // for an asker of another domain
+	Want    Digest   // keys of the request, with the versions that the responder holds
+	Domains []string // other domains known to the responder, when Request.Other is empty
+	Hints   []Hint   // for a requester of another domain
 }
 
-// Push gives news without being asked, or what a response wanted.
+// Push sends records unasked, or those that a response wanted.
 type Push struct {
 	From Identity
 	News Delta
@@ -111,8 +111,8 @@
 	if d <= 0 {
 		return 0
 	}
-	const most = 1<<32 - 1
-	return uint32(min((d+ageUnit-1)/ageUnit, most))
+	const maxAge = 1<<32 - 1
+	return uint32(min((d+ageUnit-1)/ageUnit, maxAge))
 }
 
 func decodeAge(age uint32) time.Duration {
--- a/internal/core/membership/near_test.go
+++ b/internal/core/membership/near_test.go
@@ -9,7 +9,8 @@
 
 const placeSection = "place"
 
-// newRegion is a domain of hosts in several places that know where they are.
+// newRegion returns a site with one domain, whose hosts are spread evenly over places and publish
+// their place.
 func newRegion(t testing.TB, places, each int, nearBy string) *site {
 	s := newSite(t, 1)
 	for p := range places {
@@ -28,7 +29,7 @@
 	return s
 }
 
-// farShare returns the share of the partners of all hosts that are in other places.
+// farShare returns the fraction of all hosts' partners that are in other places.
 func farShare(s *site) float64 {
 	far, all := 0, 0
 	for _, m := range s.hosts {
@@ -43,8 +44,8 @@
 	return float64(far) / float64(all)
 }
 
-// TestMostPartnersAreNear is the pattern of a region with many hosts in a few failure domains:
-// most exchanges stay inside one, and every host still hears of all others in time.
+// TestMostPartnersAreNear runs a region with many hosts in a few failure domains: most exchanges
+// stay inside one, and heartbeats of all hosts still reach every other host in time.
 func TestMostPartnersAreNear(t *testing.T) {
 	s := newRegion(t, 5, 20, placeSection)
 	s.run(20 * time.Second)
@@ -56,11 +57,12 @@
 	}
 	local, _ := longestSilence(s)
 	if most := defaultSuspectAfter; local >= most {
-		t.Errorf("some host was not heard for %s, which makes it suspect", local)
+		t.Errorf("some host was not heard from for %s, which makes it suspect", local)
 	}
 }
 
-// TestFarHostsFillPartnersWhereFewAreNear: with no or few hosts near, others take the places.
+// TestFarHostsFillPartnersWhereFewAreNear guards against hosts with few or no near hosts having
+// too few partners.
 func TestFarHostsFillPartnersWhereFewAreNear(t *testing.T) {
 	for _, each := range []int{1, 3} {
 		s := newRegion(t, 10, each, placeSection)
@@ -73,8 +75,8 @@
 	}
 }
 
-// TestPartitionedPlaceKeepsWorkingAndRecovers: hosts behind a cut have their near partners, and meet the others
-// again after it.
+// TestPartitionedPlaceKeepsWorkingAndRecovers guards against hosts of a partitioned place that
+// lose each other, or do not find the others again after the partition.
 func TestPartitionedPlaceKeepsWorkingAndRecovers(t *testing.T) {
 	s := newRegion(t, 3, 10, placeSection)
 	s.run(15 * time.Second)
@@ -87,19 +89,19 @@
 	for _, m := range s.hosts[:10] {
 		for _, o := range s.hosts[:10] {
 			if got, _ := s.stateAt(m, o.Self().Host); got != Live {
-				t.Fatalf("behind the cut %s sees %s %s", m.Self().Host, o.Self().Host, got)
+				t.Fatalf("in the partitioned place %s sees %s %s", m.Self().Host, o.Self().Host, got)
 			}
 		}
 	}
 	s.cutHosts = nil
-	s.run(40 * time.Second) // an address that failed is left alone for 30 s
+	s.run(40 * time.Second) // longer than failureBackoff
 	if wrong := s.mismatch("region", "region", Live); wrong != "" {
 		t.Error(wrong)
 	}
 }
 
-// BenchmarkNearPartners tells what exchanges send between places and how young news are, in
-// a region of 300 hosts in five places.
+// BenchmarkNearPartners reports the bytes sent per host, in total and between places, and the
+// longest silence, in a region of 300 hosts in five places.
 func BenchmarkNearPartners(b *testing.B) {
 	for _, c := range []struct{ name, nearBy string }{{"any", ""}, {"near", placeSection}} {
 		b.Run(c.name, func(b *testing.B) {
--- a/internal/core/membership/pace.go
+++ b/internal/core/membership/pace.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// fullRateHosts is the number of hosts of a domain up to which they beat and exchange as Config
-	// says. With more, each does so more rarely in proportion: what one sends a second stays the
-	// same, and news of silence takes longer. A leave and a host that is new are told at once.
+	// fullRateHosts is the number of hosts of a domain up to which they send heartbeats and exchange at the
+	// configured intervals. In larger domains the intervals grow in proportion: the bytes that a
+	// host sends per second stay the same, and silence is detected later. Leaves and new hosts
+	// are pushed without delay.
 	fullRateHosts = 100
-	// settleAfter is the time without many new hosts after which exchanges become rare.
+	// settleAfter is the time without many new hosts after which exchanges slow down.
 	settleAfter = 2 * time.Second
-	// rapidGrowthRatio is the share of the known hosts that are many at once.
+	// rapidGrowthRatio is the ratio of new to known hosts above which growth counts as rapid.
 	rapidGrowthRatio = 1.0 / 8
 )
 
-// intervalFactor returns how many times more rarely than in a small domain hosts beat.
+// intervalFactor returns the factor by which heartbeat intervals are longer than in a small domain.
 func (m *Members) intervalFactor() float64 { return max(1, float64(m.localCount)/fullRateHosts) }
 
-// Pace returns how many times more rarely than in a small domain this host is to exchange.
-// While it meets many others, as when all start, it does so as often as in a small one.
+// Pace returns the factor by which this host's exchange interval is to be longer than in a small
+// domain. It is 1 while many new hosts are being discovered, as when all start.
 func (m *Members) Pace() float64 {
 	if !m.settled() {
 		return 1
@@ -28,22 +29,23 @@
 	return m.intervalFactor()
 }
 
-// settled reports whether no message has told of many new hosts of late.
+// settled reports whether no message has introduced many new hosts within settleAfter.
 func (m *Members) settled() bool { return m.clock.Sub(m.grewAt) >= settleAfter }
 
-// scaleInterval returns a time that is in proportion to the time between beats.
+// scaleInterval returns d lengthened in proportion to the heartbeat interval.
 func (m *Members) scaleInterval(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * m.intervalFactor())
 }
 
-// silenceFactor returns how many times longer than in a small domain a host may be silent: news
-// takes more steps, and each is rarer.
+// silenceFactor returns the factor by which silence limits are longer than in a small domain:
+// information takes more hops, and each hop takes longer.
 func (m *Members) silenceFactor() float64 {
 	steps := math.Log(float64(max(m.localCount, fullRateHosts))) / math.Log(fullRateHosts)
 	return m.intervalFactor() * steps
 }
 
-// noteGrowth notes how many hosts a message has told of for the first time.
+// noteGrowth compares the number of known hosts before and after a message, and records the time
+// when many were new.
 func (m *Members) noteGrowth(before int) {
 	if grown := len(m.order) - before; float64(grown) > rapidGrowthRatio*float64(before) {
 		m.grewAt = m.clock
--- a/internal/core/membership/properties_test.go
+++ b/internal/core/membership/properties_test.go
@@ -22,10 +22,10 @@
 	properties.TestingRun(t)
 }
 
-// history checks after each step of a site what must hold at all times.
+// history checks after each step of a site the properties that must hold at all times.
 type history struct {
-	newest map[[2]string]uint64       // by viewer, which is never restarted here, and host
-	left   map[string]map[string]bool // by viewer: lives that were seen to leave
+	newest map[[2]string]uint64       // highest incarnation, by viewer, which is never restarted here, and host
+	left   map[string]map[string]bool // by viewer: incarnations that were seen leaving
 	fault  string
 }
 
@@ -56,11 +56,11 @@
 	}
 }
 
-// runSteps turns numbers into what may happen to a site of two domains. Hosts 0 and
-// 3 only watch, so that their views can be followed.
+// runSteps translates numbers into faults and changes of a site of two domains.
+// Hosts 0 and 3 only observe, so that the history can follow their views.
 func runSteps(s *site, steps []uint32, h *history) {
 	watchers := []*Members{s.hosts[0], s.hosts[3]}
-	var leftovers []*Members // stopped processes that may go on with an old incarnation
+	var leftovers []*Members // stopped processes that may resume with an old incarnation
 	for _, step := range steps {
 		i := 1 + int(step>>8)%2 + 3*(int(step>>9)%2)
 		m := s.hosts[i]
@@ -128,8 +128,9 @@
 	))
 }
 
-// firstDisagreement returns where a running host's view differs from the truth, or
-// where two hosts name different owners.
+// firstDisagreement describes the first difference between a running host's view
+// and the actual state, or between two hosts' owners of a key. It is empty when
+// there is none.
 func firstDisagreement(s *site) string {
 	for _, viewer := range s.hosts {
 		if s.at[viewer.Self().Address] != viewer {
--- a/internal/core/membership/rendezvous.go
+++ b/internal/core/membership/rendezvous.go
@@ -7,14 +7,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Owner returns the live member that comes first for a key by rendezvous
+// Owner returns the live member that ranks first for a key by rendezvous
 // hashing; ok is false when no member is live. Hosts with equal views agree.
 func Owner(key string, members []Member) (owner Member, ok bool) {
 	return highestRanked(key, members, func(*Member) bool { return true })
 }
 
-// LocalOwner is Owner among the members of one domain. It is asked for each engine
-// of a domain again and again, so it copies no members.
+// LocalOwner is Owner among the members of one domain. It is called often, for
+// each engine of a domain, so it copies no members.
 func LocalOwner(key, domain string, members []Member) (owner Member, ok bool) {
 	return highestRanked(key, members, func(m *Member) bool { return m.Domain == domain })
 }
@@ -62,9 +62,9 @@
 	return ranked
 }
 
-// FirstAndNear returns the first n of ranked members and, after them, the first few that are
-// near: for a task that one does for all, and that must not stop where those who come first
-// are behind a cut.
+// FirstAndNear returns the first n of ranked members, followed by the first few of the others
+// that are near. It selects the candidates for a task that one host does for all and that must
+// go on where the first n are unreachable because of a partition.
 func FirstAndNear(ranked []Member, n, few int, near func(host string) bool) []Member {
 	n = min(n, len(ranked))
 	chosen := slices.Clone(ranked[:n])
@@ -95,8 +95,8 @@
 	return local
 }
 
-// score mixes the hash of a key with that of a host. The host's incarnation is
-// left out, so that a restart moves no ownership.
+// score mixes the hash of a key with that of a host. It ignores the host's
+// incarnation, so that a restart moves no ownership.
 func score(prefix uint64, host string) uint64 {
 	h := prefix ^ xxhash.Sum64String(host)
 	h ^= h >> 30
--- a/internal/core/membership/sections.go
+++ b/internal/core/membership/sections.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// MaxSectionBytes bounds the data of one section.
+// MaxSectionBytes limits the data of one section.
 const MaxSectionBytes = 16 << 10
 
 // ErrSectionTooLarge is returned by Publish for data above MaxSectionBytes.
 var ErrSectionTooLarge = errors.New("section too large")
 
-// Publish sets a section of the own host. It spreads to the own domain, and to
-// the others too when it is wide. Data must not be changed afterwards.
+// Publish sets a section of this host. It spreads within this domain, and to
+// all other domains when it is wide. Data must not be modified afterwards. It
+// returns ErrSectionTooLarge for data above MaxSectionBytes.
 func (m *Members) Publish(now time.Time, name string, data []byte, wide bool) error {
 	if len(data) > MaxSectionBytes {
 		return ErrSectionTooLarge
@@ -27,11 +28,11 @@
 	return nil
 }
 
-// Published returns a number that changes when some host's section is new here.
+// Published returns a counter that changes when a new section of any host is known here.
 func (m *Members) Published() int { return m.sectionsVersion }
 
-// Sections returns a section of every host that has it and is not dead, the
-// own one included, ordered by host.
+// Sections returns the named section of every host that publishes it and is not
+// dead, this host included, ordered by host.
 func (m *Members) Sections(now time.Time, name string) []SectionView {
 	m.advance(now)
 	var views []SectionView
@@ -52,8 +53,8 @@
 	return views
 }
 
-// newerSections returns the sections above a version that may go to a domain, oldest
-// version first.
+// newerSections returns the sections above a version that may be sent to a
+// domain, lowest version first.
 func (m *Members) newerSections(e *entry, have uint64, domain string) []Section {
 	var news []Section
 	for _, s := range e.sections {
@@ -72,7 +73,7 @@
 	return news
 }
 
-// applySections takes sections in and returns those that are newer than what is known.
+// applySections stores the sections that are newer than the known ones and returns them.
 func (e *entry) applySections(sections []Section, now time.Time) (taken []Section) {
 	for _, s := range sections {
 		if len(s.Data) > MaxSectionBytes || s.Version <= e.sections[s.Name].Version {
--- a/internal/core/membership/sim_test.go
+++ b/internal/core/membership/sim_test.go
@@ -13,23 +13,23 @@
 
 const tickEvery = 500 * time.Millisecond
 
-// site steps several state machines in one goroutine.
+// site simulates several hosts in one goroutine.
 type site struct {
 	t     testing.TB
 	now   time.Time
 	rng   *rand.Rand
 	hosts []*Members
-	next  map[*Members]time.Time     // tick of each host
-	at    map[string]*Members        // by address; absent: nobody listens
-	cut   func(from, to string) bool // by domain
-	// cutHosts cuts single ways; nil: none.
+	next  map[*Members]time.Time     // next tick of each host
+	at    map[string]*Members        // running hosts by address
+	cut   func(from, to string) bool // whether messages between two domains are lost
+	// cutHosts reports whether messages between two hosts are lost; nil: none are.
 	cutHosts func(from, to *Members) bool
-	gob      bool  // messages go through gob, as between daemons
+	gob      bool  // messages are encoded and decoded, as between daemons
 	wire     *wire // counts bytes when it is not nil
 }
 
-// wire counts the gob bytes that each host sends, type descriptions left out:
-// a connection carries them once.
+// wire counts the gob bytes that each host sends, without type descriptions,
+// which a connection carries only once.
 type wire struct {
 	buffer bytes.Buffer
 	enc    *gob.Encoder
@@ -66,7 +66,7 @@
 	return Identity{Host: host, Domain: domain, Region: "r", Address: host + ":1", Incarnation: incarnation}
 }
 
-// add starts a host that knows the first one as its seed.
+// add starts a host whose seed is the first host.
 func (s *site) add(host, domain string, incarnation uint64) *Members {
 	m := New(Config{Self: testIdentity(host, domain, incarnation)}, s.now)
 	if len(s.hosts) > 0 {
@@ -83,7 +83,7 @@
 	}
 }
 
-// kill ends a host without a word.
+// kill stops a host without a leave.
 func (s *site) kill(m *Members) {
 	delete(s.at, m.Self().Address)
 }
@@ -128,7 +128,7 @@
 	s.send(to, to.Forwards(s.rng))
 }
 
-// transmit returns a message as it arrives.
+// transmit returns a message as its receiver gets it.
 func transmit[T any](s *site, from *Members, sent *T) *T {
 	if s.wire != nil {
 		s.wire.count(from.Self().Host, sent)
@@ -149,8 +149,8 @@
 	}
 }
 
-// stateAt returns how a host is seen by another one; ok is false when it is
-// unknown there.
+// stateAt returns the state of a host as m sees it; ok is false when m does not
+// know it.
 func (s *site) stateAt(m *Members, host string) (state State, ok bool) {
 	for _, v := range m.View(s.now) {
 		if v.Host == host {
@@ -160,8 +160,8 @@
 	return 0, false
 }
 
-// mismatch returns the first disagreement with an expected state of all hosts of a
-// domain, as seen by the running hosts of another.
+// mismatch describes the first running host of a domain whose state, as seen by the
+// running hosts of the viewers' domain, is not want. It is empty when there is none.
 func (s *site) mismatch(viewers, domain string, want State) string {
 	for _, m := range s.hosts {
 		if m.Self().Domain != viewers || s.at[m.Self().Address] != m {
--- a/internal/core/membership/tick.go
+++ b/internal/core/membership/tick.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Outgoing is a message that the caller has to send. Exactly one of Request and
-// Push is set.
+// Outgoing is a message for the caller to send. Exactly one of Request and Push
+// is set.
 type Outgoing struct {
 	Address string
-	Request *Request // the answer goes to HandleResponse
+	Request *Request // its response goes to HandleResponse
 	Push    *Push
 }
 
 const (
-	leaveFanout = 3 // hosts that each host passes a leave on to
-	// publishFanout is the hosts that each host passes on what one publishes: one in a
-	// hundred is left to exchanges, which are rare where this is done.
+	leaveFanout = 3 // number of hosts that each host passes a leave on to
+	// publishFanout is the number of hosts that each host passes new sections on to. About one
+	// host in a hundred is missed and gets them by an exchange, which is rare in such domains.
 	publishFanout = 5
-	// maxPushedEntries is the hosts whose sections are passed on at once.
+	// maxPushedEntries is the number of hosts up to which their new sections are pushed.
 	maxPushedEntries = 8
-	aloneProbes      = 3 // addresses tried in a tick while no other host is known
+	aloneProbes      = 3 // addresses probed in a tick while no other host is known
 	failureBackoff   = 30 * time.Second
 )
 
-// Tick raises the own version when a beat is due and returns the exchanges to
+// Tick raises the own version when a heartbeat is due and returns the exchanges to
 // open now: one inside the domain, one with each other domain when this host is
-// a gateway and their time has come, and now and then a probe of a silent or
+// a gateway and they are due, and from time to time a probe of a silent or
 // unknown address.
 func (m *Members) Tick(now time.Time, rng *rand.Rand) []Outgoing {
 	m.advance(now)
@@ -49,7 +49,7 @@
 	return append(out, m.probes(rng, partner == nil)...)
 }
 
-// Failed notes that a message to an address could not be delivered.
+// Failed records that a message to an address could not be delivered.
 func (m *Members) Failed(now time.Time, address string) {
 	m.advance(now)
 	for _, e := range m.order {
@@ -59,8 +59,8 @@
 	}
 }
 
-// exchange opens an exchange inside the own domain, or with an address of which
-// nothing is known.
+// exchange opens an exchange inside this domain, or with an address whose host is
+// unknown.
 func (m *Members) exchange(address string, rng *rand.Rand) Outgoing {
 	r := &Request{From: m.self.id, Other: m.pickOtherDomain(rng)}
 	for _, e := range m.order {
@@ -72,8 +72,8 @@
 	return Outgoing{Address: address, Request: r}
 }
 
-// crossExchange opens an exchange with another domain, which tells of its own
-// hosts only.
+// crossExchange opens an exchange with another domain, whose response covers only
+// its own hosts.
 func (m *Members) crossExchange(address, domain string) Outgoing {
 	r := &Request{From: m.self.id}
 	for _, e := range m.order {
@@ -84,9 +84,9 @@
 	return Outgoing{Address: address, Request: r}
 }
 
-// pickOtherDomain returns one of the other domains, now and then none, to be told of
-// domains that are not known here. A random choice pairs each domain with each
-// partner in time, as two turns of fixed lengths do not.
+// pickOtherDomain returns a random other domain or, at times, an empty string,
+// to learn of domains not known here. A random choice eventually pairs each
+// domain with each partner, which two round robins of fixed lengths need not do.
 func (m *Members) pickOtherDomain(rng *rand.Rand) string {
 	domains := append(m.otherDomains(), "")
 	return domains[rng.IntN(len(domains))]
@@ -101,9 +101,9 @@
 	return domains
 }
 
-// nextPartner returns the next of a small set of hosts of the own domain, nil
-// when none is known. The set is random and changes slowly: a few connections
-// serve all exchanges, and no group of hosts stays by itself.
+// nextPartner returns the next of a small set of hosts of this domain, nil when
+// none is known. The set is random and changes slowly: a few connections serve
+// all exchanges, and no group of hosts stays isolated.
 func (m *Members) nextPartner(rng *rand.Rand) *entry {
 	m.partners = slices.DeleteFunc(m.partners, func(host string) bool {
 		e := m.byHost[host]
@@ -121,12 +121,12 @@
 	return m.byHost[m.partners[m.partnerIndex]]
 }
 
-// fillPartners draws partners for the free places: near ones, but for a few that join what
-// the near ones know to what all others do. Where there are not enough of one sort, the
-// other fills the places.
+// fillPartners fills the set of partners at random: with near hosts, and up to FarPartners far
+// ones, which connect the near hosts to all others. Where there are not enough hosts of one
+// kind, it takes more of the other.
 //
-// Exchanges between failure domains cost more than those inside one, and news still has to
-// reach all hosts before one is suspect.
+// Exchanges between failure domains cost more than those inside one, but heartbeats have to reach
+// all hosts before their sender becomes suspect.
 func (m *Members) fillPartners(rng *rand.Rand) {
 	var near, far []string
 	for _, e := range m.order {
@@ -164,10 +164,10 @@
 	return n
 }
 
-// dropFarPartners drops the oldest far partners that are too many, as those are that were
-// met first at a start, up to the number of near hosts that can take their places.
-func (m *Members) dropFarPartners(most int) {
-	excess := min(m.countFarPartners()-m.cfg.FarPartners, most)
+// dropFarPartners drops the oldest far partners above FarPartners, such as those discovered first at
+// a start, but at most as many as there are near hosts to replace them.
+func (m *Members) dropFarPartners(limit int) {
+	excess := min(m.countFarPartners()-m.cfg.FarPartners, limit)
 	m.partners = slices.DeleteFunc(m.partners, func(host string) bool {
 		if excess <= 0 || !m.isFar(host) {
 			return false
@@ -182,22 +182,22 @@
 	return e != nil && !m.isNear(e)
 }
 
-// isNear reports whether a host is isNear the own one. One that has not told where it is counts
-// as far.
+// isNear reports whether a host is near this one. A host that does not publish the NearBy
+// section counts as far.
 func (m *Members) isNear(e *entry) bool {
 	if m.cfg.NearBy == "" {
 		return true
 	}
 	own, ok := m.self.sections[m.cfg.NearBy]
-	other, told := e.sections[m.cfg.NearBy]
-	return ok && told && bytes.Equal(own.Data, other.Data)
+	other, published := e.sections[m.cfg.NearBy]
+	return ok && published && bytes.Equal(own.Data, other.Data)
 }
 
 func (m *Members) isLocal(e *entry) bool {
 	return e.id.Domain == m.self.id.Domain
 }
 
-// reachable tells whether a call to a host has a fair chance.
+// reachable reports whether a call to a host is likely to succeed.
 func (m *Members) reachable(e *entry) bool {
 	if e == m.self || m.state(e) == Dead {
 		return false
@@ -205,7 +205,7 @@
 	return e.failedAt.IsZero() || m.clock.Sub(e.failedAt) >= failureBackoff
 }
 
-// Gateways returns the hosts of a domain that exchange with other domains.
+// gateways returns the hosts of a domain that exchange with other domains.
 func (m *Members) gateways(domain string) []Member {
 	return LocalRank("gateway/"+domain, domain, m.view(), m.cfg.Gateways)
 }
@@ -232,8 +232,9 @@
 	return out
 }
 
-// pickGateway returns an address of another domain: a gateway of it as far as
-// that can be told from here, else any address that was ever told.
+// pickGateway returns an address of another domain: that of a gateway as far as
+// it can be determined from here, else any known address of the domain, else an
+// empty string.
 func (m *Members) pickGateway(domain string, rng *rand.Rand) string {
 	var reachable []Member
 	var others []string
@@ -263,8 +264,8 @@
 	return others[rng.IntN(len(others))]
 }
 
-// probes returns exchanges with addresses that are silent or were never heard:
-// this is how hosts meet first, and again after a cut.
+// probes returns exchanges with addresses that are silent or were never heard
+// from. Through them hosts discover each other at first and after a partition.
 func (m *Members) probes(rng *rand.Rand, alone bool) []Outgoing {
 	if !alone && m.clock.Before(m.nextProbe) {
 		return nil
@@ -284,8 +285,8 @@
 	return out
 }
 
-// silentAddresses returns where nobody is heard: of the own domain, or of an
-// unknown one. Known other domains are the gateways' business.
+// silentAddresses returns the addresses of this domain or of unknown domains from
+// which no host is heard. Gateways handle the other known domains.
 func (m *Members) silentAddresses() []string {
 	heard := make(map[string]bool, len(m.order))
 	var silent []string
