--- a/internal/core/quarantine/digest.go
+++ b/internal/core/quarantine/digest.go
@@ -161,14 +161,14 @@
 		}
 	}
 	for _, heard := range d.Trials {
-		t.hearTrial(heard, now)
+		t.mergeTrial(heard, now)
 	}
 	if d.Host == "" || d.Host == t.opts.Host {
 		return
 	}
-	t.holds[d.Host] = d.Holds
+	t.peerHolds[d.Host] = d.Holds
 	if len(d.Holds) == 0 {
-		delete(t.holds, d.Host)
+		delete(t.peerHolds, d.Host)
 	}
 }
 
@@ -179,12 +179,12 @@
 	t.addRecord(rd.ID, now.Add(-max(rd.Age, 0)), rd.Open)
 	r := t.records[rd.ID]
 	for _, fingerprint := range rd.Cleared {
-		t.clearIn(r, fingerprint)
+		t.clearFromRecord(r, fingerprint)
 	}
 	for _, fingerprint := range rd.Tried {
-		t.tryIn(r, fingerprint, true)
+		t.markTried(r, fingerprint, true)
 	}
 }
 
 // Forget drops what a peer said to run, as when it has left or is silent.
-func (t *Tracker) Forget(host string) { delete(t.holds, host) }
+func (t *Tracker) Forget(host string) { delete(t.peerHolds, host) }
--- a/internal/core/quarantine/evidence.go
+++ b/internal/core/quarantine/evidence.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// weigh reports whether one of a fingerprint's settled records proves it the
+// evaluateRecords reports whether one of a fingerprint's settled records proves it the
 // cause, and whether all of them are settled.
-func (t *Tracker) weigh(rs []*record, now time.Time) (proved, settled bool) {
+func (t *Tracker) evaluateRecords(rs []*record, now time.Time) (proved, settled bool) {
 	settled = true
 	for _, r := range rs {
 		if now.Sub(r.at) < t.opts.SettleAfter {
 			settled = false
 			continue
 		}
-		if r.open == 1 { // it is not cleared itself, so it is the one
+		if r.openCount == 1 { // it is not cleared itself, so it is the one
 			proved = true
 		}
 	}
@@ -25,7 +25,7 @@
 func (t *Tracker) addRecord(id RecordID, at time.Time, ran []uint64) *record {
 	r := t.records[id]
 	if r == nil {
-		t.makeRoom()
+		t.evictOldestRecord()
 		r = &record{at: at, cleared: make(map[uint64]bool), tried: make(map[uint64]bool), own: make(map[uint64]bool)}
 		t.records[id] = r
 	}
@@ -34,49 +34,49 @@
 			continue
 		}
 		r.cleared[fingerprint] = false
-		r.open++
-		t.of[fingerprint] = append(t.of[fingerprint], r)
+		r.openCount++
+		t.openRecords[fingerprint] = append(t.openRecords[fingerprint], r)
 		t.version++
 	}
 	return r
 }
 
-// tryIn notes whether a fingerprint of a record ran under trial.
-func (t *Tracker) tryIn(r *record, fingerprint uint64, trial bool) {
+// markTried notes whether a fingerprint of a record ran under trial.
+func (t *Tracker) markTried(r *record, fingerprint uint64, trial bool) {
 	if trial && !r.tried[fingerprint] {
 		r.tried[fingerprint] = true
 		t.version++
 	}
 }
 
-// clear takes a fingerprint out of all records.
-func (t *Tracker) clear(fingerprint uint64) {
-	for _, r := range t.of[fingerprint] {
+// clearFromAll takes a fingerprint out of all records.
+func (t *Tracker) clearFromAll(fingerprint uint64) {
+	for _, r := range t.openRecords[fingerprint] {
 		r.cleared[fingerprint] = true
-		r.open--
+		r.openCount--
 	}
-	delete(t.of, fingerprint)
+	delete(t.openRecords, fingerprint)
 }
 
-// clearIn takes a fingerprint out of one record.
-func (t *Tracker) clearIn(r *record, fingerprint uint64) {
+// clearFromRecord takes a fingerprint out of one record.
+func (t *Tracker) clearFromRecord(r *record, fingerprint uint64) {
 	if cleared, ok := r.cleared[fingerprint]; !ok || cleared {
 		r.cleared[fingerprint] = true
 		return
 	}
 	r.cleared[fingerprint] = true
-	r.open--
+	r.openCount--
 	t.version++
 	t.unlink(r, fingerprint)
 }
 
 func (t *Tracker) unlink(r *record, fingerprint uint64) {
-	rs := slices.DeleteFunc(t.of[fingerprint], func(o *record) bool { return o == r })
+	rs := slices.DeleteFunc(t.openRecords[fingerprint], func(o *record) bool { return o == r })
 	if len(rs) == 0 {
-		delete(t.of, fingerprint)
+		delete(t.openRecords, fingerprint)
 		return
 	}
-	t.of[fingerprint] = rs
+	t.openRecords[fingerprint] = rs
 }
 
 func (t *Tracker) dropRecord(id RecordID) {
@@ -90,8 +90,8 @@
 	t.version++
 }
 
-// makeRoom drops the oldest record when there are too many.
-func (t *Tracker) makeRoom() {
+// evictOldestRecord drops the oldest record when there are too many.
+func (t *Tracker) evictOldestRecord() {
 	if len(t.records) < t.opts.MaxRecords {
 		return
 	}
@@ -110,10 +110,10 @@
 
 // expire forgets evidence and refusals that are over.
 func (t *Tracker) expire(now time.Time) {
-	if now.Sub(t.expired) < expireEvery {
+	if now.Sub(t.lastExpiry) < expireEvery {
 		return
 	}
-	t.expired = now
+	t.lastExpiry = now
 	for id, r := range t.records {
 		if now.Sub(r.at) >= t.opts.For {
 			t.dropRecord(id)
@@ -121,23 +121,23 @@
 	}
 	for fingerprint, until := range t.refused {
 		if !now.Before(until) {
-			t.absolve(fingerprint)
+			t.endRefusal(fingerprint)
 		}
 	}
 	t.expireTrials(now)
-	for engine, runs := range t.broken {
-		if now.Sub(runs[len(runs)-1].at) >= brokenFor {
-			delete(t.broken, engine)
+	for engine, runs := range t.brokenRuns {
+		if now.Sub(runs[len(runs)-1].at) >= brokenRunTTL {
+			delete(t.brokenRuns, engine)
 		}
 	}
 }
 
-// absolve ends a refusal. The evidence that led to it has been used up: it would
+// endRefusal ends a refusal. The evidence that led to it has been used up: it would
 // only lead to the same refusal again.
-func (t *Tracker) absolve(fingerprint uint64) {
+func (t *Tracker) endRefusal(fingerprint uint64) {
 	delete(t.refused, fingerprint)
 	t.version++
-	for _, r := range slices.Clone(t.of[fingerprint]) {
+	for _, r := range slices.Clone(t.openRecords[fingerprint]) {
 		for id, o := range t.records {
 			if o == r {
 				t.dropRecord(id)
@@ -149,7 +149,7 @@
 func (t *Tracker) isRefused(fingerprint uint64, now time.Time) bool {
 	until, ok := t.refused[fingerprint]
 	if ok && !now.Before(until) {
-		t.absolve(fingerprint)
+		t.endRefusal(fingerprint)
 		return false
 	}
 	return ok
--- a/internal/core/quarantine/site_play_test.go
+++ b/internal/core/quarantine/site_play_test.go
@@ -11,23 +11,23 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// late returns how often a work was sent by hosts in touch when all of these had to know it.
-func (s *site) late(w *work) int {
+// lateSends returns how often a work was sent by hosts in touch when all of these had to know it.
+func (s *site) lateSends(w *work) int {
 	deaths := s.deaths[w.fingerprint]
-	if len(deaths) < deathsKnown {
+	if len(deaths) < knownDeaths {
 		return 0
 	}
 	late := 0
 	for _, a := range w.arrivals {
-		if a.inTouch && a.tick > deaths[deathsKnown-1]+knownTicks {
+		if a.connected && a.tick > deaths[knownDeaths-1]+spreadTicks {
 			late++
 		}
 	}
 	return late
 }
 
-// play plays the site and returns what it breaks.
-func (s *site) play(culprits, innocents, leavers int) []string {
+// run plays the site and returns what it breaks.
+func (s *site) run(culprits, innocents, leavers int) []string {
 	for i := range culprits {
 		s.works = append(s.works, &work{fingerprint: uint64(1 + i), culprit: true})
 	}
@@ -35,44 +35,44 @@
 	for s.now < siteTicks {
 		for range s.rng.IntN(2*(innocents+leavers)/siteTicks + 1) {
 			n++
-			s.works = append(s.works, &work{fingerprint: uint64(1 + n), leaves: s.rng.IntN(innocents+leavers) < leavers})
+			s.works = append(s.works, &work{fingerprint: uint64(1 + n), callerLeaves: s.rng.IntN(innocents+leavers) < leavers})
 		}
 		s.step()
 	}
 	s.heal()
-	for end := s.now + calmTicks; s.now < end && !s.allServed(); {
+	for end := s.now + recoveryTicks; s.now < end && !s.allServed(); {
 		s.step()
 	}
-	return s.broken()
+	return s.violations()
 }
 
 func (s *site) allServed() bool {
 	return !slices.ContainsFunc(s.works, func(w *work) bool { return !w.culprit && !w.done })
 }
 
-func (s *site) broken() []string {
+func (s *site) violations() []string {
 	var broken []string
 	for _, w := range s.works {
-		former := slices.ContainsFunc(s.hosts, func(h *siteHost) bool { return h.former })
-		if late := s.late(w); w.culprit && late > mostLate && !former {
+		former := slices.ContainsFunc(s.hosts, func(h *siteHost) bool { return h.oldRelease })
+		if late := s.lateSends(w); w.culprit && late > maxLateSends && !former {
 			broken = append(broken, fmt.Sprintf("culprit %d reached engines %d times late, %d ended", w.fingerprint, late, len(s.deaths[w.fingerprint])))
 		}
-		if slices.Contains(s.together, w.fingerprint) {
+		if slices.Contains(s.concurrentTrials, w.fingerprint) {
 			broken = append(broken, fmt.Sprintf("%d ran under two trials at once", w.fingerprint))
 		}
 		if !w.culprit && !w.done {
-			broken = append(broken, fmt.Sprintf("innocent %d is not served: %s", w.fingerprint, s.hosts[0].Standing(w.fingerprint, s.at(s.now))))
+			broken = append(broken, fmt.Sprintf("innocent %d is not served: %s", w.fingerprint, s.hosts[0].Standing(w.fingerprint, s.timeAt(s.now))))
 		}
 	}
 	return broken
 }
 
-// TestSiteKeepsWhatEndsEnginesFromThemAndServesTheOthers guards against a request that each host
+// TestSiteStopsCulpritsAndServesInnocents guards against a request that each host
 // tries once more, whatever becomes of the evidence: late, lost, out of order, forgotten by hosts
 // that start again, kept from hosts that are cut from each other or from the store; and against
 // requests that are refused because others beside them end engines, or leave and are never seen
 // again.
-func TestSiteKeepsWhatEndsEnginesFromThemAndServesTheOthers(t *testing.T) {
+func TestSiteStopsCulpritsAndServesInnocents(t *testing.T) {
 	for _, c := range []struct {
 		name                                          string
 		hosts, engines, former, culprits, innos, leav int
@@ -93,10 +93,10 @@
 			worst := 0
 			props.Property("few late, all innocents served", prop.ForAll(func(seed uint64) string {
 				s := newSite(seed, c.hosts, c.engines, c.former)
-				s.lossy, s.apart = c.lossy, c.apart
-				broken := s.play(c.culprits, c.innos, c.leav)
+				s.lossy, s.noGossip = c.lossy, c.apart
+				broken := s.run(c.culprits, c.innos, c.leav)
 				for _, w := range s.works {
-					worst = max(worst, s.late(w))
+					worst = max(worst, s.lateSends(w))
 				}
 				return strings.Join(broken, "; ")
 			}, gen.UInt64()))
--- a/internal/core/quarantine/site_store_test.go
+++ b/internal/core/quarantine/site_store_test.go
@@ -6,38 +6,38 @@
 	"slices"
 )
 
-// tell sends the host's digest to the others.
-func (s *site) tell(host int, h *siteHost) {
-	d := h.Digest(s.at(s.now))
-	if h.former {
+// sendDigest sends the host's digest to the others.
+func (s *site) sendDigest(host int, h *siteHost) {
+	d := h.Digest(s.timeAt(s.now))
+	if h.oldRelease {
 		d.Trials = nil
 		for i := range d.Records {
 			d.Records[i].Tried = nil
 		}
 	}
 	for k, other := range s.hosts {
-		if k == host || s.apart || h.cutFrom[k] || s.lossy && s.rng.IntN(4) == 0 {
+		if k == host || s.noGossip || h.cutFrom[k] || s.lossy && s.rng.IntN(4) == 0 {
 			continue
 		}
 		told := d
-		if other.former {
+		if other.oldRelease {
 			told.Trials, told.Refused = nil, slices.Clone(d.Refused)
 			for i := range told.Refused {
 				told.Refused[i].Derived = false
 			}
 		}
-		s.messages = append(s.messages, message{k, s.soon(), told})
+		s.messages = append(s.messages, message{k, s.randomDelay(), told})
 	}
 }
 
 // writeEvidence writes what the host has seen itself, when that has changed.
 func (s *site) writeEvidence(h *siteHost) {
-	now := s.at(s.now)
+	now := s.timeAt(s.now)
 	said := fmt.Sprint(h.Own(now, false))
-	if h.former || !h.whole || h.away || said == h.told || said == "[]" {
+	if h.oldRelease || !h.loaded || h.storeUnreachable || said == h.writtenEvidence || said == "[]" {
 		return
 	}
-	h.told = said
+	h.writtenEvidence = said
 	s.put(h, stored{key: h.name, evidence: h.Own(now, true)})
 }
 
@@ -53,19 +53,19 @@
 		if m.due > s.now {
 			return false
 		}
-		s.hosts[m.to].Merge(m.digest, s.at(s.now))
+		s.hosts[m.to].Merge(m.digest, s.timeAt(s.now))
 		return true
 	})
 }
 
 // readStore reads on, or, for a host that has just started, the newest record of each key.
 func (s *site) readStore(h *siteHost) {
-	if h.former || h.away || s.now < h.nextRead {
+	if h.oldRelease || h.storeUnreachable || s.now < h.nextRead {
 		return
 	}
-	h.nextRead = s.soon()
+	h.nextRead = s.randomDelay()
 	records := s.store[h.read:]
-	if !h.whole {
+	if !h.loaded {
 		newest := map[string]int{}
 		for i, r := range s.store {
 			newest[r.key] = i
@@ -75,16 +75,16 @@
 			records = append(records, s.store[i])
 		}
 	}
-	now := s.at(s.now)
+	now := s.timeAt(s.now)
 	for _, r := range records {
 		switch {
 		case r.trial != nil:
 			h.ReadTrial(*r.trial, now)
-		case r.key == h.name && !h.whole:
+		case r.key == h.name && !h.loaded:
 			h.Adopt(r.evidence, now)
 		default:
 			h.Merge(Digest{Records: r.evidence}, now)
 		}
 	}
-	h.read, h.whole = len(s.store), true
+	h.read, h.loaded = len(s.store), true
 }
--- a/internal/core/quarantine/site_test.go
+++ b/internal/core/quarantine/site_test.go
@@ -9,20 +9,20 @@
 
 // Times of the modelled site, in ticks.
 const (
-	tick       = 250 * time.Millisecond
-	settleTime = 3 * time.Second
-	knownTicks = int(settleTime / tick) // from the third death until all hosts in touch know of it
-	slowest    = 3                      // a write, a read or a message takes so many at the most
-	runTicks   = 5                      // of a request, at the most
-	trialLife  = 14                     // of a trial, with all that it waits for
-	siteTicks  = 240
-	calmTicks  = 400 // in which all innocents have to be served once nothing is harmed any more
+	tick          = 250 * time.Millisecond
+	settleTime    = 3 * time.Second
+	spreadTicks   = int(settleTime / tick) // from the third death until all hosts in touch know of it
+	maxDelayTicks = 3                      // a write, a read or a message takes so many at the most
+	runTicks      = 5                      // of a request, at the most
+	trialLife     = 14                     // of a trial, with all that it waits for
+	siteTicks     = 240
+	recoveryTicks = 400 // in which all innocents have to be served once nothing is harmed any more
 )
 
 // Bounds that the site has to keep.
 const (
-	deathsKnown = 3
-	mostLate    = 3
+	knownDeaths  = 3
+	maxLateSends = 3
 )
 
 // stored is one record of the modelled store.
@@ -47,15 +47,15 @@
 
 // work is a request that comes again and again.
 type work struct {
-	fingerprint uint64
-	culprit     bool
-	leaves      bool // its caller leaves before its end, and is not seen again
-	done        bool
-	arrivals    []arrival
+	fingerprint  uint64
+	culprit      bool
+	callerLeaves bool // its caller leaves before its end, and is not seen again
+	done         bool
+	arrivals     []arrival
 }
 
-// pause is the mean number of ticks between two comings.
-func (w *work) pause() int {
+// meanInterval is the mean number of ticks between two comings.
+func (w *work) meanInterval() int {
 	if w.culprit {
 		return 8
 	}
@@ -64,22 +64,22 @@
 
 // arrival is a sending to an engine.
 type arrival struct {
-	tick    int
-	inTouch bool
+	tick      int
+	connected bool
 }
 
 // running is a request on an engine.
 type running struct {
 	work         *work
 	host, engine int
-	life         int // of the host
+	incarnation  int // of the host
 	run          Run
 	trial        string
 	ends         int
 }
 
-// asked is a trial whose host waits to read it.
-type asked struct {
+// pendingTrial is a trial whose host waits to read it.
+type pendingTrial struct {
 	work  *work
 	id    string
 	since int
@@ -88,69 +88,69 @@
 // siteHost is one daemon of the model.
 type siteHost struct {
 	*Tracker
-	name     string
-	life     int
-	former   bool // of the release before: it knows no trials and no store
-	read     int  // records of the store
-	whole    bool // it has read the store since its start
-	nextRead int
-	told     string // its evidence as the store has it
-	asks     []asked
-	trials   int
-	cutFrom  map[int]bool // hosts
-	away     bool         // it does not reach the store
-	touched  int          // tick since when it reaches the store, and lives
+	name             string
+	incarnation      int
+	oldRelease       bool // of the release before: it knows no trials and no store
+	read             int  // records of the store
+	loaded           bool // it has read the store since its start
+	nextRead         int
+	writtenEvidence  string // its evidence as the store has it
+	pendingTrials    []pendingTrial
+	trials           int
+	cutFrom          map[int]bool // hosts
+	storeUnreachable bool         // it does not reach the store
+	connectedSince   int          // tick since when it reaches the store, and lives
 }
 
 // site is a modelled site.
 type site struct {
-	rng      *rand.Rand
-	now      int
-	hosts    []*siteHost
-	store    []stored
-	writes   []write
-	messages []message
-	lives    []int // of the engines
-	runs     []*running
-	works    []*work
-	deaths   map[uint64][]int // by fingerprint: ticks at which engines ended under it
-	lossy    bool
-	apart    bool // no host hears another one
-	calm     bool
-	together []uint64 // fingerprints that ran under two trials at once
+	rng              *rand.Rand
+	now              int
+	hosts            []*siteHost
+	store            []stored
+	writes           []write
+	messages         []message
+	incarnations     []int // of the engines
+	runs             []*running
+	works            []*work
+	deaths           map[uint64][]int // by fingerprint: ticks at which engines ended under it
+	lossy            bool
+	noGossip         bool // no host hears another one
+	healed           bool
+	concurrentTrials []uint64 // fingerprints that ran under two trials at once
 }
 
 func newSite(seed uint64, hosts, engines, former int) *site {
-	s := &site{rng: rand.New(rand.NewPCG(seed, 3)), lives: make([]int, engines), deaths: map[uint64][]int{}}
+	s := &site{rng: rand.New(rand.NewPCG(seed, 3)), incarnations: make([]int, engines), deaths: map[uint64][]int{}}
 	for i := range hosts {
-		h := &siteHost{name: fmt.Sprint("h", i), former: i < former, cutFrom: map[int]bool{}}
+		h := &siteHost{name: fmt.Sprint("h", i), oldRelease: i < former, cutFrom: map[int]bool{}}
 		s.hosts = append(s.hosts, h)
 		s.start(h)
 	}
 	return s
 }
 
-func (s *site) at(tickNumber int) time.Time { return start.Add(time.Duration(tickNumber) * tick) }
+func (s *site) timeAt(tickNumber int) time.Time { return start.Add(time.Duration(tickNumber) * tick) }
 
-func (s *site) soon() int { return s.now + 1 + s.rng.IntN(slowest) }
+func (s *site) randomDelay() int { return s.now + 1 + s.rng.IntN(maxDelayTicks) }
 
 // start begins a life of a host, which knows nothing.
 func (s *site) start(h *siteHost) {
 	h.Tracker = New(Options{Host: h.name, SettleAfter: settleTime, For: time.Hour})
-	h.life++
-	h.read, h.whole, h.told, h.asks, h.touched = 0, false, "", nil, s.now
+	h.incarnation++
+	h.read, h.loaded, h.writtenEvidence, h.pendingTrials, h.connectedSince = 0, false, "", nil, s.now
 	s.runs = slices.DeleteFunc(s.runs, func(r *running) bool { return s.hosts[r.host] == h })
 }
 
-// harm cuts, heals and restarts hosts.
-func (s *site) harm() {
+// injectFaults cuts, heals and restarts hosts.
+func (s *site) injectFaults() {
 	for i, h := range s.hosts {
 		if s.rng.IntN(120) == 0 {
 			s.start(h)
 		}
-		if oneIn := map[bool]int{false: 150, true: 15}[h.away]; s.rng.IntN(oneIn) == 0 {
-			h.away = !h.away
-			h.touched = s.now
+		if oneIn := map[bool]int{false: 150, true: 15}[h.storeUnreachable]; s.rng.IntN(oneIn) == 0 {
+			h.storeUnreachable = !h.storeUnreachable
+			h.connectedSince = s.now
 		}
 		if s.rng.IntN(20) == 0 {
 			k := s.rng.IntN(len(s.hosts))
@@ -161,38 +161,40 @@
 }
 
 func (s *site) heal() {
-	s.calm, s.lossy, s.apart = true, false, false
+	s.healed, s.lossy, s.noGossip = true, false, false
 	for _, h := range s.hosts {
 		clear(h.cutFrom)
-		h.away = false
+		h.storeUnreachable = false
 	}
 }
 
-func (s *site) inTouch(h *siteHost) bool { return !h.away && s.now-h.touched >= knownTicks }
+func (s *site) connected(h *siteHost) bool {
+	return !h.storeUnreachable && s.now-h.connectedSince >= spreadTicks
+}
 
 // step plays one tick.
 func (s *site) step() {
 	s.now++
-	if !s.calm {
-		s.harm()
+	if !s.healed {
+		s.injectFaults()
 	}
 	for _, h := range s.hosts {
 		s.readStore(h)
-		s.decide(h)
+		s.startReadTrials(h)
 	}
-	s.arrive()
-	s.end()
+	s.sendArrivals()
+	s.finishRuns()
 	for i, h := range s.hosts {
-		s.tell(i, h)
+		s.sendDigest(i, h)
 		s.writeEvidence(h)
 	}
 	s.deliver()
 }
 
-// arrive has works come to hosts: culprits often to many at once.
-func (s *site) arrive() {
+// sendArrivals has works come to hosts: culprits often to many at once.
+func (s *site) sendArrivals() {
 	for _, w := range s.works {
-		if w.done || s.rng.IntN(w.pause()) > 0 {
+		if w.done || s.rng.IntN(w.meanInterval()) > 0 {
 			continue
 		}
 		copies := 1
@@ -206,13 +208,13 @@
 }
 
 func (s *site) send(host int, w *work) {
-	h, now := s.hosts[host], s.at(s.now)
+	h, now := s.hosts[host], s.timeAt(s.now)
 	switch h.Standing(w.fingerprint, now) {
 	case Refused, Held:
 	case Isolate:
-		if h.former {
+		if h.oldRelease {
 			s.place(host, w, "")
-		} else if h.whole && !h.away && h.JudgeTrial("", w.fingerprint, now) == TrialGranted && len(h.asks) == 0 {
+		} else if h.loaded && !h.storeUnreachable && h.JudgeTrial("", w.fingerprint, now) == TrialGranted && len(h.pendingTrials) == 0 {
 			s.ask(h, w)
 		}
 	default:
@@ -223,41 +225,41 @@
 // ask writes a trial. What the host waits for may come late, or never.
 func (s *site) ask(h *siteHost, w *work) {
 	h.trials++
-	id := fmt.Sprintf("%s/%d/%d", h.name, h.life, h.trials)
-	h.asks = append(h.asks, asked{w, id, s.now})
+	id := fmt.Sprintf("%s/%d/%d", h.name, h.incarnation, h.trials)
+	h.pendingTrials = append(h.pendingTrials, pendingTrial{w, id, s.now})
 	s.put(h, stored{key: id, trial: &Trial{ID: id, Fingerprint: w.fingerprint, Host: h.name, Life: trialLife * tick}})
 }
 
 // put sends a record to the store; one that is lost on its way may still come, much later.
 func (s *site) put(h *siteHost, r stored) {
 	r.written = s.now
-	due := s.soon()
-	if h.away || s.lossy && s.rng.IntN(6) == 0 {
-		due += 2*slowest + s.rng.IntN(4*slowest)
+	due := s.randomDelay()
+	if h.storeUnreachable || s.lossy && s.rng.IntN(6) == 0 {
+		due += 2*maxDelayTicks + s.rng.IntN(4*maxDelayTicks)
 	}
 	s.writes = append(s.writes, write{due, r})
 }
 
-// outcome writes what became of a trial.
-func (s *site) outcome(h *siteHost, id string, w *work, o TrialOutcome) {
+// recordOutcome writes what became of a trial.
+func (s *site) recordOutcome(h *siteHost, id string, w *work, o TrialOutcome) {
 	told := Trial{ID: id, Fingerprint: w.fingerprint, Host: h.name, Life: trialLife * tick, Outcome: o}
-	h.Merge(Digest{Trials: []Trial{told}}, s.at(s.now))
+	h.Merge(Digest{Trials: []Trial{told}}, s.timeAt(s.now))
 	s.put(h, stored{key: id, trial: &told})
 }
 
-// decide takes up the trials that have been read, and gives up those that are not in time.
-func (s *site) decide(h *siteHost) {
-	asks := h.asks
-	h.asks = nil
+// startReadTrials takes up the trials that have been read, and gives up those that are not in time.
+func (s *site) startReadTrials(h *siteHost) {
+	asks := h.pendingTrials
+	h.pendingTrials = nil
 	for _, a := range asks {
 		late := s.now-a.since > trialLife-runTicks-1
 		switch {
 		case !late && !h.HasRead(a.id):
-			h.asks = append(h.asks, a)
-		case late, h.JudgeTrial(a.id, a.work.fingerprint, s.at(s.now)) != TrialGranted,
-			h.Standing(a.work.fingerprint, s.at(s.now)) != Isolate,
+			h.pendingTrials = append(h.pendingTrials, a)
+		case late, h.JudgeTrial(a.id, a.work.fingerprint, s.timeAt(s.now)) != TrialGranted,
+			h.Standing(a.work.fingerprint, s.timeAt(s.now)) != Isolate,
 			!s.place(slices.Index(s.hosts, h), a.work, a.id):
-			s.outcome(h, a.id, a.work, TrialNotSent)
+			s.recordOutcome(h, a.id, a.work, TrialNotSent)
 		}
 	}
 }
@@ -265,9 +267,9 @@
 // place sends a work to an engine, if there is one for it.
 func (s *site) place(host int, w *work, trial string) bool {
 	h := s.hosts[host]
-	for _, engine := range s.rng.Perm(len(s.lives)) {
+	for _, engine := range s.rng.Perm(len(s.incarnations)) {
 		name := fmt.Sprint("e", engine)
-		if !h.MayPlace(s.life(name, engine), w.fingerprint, s.at(s.now)) {
+		if !h.MayPlace(s.engineID(name, engine), w.fingerprint, s.timeAt(s.now)) {
 			continue
 		}
 		begin := h.Started
@@ -275,22 +277,24 @@
 			begin = h.StartedOnTrial
 		}
 		if trial != "" && slices.ContainsFunc(s.runs, func(r *running) bool { return r.trial != "" && r.work == w && r.ends > s.now }) {
-			s.together = append(s.together, w.fingerprint)
+			s.concurrentTrials = append(s.concurrentTrials, w.fingerprint)
 		}
 		s.runs = append(s.runs, &running{
-			work: w, host: host, engine: engine, life: h.life, trial: trial,
-			run: begin(s.life(name, engine), w.fingerprint), ends: s.now + 1 + s.rng.IntN(runTicks),
+			work: w, host: host, engine: engine, incarnation: h.incarnation, trial: trial,
+			run: begin(s.engineID(name, engine), w.fingerprint), ends: s.now + 1 + s.rng.IntN(runTicks),
 		})
-		w.arrivals = append(w.arrivals, arrival{s.now, s.inTouch(h)})
+		w.arrivals = append(w.arrivals, arrival{s.now, s.connected(h)})
 		return true
 	}
 	return false
 }
 
-func (s *site) life(name string, engine int) string { return fmt.Sprint(name, ".", s.lives[engine]) }
+func (s *site) engineID(name string, engine int) string {
+	return fmt.Sprint(name, ".", s.incarnations[engine])
+}
 
-// end ends what is due: innocents complete or are left, culprits end their engines.
-func (s *site) end() {
+// finishRuns ends what is due: innocents complete or are left, culprits finishRuns their engines.
+func (s *site) finishRuns() {
 	var dead []int
 	for _, r := range s.runs {
 		if r.ends > s.now || slices.Contains(dead, r.engine) {
@@ -302,15 +306,15 @@
 			continue
 		}
 		r.work.done = true
-		s.over(r, !r.work.leaves)
+		s.finishRun(r, !r.work.callerLeaves)
 	}
 	for _, engine := range dead {
-		s.die(engine)
+		s.crashEngine(engine)
 	}
 	s.runs = slices.DeleteFunc(s.runs, func(r *running) bool { return r.ends <= s.now })
 }
 
-func (s *site) over(r *running, completed bool) {
+func (s *site) finishRun(r *running, completed bool) {
 	h := s.hosts[r.host]
 	h.End(r.run, completed)
 	if r.trial == "" {
@@ -320,22 +324,22 @@
 	if completed {
 		o = TrialCompleted
 	}
-	s.outcome(h, r.trial, r.work, o)
+	s.recordOutcome(h, r.trial, r.work, o)
 }
 
-// die ends an engine under all that runs there. Callers of some leave.
-func (s *site) die(engine int) {
-	name := s.life(fmt.Sprint("e", engine), engine)
+// crashEngine ends an engine under all that runs there. Callers of some leave.
+func (s *site) crashEngine(engine int) {
+	name := s.engineID(fmt.Sprint("e", engine), engine)
 	for _, h := range s.hosts {
-		h.Died(name, name, s.at(s.now))
+		h.Died(name, name, s.timeAt(s.now))
 	}
 	for _, r := range s.runs {
 		if r.engine != engine {
 			continue
 		}
 		r.ends = s.now
-		s.over(r, false)
-		r.work.done = r.work.done || r.work.leaves
+		s.finishRun(r, false)
+		r.work.done = r.work.done || r.work.callerLeaves
 	}
-	s.lives[engine]++
+	s.incarnations[engine]++
 }
--- a/internal/core/quarantine/tracker.go
+++ b/internal/core/quarantine/tracker.go
@@ -61,8 +61,8 @@
 	at time.Time
 }
 
-// brokenFor is how long a broken run waits for word of its engine.
-const brokenFor = 30 * time.Second
+// brokenRunTTL is how long a broken run waits for word of its engine.
+const brokenRunTTL = 30 * time.Second
 
 // RecordID names the death of one start of an engine.
 type RecordID struct {
@@ -72,46 +72,46 @@
 
 // record is the evidence of one death: true for a fingerprint that was cleared.
 type record struct {
-	at      time.Time
-	cleared map[uint64]bool
-	open    int             // not cleared
-	tried   map[uint64]bool // ran under trial
-	own     map[uint64]bool // ran for this host
+	at        time.Time
+	cleared   map[uint64]bool
+	openCount int             // not cleared
+	tried     map[uint64]bool // ran under trial
+	own       map[uint64]bool // ran for this host
 }
 
 // Tracker holds the evidence of one host. It is not safe for concurrent use.
 type Tracker struct {
-	opts     Options
-	lastRun  Run
-	runs     map[Run]run
-	engines  map[string]map[Run]uint64
-	records  map[RecordID]*record
-	of       map[uint64][]*record   // records in which a fingerprint is not cleared
-	refused  map[uint64]time.Time   // until when
-	holds    map[string][]Hold      // of other hosts
-	broken   map[string][]brokenRun // by engine
-	trials   map[string]*trial      // by ID
-	trialsOf map[uint64][]*trial    // by fingerprint
-	derived  map[uint64]bool        // refusals that follow from trials, as they were told
-	version  uint64
-	expired  time.Time // when expire ran last
-
-	lastTrial uint64 // place of the newest that was read
+	opts        Options
+	lastRun     Run
+	runs        map[Run]run
+	engines     map[string]map[Run]uint64
+	records     map[RecordID]*record
+	openRecords map[uint64][]*record   // records in which a fingerprint is not cleared
+	refused     map[uint64]time.Time   // until when
+	peerHolds   map[string][]Hold      // of other hosts
+	brokenRuns  map[string][]brokenRun // by engine
+	trials      map[string]*trial      // by ID
+	trialsOf    map[uint64][]*trial    // by fingerprint
+	derived     map[uint64]bool        // refusals that follow from trials, as they were told
+	version     uint64
+	lastExpiry  time.Time // when expire ran last
+
+	lastPosition uint64 // place of the newest that was read
 }
 
 // New returns a Tracker without evidence.
 func New(o Options) *Tracker {
 	t := &Tracker{
-		runs:     make(map[Run]run),
-		engines:  make(map[string]map[Run]uint64),
-		records:  make(map[RecordID]*record),
-		of:       make(map[uint64][]*record),
-		refused:  make(map[uint64]time.Time),
-		holds:    make(map[string][]Hold),
-		broken:   make(map[string][]brokenRun),
-		trials:   make(map[string]*trial),
-		trialsOf: make(map[uint64][]*trial),
-		derived:  make(map[uint64]bool),
+		runs:        make(map[Run]run),
+		engines:     make(map[string]map[Run]uint64),
+		records:     make(map[RecordID]*record),
+		openRecords: make(map[uint64][]*record),
+		refused:     make(map[uint64]time.Time),
+		peerHolds:   make(map[string][]Hold),
+		brokenRuns:  make(map[string][]brokenRun),
+		trials:      make(map[string]*trial),
+		trialsOf:    make(map[uint64][]*trial),
+		derived:     make(map[uint64]bool),
 	}
 	t.SetOptions(o)
 	return t
@@ -132,20 +132,20 @@
 		return Refused
 	}
 	t.expire(now)
-	if _, spent := t.spentUntil(fingerprint, now); spent {
-		return t.derive(fingerprint)
+	if _, spent := t.trialsSpentUntil(fingerprint, now); spent {
+		return t.noteDerivedRefusal(fingerprint)
 	}
-	rs := t.of[fingerprint]
+	rs := t.openRecords[fingerprint]
 	if len(rs) == 0 {
 		return Clear
 	}
 	if len(rs) < t.opts.Crashes {
 		return Suspect
 	}
-	if _, condemned := t.condemnedUntil(fingerprint, now); condemned {
-		return t.derive(fingerprint)
+	if _, condemned := t.provedByTrialUntil(fingerprint, now); condemned {
+		return t.noteDerivedRefusal(fingerprint)
 	}
-	proved, settled := t.weigh(rs, now)
+	proved, settled := t.evaluateRecords(rs, now)
 	switch {
 	case !settled:
 		return Held
@@ -157,10 +157,10 @@
 }
 
 // Deaths returns the number of records in which a fingerprint is not cleared.
-func (t *Tracker) Deaths(fingerprint uint64) int { return len(t.of[fingerprint]) }
+func (t *Tracker) Deaths(fingerprint uint64) int { return len(t.openRecords[fingerprint]) }
 
-// derive notes a refusal that follows from trials: hosts of former releases are to be told.
-func (t *Tracker) derive(fingerprint uint64) Standing {
+// noteDerivedRefusal notes a refusal that follows from trials: hosts of former releases are to be told.
+func (t *Tracker) noteDerivedRefusal(fingerprint uint64) Standing {
 	if !t.derived[fingerprint] {
 		t.derived[fingerprint] = true
 		t.version++
@@ -174,7 +174,7 @@
 		return 0
 	}
 	until := t.refused[fingerprint]
-	for _, told := range []func(uint64, time.Time) (time.Time, bool){t.spentUntil, t.condemnedUntil} {
+	for _, told := range []func(uint64, time.Time) (time.Time, bool){t.trialsSpentUntil, t.provedByTrialUntil} {
 		if end, _ := told(fingerprint, now); end.After(until) {
 			until = end
 		}
@@ -185,7 +185,7 @@
 // HeldFor returns how long a fingerprint waits for its last death to settle.
 func (t *Tracker) HeldFor(fingerprint uint64, now time.Time) time.Duration {
 	var left time.Duration
-	for _, r := range t.of[fingerprint] {
+	for _, r := range t.openRecords[fingerprint] {
 		left = max(left, t.opts.SettleAfter-now.Sub(r.at))
 	}
 	return left
@@ -193,24 +193,24 @@
 
 // MayPlace reports whether a fingerprint may start on an engine now.
 func (t *Tracker) MayPlace(engine string, fingerprint uint64, now time.Time) bool {
-	if len(t.of) == 0 && len(t.refused) == 0 && len(t.holds) == 0 && len(t.trials) == 0 {
+	if len(t.openRecords) == 0 && len(t.refused) == 0 && len(t.peerHolds) == 0 && len(t.trials) == 0 {
 		return true
 	}
 	standing := t.Standing(fingerprint, now)
 	if standing == Held || standing == Refused {
 		return false
 	}
-	if standing != Clear && t.runsAnywhere(fingerprint) {
+	if standing != Clear && t.isRunning(fingerprint) {
 		return false
 	}
 	for _, other := range t.engines[engine] {
-		if !beside(standing, t.Standing(other, now)) {
+		if !mayRunTogether(standing, t.Standing(other, now)) {
 			return false
 		}
 	}
-	for _, holds := range t.holds {
+	for _, holds := range t.peerHolds {
 		for _, h := range holds {
-			if h.Engine == engine && !beside(standing, h.Standing) {
+			if h.Engine == engine && !mayRunTogether(standing, h.Standing) {
 				return false
 			}
 		}
@@ -218,8 +218,8 @@
 	return true
 }
 
-// beside reports whether two requests may run on one engine.
-func beside(a, b Standing) bool {
+// mayRunTogether reports whether two requests may run on one engine.
+func mayRunTogether(a, b Standing) bool {
 	if a >= Isolate || b >= Isolate {
 		return false
 	}
@@ -245,7 +245,7 @@
 		t.engines[engine] = make(map[Run]uint64)
 	}
 	t.engines[engine][t.lastRun] = fingerprint
-	if len(t.of[fingerprint]) > 0 {
+	if len(t.openRecords[fingerprint]) > 0 {
 		t.version++
 	}
 	return t.lastRun
@@ -258,16 +258,16 @@
 	if !ok {
 		return
 	}
-	t.forget(r, ended.engine)
+	t.removeRun(r, ended.engine)
 	if completed {
-		t.forgetBroken(ended.fingerprint)
+		t.dropBrokenRuns(ended.fingerprint)
 	}
-	if len(t.of[ended.fingerprint]) == 0 {
+	if len(t.openRecords[ended.fingerprint]) == 0 {
 		return
 	}
 	t.version++
 	if completed {
-		t.clear(ended.fingerprint)
+		t.clearFromAll(ended.fingerprint)
 	}
 }
 
@@ -275,29 +275,29 @@
 // whether it died. If it did, Died within brokenFor counts the run; Lives drops it.
 func (t *Tracker) Broke(r Run, now time.Time) {
 	if broke, ok := t.runs[r]; ok {
-		t.broken[broke.engine] = append(t.broken[broke.engine], brokenRun{broke, now})
+		t.brokenRuns[broke.engine] = append(t.brokenRuns[broke.engine], brokenRun{broke, now})
 	}
 	t.End(r, false)
 }
 
-// forgetBroken drops the broken runs of a fingerprint, which has completed since.
-func (t *Tracker) forgetBroken(fingerprint uint64) {
-	for engine, runs := range t.broken {
+// dropBrokenRuns drops the broken runs of a fingerprint, which has completed since.
+func (t *Tracker) dropBrokenRuns(fingerprint uint64) {
+	for engine, runs := range t.brokenRuns {
 		runs = slices.DeleteFunc(runs, func(r brokenRun) bool { return r.fingerprint == fingerprint })
-		t.broken[engine] = runs
+		t.brokenRuns[engine] = runs
 		if len(runs) == 0 {
-			delete(t.broken, engine)
+			delete(t.brokenRuns, engine)
 		}
 	}
 }
 
 // Lives notes that an engine has not died.
-func (t *Tracker) Lives(engine string) { delete(t.broken, engine) }
+func (t *Tracker) Lives(engine string) { delete(t.brokenRuns, engine) }
 
 // MayHaveDied reports whether a run has broken on an engine of which nothing was heard since.
-func (t *Tracker) MayHaveDied(engine string) bool { return len(t.broken[engine]) > 0 }
+func (t *Tracker) MayHaveDied(engine string) bool { return len(t.brokenRuns[engine]) > 0 }
 
-func (t *Tracker) forget(r Run, engine string) {
+func (t *Tracker) removeRun(r Run, engine string) {
 	delete(t.runs, r)
 	delete(t.engines[engine], r)
 	if len(t.engines[engine]) == 0 {
@@ -315,13 +315,13 @@
 		tried[dead.fingerprint] = tried[dead.fingerprint] || dead.trial
 		delete(t.runs, r)
 	}
-	for _, broke := range t.broken[engine] {
-		if now.Sub(broke.at) < brokenFor {
+	for _, broke := range t.brokenRuns[engine] {
+		if now.Sub(broke.at) < brokenRunTTL {
 			tried[broke.fingerprint] = tried[broke.fingerprint] || broke.trial
 		}
 	}
 	delete(t.engines, engine)
-	delete(t.broken, engine)
+	delete(t.brokenRuns, engine)
 	ran := slices.Collect(maps.Keys(tried))
 	if len(ran) == 0 {
 		return nil
@@ -329,18 +329,18 @@
 	r := t.addRecord(RecordID{engine, incarnation}, now, ran)
 	for fingerprint, trial := range tried {
 		r.own[fingerprint] = true
-		t.tryIn(r, fingerprint, trial)
+		t.markTried(r, fingerprint, trial)
 	}
 	return ran
 }
 
-func (t *Tracker) runsAnywhere(fingerprint uint64) bool {
+func (t *Tracker) isRunning(fingerprint uint64) bool {
 	for _, r := range t.runs {
 		if r.fingerprint == fingerprint {
 			return true
 		}
 	}
-	for _, holds := range t.holds {
+	for _, holds := range t.peerHolds {
 		for _, h := range holds {
 			if h.Fingerprint == fingerprint {
 				return true
--- a/internal/core/quarantine/tracker_test.go
+++ b/internal/core/quarantine/tracker_test.go
@@ -31,13 +31,13 @@
 
 // world is a pool of engines and hosts that place jobs on them.
 type world struct {
-	rng         *rand.Rand
-	now         time.Time
-	hosts       []*Tracker
-	engines     int
-	incarnation []int
-	jobs        []*job
-	wronged     bool // an innocent was refused
+	rng             *rand.Rand
+	now             time.Time
+	hosts           []*Tracker
+	engines         int
+	incarnation     []int
+	jobs            []*job
+	innocentRefused bool // an innocent was refused
 }
 
 func newWorld(seed uint64, hosts, engines int) *world {
@@ -88,7 +88,7 @@
 func (w *world) place(j *job) {
 	t := w.hosts[j.host]
 	if t.Standing(j.fingerprint, w.now) == Refused {
-		w.wronged = w.wronged || !j.culprit
+		w.innocentRefused = w.innocentRefused || !j.culprit
 		j.done = true
 		return
 	}
@@ -114,11 +114,11 @@
 	}
 }
 
-// play adds innocents and culprits over time, more innocents afterwards, and runs
+// run adds innocents and culprits over time, more innocents afterwards, and runs
 // until all is over. It returns the most crashes of one culprit.
-func (w *world) play(innocents, culprits int) (worst int, over bool) {
+func (w *world) run(innocents, culprits int) (worst int, over bool) {
 	kinds := w.rng.Perm(innocents + culprits)
-	for n := 0; n < 2000 && (n < 60 || !w.over()); n++ {
+	for n := 0; n < 2000 && (n < 60 || !w.allDone()); n++ {
 		for k := 0; k < 3 && len(kinds) > 0; k++ {
 			w.add(kinds[0] < culprits)
 			kinds = kinds[1:]
@@ -131,10 +131,10 @@
 	for _, j := range w.jobs {
 		worst = max(worst, j.crashes)
 	}
-	return worst, w.over()
+	return worst, w.allDone()
 }
 
-func (w *world) over() bool {
+func (w *world) allDone() bool {
 	return !slices.ContainsFunc(w.jobs, func(j *job) bool { return !j.done })
 }
 
@@ -149,12 +149,12 @@
 			worst := 0
 			props.Property("all innocents complete, all culprits are refused in time", prop.ForAll(func(seed uint64) bool {
 				w := newWorld(seed, c.hosts, c.engines)
-				crashes, over := w.play(c.innocents, c.culprits)
+				crashes, over := w.run(c.innocents, c.culprits)
 				worst = max(worst, crashes)
 				if c.hosts == 1 && crashes > DefaultCrashes+1 {
 					return false
 				}
-				return over && !w.wronged && crashes >= DefaultCrashes
+				return over && !w.innocentRefused && crashes >= DefaultCrashes
 			}, gen.UInt64()))
 			props.TestingRun(t)
 			t.Logf("most crashes of one culprit: %d", worst)
@@ -162,8 +162,8 @@
 	}
 }
 
-// crashAll starts fingerprints on an engine and lets it die.
-func crashAll(t *Tracker, engine, incarnation string, now time.Time, fingerprints ...uint64) {
+// crashEngine starts fingerprints on an engine and lets it die.
+func crashEngine(t *Tracker, engine, incarnation string, now time.Time, fingerprints ...uint64) {
 	for _, f := range fingerprints {
 		t.Started(engine, f)
 	}
@@ -172,8 +172,8 @@
 
 func TestStandings(t *testing.T) {
 	tr := New(Options{})
-	crashAll(tr, "e1", "1", start, 1, 2)
-	crashAll(tr, "e1", "1", start, 2) // the same death, told again
+	crashEngine(tr, "e1", "1", start, 1, 2)
+	crashEngine(tr, "e1", "1", start, 2) // the same death, told again
 	now := start.Add(DefaultSettleAfter)
 	if got := tr.Standing(1, now); got != Suspect {
 		t.Fatalf("after one death: %s", got)
@@ -209,7 +209,7 @@
 		t.Errorf("when all beside it have completed: %s", got)
 	}
 	now = now.Add(DefaultFor)
-	if got := tr.Standing(1, now); got != Clear || len(tr.records) != 0 || len(tr.of) != 0 {
+	if got := tr.Standing(1, now); got != Clear || len(tr.records) != 0 || len(tr.openRecords) != 0 {
 		t.Errorf("when its time is over: %s, %d records", got, len(tr.records))
 	}
 }
@@ -222,7 +222,7 @@
 		for h := range 3 {
 			tr := New(Options{Host: fmt.Sprint(h)})
 			for i := range 4 {
-				crashAll(tr, fmt.Sprint(i), "1", start, rng.Uint64N(5), rng.Uint64N(5))
+				crashEngine(tr, fmt.Sprint(i), "1", start, rng.Uint64N(5), rng.Uint64N(5))
 			}
 			tr.End(tr.Started("x", rng.Uint64N(5)), true)
 			digests = append(digests, tr.Digest(start))
@@ -242,8 +242,8 @@
 
 func TestRefusalSpreadsAndEvidenceIsBounded(t *testing.T) {
 	a, b := New(Options{Host: "a", SettleAfter: -1}), New(Options{Host: "b"})
-	crashAll(a, "e1", "1", start, 7)
-	crashAll(a, "e2", "1", start, 7)
+	crashEngine(a, "e1", "1", start, 7)
+	crashEngine(a, "e2", "1", start, 7)
 	if got := a.Standing(7, start); got != Refused {
 		t.Fatalf("alone in two deaths: %s", got)
 	}
@@ -257,8 +257,8 @@
 	if got := a.Standing(7, start.Add(DefaultFor)); got != Clear {
 		t.Errorf("when its time is over: %s", got)
 	}
-	crashAll(a, "e1", "2", start, 1, 2)
-	crashAll(a, "e2", "2", start, 1, 3)
+	crashEngine(a, "e1", "2", start, 1, 2)
+	crashEngine(a, "e2", "2", start, 1, 3)
 	b.Merge(a.Digest(start), start)
 	a.End(a.Started("e3", 2), true)
 	b.Merge(a.Digest(start), start)
@@ -266,10 +266,10 @@
 		t.Errorf("when a peer has cleared the other: %s", got)
 	}
 	for i := range 2 * DefaultMaxRecords {
-		crashAll(b, "e", fmt.Sprint(i), start.Add(time.Duration(i)), uint64(100+i))
+		crashEngine(b, "e", fmt.Sprint(i), start.Add(time.Duration(i)), uint64(100+i))
 	}
-	if len(b.records) != DefaultMaxRecords || len(b.of) > DefaultMaxRecords {
-		t.Errorf("%d records of %d fingerprints are kept", len(b.records), len(b.of))
+	if len(b.records) != DefaultMaxRecords || len(b.openRecords) > DefaultMaxRecords {
+		t.Errorf("%d records of %d fingerprints are kept", len(b.records), len(b.openRecords))
 	}
 	hold := Digest{Host: "c", Holds: []Hold{{"e9", 500, Isolate}}}
 	b.Merge(hold, start)
@@ -289,7 +289,7 @@
 	}
 	b.Run("no evidence", func(b *testing.B) { benchmarkMayPlace(b, t) })
 	for i := range 100 {
-		crashAll(t, fmt.Sprint(i), "1", start, uint64(1000+i), uint64(2000+i))
+		crashEngine(t, fmt.Sprint(i), "1", start, uint64(1000+i), uint64(2000+i))
 	}
 	b.Run("100 deaths", func(b *testing.B) { benchmarkMayPlace(b, t) })
 }
--- a/internal/core/quarantine/trials.go
+++ b/internal/core/quarantine/trials.go
@@ -16,8 +16,8 @@
 	MostTrialSends = 3
 )
 
-// mostTrials bounds the trials of all fingerprints that are remembered.
-const mostTrials = 1024
+// maxTrackedTrials bounds the trials of all fingerprints that are remembered.
+const maxTrackedTrials = 1024
 
 // TrialOutcome says what became of a trial.
 type TrialOutcome uint8
@@ -58,38 +58,38 @@
 // trial is what is known of one.
 type trial struct {
 	Trial
-	at    time.Time
-	place uint64 // in the order of the store; zero: heard from a peer alone
+	at       time.Time
+	position uint64 // in the order of the store; zero: heard from a peer alone
 }
 
-// open reports whether it may still run.
-func (r *trial) open(now time.Time) bool {
+// isOpen reports whether it may still run.
+func (r *trial) isOpen(now time.Time) bool {
 	return r.Outcome == TrialOpen && now.Sub(r.at) < r.Life
 }
 
-// ran reports whether it may run, or has run without completing.
-func (r *trial) ran(now time.Time) bool { return r.open(now) || r.Outcome == TrialRan }
+// countsAsRun reports whether it may run, or has run without completing.
+func (r *trial) countsAsRun(now time.Time) bool { return r.isOpen(now) || r.Outcome == TrialRan }
 
-// sent reports whether an upstream may have got it. One whose host never told may have been.
-func (r *trial) sent() bool { return r.Outcome != TrialNotSent && r.Outcome != TrialCompleted }
+// countsAsSent reports whether an upstream may have got it. One whose host never told may have been.
+func (r *trial) countsAsSent() bool { return r.Outcome != TrialNotSent && r.Outcome != TrialCompleted }
 
 // ReadTrial takes in what the store has of a trial, in the store's order.
 func (t *Tracker) ReadTrial(read Trial, now time.Time) {
-	r := t.hearTrial(read, now)
-	if r != nil && r.place == 0 {
-		t.lastTrial++
-		r.place = t.lastTrial
+	r := t.mergeTrial(read, now)
+	if r != nil && r.position == 0 {
+		t.lastPosition++
+		r.position = t.lastPosition
 	}
 }
 
 // HasRead reports whether a trial has been read from the store.
 func (t *Tracker) HasRead(id string) bool {
 	r := t.trials[id]
-	return r != nil && r.place > 0
+	return r != nil && r.position > 0
 }
 
-// hearTrial takes in what is said of a trial; nil: it is too old to count. What is final stays.
-func (t *Tracker) hearTrial(heard Trial, now time.Time) *trial {
+// mergeTrial takes in what is said of a trial; nil: it is too old to count. What is final stays.
+func (t *Tracker) mergeTrial(heard Trial, now time.Time) *trial {
 	if heard.Age >= t.opts.For {
 		return nil
 	}
@@ -101,7 +101,7 @@
 		r.Outcome = heard.Outcome
 		t.version++
 		if heard.Outcome == TrialCompleted {
-			t.acquit(r.Fingerprint)
+			t.clearAfterTrial(r.Fingerprint)
 		}
 	}
 	return r
@@ -109,7 +109,7 @@
 
 // addTrial notes a trial that was not known. The oldest is dropped when there are too many.
 func (t *Tracker) addTrial(heard Trial, now time.Time) *trial {
-	if len(t.trials) >= mostTrials {
+	if len(t.trials) >= maxTrackedTrials {
 		oldest := slices.MinFunc(slices.Collect(maps.Values(t.trials)), func(a, b *trial) int { return a.at.Compare(b.at) })
 		t.dropTrial(oldest)
 	}
@@ -132,10 +132,10 @@
 	t.version++
 }
 
-// acquit clears a fingerprint that completed under trial: its deaths and trials so far count no
+// clearAfterTrial clears a fingerprint that completed under trial: its deaths and trials so far count no
 // more.
-func (t *Tracker) acquit(fingerprint uint64) {
-	t.clear(fingerprint)
+func (t *Tracker) clearAfterTrial(fingerprint uint64) {
+	t.clearFromAll(fingerprint)
 	for _, r := range t.trialsOf[fingerprint] {
 		if r.Outcome != TrialOpen {
 			r.Outcome = TrialCompleted
@@ -170,20 +170,20 @@
 	var ran, sent int
 	busy := false
 	for _, r := range t.trialsOf[fingerprint] {
-		after := own != nil && r.place > own.place
+		after := own != nil && r.position > own.position
 		if r == own || after {
 			continue
 		}
-		busy = busy || r.open(now)
-		if r.ran(now) {
+		busy = busy || r.isOpen(now)
+		if r.countsAsRun(now) {
 			ran++
 		}
-		if r.sent() {
+		if r.countsAsSent() {
 			sent++
 		}
 	}
 	switch {
-	case ran-t.excused(fingerprint) >= MostTrials || sent >= MostTrialSends:
+	case ran-t.excusedDeaths(fingerprint) >= MostTrials || sent >= MostTrialSends:
 		return TrialSpent
 	case busy:
 		return TrialBusy
@@ -191,39 +191,39 @@
 	return TrialGranted
 }
 
-// excused returns how often a fingerprint died under trial beside one that is in as many deaths.
-func (t *Tracker) excused(fingerprint uint64) int {
+// excusedDeaths returns how often a fingerprint died under trial beside one that is in as many deaths.
+func (t *Tracker) excusedDeaths(fingerprint uint64) int {
 	n := 0
-	for _, r := range t.of[fingerprint] {
-		if r.tried[fingerprint] && t.mostDeathsBeside(r, fingerprint) >= len(t.of[fingerprint]) {
+	for _, r := range t.openRecords[fingerprint] {
+		if r.tried[fingerprint] && t.maxDeathsBeside(r, fingerprint) >= len(t.openRecords[fingerprint]) {
 			n++
 		}
 	}
 	return n
 }
 
-// mostDeathsBeside returns in how many records one of the others in a record is, at the most.
-func (t *Tracker) mostDeathsBeside(r *record, but uint64) int {
+// maxDeathsBeside returns in how many records one of the others in a record is, at the most.
+func (t *Tracker) maxDeathsBeside(r *record, but uint64) int {
 	most := 0
 	for fingerprint, cleared := range r.cleared {
 		if !cleared && fingerprint != but {
-			most = max(most, len(t.of[fingerprint]))
+			most = max(most, len(t.openRecords[fingerprint]))
 		}
 	}
 	return most
 }
 
-// spentUntil returns until when a fingerprint is refused because its trials are used up and none
+// trialsSpentUntil returns until when a fingerprint is refused because its trials are used up and none
 // of them runs any more.
-func (t *Tracker) spentUntil(fingerprint uint64, now time.Time) (until time.Time, spent bool) {
+func (t *Tracker) trialsSpentUntil(fingerprint uint64, now time.Time) (until time.Time, spent bool) {
 	if len(t.trialsOf[fingerprint]) == 0 || t.JudgeTrial("", fingerprint, now) != TrialSpent {
 		return time.Time{}, false
 	}
 	for _, r := range t.trialsOf[fingerprint] {
-		if !r.sent() {
+		if !r.countsAsSent() {
 			continue
 		}
-		if r.open(now) {
+		if r.isOpen(now) {
 			return time.Time{}, false
 		}
 		if end := r.at.Add(t.opts.For); end.After(until) {
@@ -233,16 +233,16 @@
 	return until, true
 }
 
-// condemnedUntil returns until when a fingerprint is refused because an upstream died when it ran
+// provedByTrialUntil returns until when a fingerprint is refused because an upstream died when it ran
 // under trial, and whatever else died there has been in no other death: a cause that came there
 // by chance would be in others by now, or be so soon, and the refusal is over then.
-func (t *Tracker) condemnedUntil(fingerprint uint64, now time.Time) (until time.Time, condemned bool) {
-	rs := t.of[fingerprint]
+func (t *Tracker) provedByTrialUntil(fingerprint uint64, now time.Time) (until time.Time, condemned bool) {
+	rs := t.openRecords[fingerprint]
 	if len(rs) < t.opts.Crashes {
 		return time.Time{}, false
 	}
 	for _, r := range rs {
-		if !r.tried[fingerprint] || now.Sub(r.at) < t.opts.SettleAfter || t.mostDeathsBeside(r, fingerprint) > 1 {
+		if !r.tried[fingerprint] || now.Sub(r.at) < t.opts.SettleAfter || t.maxDeathsBeside(r, fingerprint) > 1 {
 			continue
 		}
 		if end := r.at.Add(t.opts.For); end.After(until) {
--- a/internal/core/quarantine/trials_test.go
+++ b/internal/core/quarantine/trials_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// tried has a fingerprint die on an engine under a trial that has been read.
-func tried(tr *Tracker, id string, fingerprint uint64, now time.Time, beside ...uint64) {
+// dieUnderTrial has a fingerprint die on an engine under a trial that has been read.
+func dieUnderTrial(tr *Tracker, id string, fingerprint uint64, now time.Time, beside ...uint64) {
 	tr.ReadTrial(Trial{ID: id, Fingerprint: fingerprint, Life: time.Second}, now)
 	for _, f := range beside {
 		tr.Started(id, f)
@@ -17,20 +17,20 @@
 	tr.ReadTrial(Trial{ID: id, Fingerprint: fingerprint, Life: time.Second, Outcome: TrialRan}, now)
 }
 
-// suspect returns a tracker with a fingerprint that died twice beside two others, and when that
+// newSuspect returns a tracker with a fingerprint that died twice beside two others, and when that
 // has settled.
-func suspect(fingerprint uint64) (*Tracker, time.Time) {
+func newSuspect(fingerprint uint64) (*Tracker, time.Time) {
 	tr := New(Options{})
-	crashAll(tr, "a", "1", start, fingerprint, 90, 92)
-	crashAll(tr, "b", "1", start, fingerprint, 91, 93)
+	crashEngine(tr, "a", "1", start, fingerprint, 90, 92)
+	crashEngine(tr, "b", "1", start, fingerprint, 91, 93)
 	return tr, start.Add(DefaultSettleAfter)
 }
 
-// TestDeathUnderTrialProvesUntilWhatDiedBesideItDiesAgain guards against a proof that waits for
+// TestDeathUnderTrialProvesCauseUntilOthersDieAgain guards against a proof that waits for
 // others who are never seen again, and against one that holds when another cause shows.
-func TestDeathUnderTrialProvesUntilWhatDiedBesideItDiesAgain(t *testing.T) {
-	tr, now := suspect(1)
-	tried(tr, "c", 1, now, 95)
+func TestDeathUnderTrialProvesCauseUntilOthersDieAgain(t *testing.T) {
+	tr, now := newSuspect(1)
+	dieUnderTrial(tr, "c", 1, now, 95)
 	if got := tr.Standing(1, now); got != Held {
 		t.Errorf("before the death has settled: %s", got)
 	}
@@ -38,15 +38,15 @@
 	if got, left := tr.Standing(1, now), tr.RefusedFor(1, now); got != Refused || left != DefaultFor-DefaultSettleAfter {
 		t.Errorf("%s for %v", got, left)
 	}
-	crashAll(tr, "d", "1", now, 95)
+	crashEngine(tr, "d", "1", now, 95)
 	if got := tr.Standing(1, now); got != Isolate {
 		t.Errorf("when the other one has died again: %s", got)
 	}
 }
 
-// TestTrialsAreFew guards against a request that is tried on while nothing proves it: two trials
+// TestTrialsAreLimited guards against a request that is tried on while nothing proves it: two trials
 // in which it may have run, three sendings in all.
-func TestTrialsAreFew(t *testing.T) {
+func TestTrialsAreLimited(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		outcomes []TrialOutcome
@@ -60,7 +60,7 @@
 		{"one completed since", []TrialOutcome{TrialRan, TrialRan, TrialCompleted}, TrialGranted},
 		{"one runs", []TrialOutcome{TrialOpen}, TrialBusy},
 	} {
-		tr, now := suspect(1)
+		tr, now := newSuspect(1)
 		for i, o := range c.outcomes {
 			tr.ReadTrial(Trial{ID: fmt.Sprint(i), Fingerprint: 1, Life: time.Second, Outcome: o}, now)
 		}
@@ -70,27 +70,27 @@
 	}
 }
 
-// TestTrialThatDiedBesideAnotherCauseCountsOnceMore guards against an innocent whose trials end
+// TestTrialBesideAnotherCauseIsExcused guards against an innocent whose trials end
 // beside those of others that end engines.
-func TestTrialThatDiedBesideAnotherCauseCountsOnceMore(t *testing.T) {
-	tr, now := suspect(1)
+func TestTrialBesideAnotherCauseIsExcused(t *testing.T) {
+	tr, now := newSuspect(1)
 	for _, engine := range []string{"x", "y", "z"} {
-		crashAll(tr, engine, "1", now, 95)
+		crashEngine(tr, engine, "1", now, 95)
 	}
-	tried(tr, "c", 1, now, 95)
-	tried(tr, "d", 1, now, 95)
+	dieUnderTrial(tr, "c", 1, now, 95)
+	dieUnderTrial(tr, "d", 1, now, 95)
 	if got := tr.JudgeTrial("", 1, now); got != TrialGranted {
 		t.Errorf("after two: %s", got)
 	}
-	tried(tr, "e", 1, now, 95)
+	dieUnderTrial(tr, "e", 1, now, 95)
 	if got := tr.JudgeTrial("", 1, now); got != TrialSpent {
 		t.Errorf("after three: %s", got)
 	}
 }
 
-// TestFirstTrialOfTheStoresOrderRuns guards against two hosts that both find that none runs.
-func TestFirstTrialOfTheStoresOrderRuns(t *testing.T) {
-	tr, now := suspect(1)
+// TestFirstTrialInStoreOrderRuns guards against two hosts that both find that none runs.
+func TestFirstTrialInStoreOrderRuns(t *testing.T) {
+	tr, now := newSuspect(1)
 	for _, id := range []string{"first", "second"} {
 		tr.ReadTrial(Trial{ID: id, Fingerprint: 1, Life: time.Second}, now)
 	}
@@ -105,9 +105,9 @@
 	}
 }
 
-// TestRunThatBrokeIsEvidenceWhenItsEngineIsGone guards against deaths that are told only later, and
+// TestBrokenRunCountsWhenItsEngineDied guards against deaths that are told only later, and
 // against evidence on an engine that has served since.
-func TestRunThatBrokeIsEvidenceWhenItsEngineIsGone(t *testing.T) {
+func TestBrokenRunCountsWhenItsEngineDied(t *testing.T) {
 	tr := New(Options{})
 	tr.Broke(tr.Started("a", 1), start)
 	tr.Broke(tr.Started("b", 2), start)
@@ -118,7 +118,7 @@
 	for _, engine := range []string{"a", "b", "d"} {
 		tr.Died(engine, "1", start.Add(time.Second))
 	}
-	tr.Died("c", "1", start.Add(brokenFor))
+	tr.Died("c", "1", start.Add(brokenRunTTL))
 	for fingerprint, want := range map[uint64]Standing{1: Suspect, 2: Clear, 3: Clear, 4: Clear} {
 		if got := tr.Standing(fingerprint, start); got != want {
 			t.Errorf("%d: %s", fingerprint, got)
@@ -126,11 +126,11 @@
 	}
 }
 
-// TestRefusalThatFollowsFromTrialsReachesHostsOfTheReleaseBefore: they know no trials, and hold to
+// TestDerivedRefusalReachesHostsOfThePreviousRelease: they know no trials, and hold to
 // what they are told is refused; others go by the trials.
-func TestRefusalThatFollowsFromTrialsReachesHostsOfTheReleaseBefore(t *testing.T) {
-	tr, now := suspect(1)
-	tried(tr, "c", 1, now, 95)
+func TestDerivedRefusalReachesHostsOfThePreviousRelease(t *testing.T) {
+	tr, now := newSuspect(1)
+	dieUnderTrial(tr, "c", 1, now, 95)
 	now = now.Add(DefaultSettleAfter)
 	told := tr.Version()
 	if tr.Standing(1, now) != Refused || tr.Version() == told {
