--- a/internal/suspects/former_test.go
+++ b/internal/suspects/former_test.go
@@ -12,8 +12,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/quarantine"
 )
 
-// formerDigest is evidence as daemons of the release before spread it.
-type formerDigest struct {
+// previousDigest is evidence as daemons of the release before spread it.
+type previousDigest struct {
 	Host    string
 	Records []struct {
 		ID            quarantine.RecordID
@@ -27,13 +27,13 @@
 	Holds []quarantine.Hold
 }
 
-// TestDaemonsOfTheReleaseBeforeAreHeardAndHear guards against evidence that one release cannot
+// TestPreviousReleaseExchangesEvidence guards against evidence that one release cannot
 // read of the other while both run: deaths, what runs, and what is refused because of trials.
-func TestDaemonsOfTheReleaseBeforeAreHeardAndHear(t *testing.T) {
+func TestPreviousReleaseExchangesEvidence(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	tr, now := New("new", logrus.NewEntry(log)), time.Now()
-	former := formerDigest{Host: "old", Holds: []quarantine.Hold{{Engine: "e9", Fingerprint: culprit, Standing: quarantine.Isolate}}}
+	former := previousDigest{Host: "old", Holds: []quarantine.Hold{{Engine: "e9", Fingerprint: culprit, Standing: quarantine.Isolate}}}
 	former.Records = append(former.Records, struct {
 		ID            quarantine.RecordID
 		Age           time.Duration
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told formerDigest
+	var told previousDigest
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&told); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/suspects/group.go
+++ b/internal/suspects/group.go
@@ -16,24 +16,24 @@
 
 // Which daemons read the store. What they read reaches the others by digests.
 const (
-	readersAll  = 16 // daemons up to which all do
-	readersNear = 4  // in each failure domain otherwise
-	// readerSilent is the age of a reader's last heartbeat from which it counts as cut off.
-	readerSilent = 2 * time.Second
+	allReadUpTo      = 16 // daemons up to which all do
+	readersPerDomain = 4  // in each failure domain otherwise
+	// readerTimeout is the age of a reader's last heartbeat from which it counts as cut off.
+	readerTimeout = 2 * time.Second
 )
 
-// reads reports whether a daemon reads the store: where daemons are few, as one of the first of its
+// readsStore reports whether a daemon readsStore the store: where daemons are few, as one of the first of its
 // failure domain, or because it hears none of these.
-func reads(host string, group Group, now time.Time) bool {
-	if group.Hosts() <= readersAll {
+func readsStore(host string, group Group, now time.Time) bool {
+	if group.Hosts() <= allReadUpTo {
 		return true
 	}
 	heard := false
-	for _, m := range membership.Rank("evidence", group.NearBy(), readersNear) {
+	for _, m := range membership.Rank("evidence", group.NearBy(), readersPerDomain) {
 		if m.Host == host {
 			return true
 		}
-		heard = heard || now.Sub(m.LastHeard) < readerSilent
+		heard = heard || now.Sub(m.LastHeard) < readerTimeout
 	}
 	return !heard
 }
--- a/internal/suspects/group_test.go
+++ b/internal/suspects/group_test.go
@@ -8,30 +8,30 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/membership"
 )
 
-// many is a failure domain of many daemons.
-type many []membership.Member
+// largeGroup is a failure domain of largeGroup daemons.
+type largeGroup []membership.Member
 
-func (m many) Hosts() int                  { return len(m) }
-func (m many) NearBy() []membership.Member { return m }
+func (m largeGroup) Hosts() int                  { return len(m) }
+func (m largeGroup) NearBy() []membership.Member { return m }
 
-func (m many) readers(now time.Time) int {
+func (m largeGroup) readers(now time.Time) int {
 	n := 0
 	for _, member := range m {
-		if reads(member.Host, m, now) {
+		if readsStore(member.Host, m, now) {
 			n++
 		}
 	}
 	return n
 }
 
-// TestFewDaemonsOfManyReadTheStore guards against reads that grow with the daemons, and against
+// TestOnlySomeOfManyDaemonsReadTheStore guards against reads that grow with the daemons, and against
 // daemons that leave them to others of whom they hear nothing.
-func TestFewDaemonsOfManyReadTheStore(t *testing.T) {
+func TestOnlySomeOfManyDaemonsReadTheStore(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct{ daemons, silentFor, want int }{
-		{8, 0, 8}, {16, 60, 16}, {100, 0, readersNear}, {100, 60, 100},
+		{8, 0, 8}, {16, 60, 16}, {100, 0, readersPerDomain}, {100, 60, 100},
 	} {
-		var group many
+		var group largeGroup
 		for i := range c.daemons {
 			m := membership.Member{LastHeard: now.Add(-time.Duration(c.silentFor) * time.Second)}
 			m.Host = fmt.Sprint("h", i)
--- a/internal/suspects/keep.go
+++ b/internal/suspects/keep.go
@@ -26,26 +26,26 @@
 	// by readWaitPerHost for each, so that those of all are few, but readWaitMost at the most.
 	readWait        = 10 * time.Second
 	readWaitPerHost = 20 * time.Millisecond
-	readWaitMost    = 30 * time.Second
+	maxReadWait     = 30 * time.Second
 	// readTimeout is what a read may take besides.
 	readTimeout  = 2 * time.Second
 	writeTimeout = time.Second
-	// keepPace is the least time between two reads, or two writes of what is not urgent;
+	// syncInterval is the least time between two reads, or two writes of what is not urgent;
 	// keepPacePerHost, for each daemon, that before any write besides, for all read what one has
 	// written. A death is urgent: its evidence is lost with a daemon that is killed next.
-	keepPace        = time.Second
-	keepPacePerHost = 2 * time.Millisecond
+	syncInterval        = time.Second
+	syncIntervalPerHost = 2 * time.Millisecond
 	// staleAfter is how long after it was written a record is removed, by any daemon that starts;
 	// mostStale bounds the removals of one.
-	staleAfter = time.Hour
-	mostStale  = 20
-	// storeAgain is the time to the next try while the store does not answer.
-	storeAgain = time.Second
+	staleAfter       = time.Hour
+	maxStaleRemovals = 20
+	// storeRetryInterval is the time to the next try while the store does not answer.
+	storeRetryInterval = time.Second
 )
 
-// kept is the value of a key, with the time of day at which it was written: ages count from then
+// storedValue is the value of a key, with the time of day at which it was written: ages count from then
 // where a daemon that starts reads it.
-type kept struct {
+type storedValue struct {
 	Written  time.Time
 	Evidence []quarantine.RecordDigest
 	Trial    *quarantine.Trial
@@ -60,47 +60,47 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		t.keepWriting(ctx, store, group)
+		t.writeLoop(ctx, store, group)
 	}()
-	t.keepReading(ctx, store, group)
+	t.readLoop(ctx, store, group)
 	<-done
 	return nil
 }
 
-func (t *Tracker) kickReader() { wake(t.readNow) }
+func (t *Tracker) requestRead() { notify(t.readRequested) }
 
-func (t *Tracker) wakeWriter() { wake(t.toWrite) }
+func (t *Tracker) requestWrite() { notify(t.writeRequested) }
 
-// wake signals somebody who may not wait now, but will look before waiting again.
-func wake(signal chan struct{}) {
+// notify signals somebody who may not wait now, but will look before waiting again.
+func notify(signal chan struct{}) {
 	select {
 	case signal <- struct{}{}:
 	default:
 	}
 }
 
-// keepReading reads what all daemons write, as one of those that do so for others or when it is
+// readLoop reads what all daemons write, as one of those that do so for others or when it is
 // asked to.
-func (t *Tracker) keepReading(ctx context.Context, store Store, group Group) {
+func (t *Tracker) readLoop(ctx context.Context, store Store, group Group) {
 	asked := false
 	for ctx.Err() == nil {
-		again := keepPace
-		if asked || reads(t.host, group, time.Now()) {
-			again = t.readTold(ctx, store, time.Duration(group.Hosts()))
+		again := syncInterval
+		if asked || readsStore(t.host, group, time.Now()) {
+			again = t.readAndReport(ctx, store, time.Duration(group.Hosts()))
 		}
 		select {
 		case <-time.After(again):
 			asked = false
-		case <-t.readNow:
+		case <-t.readRequested:
 			asked = true
 		case <-ctx.Done():
 		}
 	}
 }
 
-// readTold reads once, tells when the store is lost or back, and returns the time to the next read.
-func (t *Tracker) readTold(ctx context.Context, store Store, hosts time.Duration) (again time.Duration) {
-	err := t.readOnce(ctx, store, min(readWait+hosts*readWaitPerHost, readWaitMost))
+// readAndReport reads once, tells when the store is lost or back, and returns the time to the next read.
+func (t *Tracker) readAndReport(ctx context.Context, store Store, hosts time.Duration) (again time.Duration) {
+	err := t.readOnce(ctx, store, min(readWait+hosts*readWaitPerHost, maxReadWait))
 	if ctx.Err() != nil {
 		return 0
 	}
@@ -108,16 +108,16 @@
 		metrics.GetOrCreateCounter("buckthorndock_suspects_store_failures_total").Inc()
 	}
 	switch {
-	case err != nil && !t.away:
+	case err != nil && !t.storeUnreachable:
 		t.log.WithError(err).Warn("suspects_store_lost")
-	case err == nil && t.away:
+	case err == nil && t.storeUnreachable:
 		t.log.Info("suspects_store_back")
 	}
-	t.away = err != nil
-	if t.away {
-		return storeAgain
+	t.storeUnreachable = err != nil
+	if t.storeUnreachable {
+		return storeRetryInterval
 	}
-	return keepPace + hosts*keepPacePerHost
+	return syncInterval + hosts*syncIntervalPerHost
 }
 
 func (t *Tracker) readOnce(ctx context.Context, store Store, open time.Duration) error {
@@ -131,29 +131,29 @@
 	t.mu.Lock()
 	before := t.core.Version()
 	for _, r := range batch.Records {
-		t.take(r, batch.Whole, now)
+		t.applyRecord(r, batch.Whole, now)
 	}
 	if batch.Whole {
-		t.written = nil // what the store has of this host may be older, or nothing
+		t.writtenEvidence = nil // what the store has of this host may be older, or nothing
 	}
-	t.began = true
-	close(t.wasRead)
-	t.wasRead = make(chan struct{})
+	t.storeLoaded = true
+	close(t.readDone)
+	t.readDone = make(chan struct{})
 	news := t.core.Version() != before
 	t.mu.Unlock()
 	if news || batch.Whole {
 		t.log.WithFields(logrus.Fields{"records": len(batch.Records), "whole": batch.Whole}).Info("suspects_read")
-		t.signal()
+		t.signalEvidence()
 	}
 	return nil
 }
 
-// take takes in one record of the store. The caller holds the lock.
-func (t *Tracker) take(r Record, whole bool, now time.Time) {
+// applyRecord takes in one record of the store. The caller holds the lock.
+func (t *Tracker) applyRecord(r Record, whole bool, now time.Time) {
 	if r.Value == nil {
 		return // what it said has expired
 	}
-	var k kept
+	var k storedValue
 	if err := gob.NewDecoder(bytes.NewReader(r.Value)).Decode(&k); err != nil {
 		t.log.WithError(err).WithField("key", r.Key).Warn("suspects_record_undecodable")
 		return
@@ -162,15 +162,15 @@
 	if whole {
 		older = max(now.Sub(k.Written), 0)
 	}
-	if older > staleAfter && len(t.stale) < mostStale {
-		t.stale = append(t.stale, r.Key)
+	if older > staleAfter && len(t.staleKeys) < maxStaleRemovals {
+		t.staleKeys = append(t.staleKeys, r.Key)
 	}
 	for i := range k.Evidence {
 		k.Evidence[i].Age += older
 	}
 	host, isEvidence := strings.CutPrefix(r.Key, evidencePrefix)
 	switch {
-	case isEvidence && host == t.host && !t.began:
+	case isEvidence && host == t.host && !t.storeLoaded:
 		t.core.Adopt(k.Evidence, now)
 	case isEvidence:
 		t.core.Merge(quarantine.Digest{Records: k.Evidence}, now)
@@ -180,34 +180,34 @@
 	}
 }
 
-// keepWriting writes what is new of this daemon's own.
-func (t *Tracker) keepWriting(ctx context.Context, store Store, group Group) {
+// writeLoop writes what is new of this daemon's own.
+func (t *Tracker) writeLoop(ctx context.Context, store Store, group Group) {
 	for ctx.Err() == nil {
-		again := time.Duration(group.Hosts()) * keepPacePerHost
+		again := time.Duration(group.Hosts()) * syncIntervalPerHost
 		if err := t.writeOnce(ctx, store); err != nil && ctx.Err() == nil {
 			t.log.WithError(err).Warn("suspects_not_written")
-			again = storeAgain
+			again = storeRetryInterval
 		}
 		if !wait.For(ctx, again) {
 			return
 		}
-		t.awaitNews(ctx)
+		t.awaitWrite(ctx)
 	}
 }
 
-// awaitNews waits for something to write: for what is not urgent keepPace at the least.
-func (t *Tracker) awaitNews(ctx context.Context) {
+// awaitWrite waits for something to write: for what is not urgent keepPace at the least.
+func (t *Tracker) awaitWrite(ctx context.Context) {
 	select {
-	case <-t.urgent:
+	case <-t.urgentWrite:
 		return
-	case <-time.After(keepPace):
+	case <-time.After(syncInterval):
 	case <-ctx.Done():
 		return
 	}
 	select {
-	case <-t.urgent:
-	case <-t.toWrite:
-	case <-time.After(lookEvery): // a write that failed, or evidence that has expired
+	case <-t.urgentWrite:
+	case <-t.writeRequested:
+	case <-time.After(maxShareInterval): // a write that failed, or evidence that has expired
 	case <-ctx.Done():
 	}
 }
@@ -230,18 +230,18 @@
 	now := time.Now()
 	t.mu.Lock()
 	unaged, aged := t.core.Own(now, false), t.core.Own(now, true)
-	began, written := t.began, t.written
+	began, written := t.storeLoaded, t.writtenEvidence
 	t.mu.Unlock()
 	said, err := encode(unaged)
 	if !began && len(unaged) > 0 {
-		t.kickReader()
+		t.requestRead()
 	}
 	if err != nil || !began || bytes.Equal(said, written) || len(unaged) == 0 && len(written) == 0 {
 		return err
 	}
 	var value []byte
 	if len(aged) > 0 {
-		if value, err = encode(kept{Written: now, Evidence: aged}); err != nil {
+		if value, err = encode(storedValue{Written: now, Evidence: aged}); err != nil {
 			return err
 		}
 	}
@@ -249,7 +249,7 @@
 		return merry.Prepend(err, "write evidence")
 	}
 	t.mu.Lock()
-	t.written = said
+	t.writtenEvidence = said
 	t.mu.Unlock()
 	t.log.WithField("deaths", len(aged)).Info("evidence_written")
 	return nil
@@ -267,8 +267,8 @@
 	t.mu.Lock()
 	var due []quarantine.Trial
 	for _, own := range t.trials {
-		if own.unwritten {
-			due = append(due, own.aged(now))
+		if own.outcomeUnwritten {
+			due = append(due, own.withAge(now))
 		}
 	}
 	t.mu.Unlock()
@@ -277,7 +277,7 @@
 			return err
 		}
 		t.mu.Lock()
-		t.trials[told.ID].unwritten = false
+		t.trials[told.ID].outcomeUnwritten = false
 		t.mu.Unlock()
 	}
 	return nil
@@ -287,14 +287,14 @@
 func (t *Tracker) removeStale(ctx context.Context, store Store) error {
 	now := time.Now()
 	t.mu.Lock()
-	stale := t.stale
+	stale := t.staleKeys
 	for id, own := range t.trials {
-		if now.Sub(own.asked) > staleAfter && !own.unwritten {
+		if now.Sub(own.requestedAt) > staleAfter && !own.outcomeUnwritten {
 			stale = append(stale, trialPrefix+id)
 			delete(t.trials, id)
 		}
 	}
-	t.stale = nil
+	t.staleKeys = nil
 	t.mu.Unlock()
 	for _, key := range stale {
 		if err := store.Put(ctx, key, nil); err != nil {
@@ -306,7 +306,7 @@
 
 func putTrial(ctx context.Context, store Store, r quarantine.Trial) error {
 	now := time.Now()
-	value, err := encode(kept{Written: now, Trial: &r})
+	value, err := encode(storedValue{Written: now, Trial: &r})
 	if err != nil {
 		return err
 	}
--- a/internal/suspects/keep_test.go
+++ b/internal/suspects/keep_test.go
@@ -19,30 +19,30 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// memory is a store in memory, as a keyed stream and as a log.
-type memory struct {
-	mu      sync.Mutex
-	records []platform.KeyedRecord
-	era     int64
-	away    bool
-	grown   chan struct{}
+// memoryStore is a store in memoryStore, as a keyed stream and as a log.
+type memoryStore struct {
+	mu          sync.Mutex
+	records     []platform.KeyedRecord
+	era         int64
+	unreachable bool
+	grown       chan struct{}
 }
 
 var (
-	errAway   = merry.Sentinel("the store is away")
-	errBeyond = merry.Sentinel("the stream ends before that")
+	errUnreachable = merry.Sentinel("the store is away")
+	errBeyond      = merry.Sentinel("the stream ends before that")
 )
 
-func newMemory() *memory { return &memory{grown: make(chan struct{})} }
+func newMemory() *memoryStore { return &memoryStore{grown: make(chan struct{})} }
 
-func (m *memory) setAway(away bool) {
+func (m *memoryStore) setUnreachable(away bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.away = away
+	m.unreachable = away
 }
 
 // restore goes back to nothing.
-func (m *memory) restore() {
+func (m *memoryStore) restore() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.records = nil
@@ -50,27 +50,27 @@
 	m.wake()
 }
 
-func (m *memory) wake() {
+func (m *memoryStore) wake() {
 	close(m.grown)
 	m.grown = make(chan struct{})
 }
 
-func (m *memory) Put(_ context.Context, _, key string, value []byte) error {
+func (m *memoryStore) Put(_ context.Context, _, key string, value []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.away {
-		return errAway
+	if m.unreachable {
+		return errUnreachable
 	}
 	m.records = append(m.records, platform.KeyedRecord{Era: m.era, Offset: int64(len(m.records)), Key: key, Value: value})
 	m.wake()
 	return nil
 }
 
-func (m *memory) Newest(context.Context, string) (platform.KeyedPage, error) {
+func (m *memoryStore) Newest(context.Context, string) (platform.KeyedPage, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.away {
-		return platform.KeyedPage{}, errAway
+	if m.unreachable {
+		return platform.KeyedPage{}, errUnreachable
 	}
 	newest := map[string]platform.KeyedRecord{}
 	for _, r := range m.records {
@@ -85,14 +85,14 @@
 	return page, nil
 }
 
-func (m *memory) Since(ctx context.Context, _ string, from int64, wait time.Duration) (platform.KeyedPage, error) {
+func (m *memoryStore) Since(ctx context.Context, _ string, from int64, wait time.Duration) (platform.KeyedPage, error) {
 	timeout := time.After(wait)
 	for {
 		m.mu.Lock()
-		records, away, grown, era := m.records, m.away, m.grown, m.era
+		records, away, grown, era := m.records, m.unreachable, m.grown, m.era
 		m.mu.Unlock()
 		if away {
-			return platform.KeyedPage{}, errAway
+			return platform.KeyedPage{}, errUnreachable
 		}
 		page := platform.KeyedPage{Next: int64(len(records)), Era: era}
 		if from < int64(len(records)) {
@@ -112,7 +112,7 @@
 	}
 }
 
-func (m *memory) Append(ctx context.Context, _ string, records [][]byte) (int64, error) {
+func (m *memoryStore) Append(ctx context.Context, _ string, records [][]byte) (int64, error) {
 	for _, data := range records {
 		if err := m.Put(ctx, "", "", data); err != nil {
 			return 0, err
@@ -122,7 +122,7 @@
 }
 
 // Read has offsets from 1, as logs do, and refuses others.
-func (m *memory) Read(ctx context.Context, _ string, from int64, limit int, wait time.Duration) (platform.Page, error) {
+func (m *memoryStore) Read(ctx context.Context, _ string, from int64, limit int, wait time.Duration) (platform.Page, error) {
 	if from < 1 {
 		return platform.Page{}, errBeyond
 	}
@@ -137,14 +137,14 @@
 	return page, err
 }
 
-// few is a group of few daemons.
-type few struct{}
+// smallGroup is a group of smallGroup daemons.
+type smallGroup struct{}
 
-func (few) Hosts() int                  { return 8 }
-func (few) NearBy() []membership.Member { return nil }
+func (smallGroup) Hosts() int                  { return 8 }
+func (smallGroup) NearBy() []membership.Member { return nil }
 
-// daemons starts some that keep their evidence in one store, and do not hear each other.
-func daemons(t *testing.T, store func() Store, names ...string) []*Tracker {
+// startDaemons starts some that keep their evidence in one store, and do not hear each other.
+func startDaemons(t *testing.T, store func() Store, names ...string) []*Tracker {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -154,7 +154,7 @@
 	for _, name := range names {
 		tr := New(name, logrus.NewEntry(log))
 		all = append(all, tr)
-		running.Go(func() { _ = tr.Keep(ctx, store(), few{}) })
+		running.Go(func() { _ = tr.Keep(ctx, store(), smallGroup{}) })
 	}
 	t.Cleanup(func() {
 		cancel()
@@ -167,8 +167,8 @@
 // culprit is a fingerprint that ends engines.
 const culprit = 7
 
-// crash has a daemon see that an engine ended under the culprit and another request.
-func crash(t *testing.T, tr *Tracker, engine string, beside uint64) {
+// crashUnderCulprit has a daemon see that an engine ended under the culprit and another request.
+func crashUnderCulprit(t *testing.T, tr *Tracker, engine string, beside uint64) {
 	t.Helper()
 	for _, fingerprint := range []uint64{culprit, beside} {
 		if _, ok := tr.TryStart(engine, fingerprint, nil, time.Now()); !ok {
@@ -178,13 +178,13 @@
 	tr.Died(engine, engine, time.Now())
 }
 
-const settled = quarantine.DefaultSettleAfter + time.Second
+const settleTime = quarantine.DefaultSettleAfter + time.Second
 
-// eachStore runs a test on both kinds of store, by a clock of its own.
-func eachStore(t *testing.T, test func(t *testing.T, m *memory, store func() Store)) {
-	for name, of := range map[string]func(m *memory) Store{
-		"keyed": func(m *memory) Store { return InKeyed(m, "s") },
-		"log":   func(m *memory) Store { return InLog(m, "s") },
+// forEachStore runs a test on both kinds of store, by a clock of its own.
+func forEachStore(t *testing.T, test func(t *testing.T, m *memoryStore, store func() Store)) {
+	for name, of := range map[string]func(m *memoryStore) Store{
+		"keyed": func(m *memoryStore) Store { return InKeyed(m, "s") },
+		"log":   func(m *memoryStore) Store { return InLog(m, "s") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -195,14 +195,14 @@
 	}
 }
 
-// TestOneOfAllDaemonsTriesARequestThatEndsEngines guards against daemons that cannot hear each
+// TestOneDaemonAtATimeRunsATrial guards against daemons that cannot hear each
 // other and try it at one moment, each knowing all of its deaths.
-func TestOneOfAllDaemonsTriesARequestThatEndsEngines(t *testing.T) {
-	eachStore(t, func(t *testing.T, _ *memory, store func() Store) {
-		all := daemons(t, store, "a", "b", "c", "d")
-		crash(t, all[0], "e1", 101)
-		crash(t, all[1], "e2", 102)
-		time.Sleep(settled)
+func TestOneDaemonAtATimeRunsATrial(t *testing.T) {
+	forEachStore(t, func(t *testing.T, _ *memoryStore, store func() Store) {
+		all := startDaemons(t, store, "a", "b", "c", "d")
+		crashUnderCulprit(t, all[0], "e1", 101)
+		crashUnderCulprit(t, all[1], "e2", 102)
+		time.Sleep(settleTime)
 		var mu sync.Mutex
 		var granted []*Trial
 		var asked sync.WaitGroup
@@ -224,7 +224,7 @@
 		}
 		granted[0].Sent()
 		granted[0].End(quarantine.TrialCompleted)
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		for _, tr := range all {
 			if trial, refusal := tr.Admit(t.Context(), culprit, nil, time.Second); trial != nil || refusal != nil {
 				t.Errorf("%s does not know that it has completed: %v", tr.host, refusal)
@@ -233,14 +233,14 @@
 	})
 }
 
-// TestTrialThatIsNotSentYetEndsWithARefusal guards against a request that waits for a place under
+// TestRefusalEndsAnUnsentTrial guards against a request that waits for a place under
 // its trial though it is refused by now, and against one that asks again for what it has.
-func TestTrialThatIsNotSentYetEndsWithARefusal(t *testing.T) {
-	eachStore(t, func(t *testing.T, _ *memory, store func() Store) {
-		tr := daemons(t, store, "a")[0]
-		crash(t, tr, "e1", 101)
-		crash(t, tr, "e2", 102)
-		time.Sleep(settled)
+func TestRefusalEndsAnUnsentTrial(t *testing.T) {
+	forEachStore(t, func(t *testing.T, _ *memoryStore, store func() Store) {
+		tr := startDaemons(t, store, "a")[0]
+		crashUnderCulprit(t, tr, "e1", 101)
+		crashUnderCulprit(t, tr, "e2", 102)
+		time.Sleep(settleTime)
 		trial, _ := tr.Admit(t.Context(), culprit, nil, time.Minute)
 		if again, refusal := tr.Admit(t.Context(), culprit, trial, time.Minute); trial == nil || again != trial || refusal != nil {
 			t.Fatalf("got %v after %v: %v", again, trial, refusal)
@@ -249,21 +249,21 @@
 		if again, refusal := tr.Admit(t.Context(), culprit, trial, time.Minute); again != nil || refusal == nil || refusal.Code != request.CodeQuarantined {
 			t.Errorf("got %v, %v", again, refusal)
 		}
-		if o := tr.trials[trial.id].told.Outcome; o != quarantine.TrialNotSent {
+		if o := tr.trials[trial.id].trial.Outcome; o != quarantine.TrialNotSent {
 			t.Errorf("the trial has ended as %s", o)
 		}
 	})
 }
 
-// TestRequestInManyDeathsWaitsForTheStore: one in few is tried without its word, one in three or
+// TestRequestInManyDeathsNeedsTheStore: one in few is tried without its word, one in three or
 // more is not, and neither waits longer than the question takes.
-func TestRequestInManyDeathsWaitsForTheStore(t *testing.T) {
-	eachStore(t, func(t *testing.T, m *memory, store func() Store) {
-		all := daemons(t, store, "a")
-		crash(t, all[0], "e1", 101)
-		crash(t, all[0], "e2", 102)
-		time.Sleep(settled)
-		m.setAway(true)
+func TestRequestInManyDeathsNeedsTheStore(t *testing.T) {
+	forEachStore(t, func(t *testing.T, m *memoryStore, store func() Store) {
+		all := startDaemons(t, store, "a")
+		crashUnderCulprit(t, all[0], "e1", 101)
+		crashUnderCulprit(t, all[0], "e2", 102)
+		time.Sleep(settleTime)
+		m.setUnreachable(true)
 		trial, refusal := all[0].Admit(t.Context(), culprit, nil, time.Second)
 		if trial == nil {
 			t.Fatalf("two deaths: %v", refusal)
@@ -275,26 +275,26 @@
 		all[0].TryStart("e3", 103, nil, time.Now())
 		all[0].Died("e3", "e3", time.Now())
 		trial.End(quarantine.TrialRan)
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		began := time.Now()
 		trial, refusal = all[0].Admit(t.Context(), culprit, nil, time.Second)
-		if trial != nil || refusal == nil || time.Since(began) > trialWait {
+		if trial != nil || refusal == nil || time.Since(began) > trialTimeout {
 			t.Errorf("three deaths: %v after %s", refusal, time.Since(began))
 		}
 	})
 }
 
-// TestDaemonsThatAllStartAgainKnowWhatEndsEngines guards against evidence that is lost with those
+// TestEvidenceSurvivesRestartOfAllDaemons guards against evidence that is lost with those
 // who gathered it, in the store's order or where it went back to nothing meanwhile.
-func TestDaemonsThatAllStartAgainKnowWhatEndsEngines(t *testing.T) {
-	eachStore(t, func(t *testing.T, m *memory, store func() Store) {
-		first := daemons(t, store, "a", "b")
-		crash(t, first[0], "e1", 101)
-		crash(t, first[1], "e2", 102)
-		time.Sleep(settled)
+func TestEvidenceSurvivesRestartOfAllDaemons(t *testing.T) {
+	forEachStore(t, func(t *testing.T, m *memoryStore, store func() Store) {
+		first := startDaemons(t, store, "a", "b")
+		crashUnderCulprit(t, first[0], "e1", 101)
+		crashUnderCulprit(t, first[1], "e2", 102)
+		time.Sleep(settleTime)
 		m.restore()
 		time.Sleep(2 * readWait)
-		for _, tr := range daemons(t, store, "a", "b") {
+		for _, tr := range startDaemons(t, store, "a", "b") {
 			if got := tr.core.Deaths(culprit); got != 2 {
 				t.Errorf("%s knows %d deaths", tr.host, got)
 			}
@@ -305,13 +305,13 @@
 	})
 }
 
-// TestDeathsAreInTheStoreBeforeTheirDaemonIsKilled guards against evidence that waits for the
+// TestDeathsAreWrittenBeforeTheirDaemonIsKilled guards against evidence that waits for the
 // next write, and is lost with its daemon.
-func TestDeathsAreInTheStoreBeforeTheirDaemonIsKilled(t *testing.T) {
-	eachStore(t, func(t *testing.T, _ *memory, store func() Store) {
-		first := daemons(t, store, "a")
+func TestDeathsAreWrittenBeforeTheirDaemonIsKilled(t *testing.T) {
+	forEachStore(t, func(t *testing.T, _ *memoryStore, store func() Store) {
+		first := startDaemons(t, store, "a")
 		for i := range 2 {
-			crash(t, first[0], fmt.Sprint("e", i), uint64(101+i))
+			crashUnderCulprit(t, first[0], fmt.Sprint("e", i), uint64(101+i))
 			time.Sleep(50 * time.Millisecond)
 		}
 		second := New("b", first[0].log)
@@ -324,14 +324,14 @@
 	})
 }
 
-// TestTrialOfADaemonThatDiedIsOverInTime guards against a request that waits for ever for one
+// TestTrialOfADeadDaemonExpires guards against a request that waits for ever for one
 // whose daemon tells nothing more, and one that is tried on for each that does not.
-func TestTrialOfADaemonThatDiedIsOverInTime(t *testing.T) {
-	eachStore(t, func(t *testing.T, _ *memory, store func() Store) {
-		all := daemons(t, store, "a", "b", "c", "d", "e")
-		crash(t, all[0], "e1", 101)
-		crash(t, all[0], "e2", 102)
-		time.Sleep(settled)
+func TestTrialOfADeadDaemonExpires(t *testing.T) {
+	forEachStore(t, func(t *testing.T, _ *memoryStore, store func() Store) {
+		all := startDaemons(t, store, "a", "b", "c", "d", "e")
+		crashUnderCulprit(t, all[0], "e1", 101)
+		crashUnderCulprit(t, all[0], "e2", 102)
+		time.Sleep(settleTime)
 		for i, tr := range all {
 			trial, refusal := tr.Admit(t.Context(), culprit, nil, 5*time.Second)
 			if got, want := trial != nil, i < quarantine.MostTrialSends; got != want {
@@ -350,7 +350,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := newMemory()
 		store := func() Store { return InKeyed(m, "s") }
-		value, err := encode(kept{Written: time.Now()})
+		value, err := encode(storedValue{Written: time.Now()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -360,8 +360,8 @@
 			}
 		}
 		time.Sleep(2 * staleAfter)
-		daemons(t, store, "a")
-		time.Sleep(2 * lookEvery)
+		startDaemons(t, store, "a")
+		time.Sleep(2 * maxShareInterval)
 		if page, err := m.Newest(t.Context(), "s"); err != nil || len(page.Records) > 0 {
 			t.Errorf("left: %v, %v", page.Records, err)
 		}
--- a/internal/suspects/share.go
+++ b/internal/suspects/share.go
@@ -20,24 +20,24 @@
 }
 
 const (
-	// shareEvery is the least time between two exchanges of evidence, so that what comes
+	// minShareInterval is the least time between two exchanges of evidence, so that what comes
 	// together goes together.
-	shareEvery = 100 * time.Millisecond
-	// lookEvery is the most: daemons that have died are forgotten.
-	lookEvery = 2 * time.Second
+	minShareInterval = 100 * time.Millisecond
+	// maxShareInterval is the most: daemons that have died are forgotten.
+	maxShareInterval = 2 * time.Second
 )
 
 // sharing is the state of one daemon's exchange of evidence.
 type sharing struct {
-	tracker *Tracker
-	node    Node
-	log     *logrus.Entry
-	seen    map[life]uint64 // versions taken in
-	told    uint64
+	tracker          *Tracker
+	node             Node
+	log              *logrus.Entry
+	mergedVersions   map[hostIncarnation]uint64 // versions taken in
+	publishedVersion uint64
 }
 
-// life names one life of a daemon.
-type life struct {
+// hostIncarnation names one hostIncarnation of a daemon.
+type hostIncarnation struct {
 	host        string
 	incarnation uint64
 }
@@ -45,13 +45,13 @@
 // Share spreads the evidence about requests that crash upstreams to all daemons of all
 // domains, for the same request may be sent to any of them, until the context ends.
 func (t *Tracker) Share(ctx context.Context, node Node) error {
-	s := &sharing{tracker: t, node: node, log: t.log, seen: map[life]uint64{}}
-	ticker := time.NewTicker(lookEvery)
+	s := &sharing{tracker: t, node: node, log: t.log, mergedVersions: map[hostIncarnation]uint64{}}
+	ticker := time.NewTicker(maxShareInterval)
 	defer ticker.Stop()
-	for wait.For(ctx, shareEvery) {
+	for wait.For(ctx, minShareInterval) {
 		s.exchange()
 		select {
-		case <-t.changed:
+		case <-t.evidenceChanged:
 		case <-node.News():
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -61,9 +61,9 @@
 }
 
 func (s *sharing) exchange() {
-	s.hear()
-	if s.tracker.Version() != s.told {
-		s.tell()
+	s.mergePeers()
+	if s.tracker.Version() != s.publishedVersion {
+		s.publish()
 	}
 	for _, m := range s.node.Members() {
 		if m.State == membership.Dead {
@@ -72,20 +72,20 @@
 	}
 }
 
-func (s *sharing) hear() {
+func (s *sharing) mergePeers() {
 	for _, v := range s.node.Sections(Section) {
-		from := life{v.Host, v.Incarnation}
-		if v.Host == s.tracker.host || s.seen[from] == v.Version {
+		from := hostIncarnation{v.Host, v.Incarnation}
+		if v.Host == s.tracker.host || s.mergedVersions[from] == v.Version {
 			continue
 		}
-		s.seen[from] = v.Version
+		s.mergedVersions[from] = v.Version
 		if err := s.tracker.Merge(v.Data, time.Now()); err != nil {
 			s.log.WithError(err).WithField("from", v.Host).Warn("evidence_undecodable")
 		}
 	}
 }
 
-func (s *sharing) tell() {
+func (s *sharing) publish() {
 	data, version, err := s.tracker.Digest(time.Now())
 	if err == nil {
 		err = s.node.PublishWide(Section, data)
@@ -94,5 +94,5 @@
 		s.log.WithError(err).Error("evidence_not_published")
 		return
 	}
-	s.told = version
+	s.publishedVersion = version
 }
--- a/internal/suspects/store.go
+++ b/internal/suspects/store.go
@@ -37,11 +37,11 @@
 
 // keyedStore keeps them in a keyed stream.
 type keyedStore struct {
-	store   platform.Keyed
-	stream  string
-	next    int64
-	era     int64
-	reading bool // next is an offset of era
+	store      platform.Keyed
+	stream     string
+	next       int64
+	era        int64
+	positioned bool // next is an offset of era
 }
 
 // InKeyed returns a Store in a keyed stream.
@@ -56,29 +56,29 @@
 
 // Next implements Store.
 func (s *keyedStore) Next(ctx context.Context, wait time.Duration) (Batch, error) {
-	if !s.reading {
-		return s.whole(ctx)
+	if !s.positioned {
+		return s.readAll(ctx)
 	}
 	page, err := s.store.Since(ctx, s.stream, s.next, wait)
 	if errors.Is(err, platform.ErrTrimmed) || err == nil && page.Era != s.era {
-		s.reading = false
-		return s.whole(ctx)
+		s.positioned = false
+		return s.readAll(ctx)
 	}
 	if err != nil {
 		// A store that came back from an older copy may refuse to read from beyond its end.
-		s.reading = errors.Is(err, platform.ErrBusy)
+		s.positioned = errors.Is(err, platform.ErrBusy)
 		return Batch{}, err
 	}
 	s.next = page.Next
 	return Batch{Records: keyedRecords(page)}, nil
 }
 
-func (s *keyedStore) whole(ctx context.Context) (Batch, error) {
+func (s *keyedStore) readAll(ctx context.Context) (Batch, error) {
 	page, err := s.store.Newest(ctx, s.stream)
 	if err != nil {
 		return Batch{}, err
 	}
-	s.next, s.era, s.reading = page.Next, page.Era, true
+	s.next, s.era, s.positioned = page.Next, page.Era, true
 	slices.SortFunc(page.Records, func(a, b platform.KeyedRecord) int { return cmp.Compare(a.Offset, b.Offset) })
 	return Batch{Records: keyedRecords(page), Whole: true}, nil
 }
@@ -93,11 +93,11 @@
 
 // logStore keeps them in a stream of a log.
 type logStore struct {
-	log     platform.Log
-	stream  string
-	next    int64
-	era     int64
-	reading bool // next is an offset of era
+	log        platform.Log
+	stream     string
+	next       int64
+	era        int64
+	positioned bool // next is an offset of era
 }
 
 // InLog returns a Store in a stream of a log, which has to keep records for as long as evidence
@@ -117,24 +117,24 @@
 // firstOffset is that of a log's first record.
 const firstOffset = 1
 
-// pageRecords is how many records one read of a log returns at the most.
-const pageRecords = 1000
+// maxPageRecords is how many records one read of a log returns at the most.
+const maxPageRecords = 1000
 
 // Next implements Store.
 func (s *logStore) Next(ctx context.Context, wait time.Duration) (Batch, error) {
-	if !s.reading {
+	if !s.positioned {
 		s.next, wait = firstOffset, 0
 	}
-	page, err := s.log.Read(ctx, s.stream, s.next, pageRecords, wait)
+	page, err := s.log.Read(ctx, s.stream, s.next, maxPageRecords, wait)
 	if err != nil {
 		return Batch{}, err
 	}
-	if s.reading && (page.Era != s.era || page.FirstKept > s.next) {
-		s.reading = false
+	if s.positioned && (page.Era != s.era || page.FirstKept > s.next) {
+		s.positioned = false
 		return s.Next(ctx, 0)
 	}
-	batch := Batch{Whole: !s.reading}
-	s.next, s.era, s.reading = max(s.next, page.FirstKept), page.Era, true
+	batch := Batch{Whole: !s.positioned}
+	s.next, s.era, s.positioned = max(s.next, page.FirstKept), page.Era, true
 	for _, r := range page.Records {
 		s.next = r.Offset + 1
 		var decoded Record
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -29,43 +29,43 @@
 	host string
 	log  *logrus.Entry
 
-	changed chan struct{} // there may be new evidence
+	evidenceChanged chan struct{} // there may be new evidence
 
-	born    int64         // of this life, Unix time in ns
-	readNow chan struct{} // a trial waits for a read of the store
-	toWrite chan struct{} // the store has something to be told
-	urgent  chan struct{} // and at once
+	startedAt      int64         // of this life, Unix time in ns
+	readRequested  chan struct{} // a trial waits for a read of the store
+	writeRequested chan struct{} // the store has something to be told
+	urgentWrite    chan struct{} // and at once
 
-	mu        sync.Mutex
-	core      *quarantine.Tracker
-	store     Store                // nil: none keeps evidence
-	began     bool                 // the store was read
-	away      bool                 // it did not answer the last read; the reader's own
-	wasRead   chan struct{}        // closed and replaced at each read of the store
-	written   []byte               // own evidence as the store has it
-	stale     []string             // keys to remove
-	trials    map[string]*ownTrial // of this life, by id
-	lastTrial int
+	mu               sync.Mutex
+	core             *quarantine.Tracker
+	store            Store                // nil: none keeps evidence
+	storeLoaded      bool                 // the store was read
+	storeUnreachable bool                 // it did not answer the last read; the reader's own
+	readDone         chan struct{}        // closed and replaced at each read of the store
+	writtenEvidence  []byte               // own evidence as the store has it
+	staleKeys        []string             // keys to remove
+	trials           map[string]*ownTrial // of this life, by id
+	trialCount       int
 }
 
 // New returns a Tracker without evidence.
 func New(host string, log *logrus.Entry) *Tracker {
 	return &Tracker{
-		host:    host,
-		log:     log,
-		changed: make(chan struct{}, 1),
-		born:    time.Now().UnixNano(),
-		readNow: make(chan struct{}, 1),
-		toWrite: make(chan struct{}, 1),
-		urgent:  make(chan struct{}, 1),
-		core:    quarantine.New(quarantine.Options{Host: host}),
-		wasRead: make(chan struct{}),
-		trials:  map[string]*ownTrial{},
+		host:            host,
+		log:             log,
+		evidenceChanged: make(chan struct{}, 1),
+		startedAt:       time.Now().UnixNano(),
+		readRequested:   make(chan struct{}, 1),
+		writeRequested:  make(chan struct{}, 1),
+		urgentWrite:     make(chan struct{}, 1),
+		core:            quarantine.New(quarantine.Options{Host: host}),
+		readDone:        make(chan struct{}),
+		trials:          map[string]*ownTrial{},
 	}
 }
 
-// signal tells that there may be new evidence.
-func (t *Tracker) signal() { wake(t.changed) }
+// signalEvidence tells that there may be new evidence.
+func (t *Tracker) signalEvidence() { notify(t.evidenceChanged) }
 
 // ApplySettings takes the site's limits of quarantine, those at the root.
 func (t *Tracker) ApplySettings(snap *settings.Snapshot) {
@@ -119,7 +119,7 @@
 	}
 	if standing != quarantine.Clear {
 		t.log.WithFields(logrus.Fields{
-			"work": workName(fingerprint), "standing": standing.String(),
+			"work": formatFingerprint(fingerprint), "standing": standing.String(),
 			"deaths": t.core.Deaths(fingerprint), "upstream": engine,
 		}).Info("suspect_started")
 	}
@@ -129,17 +129,17 @@
 	return t.core.Started(engine, fingerprint), true
 }
 
-// workName is a fingerprint as logs have it.
-func workName(fingerprint uint64) string { return strconv.FormatUint(fingerprint, 16) }
+// formatFingerprint is a fingerprint as logs have it.
+func formatFingerprint(fingerprint uint64) string { return strconv.FormatUint(fingerprint, 16) }
 
-// mostWorks bounds the works that one line names.
-const mostWorks = 16
+// maxLoggedFingerprints bounds the works that one line names.
+const maxLoggedFingerprints = 16
 
-// workNames names works for a line.
-func workNames(fingerprints []uint64) []string {
-	names := make([]string, 0, mostWorks)
-	for _, f := range fingerprints[:min(mostWorks, len(fingerprints))] {
-		names = append(names, workName(f))
+// formatFingerprints names works for a line.
+func formatFingerprints(fingerprints []uint64) []string {
+	names := make([]string, 0, maxLoggedFingerprints)
+	for _, f := range fingerprints[:min(maxLoggedFingerprints, len(fingerprints))] {
+		names = append(names, formatFingerprint(f))
 	}
 	return names
 }
@@ -152,8 +152,8 @@
 	news := t.core.Version() != before
 	t.mu.Unlock()
 	if news {
-		t.signal()
-		t.wakeWriter()
+		t.signalEvidence()
+		t.requestWrite()
 	}
 }
 
@@ -187,13 +187,13 @@
 	t.mu.Lock()
 	ran := t.core.Died(engine, incarnation, now)
 	t.mu.Unlock()
-	t.signal()
-	wake(t.urgent)
+	t.signalEvidence()
+	notify(t.urgentWrite)
 	if len(ran) == 0 {
 		return
 	}
 	metrics.GetOrCreateCounter("buckthorndock_engine_deaths_total").Inc()
-	t.log.WithFields(logrus.Fields{"upstream": engine, "incarnation": incarnation, "suspects": len(ran), "works": workNames(ran)}).Warn("engine_died")
+	t.log.WithFields(logrus.Fields{"upstream": engine, "incarnation": incarnation, "suspects": len(ran), "works": formatFingerprints(ran)}).Warn("engine_died")
 }
 
 // Digest returns the evidence to be spread and its version.
@@ -229,7 +229,7 @@
 	news := t.core.Version() != before
 	t.mu.Unlock()
 	if news {
-		t.signal()
+		t.signalEvidence()
 		t.log.WithFields(logrus.Fields{"from": d.Host, "deaths": len(d.Records), "refused": len(d.Refused)}).Info("evidence_heard")
 	}
 	return nil
--- a/internal/suspects/trial.go
+++ b/internal/suspects/trial.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// trialWait bounds the question for a trial: a write and a read of the store.
-	trialWait = time.Second
+	// trialTimeout bounds the question for a trial: a write and a read of the store.
+	trialTimeout = time.Second
 	// trialMargin is how much longer than its request a trial counts as running.
 	trialMargin = time.Second
-	// tryAgain is told to callers whose request waits for another trial, or for the store.
-	tryAgain = time.Second
-	// unprovenMost is the number of deaths up to which a request may run without the store's word.
-	unprovenMost = 2
+	// trialRetryAfter is told to callers whose request waits for another trial, or for the store.
+	trialRetryAfter = time.Second
+	// maxUnconfirmedDeaths is the number of deaths up to which a request may run without the store's word.
+	maxUnconfirmedDeaths = 2
 )
 
 // Trial is the right to run a request once that has been in enough deaths. End must follow.
@@ -79,12 +79,12 @@
 	now := time.Now()
 	t.mu.Lock()
 	own := t.trials[r.id]
-	own.told.Outcome, own.unwritten = outcome, true
-	t.core.Merge(quarantine.Digest{Trials: []quarantine.Trial{own.aged(now)}}, now)
+	own.trial.Outcome, own.outcomeUnwritten = outcome, true
+	t.core.Merge(quarantine.Digest{Trials: []quarantine.Trial{own.withAge(now)}}, now)
 	t.mu.Unlock()
-	t.signal()
-	wake(t.urgent)
-	t.log.WithFields(logrus.Fields{"work": workName(r.fingerprint), "trial": r.id, "outcome": outcome.String()}).Info("trial_ended")
+	t.signalEvidence()
+	notify(t.urgentWrite)
+	t.log.WithFields(logrus.Fields{"work": formatFingerprint(r.fingerprint), "trial": r.id, "outcome": outcome.String()}).Info("trial_ended")
 }
 
 // Admit says whether a request may be placed now: as any other, where no trial is returned; under
@@ -107,36 +107,36 @@
 	t.mu.Unlock()
 	switch {
 	case standing == quarantine.Held && store != nil:
-		return nil, later(held)
+		return nil, refuseForNow(held)
 	case standing != quarantine.Isolate || store == nil:
 		return nil, nil
 	case verdict != quarantine.TrialGranted:
-		return nil, later(tryAgain)
+		return nil, refuseForNow(trialRetryAfter)
 	}
-	return t.ask(ctx, store, fingerprint, life+trialMargin, deaths)
+	return t.requestTrial(ctx, store, fingerprint, life+trialMargin, deaths)
 }
 
-func later(after time.Duration) *request.Refusal {
+func refuseForNow(after time.Duration) *request.Refusal {
 	return request.Refuse(request.CodeSuspect, after, "servers have ended under this request, and its turn to be tried has not come")
 }
 
-// ask asks the store for a trial. While it does not answer, a request in few deaths runs without
+// requestTrial asks the store for a trial. While it does not answer, a request in few deaths runs without
 // its word.
-func (t *Tracker) ask(ctx context.Context, store Store, fingerprint uint64, life time.Duration, deaths int) (*Trial, *request.Refusal) {
+func (t *Tracker) requestTrial(ctx context.Context, store Store, fingerprint uint64, life time.Duration, deaths int) (*Trial, *request.Refusal) {
 	began := time.Now()
 	r, own := t.newTrial(fingerprint, life, began)
-	verdict, err := t.judged(ctx, store, own)
+	verdict, err := t.decideTrial(ctx, store, own)
 	log := t.log.WithFields(logrus.Fields{
-		"work": workName(fingerprint), "trial": r.id, "deaths": deaths, "took_ms": time.Since(began).Milliseconds(),
+		"work": formatFingerprint(fingerprint), "trial": r.id, "deaths": deaths, "took_ms": time.Since(began).Milliseconds(),
 	})
 	switch {
 	case err == nil:
 		log.WithField("verdict", verdict.String()).Info("trial_judged")
 		countTrial(verdict.String())
-	case deaths <= unprovenMost && ctx.Err() == nil:
+	case deaths <= maxUnconfirmedDeaths && ctx.Err() == nil:
 		log.WithError(err).Warn("trial_unasked")
 		countTrial("unasked")
-		t.noteUnasked(own)
+		t.mergeUnconfirmedTrial(own)
 		return r, nil
 	default:
 		log.WithError(err).Warn("trial_undecided")
@@ -146,35 +146,35 @@
 		return r, nil
 	}
 	r.End(quarantine.TrialNotSent)
-	return nil, later(tryAgain)
+	return nil, refuseForNow(trialRetryAfter)
 }
 
-// judged writes a trial to the store, waits until it has been read back, and returns what the
+// decideTrial writes a trial to the store, waits until it has been read back, and returns what the
 // store's order says of it.
-func (t *Tracker) judged(ctx context.Context, store Store, own *ownTrial) (quarantine.TrialVerdict, error) {
-	ctx, cancel := context.WithTimeout(ctx, trialWait)
+func (t *Tracker) decideTrial(ctx context.Context, store Store, own *ownTrial) (quarantine.TrialVerdict, error) {
+	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
-	if err := putTrial(ctx, store, own.aged(own.asked)); err != nil {
+	if err := putTrial(ctx, store, own.withAge(own.requestedAt)); err != nil {
 		return 0, err
 	}
-	if err := t.readBack(ctx, own.told.ID); err != nil {
+	if err := t.awaitReadBack(ctx, own.trial.ID); err != nil {
 		return 0, err
 	}
 	now := time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.core.Standing(own.told.Fingerprint, now) != quarantine.Isolate {
+	if t.core.Standing(own.trial.Fingerprint, now) != quarantine.Isolate {
 		return quarantine.TrialBusy, nil // more was read meanwhile
 	}
-	return t.core.JudgeTrial(own.told.ID, own.told.Fingerprint, now), nil
+	return t.core.JudgeTrial(own.trial.ID, own.trial.Fingerprint, now), nil
 }
 
-// noteUnasked has this daemon and its peers know of a trial that the store may not have.
-func (t *Tracker) noteUnasked(own *ownTrial) {
+// mergeUnconfirmedTrial has this daemon and its peers know of a trial that the store may not have.
+func (t *Tracker) mergeUnconfirmedTrial(own *ownTrial) {
 	now := time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.core.Merge(quarantine.Digest{Trials: []quarantine.Trial{own.aged(now)}}, now)
+	t.core.Merge(quarantine.Digest{Trials: []quarantine.Trial{own.withAge(now)}}, now)
 }
 
 func countTrial(verdict string) {
@@ -183,40 +183,40 @@
 
 // ownTrial is a trial of this daemon as it is told to others.
 type ownTrial struct {
-	told      quarantine.Trial // without its age
-	asked     time.Time
-	unwritten bool // the store has not been told its outcome
+	trial            quarantine.Trial // without its age
+	requestedAt      time.Time
+	outcomeUnwritten bool // the store has not been told its outcome
 }
 
-func (o *ownTrial) aged(now time.Time) quarantine.Trial {
-	told := o.told
-	told.Age = now.Sub(o.asked)
+func (o *ownTrial) withAge(now time.Time) quarantine.Trial {
+	told := o.trial
+	told.Age = now.Sub(o.requestedAt)
 	return told
 }
 
 func (t *Tracker) newTrial(fingerprint uint64, life time.Duration, now time.Time) (*Trial, *ownTrial) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lastTrial++
-	id := fmt.Sprintf("%s/%x/%d", t.host, t.born, t.lastTrial)
+	t.trialCount++
+	id := fmt.Sprintf("%s/%x/%d", t.host, t.startedAt, t.trialCount)
 	own := &ownTrial{
-		told:  quarantine.Trial{ID: id, Fingerprint: fingerprint, Host: t.host, Life: life},
-		asked: now,
+		trial:       quarantine.Trial{ID: id, Fingerprint: fingerprint, Host: t.host, Life: life},
+		requestedAt: now,
 	}
 	t.trials[id] = own
 	return &Trial{tracker: t, id: id, fingerprint: fingerprint}, own
 }
 
-// readBack waits until a trial has been read from the store, so that all before it have been.
-func (t *Tracker) readBack(ctx context.Context, id string) error {
+// awaitReadBack waits until a trial has been read from the store, so that all before it have been.
+func (t *Tracker) awaitReadBack(ctx context.Context, id string) error {
 	for {
 		t.mu.Lock()
-		read, seen := t.wasRead, t.core.HasRead(id)
+		read, seen := t.readDone, t.core.HasRead(id)
 		t.mu.Unlock()
 		if seen {
 			return nil
 		}
-		t.kickReader()
+		t.requestRead()
 		select {
 		case <-read:
 		case <-ctx.Done():
