--- a/internal/core/membership/exchange.go
+++ b/internal/core/membership/exchange.go
@@ -165,11 +165,11 @@
 	m.pendingLeaves = append(m.pendingLeaves, m.self)
 }
 
-// Forwards returns the pushes that pass on what was learned since the last call and must not
+// TakePushes returns the pushes that pass on what was learned since the last call and must not
 // wait for exchanges: leaves and published sections. They go to a few hosts of this domain. A
 // gateway or a leaving host also pushes the leaves of its domain's hosts to one host of each other
 // domain.
-func (m *Members) Forwards(rng *rand.Rand) []Outgoing {
+func (m *Members) TakePushes(rng *rand.Rand) []Outgoing {
 	out := m.takeSectionPushes(rng)
 	if len(m.pendingLeaves) == 0 {
 		return out
--- a/internal/core/membership/member.go
+++ b/internal/core/membership/member.go
@@ -54,7 +54,7 @@
 // Member is one host as this host sees it.
 type Member struct {
 	Identity
-	Seq       uint64 // version of the host up to which all its sections are held here
+	Version   uint64 // version of the host up to which all its sections are held here
 	State     State
 	LastHeard time.Time // local time at which the newest heartbeat known here was made
 }
@@ -65,12 +65,12 @@
 	Domain      string
 	Incarnation uint64
 	Version     uint64    // increases with each change, comparable within an incarnation
-	At          time.Time // local time of publication, off by up to the transmission time
+	PublishedAt time.Time // local time of publication, off by up to the transmission time
 	Data        []byte    // shared, must not be modified
 }
 
-// Listed is one host of the platform's list.
-type Listed struct {
+// ListedHost is one host of the platform's list.
+type ListedHost struct {
 	Host    string
 	Domain  string
 	Region  string
--- a/internal/core/membership/members.go
+++ b/internal/core/membership/members.go
@@ -13,25 +13,25 @@
 type Config struct {
 	Self Identity
 
-	Beat          time.Duration // time between two heartbeats, each of which raises the own version; default 1 s
-	SuspectAfter  time.Duration // silence after which a host of this domain is suspect; default 5 s
-	DeadAfter     time.Duration // silence after which it is dead; default 12 s
-	RemoteFactor  int           // multiplies both limits for hosts of other domains; default 10
-	RemoteQuantum int           // heartbeats per version step sent to other domains; default 16
-	ForgetAfter   time.Duration // silence after which a dead host is forgotten; default 1 h
+	HeartbeatInterval time.Duration // time between two heartbeats, each of which raises the own version; default 1 s
+	SuspectAfter      time.Duration // silence after which a host of this domain is suspect; default 5 s
+	DeadAfter         time.Duration // silence after which it is dead; default 12 s
+	RemoteFactor      int           // multiplies both limits for hosts of other domains; default 10
+	RemoteQuantum     int           // heartbeats per version step sent to other domains; default 16
+	ForgetAfter       time.Duration // silence after which a dead host is forgotten; default 1 h
 
 	Partners int // hosts of this domain that this one exchanges with at a time; default 8
-	// NearBy names a section: hosts of this domain that publish equal data in it are near each
+	// LocalitySection names a section: hosts of this domain that publish equal data in it are near each
 	// other, such as those of one failure domain where a domain has several. Most partners are
 	// near ones. Empty: all hosts count as near.
-	NearBy      string
-	FarPartners int // number of partners that are not near; default 2
-
-	RotateEvery   time.Duration // time after which the oldest partner is replaced; default 10 s
-	ProbeEvery    time.Duration // time between two probes of silent or unknown addresses; default 5 s
-	Gateways      int           // hosts of a domain that exchange with other domains; default 2
-	GatewayEvery  time.Duration // time between two exchanges with the same other domain; default 5 s
-	MaxDeltaBytes int           // approximate limit of the delta in one message; default 32 KiB
+	LocalitySection string
+	FarPartners     int // number of partners that are not near; default 2
+
+	RotateInterval  time.Duration // time after which the oldest partner is replaced; default 10 s
+	ProbeInterval   time.Duration // time between two probes of silent or unknown addresses; default 5 s
+	Gateways        int           // hosts of a domain that exchange with other domains; default 2
+	GatewayInterval time.Duration // time between two exchanges with the same other domain; default 5 s
+	MaxDeltaBytes   int           // approximate limit of the delta in one message; default 32 KiB
 }
 
 // Defaults of Config.
@@ -52,7 +52,7 @@
 )
 
 func (c *Config) setDefaults() {
-	option.Default(&c.Beat, defaultHeartbeatInterval)
+	option.Default(&c.HeartbeatInterval, defaultHeartbeatInterval)
 	option.Default(&c.SuspectAfter, defaultSuspectAfter)
 	option.Default(&c.DeadAfter, defaultDeadAfter)
 	option.Default(&c.RemoteFactor, defaultRemoteFactor)
@@ -60,10 +60,10 @@
 	option.Default(&c.ForgetAfter, defaultForgetAfter)
 	option.Default(&c.Partners, defaultPartners)
 	option.Default(&c.FarPartners, defaultFarPartners)
-	option.Default(&c.RotateEvery, defaultRotateEvery)
-	option.Default(&c.ProbeEvery, defaultProbeEvery)
+	option.Default(&c.RotateInterval, defaultRotateEvery)
+	option.Default(&c.ProbeInterval, defaultProbeEvery)
 	option.Default(&c.Gateways, defaultGateways)
-	option.Default(&c.GatewayEvery, defaultGatewayEvery)
+	option.Default(&c.GatewayInterval, defaultGatewayEvery)
 	option.Default(&c.MaxDeltaBytes, defaultMaxDeltaBytes)
 }
 
@@ -159,12 +159,12 @@
 	}
 }
 
-// HostList applies a host list read from the platform. It adds addresses to
+// ApplyHostList applies a host list read from the platform. It adds addresses to
 // probe and marks hosts as leaving when their entry changes to leaving. A host
 // missing from the list keeps its state. The mark ends when the list no longer
 // has the host as leaving, or with a newer incarnation: the list may refer to
 // the previous incarnation.
-func (m *Members) HostList(now time.Time, list []Listed) {
+func (m *Members) ApplyHostList(now time.Time, list []ListedHost) {
 	m.advance(now)
 	for addr, c := range m.contacts {
 		if c.host != "" {
@@ -184,7 +184,7 @@
 	m.listed = listed
 }
 
-func (m *Members) applyListedState(l Listed) {
+func (m *Members) applyListedState(l ListedHost) {
 	e := m.byHost[l.Host]
 	if e == nil {
 		return
@@ -213,7 +213,7 @@
 }
 
 func (m *Members) member(e *entry) Member {
-	return Member{Identity: e.id, Seq: e.version, State: m.state(e), LastHeard: e.lastHeard}
+	return Member{Identity: e.id, Version: e.version, State: m.state(e), LastHeard: e.lastHeard}
 }
 
 func (m *Members) state(e *entry) State {
--- a/internal/core/membership/pace.go
+++ b/internal/core/membership/pace.go
@@ -20,9 +20,9 @@
 // intervalFactor returns the factor by which heartbeat intervals are longer than in a small domain.
 func (m *Members) intervalFactor() float64 { return max(1, float64(m.localCount)/fullRateHosts) }
 
-// Pace returns the factor by which this host's exchange interval is to be longer than in a small
+// ExchangeIntervalFactor returns the factor by which this host's exchange interval is to be longer than in a small
 // domain. It is 1 while many new hosts are being discovered, as when all start.
-func (m *Members) Pace() float64 {
+func (m *Members) ExchangeIntervalFactor() float64 {
 	if !m.settled() {
 		return 1
 	}
--- a/internal/core/membership/sections.go
+++ b/internal/core/membership/sections.go
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// Published returns a counter that changes when a new section of any host is known here.
-func (m *Members) Published() int { return m.sectionsVersion }
+// SectionsVersion returns a counter that changes when a new section of any host is known here.
+func (m *Members) SectionsVersion() int { return m.sectionsVersion }
 
 // Sections returns the named section of every host that publishes it and is not
 // dead, this host included, ordered by host.
@@ -46,7 +46,7 @@
 			Domain:      e.id.Domain,
 			Incarnation: e.id.Incarnation,
 			Version:     s.Version,
-			At:          e.publishedAt[name],
+			PublishedAt: e.publishedAt[name],
 			Data:        s.Data,
 		})
 	}
--- a/internal/core/membership/tick.go
+++ b/internal/core/membership/tick.go
@@ -33,7 +33,7 @@
 func (m *Members) Tick(now time.Time, rng *rand.Rand) []Outgoing {
 	m.advance(now)
 	if !now.Before(m.nextHeartbeat) {
-		m.nextHeartbeat = now.Add(m.scaleInterval(m.cfg.Beat))
+		m.nextHeartbeat = now.Add(m.scaleInterval(m.cfg.HeartbeatInterval))
 		m.self.advanceHeartbeat()
 		m.forgetDead()
 	}
@@ -43,14 +43,14 @@
 		out = append(out, m.exchange(partner.id.Address, rng))
 	}
 	if !now.Before(m.nextGateway) {
-		m.nextGateway = now.Add(m.cfg.GatewayEvery)
+		m.nextGateway = now.Add(m.cfg.GatewayInterval)
 		out = append(out, m.gatewayExchanges(rng)...)
 	}
 	return append(out, m.probes(rng, partner == nil)...)
 }
 
-// Failed records that a message to an address could not be delivered.
-func (m *Members) Failed(now time.Time, address string) {
+// DeliveryFailed records that a message to an address could not be delivered.
+func (m *Members) DeliveryFailed(now time.Time, address string) {
 	m.advance(now)
 	for _, e := range m.order {
 		if e.id.Address == address && e != m.self {
@@ -110,7 +110,7 @@
 		return e == nil || !m.reachable(e)
 	})
 	if len(m.partners) > 1 && !m.clock.Before(m.nextRotate) {
-		m.nextRotate = m.clock.Add(m.scaleInterval(m.cfg.RotateEvery))
+		m.nextRotate = m.clock.Add(m.scaleInterval(m.cfg.RotateInterval))
 		m.partners = m.partners[1:]
 	}
 	m.fillPartners(rng)
@@ -182,14 +182,14 @@
 	return e != nil && !m.isNear(e)
 }
 
-// isNear reports whether a host is near this one. A host that does not publish the NearBy
+// isNear reports whether a host is near this one. A host that does not publish the LocalitySection
 // section counts as far.
 func (m *Members) isNear(e *entry) bool {
-	if m.cfg.NearBy == "" {
+	if m.cfg.LocalitySection == "" {
 		return true
 	}
-	own, ok := m.self.sections[m.cfg.NearBy]
-	other, published := e.sections[m.cfg.NearBy]
+	own, ok := m.self.sections[m.cfg.LocalitySection]
+	other, published := e.sections[m.cfg.LocalitySection]
 	return ok && published && bytes.Equal(own.Data, other.Data)
 }
 
@@ -270,7 +270,7 @@
 	if !alone && m.clock.Before(m.nextProbe) {
 		return nil
 	}
-	m.nextProbe = m.clock.Add(m.cfg.ProbeEvery)
+	m.nextProbe = m.clock.Add(m.cfg.ProbeInterval)
 	candidates := m.silentAddresses()
 	n := 1
 	if alone {
--- a/internal/core/quarantine/site_store_test.go
+++ b/internal/core/quarantine/site_store_test.go
@@ -33,12 +33,12 @@
 // writeEvidence writes what the host has seen itself, when that has changed.
 func (s *site) writeEvidence(h *siteHost) {
 	now := s.timeAt(s.now)
-	said := fmt.Sprint(h.Own(now, false))
+	said := fmt.Sprint(h.OwnRecords(now, false))
 	if h.oldRelease || !h.loaded || h.storeUnreachable || said == h.writtenEvidence || said == "[]" {
 		return
 	}
 	h.writtenEvidence = said
-	s.put(h, stored{key: h.name, evidence: h.Own(now, true)})
+	s.put(h, stored{key: h.name, evidence: h.OwnRecords(now, true)})
 }
 
 func (s *site) deliver() {
@@ -79,9 +79,9 @@
 	for _, r := range records {
 		switch {
 		case r.trial != nil:
-			h.ReadTrial(*r.trial, now)
+			h.ApplyStoredTrial(*r.trial, now)
 		case r.key == h.name && !h.loaded:
-			h.Adopt(r.evidence, now)
+			h.RestoreOwnRecords(r.evidence, now)
 		default:
 			h.Merge(Digest{Records: r.evidence}, now)
 		}
--- a/internal/core/quarantine/site_test.go
+++ b/internal/core/quarantine/site_test.go
@@ -136,7 +136,7 @@
 
 // start begins a life of a host, which knows nothing.
 func (s *site) start(h *siteHost) {
-	h.Tracker = New(Options{Host: h.name, SettleAfter: settleTime, For: time.Hour})
+	h.Tracker = New(Options{Host: h.name, SettleAfter: settleTime, QuarantineTime: time.Hour})
 	h.incarnation++
 	h.read, h.loaded, h.writtenEvidence, h.pendingTrials, h.connectedSince = 0, false, "", nil, s.now
 	s.runs = slices.DeleteFunc(s.runs, func(r *running) bool { return s.hosts[r.host] == h })
@@ -214,7 +214,7 @@
 	case Isolate:
 		if h.oldRelease {
 			s.place(host, w, "")
-		} else if h.loaded && !h.storeUnreachable && h.JudgeTrial("", w.fingerprint, now) == TrialGranted && len(h.pendingTrials) == 0 {
+		} else if h.loaded && !h.storeUnreachable && h.EvaluateTrial("", w.fingerprint, now) == TrialGranted && len(h.pendingTrials) == 0 {
 			s.ask(h, w)
 		}
 	default:
@@ -254,9 +254,9 @@
 	for _, a := range asks {
 		late := s.now-a.since > trialLife-runTicks-1
 		switch {
-		case !late && !h.HasRead(a.id):
+		case !late && !h.HasStoredTrial(a.id):
 			h.pendingTrials = append(h.pendingTrials, a)
-		case late, h.JudgeTrial(a.id, a.work.fingerprint, s.timeAt(s.now)) != TrialGranted,
+		case late, h.EvaluateTrial(a.id, a.work.fingerprint, s.timeAt(s.now)) != TrialGranted,
 			h.Standing(a.work.fingerprint, s.timeAt(s.now)) != Isolate,
 			!s.place(slices.Index(s.hosts, h), a.work, a.id):
 			s.recordOutcome(h, a.id, a.work, TrialNotSent)
@@ -331,7 +331,7 @@
 func (s *site) crashEngine(engine int) {
 	name := s.engineID(fmt.Sprint("e", engine), engine)
 	for _, h := range s.hosts {
-		h.Died(name, name, s.timeAt(s.now))
+		h.EngineDied(name, name, s.timeAt(s.now))
 	}
 	for _, r := range s.runs {
 		if r.engine != engine {
--- a/internal/router/work_test.go
+++ b/internal/router/work_test.go
@@ -23,7 +23,7 @@
 // offer notes prompts of one length.
 func offer(t *testing.T, r *Router, request string, tokens int) {
 	t.Helper()
-	d, err := r.Place(placement.Ask{Pool: testPool, Tokens: tokens, MaxTokens: 1, LongFrom: 32_000})
+	d, err := r.Place(placement.Request{Pool: testPool, Tokens: tokens, MaxTokens: 1, LongFrom: 32_000})
 	if err != nil || d.Verdict != placement.Placed {
 		t.Fatalf("%s: %v, %v", request, d.Verdict, err)
 	}
@@ -37,7 +37,7 @@
 	short, mixed := routerOfSix(now), routerOfSix(now)
 	for _, r := range []*Router{short, mixed} {
 		for _, name := range []string{"e1", "e2", "e3", "e4", "e5", "e6"} {
-			r.Report(name, placement.Report{Incarnation: "1", Seq: 1, Taken: now, PrefillRate: 1e6, MemoryTotal: 1e6})
+			r.ApplyReport(name, placement.Report{Incarnation: "1", Seq: 1, Taken: now, PrefillRate: 1e6, MemoryTotal: 1e6})
 		}
 	}
 	offer(t, short, "a", 2000)
@@ -47,14 +47,14 @@
 		t.Fatalf("offered work is %v", w)
 	}
 	mine, theirs := short.OfferedWork(), mixed.OfferedWork()
-	short.PeerWork("mixed", theirs)
-	short.PeerWork("mixed", map[string]placement.Work{"unknown": {1}})
-	mixed.PeerWork("short", mine)
+	short.ApplyPeerWork("mixed", theirs)
+	short.ApplyPeerWork("mixed", map[string]placement.Work{"unknown": {1}})
+	mixed.ApplyPeerWork("short", mine)
 	now = now.Add(time.Minute)
 	for i, r := range []*Router{short, mixed} {
 		r.opts.Now = func() time.Time { return now.Add(-50 * time.Second) }
 		offer(t, r, "last", 2000)
-		long, live := r.view.Boundary(testPool, "hal-a")
+		long, live := r.view.LongPromptEngines(testPool, "hal-a")
 		if long < 4 || live != 6 {
 			t.Errorf("front %d has %d of %d engines for long prompts", i, long, live)
 		}
--- a/internal/suspects/group_test.go
+++ b/internal/suspects/group_test.go
@@ -11,8 +11,8 @@
 // largeGroup is a failure domain of largeGroup daemons.
 type largeGroup []membership.Member
 
-func (m largeGroup) Hosts() int                  { return len(m) }
-func (m largeGroup) NearBy() []membership.Member { return m }
+func (m largeGroup) HostCount() int                     { return len(m) }
+func (m largeGroup) DomainMembers() []membership.Member { return m }
 
 func (m largeGroup) readers(now time.Time) int {
 	n := 0
