--- a/internal/core/membership/members.go
+++ b/internal/core/membership/members.go
@@ -44,10 +44,10 @@
 	defaultForgetAfter       = time.Hour
 	defaultPartners          = 8
 	defaultFarPartners       = 2
-	defaultRotateEvery       = 10 * time.Second
-	defaultProbeEvery        = 5 * time.Second
+	defaultRotateInterval    = 10 * time.Second
+	defaultProbeInterval     = 5 * time.Second
 	defaultGateways          = 2
-	defaultGatewayEvery      = 5 * time.Second
+	defaultGatewayInterval   = 5 * time.Second
 	defaultMaxDeltaBytes     = 32 << 10
 )
 
@@ -60,10 +60,10 @@
 	option.Default(&c.ForgetAfter, defaultForgetAfter)
 	option.Default(&c.Partners, defaultPartners)
 	option.Default(&c.FarPartners, defaultFarPartners)
-	option.Default(&c.RotateInterval, defaultRotateEvery)
-	option.Default(&c.ProbeInterval, defaultProbeEvery)
+	option.Default(&c.RotateInterval, defaultRotateInterval)
+	option.Default(&c.ProbeInterval, defaultProbeInterval)
 	option.Default(&c.Gateways, defaultGateways)
-	option.Default(&c.GatewayInterval, defaultGatewayEvery)
+	option.Default(&c.GatewayInterval, defaultGatewayInterval)
 	option.Default(&c.MaxDeltaBytes, defaultMaxDeltaBytes)
 }
 
@@ -110,7 +110,7 @@
 	partnerIndex    int             // into partners, of the last exchange
 	domains         map[string]bool // other known domains
 	pendingLeaves   []*entry
-	pendingSections map[*entry][]Section // new since the last Forwards
+	pendingSections map[*entry][]Section // new since the last TakePushes
 
 	sectionsVersion int
 }
--- a/internal/core/membership/members_test.go
+++ b/internal/core/membership/members_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestHostList applies lists in turn at a host that hears from "b".
-func TestHostList(t *testing.T) {
+// TestApplyHostList applies lists in turn at a host that hears from "b".
+func TestApplyHostList(t *testing.T) {
 	live := []ListedHost{{Host: "b", Domain: "a", Address: "b:1"}}
 	leaving := []ListedHost{{Host: "b", Domain: "a", Address: "b:1", Leaving: true}}
 	for _, c := range []struct {
--- a/internal/core/membership/near_test.go
+++ b/internal/core/membership/near_test.go
@@ -126,15 +126,15 @@
 	}
 }
 
-func TestFirstAndNear(t *testing.T) {
+func TestTopAndNearby(t *testing.T) {
 	var ranked []Member
 	for _, host := range []string{"far-1", "near-1", "far-2", "near-2", "far-3", "near-3"} {
 		ranked = append(ranked, Member{Identity: Identity{Host: host}})
 	}
 	near := func(host string) bool { return strings.HasPrefix(host, "near") }
 	cases := []struct {
-		n, few int
-		want   string
+		n, maxNear int
+		want       string
 	}{
 		{1, 2, "far-1 near-1 near-2"},
 		{2, 1, "far-1 near-1 near-2"},
@@ -145,11 +145,11 @@
 	}
 	for _, c := range cases {
 		var got []string
-		for _, m := range TopAndNearby(ranked, c.n, c.few, near) {
+		for _, m := range TopAndNearby(ranked, c.n, c.maxNear, near) {
 			got = append(got, m.Host)
 		}
 		if s := strings.Join(got, " "); s != c.want {
-			t.Errorf("first %d and %d near: %s, want %s", c.n, c.few, s, c.want)
+			t.Errorf("first %d and %d near: %s, want %s", c.n, c.maxNear, s, c.want)
 		}
 	}
 }
--- a/internal/core/membership/rendezvous.go
+++ b/internal/core/membership/rendezvous.go
@@ -62,14 +62,14 @@
 	return ranked
 }
 
-// TopAndNearby returns the first n of ranked members, followed by the first few of the others
+// TopAndNearby returns the first n of ranked members, followed by the first maxNear of the others
 // that are near. It selects the candidates for a task that one host does for all and that must
 // go on where the first n are unreachable because of a partition.
-func TopAndNearby(ranked []Member, n, few int, near func(host string) bool) []Member {
+func TopAndNearby(ranked []Member, n, maxNear int, near func(host string) bool) []Member {
 	n = min(n, len(ranked))
 	chosen := slices.Clone(ranked[:n])
 	for _, m := range ranked[n:] {
-		if len(chosen) == n+few {
+		if len(chosen) == n+maxNear {
 			break
 		}
 		if near(m.Host) {
