--- a/internal/core/quarantine/digest.go
+++ b/internal/core/quarantine/digest.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Digest is a host's evidence, as spread to its peers. Ages and remaining times
-// stand for times, since clocks differ.
+// Digest is a host's evidence as sent to its peers. It holds ages and remaining
+// durations instead of times, because clocks differ.
 type Digest struct {
 	Host    string
 	Records []RecordDigest
@@ -17,35 +17,35 @@
 	Trials  []Trial
 }
 
-// RecordDigest is one death.
+// RecordDigest is the evidence of one death.
 type RecordDigest struct {
 	ID      RecordID
 	Age     time.Duration
 	Open    []uint64 // fingerprints that may have caused it
-	Cleared []uint64 // that ran to their end afterwards
-	Tried   []uint64 // of both, that ran under trial
+	Cleared []uint64 // fingerprints that completed afterwards
+	Tried   []uint64 // those of Open and Cleared that ran under trial
 }
 
 // RefusedDigest is one refused fingerprint.
 type RefusedDigest struct {
 	Fingerprint uint64
-	Left        time.Duration
-	// Derived refusals follow from trials and records, which hosts of this release have or will
-	// have; those of former releases keep them like the others.
+	Left        time.Duration // until the refusal ends
+	// Derived refusals follow from trials and records, from which hosts of this release derive
+	// them too; hosts of earlier releases store them like the others.
 	Derived bool
 }
 
-// Hold says that a suspect runs on an engine.
+// Hold records that a fingerprint that is not clear runs on an engine.
 type Hold struct {
 	Engine      string
 	Fingerprint uint64
 	Standing    Standing
 }
 
-// Version changes when there is something new to spread.
+// Version returns a counter that changes when the digest has changed.
 func (t *Tracker) Version() uint64 { return t.version }
 
-// Digest returns all evidence that this host has, its own and its peers'.
+// Digest returns all evidence that this host holds, its own and that of its peers.
 func (t *Tracker) Digest(now time.Time) Digest {
 	d := Digest{Host: t.opts.Host}
 	for id, r := range t.records {
@@ -77,11 +77,11 @@
 	return d
 }
 
-// derivedRefusals returns the fingerprints that are refused because of their trials.
+// derivedRefusals returns the refusals that follow from trials.
 func (t *Tracker) derivedRefusals(now time.Time) []RefusedDigest {
 	var all []RefusedDigest
 	for fingerprint := range t.trialsOf {
-		if _, told := t.refused[fingerprint]; told {
+		if _, stored := t.refused[fingerprint]; stored {
 			continue
 		}
 		if left := t.RefusedFor(fingerprint, now); left > 0 {
@@ -91,8 +91,8 @@
 	return all
 }
 
-// OwnRecords returns the evidence of deaths that this host has seen itself, in a form that changes only
-// with what it says: ages are left out where aged is false.
+// OwnRecords returns the records of deaths that this host observed itself. Without ages, which are
+// zero where aged is false, the result changes only with the evidence.
 func (t *Tracker) OwnRecords(now time.Time, aged bool) []RecordDigest {
 	d := Digest{}
 	for id, r := range t.records {
@@ -119,7 +119,7 @@
 	return d.Records
 }
 
-// RestoreOwnRecords takes in what a former life of this host had seen itself.
+// RestoreOwnRecords adds the own records of an earlier incarnation of this host.
 func (t *Tracker) RestoreOwnRecords(records []RecordDigest, now time.Time) {
 	t.Merge(Digest{Records: records}, now)
 	for _, rd := range records {
@@ -149,8 +149,8 @@
 	})
 }
 
-// Merge takes a peer's digest. Records are united: merging is commutative and may
-// be repeated. A refusal that is known is not prolonged.
+// Merge adds a peer's digest. Records are united: merging is commutative and may
+// be repeated. A known refusal is not prolonged.
 func (t *Tracker) Merge(d Digest, now time.Time) {
 	for _, rd := range d.Records {
 		t.mergeRecord(rd, now)
@@ -160,8 +160,8 @@
 			t.refuse(r.Fingerprint, now.Add(min(r.Left, t.opts.QuarantineTime)))
 		}
 	}
-	for _, heard := range d.Trials {
-		t.mergeTrial(heard, now)
+	for _, received := range d.Trials {
+		t.mergeTrial(received, now)
 	}
 	if d.Host == "" || d.Host == t.opts.Host {
 		return
@@ -186,5 +186,5 @@
 	}
 }
 
-// ForgetHost drops what a peer said to run, as when it has left or is silent.
+// ForgetHost drops the holds of a peer, for one that has left or is silent.
 func (t *Tracker) ForgetHost(host string) { delete(t.peerHolds, host) }
--- a/internal/core/quarantine/evidence.go
+++ b/internal/core/quarantine/evidence.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// evaluateRecords reports whether one of a fingerprint's settled records proves it the
-// cause, and whether all of them are settled.
+// evaluateRecords reports whether one of a fingerprint's settled records proves
+// that it caused the death, and whether all of its records are settled.
 func (t *Tracker) evaluateRecords(rs []*record, now time.Time) (proved, settled bool) {
 	settled = true
 	for _, r := range rs {
@@ -14,14 +14,14 @@
 			settled = false
 			continue
 		}
-		if r.openCount == 1 { // it is not cleared itself, so it is the one
+		if r.openCount == 1 { // rs holds only records in which the fingerprint is not cleared
 			proved = true
 		}
 	}
 	return proved, settled
 }
 
-// addRecord adds fingerprints to the record of a death.
+// addRecord adds fingerprints to the record of a death and creates it if needed.
 func (t *Tracker) addRecord(id RecordID, at time.Time, ran []uint64) *record {
 	r := t.records[id]
 	if r == nil {
@@ -41,7 +41,7 @@
 	return r
 }
 
-// markTried notes whether a fingerprint of a record ran under trial.
+// markTried marks a fingerprint of a record as run under trial if trial is true.
 func (t *Tracker) markTried(r *record, fingerprint uint64, trial bool) {
 	if trial && !r.tried[fingerprint] {
 		r.tried[fingerprint] = true
@@ -49,7 +49,7 @@
 	}
 }
 
-// clearFromAll takes a fingerprint out of all records.
+// clearFromAll clears a fingerprint from all records.
 func (t *Tracker) clearFromAll(fingerprint uint64) {
 	for _, r := range t.openRecords[fingerprint] {
 		r.cleared[fingerprint] = true
@@ -58,7 +58,7 @@
 	delete(t.openRecords, fingerprint)
 }
 
-// clearFromRecord takes a fingerprint out of one record.
+// clearFromRecord clears a fingerprint from one record.
 func (t *Tracker) clearFromRecord(r *record, fingerprint uint64) {
 	if cleared, ok := r.cleared[fingerprint]; !ok || cleared {
 		r.cleared[fingerprint] = true
@@ -90,7 +90,7 @@
 	t.version++
 }
 
-// evictOldestRecord drops the oldest record when there are too many.
+// evictOldestRecord drops the oldest record when MaxRecords are kept.
 func (t *Tracker) evictOldestRecord() {
 	if len(t.records) < t.opts.MaxRecords {
 		return
@@ -105,10 +105,10 @@
 	t.dropRecord(oldest)
 }
 
-// expireEvery keeps expire from looking at all evidence on each call.
+// expireEvery limits how often expire scans all evidence.
 const expireEvery = time.Second
 
-// expire forgets evidence and refusals that are over.
+// expire drops expired evidence, refusals, trials and broken runs.
 func (t *Tracker) expire(now time.Time) {
 	if now.Sub(t.lastExpiry) < expireEvery {
 		return
@@ -132,7 +132,7 @@
 	}
 }
 
-// endRefusal ends a refusal. The evidence that led to it has been used up: it would
+// endRefusal ends a refusal and drops the records that led to it, which would
 // only lead to the same refusal again.
 func (t *Tracker) endRefusal(fingerprint uint64) {
 	delete(t.refused, fingerprint)
--- a/internal/core/quarantine/site_play_test.go
+++ b/internal/core/quarantine/site_property_test.go
@@ -11,7 +11,8 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// lateSends returns how often a work was sent by hosts in touch when all of these had to know it.
+// lateSends returns how often connected hosts sent a work to an engine after all of them had to
+// know the deaths that it caused.
 func (s *site) lateSends(w *work) int {
 	deaths := s.deaths[w.fingerprint]
 	if len(deaths) < knownDeaths {
@@ -26,7 +27,7 @@
 	return late
 }
 
-// run plays the site and returns what it breaks.
+// run simulates the site and returns the violations.
 func (s *site) run(culprits, innocents, leavers int) []string {
 	for i := range culprits {
 		s.works = append(s.works, &work{fingerprint: uint64(1 + i), culprit: true})
@@ -51,57 +52,56 @@
 }
 
 func (s *site) violations() []string {
-	var broken []string
+	var violations []string
 	for _, w := range s.works {
 		former := slices.ContainsFunc(s.hosts, func(h *siteHost) bool { return h.oldRelease })
 		if late := s.lateSends(w); w.culprit && late > maxLateSends && !former {
-			broken = append(broken, fmt.Sprintf("culprit %d reached engines %d times late, %d ended", w.fingerprint, late, len(s.deaths[w.fingerprint])))
+			violations = append(violations, fmt.Sprintf("culprit %d reached engines %d times late, %d engines died", w.fingerprint, late, len(s.deaths[w.fingerprint])))
 		}
 		if slices.Contains(s.concurrentTrials, w.fingerprint) {
-			broken = append(broken, fmt.Sprintf("%d ran under two trials at once", w.fingerprint))
+			violations = append(violations, fmt.Sprintf("%d ran under two trials at once", w.fingerprint))
 		}
 		if !w.culprit && !w.done {
-			broken = append(broken, fmt.Sprintf("innocent %d is not served: %s", w.fingerprint, s.hosts[0].Standing(w.fingerprint, s.timeAt(s.now))))
+			violations = append(violations, fmt.Sprintf("innocent %d is not served: %s", w.fingerprint, s.hosts[0].Standing(w.fingerprint, s.timeAt(s.now))))
 		}
 	}
-	return broken
+	return violations
 }
 
-// TestSiteStopsCulpritsAndServesInnocents guards against a request that each host
-// tries once more, whatever becomes of the evidence: late, lost, out of order, forgotten by hosts
-// that start again, kept from hosts that are cut from each other or from the store; and against
-// requests that are refused because others beside them end engines, or leave and are never seen
-// again.
+// TestSiteStopsCulpritsAndServesInnocents guards against a culprit that every host runs once more,
+// also when evidence is late, lost, out of order, forgotten by restarted hosts, or withheld by
+// partitions between hosts or from the store; and against innocents that are refused because
+// requests beside them crash engines, or are abandoned by their callers and never return.
 func TestSiteStopsCulpritsAndServesInnocents(t *testing.T) {
 	for _, c := range []struct {
-		name                                          string
-		hosts, engines, former, culprits, innos, leav int
-		lossy, apart                                  bool
+		name                                                   string
+		hosts, engines, oldHosts, culprits, innocents, leavers int
+		lossy, noGossip                                        bool
 	}{
 		{"few others", 6, 8, 0, 1, 30, 30, true, false},
 		{"leavers", 6, 8, 0, 1, 60, 600, false, false},
 		{"leavers, messages lost", 6, 8, 0, 1, 60, 600, true, false},
 		{"two culprits", 6, 8, 0, 2, 300, 600, true, false},
 		{"crowded", 8, 4, 0, 1, 60, 600, true, false},
-		{"apart", 6, 8, 0, 1, 60, 600, false, true},
-		{"a host of the release before", 6, 8, 1, 1, 60, 600, true, false},
+		{"no gossip", 6, 8, 0, 1, 60, 600, false, true},
+		{"a host of the previous release", 6, 8, 1, 1, 60, 600, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			params := gopter.DefaultTestParametersWithSeed(52)
 			params.MinSuccessfulTests = 40
 			props := gopter.NewProperties(params)
 			worst := 0
-			props.Property("few late, all innocents served", prop.ForAll(func(seed uint64) string {
-				s := newSite(seed, c.hosts, c.engines, c.former)
-				s.lossy, s.noGossip = c.lossy, c.apart
-				broken := s.run(c.culprits, c.innos, c.leav)
+			props.Property("few late sends, all innocents served", prop.ForAll(func(seed uint64) string {
+				s := newSite(seed, c.hosts, c.engines, c.oldHosts)
+				s.lossy, s.noGossip = c.lossy, c.noGossip
+				violations := s.run(c.culprits, c.innocents, c.leavers)
 				for _, w := range s.works {
 					worst = max(worst, s.lateSends(w))
 				}
-				return strings.Join(broken, "; ")
+				return strings.Join(violations, "; ")
 			}, gen.UInt64()))
 			props.TestingRun(t)
-			t.Logf("most times late: %d", worst)
+			t.Logf("most late sends: %d", worst)
 		})
 	}
 }
--- a/internal/core/quarantine/site_store_test.go
+++ b/internal/core/quarantine/site_store_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// writeEvidence writes what the host has seen itself, when that has changed.
+// writeEvidence writes the host's own records when they have changed.
 func (s *site) writeEvidence(h *siteHost) {
 	now := s.timeAt(s.now)
 	said := fmt.Sprint(h.OwnRecords(now, false))
@@ -58,7 +58,7 @@
 	})
 }
 
-// readStore reads on, or, for a host that has just started, the newest record of each key.
+// readStore reads new records, or, for a host that has just started, the newest record of each key.
 func (s *site) readStore(h *siteHost) {
 	if h.oldRelease || h.storeUnreachable || s.now < h.nextRead {
 		return
--- a/internal/core/quarantine/site_test.go
+++ b/internal/core/quarantine/site_test.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Times of the modelled site, in ticks.
+// Times of the simulated site; ints are in ticks.
 const (
 	tick          = 250 * time.Millisecond
 	settleTime    = 3 * time.Second
-	spreadTicks   = int(settleTime / tick) // from the third death until all hosts in touch know of it
-	maxDelayTicks = 3                      // a write, a read or a message takes so many at the most
-	runTicks      = 5                      // of a request, at the most
-	trialLife     = 14                     // of a trial, with all that it waits for
+	spreadTicks   = int(settleTime / tick) // from the last of knownDeaths deaths until all connected hosts know of it
+	maxDelayTicks = 3                      // longest time of a write, a read or a message
+	runTicks      = 5                      // longest run time of a request
+	trialLife     = 14                     // of a trial, waiting time included
 	siteTicks     = 240
-	recoveryTicks = 400 // in which all innocents have to be served once nothing is harmed any more
+	recoveryTicks = 400 // after the last fault, in which all innocents have to be served
 )
 
-// Bounds that the site has to keep.
+// Limits that the site has to keep.
 const (
-	knownDeaths  = 3
-	maxLateSends = 3
+	knownDeaths  = 3 // deaths of a culprit after which its sends count as late
+	maxLateSends = 3 // late sends allowed for each culprit
 )
 
-// stored is one record of the modelled store.
+// stored is one record of the simulated store.
 type stored struct {
 	key      string
 	evidence []RecordDigest
@@ -33,28 +33,28 @@
 	written  int
 }
 
-// message is a digest on its way.
+// message is a digest in transit.
 type message struct {
 	to, due int
 	digest  Digest
 }
 
-// write is a record on its way to the store.
+// write is a record in transit to the store.
 type write struct {
 	due    int
 	record stored
 }
 
-// work is a request that comes again and again.
+// work is a request that is sent repeatedly until it is done; a culprit forever.
 type work struct {
 	fingerprint  uint64
 	culprit      bool
-	callerLeaves bool // its caller leaves before its end, and is not seen again
+	callerLeaves bool // its caller aborts it before its end and does not return
 	done         bool
 	arrivals     []arrival
 }
 
-// meanInterval is the mean number of ticks between two comings.
+// meanInterval returns the mean number of ticks between two sends.
 func (w *work) meanInterval() int {
 	if w.culprit {
 		return 8
@@ -62,47 +62,47 @@
 	return 2
 }
 
-// arrival is a sending to an engine.
+// arrival is a send to an engine.
 type arrival struct {
 	tick      int
-	connected bool
+	connected bool // of the host, at that time
 }
 
 // running is a request on an engine.
 type running struct {
 	work         *work
 	host, engine int
-	incarnation  int // of the host
+	incarnation  int // the host's
 	run          Run
 	trial        string
 	ends         int
 }
 
-// pendingTrial is a trial whose host waits to read it.
+// pendingTrial is a trial that its host has written and waits to read.
 type pendingTrial struct {
 	work  *work
 	id    string
 	since int
 }
 
-// siteHost is one daemon of the model.
+// siteHost is one simulated daemon.
 type siteHost struct {
 	*Tracker
 	name             string
 	incarnation      int
-	oldRelease       bool // of the release before: it knows no trials and no store
-	read             int  // records of the store
+	oldRelease       bool // of the previous release, without trials and store
+	read             int  // number of records read from the store
 	loaded           bool // it has read the store since its start
 	nextRead         int
-	writtenEvidence  string // its evidence as the store has it
+	writtenEvidence  string // as last written to the store
 	pendingTrials    []pendingTrial
 	trials           int
-	cutFrom          map[int]bool // hosts
-	storeUnreachable bool         // it does not reach the store
-	connectedSince   int          // tick since when it reaches the store, and lives
+	cutFrom          map[int]bool // by host: no messages pass between the two
+	storeUnreachable bool         // the store is unreachable from it
+	connectedSince   int          // last tick at which it started, or lost or regained the store
 }
 
-// site is a modelled site.
+// site is a simulated site.
 type site struct {
 	rng              *rand.Rand
 	now              int
@@ -110,12 +110,12 @@
 	store            []stored
 	writes           []write
 	messages         []message
-	incarnations     []int // of the engines
+	incarnations     []int // of each engine
 	runs             []*running
 	works            []*work
-	deaths           map[uint64][]int // by fingerprint: ticks at which engines ended under it
-	lossy            bool
-	noGossip         bool // no host hears another one
+	deaths           map[uint64][]int // by fingerprint: ticks at which it crashed engines
+	lossy            bool             // messages and writes may be lost or late
+	noGossip         bool             // no digests are delivered
 	healed           bool
 	concurrentTrials []uint64 // fingerprints that ran under two trials at once
 }
@@ -134,7 +134,7 @@
 
 func (s *site) randomDelay() int { return s.now + 1 + s.rng.IntN(maxDelayTicks) }
 
-// start begins a life of a host, which knows nothing.
+// start starts or restarts a host without any evidence.
 func (s *site) start(h *siteHost) {
 	h.Tracker = New(Options{Host: h.name, SettleAfter: settleTime, QuarantineTime: time.Hour})
 	h.incarnation++
@@ -142,7 +142,7 @@
 	s.runs = slices.DeleteFunc(s.runs, func(r *running) bool { return s.hosts[r.host] == h })
 }
 
-// injectFaults cuts, heals and restarts hosts.
+// injectFaults restarts hosts, and starts and ends partitions between them and from the store.
 func (s *site) injectFaults() {
 	for i, h := range s.hosts {
 		if s.rng.IntN(120) == 0 {
@@ -172,7 +172,7 @@
 	return !h.storeUnreachable && s.now-h.connectedSince >= spreadTicks
 }
 
-// step plays one tick.
+// step simulates one tick.
 func (s *site) step() {
 	s.now++
 	if !s.healed {
@@ -191,7 +191,7 @@
 	s.deliver()
 }
 
-// sendArrivals has works come to hosts: culprits often to many at once.
+// sendArrivals sends works to random hosts, culprits often to many at once.
 func (s *site) sendArrivals() {
 	for _, w := range s.works {
 		if w.done || s.rng.IntN(w.meanInterval()) > 0 {
@@ -222,7 +222,7 @@
 	}
 }
 
-// ask writes a trial. What the host waits for may come late, or never.
+// ask writes a trial to the store. The write may arrive late.
 func (s *site) ask(h *siteHost, w *work) {
 	h.trials++
 	id := fmt.Sprintf("%s/%d/%d", h.name, h.incarnation, h.trials)
@@ -230,7 +230,7 @@
 	s.put(h, stored{key: id, trial: &Trial{ID: id, Fingerprint: w.fingerprint, Host: h.name, Life: trialLife * tick}})
 }
 
-// put sends a record to the store; one that is lost on its way may still come, much later.
+// put sends a record to the store. A lost record may still arrive much later.
 func (s *site) put(h *siteHost, r stored) {
 	r.written = s.now
 	due := s.randomDelay()
@@ -240,14 +240,15 @@
 	s.writes = append(s.writes, write{due, r})
 }
 
-// recordOutcome writes what became of a trial.
+// recordOutcome merges the outcome of a trial and writes it to the store.
 func (s *site) recordOutcome(h *siteHost, id string, w *work, o TrialOutcome) {
 	told := Trial{ID: id, Fingerprint: w.fingerprint, Host: h.name, Life: trialLife * tick, Outcome: o}
 	h.Merge(Digest{Trials: []Trial{told}}, s.timeAt(s.now))
 	s.put(h, stored{key: id, trial: &told})
 }
 
-// startReadTrials takes up the trials that have been read, and gives up those that are not in time.
+// startReadTrials starts the pending trials that have been read and granted, and gives up the others
+// that were read and those that are late.
 func (s *site) startReadTrials(h *siteHost) {
 	asks := h.pendingTrials
 	h.pendingTrials = nil
@@ -264,7 +265,7 @@
 	}
 }
 
-// place sends a work to an engine, if there is one for it.
+// place sends a work to a random engine on which it may start, and reports whether there is one.
 func (s *site) place(host int, w *work, trial string) bool {
 	h := s.hosts[host]
 	for _, engine := range s.rng.Perm(len(s.incarnations)) {
@@ -293,7 +294,8 @@
 	return fmt.Sprint(name, ".", s.incarnations[engine])
 }
 
-// finishRuns ends what is due: innocents complete or are left, culprits finishRuns their engines.
+// finishRuns ends the runs that are due: innocents complete or are aborted, culprits crash their
+// engines.
 func (s *site) finishRuns() {
 	var dead []int
 	for _, r := range s.runs {
@@ -327,7 +329,7 @@
 	s.recordOutcome(h, r.trial, r.work, o)
 }
 
-// crashEngine ends an engine under all that runs there. Callers of some leave.
+// crashEngine ends an engine and all runs on it, some of which their callers abandon.
 func (s *site) crashEngine(engine int) {
 	name := s.engineID(fmt.Sprint("e", engine), engine)
 	for _, h := range s.hosts {
--- a/internal/core/quarantine/tracker.go
+++ b/internal/core/quarantine/tracker.go
@@ -18,21 +18,21 @@
 // Options configures a Tracker.
 type Options struct {
 	Host           string
-	CrashThreshold int           // deaths of engines after which a proved fingerprint is refused; DefaultCrashes when zero
-	QuarantineTime time.Duration // how long it is refused, and evidence counts; DefaultFor when zero
-	SettleAfter    time.Duration // time for other hosts' part of a record to arrive; DefaultSettleAfter when zero, none when negative
-	MaxRecords     int           // kept records, the newest; DefaultMaxRecords when zero
+	CrashThreshold int           // deaths of engines after which a proven cause is refused; DefaultCrashThreshold when zero
+	QuarantineTime time.Duration // how long a refusal lasts and evidence counts; DefaultQuarantineTime when zero
+	SettleAfter    time.Duration // time for other hosts' parts of a record to arrive; DefaultSettleAfter when zero, none when negative
+	MaxRecords     int           // number of records kept, the newest; DefaultMaxRecords when zero
 }
 
-// Standing is what the evidence says of a fingerprint.
+// Standing is the status of a fingerprint according to the evidence.
 type Standing uint8
 
-// Standings, from the best.
+// Standings, from the least to the most restrictive.
 const (
 	Clear   Standing = iota // place it anywhere
 	Suspect                 // place it apart from other suspects
 	Isolate                 // place it where nothing else runs
-	Held                    // do not place it until its last crash has settled
+	Held                    // do not place it until its last death has settled
 	Refused                 // refuse it at once
 )
 
@@ -46,7 +46,7 @@
 	return standingNames[s]
 }
 
-// Run is one attempt of a fingerprint on an engine.
+// Run identifies one attempt of a fingerprint on an engine.
 type Run uint64
 
 type run struct {
@@ -55,28 +55,28 @@
 	trial       bool
 }
 
-// brokenRun is a run that broke when its engine may have died.
+// brokenRun is a run that broke off, possibly because its engine died.
 type brokenRun struct {
 	run
 	at time.Time
 }
 
-// brokenRunTTL is how long a broken run waits for word of its engine.
+// brokenRunTTL is how long after it broke a run counts as evidence if its engine turns out to be dead.
 const brokenRunTTL = 30 * time.Second
 
-// RecordID names the death of one start of an engine.
+// RecordID identifies the death of one incarnation of an engine.
 type RecordID struct {
 	Engine      string
 	Incarnation string
 }
 
-// record is the evidence of one death: true for a fingerprint that was cleared.
+// record is the evidence of one death. Its maps are keyed by fingerprint.
 type record struct {
 	at        time.Time
-	cleared   map[uint64]bool
+	cleared   map[uint64]bool // all that ran: whether it completed afterwards
 	openCount int             // not cleared
-	tried     map[uint64]bool // ran under trial
-	own       map[uint64]bool // ran for this host
+	tried     map[uint64]bool // those that ran under trial
+	own       map[uint64]bool // those that ran for this host
 }
 
 // Tracker holds the evidence of one host. It is not safe for concurrent use.
@@ -86,17 +86,17 @@
 	runs        map[Run]run
 	engines     map[string]map[Run]uint64
 	records     map[RecordID]*record
-	openRecords map[uint64][]*record   // records in which a fingerprint is not cleared
-	refused     map[uint64]time.Time   // until when
-	peerHolds   map[string][]Hold      // of other hosts
+	openRecords map[uint64][]*record   // by fingerprint: records in which it is not cleared
+	refused     map[uint64]time.Time   // by fingerprint: end of the refusal
+	peerHolds   map[string][]Hold      // by host
 	brokenRuns  map[string][]brokenRun // by engine
 	trials      map[string]*trial      // by ID
 	trialsOf    map[uint64][]*trial    // by fingerprint
-	derived     map[uint64]bool        // refusals that follow from trials, as they were told
+	derived     map[uint64]bool        // by fingerprint: a refusal that follows from trials was counted in version
 	version     uint64
-	lastExpiry  time.Time // when expire ran last
+	lastExpiry  time.Time // time of the last scan by expire
 
-	lastPosition uint64 // place of the newest that was read
+	lastPosition uint64 // store position of the newest trial read
 }
 
 // New returns a Tracker without evidence.
@@ -117,7 +117,7 @@
 	return t
 }
 
-// SetOptions changes the options, as the settings do.
+// SetOptions replaces the options, for example after a change of the settings.
 func (t *Tracker) SetOptions(o Options) {
 	o.CrashThreshold = cmp.Or(max(o.CrashThreshold, 0), DefaultCrashThreshold)
 	o.QuarantineTime = cmp.Or(max(o.QuarantineTime, 0), DefaultQuarantineTime)
@@ -126,7 +126,7 @@
 	t.opts = o
 }
 
-// Standing returns what the evidence says of a fingerprint now.
+// Standing returns the standing of a fingerprint at a time.
 func (t *Tracker) Standing(fingerprint uint64, now time.Time) Standing {
 	if t.isRefused(fingerprint, now) {
 		return Refused
@@ -159,7 +159,8 @@
 // Deaths returns the number of records in which a fingerprint is not cleared.
 func (t *Tracker) Deaths(fingerprint uint64) int { return len(t.openRecords[fingerprint]) }
 
-// noteDerivedRefusal notes a refusal that follows from trials: hosts of former releases are to be told.
+// noteDerivedRefusal raises the version for a refusal that follows from trials, because hosts of
+// earlier releases need it in the digest. It returns Refused.
 func (t *Tracker) noteDerivedRefusal(fingerprint uint64) Standing {
 	if !t.derived[fingerprint] {
 		t.derived[fingerprint] = true
@@ -168,21 +169,21 @@
 	return Refused
 }
 
-// RefusedFor returns how long a fingerprint stays refused, zero when it is not.
+// RefusedFor returns how long a fingerprint stays refused, zero when it is not refused.
 func (t *Tracker) RefusedFor(fingerprint uint64, now time.Time) time.Duration {
 	if t.Standing(fingerprint, now) != Refused {
 		return 0
 	}
 	until := t.refused[fingerprint]
-	for _, told := range []func(uint64, time.Time) (time.Time, bool){t.trialsSpentUntil, t.provedByTrialUntil} {
-		if end, _ := told(fingerprint, now); end.After(until) {
+	for _, refusalEnd := range []func(uint64, time.Time) (time.Time, bool){t.trialsSpentUntil, t.provedByTrialUntil} {
+		if end, _ := refusalEnd(fingerprint, now); end.After(until) {
 			until = end
 		}
 	}
 	return until.Sub(now)
 }
 
-// HeldFor returns how long a fingerprint waits for its last death to settle.
+// HeldFor returns the time until a fingerprint's last death settles, zero when all have settled.
 func (t *Tracker) HeldFor(fingerprint uint64, now time.Time) time.Duration {
 	var left time.Duration
 	for _, r := range t.openRecords[fingerprint] {
@@ -218,7 +219,7 @@
 	return true
 }
 
-// mayRunTogether reports whether two requests may run on one engine.
+// mayRunTogether reports whether requests of two standings may run on one engine.
 func mayRunTogether(a, b Standing) bool {
 	if a >= Isolate || b >= Isolate {
 		return false
@@ -226,8 +227,8 @@
 	return a == Clear || b == Clear
 }
 
-// Started notes that a fingerprint begins on an engine. End must be called with
-// the Run at its end.
+// Started records that a fingerprint starts on an engine. End must be called with
+// the returned Run at its end.
 func (t *Tracker) Started(engine string, fingerprint uint64) Run {
 	return t.started(run{engine: engine, fingerprint: fingerprint})
 }
@@ -251,8 +252,8 @@
 	return t.lastRun
 }
 
-// End notes that a run is over. One that completed clears its fingerprint of all
-// deaths so far. The end of a run whose engine was told dead changes nothing.
+// End records that a run is over. A completed run clears its fingerprint from all
+// deaths so far. The end of a run whose engine was recorded as dead has no effect.
 func (t *Tracker) End(r Run, completed bool) {
 	ended, ok := t.runs[r]
 	if !ok {
@@ -271,8 +272,8 @@
 	}
 }
 
-// EndBroken notes that a run broke in a way in which a death of its engine shows, while nothing tells
-// whether it died. If it did, Died within brokenFor counts the run; Lives drops it.
+// EndBroken ends a run that broke off as it would if its engine had died, while it is not known
+// whether it has. EngineDied within brokenRunTTL counts the run as evidence; EngineAlive drops it.
 func (t *Tracker) EndBroken(r Run, now time.Time) {
 	if broke, ok := t.runs[r]; ok {
 		t.brokenRuns[broke.engine] = append(t.brokenRuns[broke.engine], brokenRun{broke, now})
@@ -280,7 +281,7 @@
 	t.End(r, false)
 }
 
-// dropBrokenRuns drops the broken runs of a fingerprint, which has completed since.
+// dropBrokenRuns drops the broken runs of a fingerprint that has completed since.
 func (t *Tracker) dropBrokenRuns(fingerprint uint64) {
 	for engine, runs := range t.brokenRuns {
 		runs = slices.DeleteFunc(runs, func(r brokenRun) bool { return r.fingerprint == fingerprint })
@@ -291,10 +292,10 @@
 	}
 }
 
-// EngineAlive notes that an engine has not died.
+// EngineAlive records that an engine has not died.
 func (t *Tracker) EngineAlive(engine string) { delete(t.brokenRuns, engine) }
 
-// HasBrokenRuns reports whether a run has broken on an engine of which nothing was heard since.
+// HasBrokenRuns reports whether an engine has broken runs and its state is not known since.
 func (t *Tracker) HasBrokenRuns(engine string) bool { return len(t.brokenRuns[engine]) > 0 }
 
 func (t *Tracker) removeRun(r Run, engine string) {
@@ -305,11 +306,11 @@
 	}
 }
 
-// EngineDied notes that an engine died and makes all that ran on it suspects. It
-// returns their fingerprints, each once. The incarnation, of the start that died,
-// joins the reports of one death; one that was only out of reach is not a death.
+// EngineDied records that an engine died and makes all that ran on it suspects. It
+// returns their fingerprints, each once. The incarnation that died identifies reports
+// of the same death. It must not be called for an engine that was merely unreachable.
 func (t *Tracker) EngineDied(engine, incarnation string, now time.Time) []uint64 {
-	tried := make(map[uint64]bool) // all that ran: whether under trial
+	tried := make(map[uint64]bool) // all fingerprints that ran: whether under trial
 	for r := range t.engines[engine] {
 		dead := t.runs[r]
 		tried[dead.fingerprint] = tried[dead.fingerprint] || dead.trial
--- a/internal/core/quarantine/tracker_test.go
+++ b/internal/core/quarantine/tracker_test.go
@@ -52,7 +52,7 @@
 	w.jobs = append(w.jobs, &job{fingerprint: uint64(len(w.jobs) + 1), culprit: culprit, host: w.rng.IntN(len(w.hosts)), engine: -1})
 }
 
-// step places, runs, completes and crashes, then spreads the digests.
+// step places and ends jobs, and then exchanges digests between all hosts.
 func (w *world) step() {
 	w.now = w.now.Add(step)
 	for _, i := range w.rng.Perm(len(w.jobs)) {
@@ -109,13 +109,14 @@
 	for _, j := range w.jobs {
 		if j.engine == engine && !j.done {
 			j.engine = -1
-			w.hosts[j.host].End(j.run, false) // late, after the death
+			w.hosts[j.host].End(j.run, false) // reported after the death
 		}
 	}
 }
 
-// run adds innocents and culprits over time, more innocents afterwards, and runs
-// until all is over. It returns the most crashes of one culprit.
+// run adds innocents and culprits over time, more innocents afterwards, and steps
+// until all jobs are done. It returns the most crashes of one culprit and whether
+// all jobs are done.
 func (w *world) run(innocents, culprits int) (worst int, over bool) {
 	kinds := w.rng.Perm(innocents + culprits)
 	for n := 0; n < 2000 && (n < 60 || !w.allDone()); n++ {
@@ -162,7 +163,7 @@
 	}
 }
 
-// crashEngine starts fingerprints on an engine and lets it die.
+// crashEngine starts fingerprints on an engine and records its death.
 func crashEngine(t *Tracker, engine, incarnation string, now time.Time, fingerprints ...uint64) {
 	for _, f := range fingerprints {
 		t.Started(engine, f)
@@ -173,7 +174,7 @@
 func TestStandings(t *testing.T) {
 	tr := New(Options{})
 	crashEngine(tr, "e1", "1", start, 1, 2)
-	crashEngine(tr, "e1", "1", start, 2) // the same death, told again
+	crashEngine(tr, "e1", "1", start, 2) // the same death, reported again
 	now := start.Add(DefaultSettleAfter)
 	if got := tr.Standing(1, now); got != Suspect {
 		t.Fatalf("after one death: %s", got)
@@ -200,7 +201,7 @@
 	}
 	run := tr.Started("e4", 1)
 	if tr.MayPlace("e4", 5, now) {
-		t.Error("a clear request was let in beside an isolated one")
+		t.Error("a clear request may start beside an isolated one")
 	}
 	tr.End(run, false)
 	tr.End(tr.Started("e3", 2), true)
@@ -216,7 +217,7 @@
 
 func TestMergeIsAUnion(t *testing.T) {
 	props := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(51))
-	props.Property("any order and repetition gives the same evidence", prop.ForAll(func(seed uint64) bool {
+	props.Property("any order and repetition give the same evidence", prop.ForAll(func(seed uint64) bool {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		var digests []Digest
 		for h := range 3 {
@@ -278,7 +279,7 @@
 	}
 	b.ForgetHost("c")
 	if !b.MayPlace("e9", 9, start) {
-		t.Error("the hold of a host that left still counts")
+		t.Error("the hold of a forgotten host still counts")
 	}
 }
 
@@ -294,7 +295,7 @@
 	b.Run("100 deaths", func(b *testing.B) { benchmarkMayPlace(b, t) })
 }
 
-// benchmarkMayPlace asks for an engine that runs 100 requests.
+// benchmarkMayPlace measures MayPlace for an engine that runs 100 requests.
 func benchmarkMayPlace(b *testing.B, t *Tracker) {
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/core/quarantine/trials.go
+++ b/internal/core/quarantine/trials.go
@@ -9,26 +9,26 @@
 
 // Bounds of the trials of one fingerprint.
 const (
-	// MaxTrials is how often one that never completes may run under trial and have nothing that
-	// speaks for it.
+	// MaxTrials is the number of trials in which a fingerprint may run without completing. Deaths
+	// beside a fingerprint in as many deaths are not counted.
 	MaxTrials = 2
-	// MaxTrialSends counts all that may have reached an upstream.
+	// MaxTrialSends is the number of trials whose request may have reached an upstream.
 	MaxTrialSends = 3
 )
 
-// maxTrackedTrials bounds the trials of all fingerprints that are remembered.
+// maxTrackedTrials limits the number of trials kept, of all fingerprints together.
 const maxTrackedTrials = 1024
 
-// TrialOutcome says what became of a trial.
+// TrialOutcome is the result of a trial.
 type TrialOutcome uint8
 
 // Outcomes of a trial. All but the first are final.
 const (
-	TrialOpen      TrialOutcome = iota // it may run, or its host has not told
-	TrialRan                           // it may have run, and did not complete
-	TrialDeclined                      // it was sent, and the upstream did not run it
-	TrialNotSent                       //
-	TrialCompleted                     // the request ran to its end
+	TrialOpen      TrialOutcome = iota // it may run, or its host has not reported its end
+	TrialRan                           // it may have run and did not complete
+	TrialDeclined                      // it was sent and the upstream did not run it
+	TrialNotSent                       // it was not sent to an upstream
+	TrialCompleted                     // the request completed
 )
 
 var trialOutcomeNames = [...]string{"open", "ran", "declined", "not_sent", "completed"}
@@ -41,41 +41,42 @@
 	return trialOutcomeNames[o]
 }
 
-// Trial is the right to run a fingerprint once that has been in enough deaths. All hosts read
-// the trials in one order, that of the store.
+// Trial is the permission to run a fingerprint with CrashThreshold or more deaths once. All hosts
+// read the trials in the same order, that of the store.
 //
 // Invariant: of the open trials of a fingerprint only the first in that order may run, and it has
-// ended before its Life has passed, by the clock of any host that has read of it.
+// ended before its Life has passed, by the clock of any host that has read it.
 type Trial struct {
-	ID          string // unique, over all hosts and their lives
+	ID          string // unique over all hosts and their incarnations
 	Fingerprint uint64
 	Host        string
-	Life        time.Duration // since it was asked for
-	Age         time.Duration // since it was asked for, as spread or read
+	Life        time.Duration // time since the request for it after which it counts as ended
+	Age         time.Duration // time since the request for it, when it was sent or read
 	Outcome     TrialOutcome
 }
 
-// trial is what is known of one.
+// trial is a known trial.
 type trial struct {
 	Trial
 	at       time.Time
-	position uint64 // in the order of the store; zero: heard from a peer alone
+	position uint64 // in the order of the store; zero: known only from a peer
 }
 
-// isOpen reports whether it may still run.
+// isOpen reports whether the trial may still run.
 func (r *trial) isOpen(now time.Time) bool {
 	return r.Outcome == TrialOpen && now.Sub(r.at) < r.Life
 }
 
-// countsAsRun reports whether it may run, or has run without completing.
+// countsAsRun reports whether the trial may still run or may have run without completing.
 func (r *trial) countsAsRun(now time.Time) bool { return r.isOpen(now) || r.Outcome == TrialRan }
 
-// countsAsSent reports whether an upstream may have got it. One whose host never told may have been.
+// countsAsSent reports whether the trial's request may have reached an upstream without completing.
+// One whose host never reported its end may have.
 func (r *trial) countsAsSent() bool { return r.Outcome != TrialNotSent && r.Outcome != TrialCompleted }
 
-// ApplyStoredTrial takes in what the store has of a trial, in the store's order.
-func (t *Tracker) ApplyStoredTrial(read Trial, now time.Time) {
-	r := t.mergeTrial(read, now)
+// ApplyStoredTrial adds or updates a trial read from the store. Calls must follow the store's order.
+func (t *Tracker) ApplyStoredTrial(stored Trial, now time.Time) {
+	r := t.mergeTrial(stored, now)
 	if r != nil && r.position == 0 {
 		t.lastPosition++
 		r.position = t.lastPosition
@@ -88,32 +89,33 @@
 	return r != nil && r.position > 0
 }
 
-// mergeTrial takes in what is said of a trial; nil: it is too old to count. What is final stays.
-func (t *Tracker) mergeTrial(heard Trial, now time.Time) *trial {
-	if heard.Age >= t.opts.QuarantineTime {
+// mergeTrial adds or updates a trial and returns it, nil when it is too old to count. A final
+// outcome is not changed.
+func (t *Tracker) mergeTrial(received Trial, now time.Time) *trial {
+	if received.Age >= t.opts.QuarantineTime {
 		return nil
 	}
-	r := t.trials[heard.ID]
+	r := t.trials[received.ID]
 	if r == nil {
-		r = t.addTrial(heard, now)
+		r = t.addTrial(received, now)
 	}
-	if r.Outcome == TrialOpen && heard.Outcome != TrialOpen {
-		r.Outcome = heard.Outcome
+	if r.Outcome == TrialOpen && received.Outcome != TrialOpen {
+		r.Outcome = received.Outcome
 		t.version++
-		if heard.Outcome == TrialCompleted {
+		if received.Outcome == TrialCompleted {
 			t.clearAfterTrial(r.Fingerprint)
 		}
 	}
 	return r
 }
 
-// addTrial notes a trial that was not known. The oldest is dropped when there are too many.
-func (t *Tracker) addTrial(heard Trial, now time.Time) *trial {
+// addTrial adds a new trial as open. It drops the oldest one when maxTrackedTrials are kept.
+func (t *Tracker) addTrial(received Trial, now time.Time) *trial {
 	if len(t.trials) >= maxTrackedTrials {
 		oldest := slices.MinFunc(slices.Collect(maps.Values(t.trials)), func(a, b *trial) int { return a.at.Compare(b.at) })
 		t.dropTrial(oldest)
 	}
-	r := &trial{Trial: heard, at: now.Add(-max(heard.Age, 0))}
+	r := &trial{Trial: received, at: now.Add(-max(received.Age, 0))}
 	r.Outcome = TrialOpen
 	t.trials[r.ID] = r
 	t.trialsOf[r.Fingerprint] = append(t.trialsOf[r.Fingerprint], r)
@@ -132,8 +134,8 @@
 	t.version++
 }
 
-// clearAfterTrial clears a fingerprint that completed under trial: its deaths and trials so far count no
-// more.
+// clearAfterTrial clears a fingerprint that completed under trial: its deaths and trials so far no
+// longer count.
 func (t *Tracker) clearAfterTrial(fingerprint uint64) {
 	t.clearFromAll(fingerprint)
 	for _, r := range t.trialsOf[fingerprint] {
@@ -143,14 +145,14 @@
 	}
 }
 
-// TrialVerdict says what a host may do about a trial.
+// TrialVerdict is the decision whether a trial may run.
 type TrialVerdict uint8
 
 // Verdicts.
 const (
 	TrialGranted TrialVerdict = iota // it may run
-	TrialBusy                        // another one runs
-	TrialSpent                       // none may run any more
+	TrialBusy                        // another trial of the fingerprint may be running
+	TrialSpent                       // no more trials of the fingerprint may run
 )
 
 var trialVerdictNames = [...]string{"granted", "busy", "spent"}
@@ -163,8 +165,8 @@
 	return trialVerdictNames[v]
 }
 
-// EvaluateTrial says whether a trial that has been read may run now; with an empty ID, whether one
-// that is asked for may.
+// EvaluateTrial returns whether a trial that has been read from the store may run now or, with an
+// empty ID, whether a new trial may.
 func (t *Tracker) EvaluateTrial(id string, fingerprint uint64, now time.Time) TrialVerdict {
 	own := t.trials[id]
 	var ran, sent int
@@ -191,7 +193,8 @@
 	return TrialGranted
 }
 
-// excusedDeaths returns how often a fingerprint died under trial beside one that is in as many deaths.
+// excusedDeaths returns the number of deaths under trial that a fingerprint shares with another
+// one that is in at least as many deaths.
 func (t *Tracker) excusedDeaths(fingerprint uint64) int {
 	n := 0
 	for _, r := range t.openRecords[fingerprint] {
@@ -202,19 +205,19 @@
 	return n
 }
 
-// maxDeathsBeside returns in how many records one of the others in a record is, at the most.
-func (t *Tracker) maxDeathsBeside(r *record, but uint64) int {
-	most := 0
+// maxDeathsBeside returns the highest number of deaths of the other open fingerprints of a record.
+func (t *Tracker) maxDeathsBeside(r *record, except uint64) int {
+	highest := 0
 	for fingerprint, cleared := range r.cleared {
-		if !cleared && fingerprint != but {
-			most = max(most, len(t.openRecords[fingerprint]))
+		if !cleared && fingerprint != except {
+			highest = max(highest, len(t.openRecords[fingerprint]))
 		}
 	}
-	return most
+	return highest
 }
 
-// trialsSpentUntil returns until when a fingerprint is refused because its trials are used up and none
-// of them runs any more.
+// trialsSpentUntil returns the end of a fingerprint's refusal when its trials are used up and none of
+// them may still be running.
 func (t *Tracker) trialsSpentUntil(fingerprint uint64, now time.Time) (until time.Time, spent bool) {
 	if len(t.trialsOf[fingerprint]) == 0 || t.EvaluateTrial("", fingerprint, now) != TrialSpent {
 		return time.Time{}, false
@@ -233,9 +236,9 @@
 	return until, true
 }
 
-// provedByTrialUntil returns until when a fingerprint is refused because an upstream died when it ran
-// under trial, and whatever else died there has been in no other death: a cause that came there
-// by chance would be in others by now, or be so soon, and the refusal is over then.
+// provedByTrialUntil returns the end of a fingerprint's refusal when an upstream died while it ran
+// under trial, and every other open fingerprint of that record has been in no other death. If one
+// of them were the cause, it would be in other deaths by now or soon, which ends the refusal.
 func (t *Tracker) provedByTrialUntil(fingerprint uint64, now time.Time) (until time.Time, condemned bool) {
 	rs := t.openRecords[fingerprint]
 	if len(rs) < t.opts.CrashThreshold {
@@ -252,19 +255,19 @@
 	return until, !until.IsZero()
 }
 
-// digestTrials returns what is known of all trials.
+// digestTrials returns all known trials, ordered by ID.
 func (t *Tracker) digestTrials(now time.Time) []Trial {
 	var all []Trial
 	for _, r := range t.trials {
-		told := r.Trial
-		told.Age = now.Sub(r.at)
-		all = append(all, told)
+		d := r.Trial
+		d.Age = now.Sub(r.at)
+		all = append(all, d)
 	}
 	slices.SortFunc(all, func(a, b Trial) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-// expireTrials forgets those that count no more.
+// expireTrials drops the trials that are too old to count.
 func (t *Tracker) expireTrials(now time.Time) {
 	for _, r := range t.trials {
 		if now.Sub(r.at) >= t.opts.QuarantineTime {
--- a/internal/core/quarantine/trials_test.go
+++ b/internal/core/quarantine/trials_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// dieUnderTrial has a fingerprint die on an engine under a trial that has been read.
+// dieUnderTrial lets an engine die while a fingerprint runs on it under a stored trial.
 func dieUnderTrial(tr *Tracker, id string, fingerprint uint64, now time.Time, beside ...uint64) {
 	tr.ApplyStoredTrial(Trial{ID: id, Fingerprint: fingerprint, Life: time.Second}, now)
 	for _, f := range beside {
@@ -17,8 +17,8 @@
 	tr.ApplyStoredTrial(Trial{ID: id, Fingerprint: fingerprint, Life: time.Second, Outcome: TrialRan}, now)
 }
 
-// newSuspect returns a tracker with a fingerprint that died twice beside two others, and when that
-// has settled.
+// newSuspect returns a tracker with a fingerprint in two deaths, each beside two others, and the time
+// at which both have settled.
 func newSuspect(fingerprint uint64) (*Tracker, time.Time) {
 	tr := New(Options{})
 	crashEngine(tr, "a", "1", start, fingerprint, 90, 92)
@@ -26,8 +26,8 @@
 	return tr, start.Add(DefaultSettleAfter)
 }
 
-// TestDeathUnderTrialProvesCauseUntilOthersDieAgain guards against a proof that waits for
-// others who are never seen again, and against one that holds when another cause shows.
+// TestDeathUnderTrialProvesCauseUntilOthersDieAgain guards against a proof that waits for other
+// fingerprints that never return, and against one that stays when another cause appears.
 func TestDeathUnderTrialProvesCauseUntilOthersDieAgain(t *testing.T) {
 	tr, now := newSuspect(1)
 	dieUnderTrial(tr, "c", 1, now, 95)
@@ -36,7 +36,7 @@
 	}
 	now = now.Add(DefaultSettleAfter)
 	if got, left := tr.Standing(1, now), tr.RefusedFor(1, now); got != Refused || left != DefaultQuarantineTime-DefaultSettleAfter {
-		t.Errorf("%s for %v", got, left)
+		t.Errorf("after the death has settled: %s for %v", got, left)
 	}
 	crashEngine(tr, "d", "1", now, 95)
 	if got := tr.Standing(1, now); got != Isolate {
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestTrialsAreLimited guards against a request that is tried on while nothing proves it: two trials
-// in which it may have run, three sendings in all.
+// TestTrialsAreLimited guards against endless trials of a request that is never proven the cause: at
+// most two in which it may have run, and three in which it may have been sent.
 func TestTrialsAreLimited(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestTrialBesideAnotherCauseIsExcused guards against an innocent whose trials end
-// beside those of others that end engines.
+// TestTrialBesideAnotherCauseIsExcused guards against an innocent that uses up its trials because
+// another request crashes the engines beside it.
 func TestTrialBesideAnotherCauseIsExcused(t *testing.T) {
 	tr, now := newSuspect(1)
 	for _, engine := range []string{"x", "y", "z"} {
@@ -88,7 +88,8 @@
 	}
 }
 
-// TestFirstTrialInStoreOrderRuns guards against two hosts that both find that none runs.
+// TestFirstTrialInStoreOrderRuns guards against two hosts that both start a trial because each sees
+// none running.
 func TestFirstTrialInStoreOrderRuns(t *testing.T) {
 	tr, now := newSuspect(1)
 	for _, id := range []string{"first", "second"} {
@@ -101,12 +102,12 @@
 		t.Errorf("the second: %s", got)
 	}
 	if got := tr.EvaluateTrial("second", 1, now.Add(time.Second)); got != TrialGranted {
-		t.Errorf("the second, when the first one's time is over: %s", got)
+		t.Errorf("the second, after the first has expired: %s", got)
 	}
 }
 
-// TestBrokenRunCountsWhenItsEngineDied guards against deaths that are told only later, and
-// against evidence on an engine that has served since.
+// TestBrokenRunCountsWhenItsEngineDied guards against ignoring deaths that are reported only later,
+// and against evidence from an engine that has served since.
 func TestBrokenRunCountsWhenItsEngineDied(t *testing.T) {
 	tr := New(Options{})
 	tr.EndBroken(tr.Started("a", 1), start)
@@ -126,19 +127,19 @@
 	}
 }
 
-// TestDerivedRefusalReachesHostsOfThePreviousRelease: they know no trials, and hold to
-// what they are told is refused; others go by the trials.
+// TestDerivedRefusalReachesHostsOfThePreviousRelease guards against hosts without trials that run a
+// request refused because of trials: they need the refusal itself. Other hosts derive it.
 func TestDerivedRefusalReachesHostsOfThePreviousRelease(t *testing.T) {
 	tr, now := newSuspect(1)
 	dieUnderTrial(tr, "c", 1, now, 95)
 	now = now.Add(DefaultSettleAfter)
 	told := tr.Version()
 	if tr.Standing(1, now) != Refused || tr.Version() == told {
-		t.Error("the refusal is no news")
+		t.Error("the refusal does not change the version")
 	}
 	d := tr.Digest(now)
 	if len(d.Refused) != 1 || d.Refused[0].Fingerprint != 1 || !d.Refused[0].Derived {
-		t.Fatalf("told %+v", d.Refused)
+		t.Fatalf("the digest has refusals %+v", d.Refused)
 	}
 	other := New(Options{Host: "other"})
 	other.Merge(Digest{Host: "h", Refused: d.Refused}, now)
