--- a/internal/core/finding/finding.go
+++ b/internal/core/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects faults of an input with their place, so that all of
-// them are reported together instead of one a try.
+// Package finding collects the faults of an input with their places, so that all
+// of them are reported together instead of one per attempt.
 package finding
 
 import (
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// Place says where a finding is. Zero fields are left out of its text.
+// Place is the location of a finding. Zero fields are left out of its text.
 type Place struct {
 	File string // file name, or settings path of the document
 	Line int    // from 1
-	Key  string // dotted path inside the document, as pools[0].upstreams[2].address
+	Key  string // dotted path inside the document, such as pools[0].upstreams[2].address
 }
 
-// String returns file:line: key.
+// String returns the place in the form "file:line: key".
 func (p Place) String() string {
 	var b strings.Builder
 	b.WriteString(p.File)
@@ -31,7 +31,7 @@
 	return b.String()
 }
 
-// Finding is one fault.
+// Finding is one fault of an input.
 type Finding struct {
 	Place   Place
 	Message string
@@ -42,11 +42,11 @@
 	return f.Place.String() + ": " + f.Message
 }
 
-// List holds findings in the order they were added. It is an error when it is
-// not empty; use Err to get one.
+// List holds findings in the order they were added. Use Err to get it as an error,
+// or nil when it is empty.
 type List []Finding
 
-// Addf adds a finding.
+// Addf adds a finding with a message formatted as by fmt.Sprintf.
 func (l *List) Addf(place Place, format string, args ...any) {
 	*l = append(*l, Finding{Place: place, Message: fmt.Sprintf(format, args...)})
 }
@@ -65,7 +65,7 @@
 	})
 }
 
-// Error returns one line a finding.
+// Error returns one line per finding.
 func (l List) Error() string {
 	lines := make([]string, len(l))
 	for i, f := range l {
