--- a/internal/core/quarantine/digest.go
+++ b/internal/core/quarantine/digest.go
@@ -42,7 +42,7 @@
 	Standing    Standing
 }
 
-// Version returns a counter that changes when the digest has changed.
+// Version returns a counter that changes when there is new evidence to share.
 func (t *Tracker) Version() uint64 { return t.version }
 
 // Digest returns all evidence that this host holds, its own and that of its peers.
--- a/internal/suspects/group.go
+++ b/internal/suspects/group.go
@@ -6,24 +6,24 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/membership"
 )
 
-// Group is what keeping evidence needs of the other daemons.
+// Group describes the other daemons to SyncWithStore.
 type Group interface {
-	// HostCount returns the number of all daemons that are known.
+	// HostCount returns the number of known daemons.
 	HostCount() int
-	// DomainMembers returns the daemons of the own failure domain, this one among them.
+	// DomainMembers returns the daemons of this failure domain, this one included.
 	DomainMembers() []membership.Member
 }
 
-// Which daemons read the store. What they read reaches the others by digests.
+// Limits for which daemons read the store. The others get what these read through digests.
 const (
-	allReadUpTo      = 16 // daemons up to which all do
-	readersPerDomain = 4  // in each failure domain otherwise
-	// readerTimeout is the age of a reader's last heartbeat from which it counts as cut off.
+	allReadUpTo      = 16 // number of daemons up to which all read it
+	readersPerDomain = 4  // daemons of each failure domain that read it otherwise
+	// readerTimeout is the age of a reader's last heartbeat from which it counts as unreachable.
 	readerTimeout = 2 * time.Second
 )
 
-// readsStore reports whether a daemon readsStore the store: where daemons are few, as one of the first of its
-// failure domain, or because it hears none of these.
+// readsStore reports whether a daemon reads the store: because there are few daemons, because it is
+// one of its failure domain's readers, or because it has heard from none of these recently.
 func readsStore(host string, group Group, now time.Time) bool {
 	if group.HostCount() <= allReadUpTo {
 		return true
--- a/internal/suspects/group_test.go
+++ b/internal/suspects/group_test.go
@@ -8,7 +8,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/membership"
 )
 
-// largeGroup is a failure domain of largeGroup daemons.
+// largeGroup is a Group of one failure domain.
 type largeGroup []membership.Member
 
 func (m largeGroup) HostCount() int                     { return len(m) }
@@ -24,8 +24,8 @@
 	return n
 }
 
-// TestOnlySomeOfManyDaemonsReadTheStore guards against reads that grow with the daemons, and against
-// daemons that leave them to others of whom they hear nothing.
+// TestOnlySomeOfManyDaemonsReadTheStore guards against reads that grow with the number of daemons, and
+// against daemons that rely on readers from which they have not heard recently.
 func TestOnlySomeOfManyDaemonsReadTheStore(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct{ daemons, silentFor, want int }{
@@ -38,7 +38,7 @@
 			group = append(group, m)
 		}
 		if got := group.readers(now); got != c.want {
-			t.Errorf("%d of %d daemons read, heard %d s ago; want %d", got, c.daemons, c.silentFor, c.want)
+			t.Errorf("%d of %d daemons read, last heard from %d s ago; want %d", got, c.daemons, c.silentFor, c.want)
 		}
 	}
 }
--- a/internal/suspects/former_test.go
+++ b/internal/suspects/previous_release_test.go
@@ -12,7 +12,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/quarantine"
 )
 
-// previousDigest is evidence as daemons of the release before spread it.
+// previousDigest is the digest of daemons of the previous release.
 type previousDigest struct {
 	Host    string
 	Records []struct {
@@ -27,8 +27,8 @@
 	Holds []quarantine.Hold
 }
 
-// TestPreviousReleaseExchangesEvidence guards against evidence that one release cannot
-// read of the other while both run: deaths, what runs, and what is refused because of trials.
+// TestPreviousReleaseExchangesEvidence guards against evidence that one release cannot read from the
+// other while both run: deaths, holds, and refusals that follow from trials.
 func TestPreviousReleaseExchangesEvidence(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -47,10 +47,10 @@
 		t.Fatal(err)
 	}
 	if got := tr.core.Deaths(culprit); got != 1 {
-		t.Errorf("heard of %d deaths", got)
+		t.Errorf("%d deaths after the merge", got)
 	}
 	if _, ok := tr.TryStart("e8", culprit, nil, now); ok {
-		t.Error("started beside the copy of a daemon of the release before")
+		t.Error("started while a daemon of the previous release runs a copy")
 	}
 	tr.ForgetHost("old")
 	tr.core.Started("e2", 103)
@@ -63,11 +63,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told previousDigest
-	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&told); err != nil {
+	var decoded previousDigest
+	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&decoded); err != nil {
 		t.Fatal(err)
 	}
-	if len(told.Records) != 2 || len(told.Refused) != 1 || told.Refused[0].Fingerprint != culprit {
-		t.Errorf("told %+v", told)
+	if len(decoded.Records) != 2 || len(decoded.Refused) != 1 || decoded.Refused[0].Fingerprint != culprit {
+		t.Errorf("the previous release decodes %+v", decoded)
 	}
 }
--- a/internal/suspects/share.go
+++ b/internal/suspects/share.go
@@ -10,20 +10,20 @@
 	"github.com/buckthorndock/buckthorndock/internal/wait"
 )
 
-// Node is what sharing needs of the membership.
+// Node is the membership interface that Share needs.
 type Node interface {
 	Members() []membership.Member
 	Sections(name string) []membership.SectionView
 	PublishWide(name string, data []byte) error
-	// News tells that some daemon has published something.
+	// News returns a channel that signals new sections of other daemons.
 	News() <-chan struct{}
 }
 
 const (
-	// minShareInterval is the least time between two exchanges of evidence, so that what comes
-	// together goes together.
+	// minShareInterval is the minimum time between two exchanges of evidence, so that changes that
+	// come close together are sent together.
 	minShareInterval = 100 * time.Millisecond
-	// maxShareInterval is the most: daemons that have died are forgotten.
+	// maxShareInterval is the maximum, after which the holds of dead daemons are dropped.
 	maxShareInterval = 2 * time.Second
 )
 
@@ -32,18 +32,18 @@
 	tracker          *Tracker
 	node             Node
 	log              *logrus.Entry
-	mergedVersions   map[hostIncarnation]uint64 // versions taken in
+	mergedVersions   map[hostIncarnation]uint64 // section versions merged
 	publishedVersion uint64
 }
 
-// hostIncarnation names one hostIncarnation of a daemon.
+// hostIncarnation identifies one incarnation of a daemon.
 type hostIncarnation struct {
 	host        string
 	incarnation uint64
 }
 
-// Share spreads the evidence about requests that crash upstreams to all daemons of all
-// domains, for the same request may be sent to any of them, until the context ends.
+// Share exchanges evidence about requests that crash upstreams with all daemons of all domains,
+// because the same request may be sent to any of them. It returns nil when the context ends.
 func (t *Tracker) Share(ctx context.Context, node Node) error {
 	s := &sharing{tracker: t, node: node, log: t.log, mergedVersions: map[hostIncarnation]uint64{}}
 	ticker := time.NewTicker(maxShareInterval)
--- a/internal/suspects/store.go
+++ b/internal/suspects/store.go
@@ -20,22 +20,22 @@
 	Value []byte // nil: the key was removed
 }
 
-// Batch is what one read of a Store returned, in the store's order.
+// Batch holds the records that one read of a Store returned, in the store's order.
 type Batch struct {
 	Records []Record
-	Whole   bool // all keys, after the start, a gap or a restore: what is not in it is not there
+	Whole   bool // the batch holds all keys, after the start, a gap or a restore; other keys do not exist
 }
 
-// Store keeps evidence and trials beyond the lives of the daemons, in one order for all.
+// Store keeps evidence and trials across restarts of the daemons, in the same order for all readers.
 type Store interface {
-	// Put appends the value of a key; nil removes it. An error does not say that it was not done.
+	// Put appends the value of a key; nil removes it. After an error it may still have taken effect.
 	Put(ctx context.Context, key string, value []byte) error
-	// Next returns what was put since the last call, waiting for a first record; all keys at
-	// first. It is for one goroutine.
+	// Next returns what was put since the last call and waits for a first record; the first call
+	// returns all keys. It is not safe for concurrent use.
 	Next(ctx context.Context, wait time.Duration) (Batch, error)
 }
 
-// keyedStore keeps them in a keyed stream.
+// keyedStore is a Store in a keyed stream.
 type keyedStore struct {
 	store      platform.Keyed
 	stream     string
@@ -44,7 +44,7 @@
 	positioned bool // next is an offset of era
 }
 
-// NewKeyedStore returns a Store in a keyed stream.
+// NewKeyedStore returns a Store that keeps its records in a keyed stream.
 func NewKeyedStore(store platform.Keyed, stream string) Store {
 	return &keyedStore{store: store, stream: stream}
 }
@@ -65,7 +65,7 @@
 		return s.readAll(ctx)
 	}
 	if err != nil {
-		// A store that came back from an older copy may refuse to read from beyond its end.
+		// A store restored from an older copy may refuse to read from beyond its end.
 		s.positioned = errors.Is(err, platform.ErrBusy)
 		return Batch{}, err
 	}
@@ -91,7 +91,7 @@
 	return records
 }
 
-// logStore keeps them in a stream of a log.
+// logStore is a Store in a stream of a log.
 type logStore struct {
 	log        platform.Log
 	stream     string
@@ -100,8 +100,8 @@
 	positioned bool // next is an offset of era
 }
 
-// NewLogStore returns a Store in a stream of a log, which has to keep records for as long as evidence
-// counts.
+// NewLogStore returns a Store that keeps its records in a stream of a log. The log must retain
+// records for as long as evidence counts.
 func NewLogStore(log platform.Log, stream string) Store { return &logStore{log: log, stream: stream} }
 
 // Put implements Store.
@@ -114,10 +114,10 @@
 	return err
 }
 
-// firstOffset is that of a log's first record.
+// firstOffset is the offset of a log's first record.
 const firstOffset = 1
 
-// maxPageRecords is how many records one read of a log returns at the most.
+// maxPageRecords limits the number of records that one read of a log returns.
 const maxPageRecords = 1000
 
 // Next implements Store.
@@ -139,7 +139,7 @@
 		s.next = r.Offset + 1
 		var decoded Record
 		if err := gob.NewDecoder(bytes.NewReader(r.Data)).Decode(&decoded); err != nil {
-			continue // of another writer; what it would have said is missing, as if it were late
+			continue // written by another program; treated like evidence that has not arrived yet
 		}
 		batch.Records = append(batch.Records, decoded)
 	}
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -1,5 +1,5 @@
-// Package suspects guards the quarantine core by a lock, spreads its evidence among the
-// daemons, keeps it in a store, and asks that for the trials of requests.
+// Package suspects makes the quarantine core safe for concurrent use, spreads its evidence among
+// the daemons, keeps it in a store, and obtains trials for requests through that store.
 package suspects
 
 import (
@@ -18,33 +18,33 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// Section is the name under which evidence is spread.
+// Section is the name of the membership section that carries evidence.
 const Section = "suspects"
 
-// maxDigestBytes bounds what Merge reads.
+// maxDigestBytes limits the size of a digest that Merge decodes.
 const maxDigestBytes = 1 << 20
 
-// Tracker is safe for concurrent use.
+// Tracker holds the evidence of one daemon and its trials. It is safe for concurrent use.
 type Tracker struct {
 	host string
 	log  *logrus.Entry
 
-	evidenceChanged chan struct{} // there may be new evidence
+	evidenceChanged chan struct{} // there may be new evidence to share
 
-	startedAt      int64         // of this life, Unix time in ns
-	readRequested  chan struct{} // a trial waits for a read of the store
-	writeRequested chan struct{} // the store has something to be told
-	urgentWrite    chan struct{} // and at once
+	startedAt      int64         // start of this process, Unix time in ns
+	readRequested  chan struct{} // a read of the store is needed without delay
+	writeRequested chan struct{} // there is something to write to the store
+	urgentWrite    chan struct{} // there is something to write without delay
 
 	mu               sync.Mutex
 	core             *quarantine.Tracker
-	store            Store                // nil: none keeps evidence
-	storeLoaded      bool                 // the store was read
-	storeUnreachable bool                 // it did not answer the last read; the reader's own
-	readDone         chan struct{}        // closed and replaced at each read of the store
-	writtenEvidence  []byte               // own evidence as the store has it
-	staleKeys        []string             // keys to remove
-	trials           map[string]*ownTrial // of this life, by id
+	store            Store                // nil: evidence is not stored
+	storeLoaded      bool                 // the store was read at least once
+	storeUnreachable bool                 // the last read failed; used by the read loop only
+	readDone         chan struct{}        // closed and replaced after each read of the store
+	writtenEvidence  []byte               // encoded own evidence as last written to the store
+	staleKeys        []string             // keys to remove from the store
+	trials           map[string]*ownTrial // of this process, by ID
 	trialCount       int
 }
 
@@ -64,10 +64,10 @@
 	}
 }
 
-// signalEvidence tells that there may be new evidence.
+// signalEvidence signals Share that there may be new evidence.
 func (t *Tracker) signalEvidence() { notify(t.evidenceChanged) }
 
-// ApplySettings takes the site's limits of quarantine, those at the root.
+// ApplySettings applies the site-wide quarantine settings, those of the root domain.
 func (t *Tracker) ApplySettings(snap *settings.Snapshot) {
 	routing := snap.RoutingAt(settings.Root)
 	t.mu.Lock()
@@ -79,7 +79,7 @@
 	})
 }
 
-// Refusal returns why a request must not run at all, nil when it may.
+// Refusal returns the refusal of a quarantined request, nil when the request is not quarantined.
 func (t *Tracker) Refusal(fingerprint uint64, now time.Time) *request.Refusal {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,7 +90,7 @@
 	return request.Refuse(request.CodeQuarantined, left, "this request has crashed the engines that ran it")
 }
 
-// Blocked returns those engines on which a request must not start now.
+// Blocked returns those of the engines on which a request must not start now.
 func (t *Tracker) Blocked(engines []string, fingerprint uint64, now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,10 +103,10 @@
 	return blocked
 }
 
-// TryStart notes that a request begins on an engine, unless it must not start
-// there now. After true, End must follow. Asking and noting are one step, so that
-// two suspects never both find the same engine free. One that has been in enough deaths starts
-// under a trial, where a store orders these.
+// TryStart records that a request starts on an engine, unless it must not start
+// there now. If it returns true, End must be called with the Run. The check and the
+// record are one atomic step, so that two suspects never both find the same engine
+// free. With a store, a request of standing Isolate starts only under a trial.
 func (t *Tracker) TryStart(engine string, fingerprint uint64, trial *Trial, now time.Time) (quarantine.Run, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -129,13 +129,13 @@
 	return t.core.Started(engine, fingerprint), true
 }
 
-// formatFingerprint is a fingerprint as logs have it.
+// formatFingerprint returns a fingerprint in hexadecimal, for logs.
 func formatFingerprint(fingerprint uint64) string { return strconv.FormatUint(fingerprint, 16) }
 
-// maxLoggedFingerprints bounds the works that one line names.
+// maxLoggedFingerprints limits the number of fingerprints in one log line.
 const maxLoggedFingerprints = 16
 
-// formatFingerprints names works for a line.
+// formatFingerprints formats up to maxLoggedFingerprints fingerprints for a log line.
 func formatFingerprints(fingerprints []uint64) []string {
 	names := make([]string, 0, maxLoggedFingerprints)
 	for _, f := range fingerprints[:min(maxLoggedFingerprints, len(fingerprints))] {
@@ -144,35 +144,36 @@
 	return names
 }
 
-// End notes that a run is over.
+// End records that a run is over and whether it completed.
 func (t *Tracker) End(run quarantine.Run, completed bool) {
 	t.mu.Lock()
 	before := t.core.Version()
 	t.core.End(run, completed)
-	news := t.core.Version() != before
+	changed := t.core.Version() != before
 	t.mu.Unlock()
-	if news {
+	if changed {
 		t.signalEvidence()
 		t.requestWrite()
 	}
 }
 
-// EndBroken notes that a run broke, maybe because its engine died; Lapsed or Lives tells.
+// EndBroken ends a run that broke off, possibly because its engine died. EngineDelisted or
+// EngineAlive follows when that is known.
 func (t *Tracker) EndBroken(run quarantine.Run, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.core.EndBroken(run, now)
 }
 
-// EngineAlive notes that an engine has served a request.
+// EngineAlive records that an engine has served a request and thus has not died.
 func (t *Tracker) EngineAlive(engine string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.core.EngineAlive(engine)
 }
 
-// EngineDelisted notes that the life of an engine is over by the word of others. It died of what ran
-// there if a run had broken.
+// EngineDelisted records that an incarnation of an engine has ended according to the list of engines
+// or to a probe. It counts as a death if a run had broken there.
 func (t *Tracker) EngineDelisted(engine, incarnation string, now time.Time) {
 	t.mu.Lock()
 	died := t.core.HasBrokenRuns(engine)
@@ -182,7 +183,7 @@
 	}
 }
 
-// EngineDied notes that an engine's process ended while it ran requests of this front.
+// EngineDied records that an engine's process ended while it ran requests of this daemon.
 func (t *Tracker) EngineDied(engine, incarnation string, now time.Time) {
 	t.mu.Lock()
 	ran := t.core.EngineDied(engine, incarnation, now)
@@ -196,7 +197,7 @@
 	t.log.WithFields(logrus.Fields{"upstream": engine, "incarnation": incarnation, "suspects": len(ran), "works": formatFingerprints(ran)}).Warn("engine_died")
 }
 
-// Digest returns the evidence to be spread and its version.
+// Digest returns the encoded evidence for the other daemons, and its version.
 func (t *Tracker) Digest(now time.Time) (data []byte, version uint64, err error) {
 	t.mu.Lock()
 	digest := t.core.Digest(now)
@@ -207,14 +208,15 @@
 	return b.Bytes(), version, merry.Prepend(err, "encode evidence")
 }
 
-// Version changes when there is something new to spread.
+// Version returns a counter that changes when there is new evidence to share.
 func (t *Tracker) Version() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.core.Version()
 }
 
-// Merge takes a peer's evidence.
+// Merge adds a peer's encoded evidence. It returns an error when the data is too long or cannot be
+// decoded.
 func (t *Tracker) Merge(data []byte, now time.Time) error {
 	if len(data) > maxDigestBytes {
 		return merry.Errorf("evidence of %d bytes is too long", len(data))
@@ -226,16 +228,16 @@
 	t.mu.Lock()
 	before := t.core.Version()
 	t.core.Merge(d, now)
-	news := t.core.Version() != before
+	changed := t.core.Version() != before
 	t.mu.Unlock()
-	if news {
+	if changed {
 		t.signalEvidence()
 		t.log.WithFields(logrus.Fields{"from": d.Host, "deaths": len(d.Records), "refused": len(d.Refused)}).Info("evidence_heard")
 	}
 	return nil
 }
 
-// ForgetHost drops what a host said to run, because it is gone.
+// ForgetHost drops the holds of a host that is gone.
 func (t *Tracker) ForgetHost(host string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/suspects/keep.go
+++ b/internal/suspects/sync.go
@@ -15,44 +15,45 @@
 	"github.com/buckthorndock/buckthorndock/internal/wait"
 )
 
-// Keys of the store: a daemon's evidence under its host's name, a trial under its ID.
+// Key prefixes in the store: evidence is stored under the host's name, a trial under its ID.
 const (
 	evidencePrefix = "evidence/"
 	trialPrefix    = "trial/"
 )
 
 const (
-	// readWait is how long a read of the store stays open without news; with many daemons longer
-	// by readWaitPerHost for each, so that those of all are few, but readWaitMost at the most.
+	// readWait is how long a read of the store waits for new records. It grows by readWaitPerHost
+	// for each daemon, up to maxReadWait, so that the total rate of reads stays low.
 	readWait        = 10 * time.Second
 	readWaitPerHost = 20 * time.Millisecond
 	maxReadWait     = 30 * time.Second
-	// readTimeout is what a read may take besides.
+	// readTimeout limits the time of a read beyond that wait.
 	readTimeout  = 2 * time.Second
 	writeTimeout = time.Second
-	// syncInterval is the least time between two reads, or two writes of what is not urgent;
-	// keepPacePerHost, for each daemon, that before any write besides, for all read what one has
-	// written. A death is urgent: its evidence is lost with a daemon that is killed next.
+	// syncInterval is the minimum time between two reads, or between two writes that are not
+	// urgent. syncIntervalPerHost, for each daemon, is added to the time between reads and is the
+	// minimum between any writes, because all daemons read what one writes. A death is urgent: its
+	// evidence is lost if the daemon is killed next.
 	syncInterval        = time.Second
 	syncIntervalPerHost = 2 * time.Millisecond
-	// staleAfter is how long after it was written a record is removed, by any daemon that starts;
-	// mostStale bounds the removals of one.
+	// staleAfter is the age from which any daemon that starts removes a record; each daemon
+	// collects at most maxStaleRemovals of them at a time.
 	staleAfter       = time.Hour
 	maxStaleRemovals = 20
-	// storeRetryInterval is the time to the next try while the store does not answer.
+	// storeRetryInterval is the time to the next attempt after the store has failed.
 	storeRetryInterval = time.Second
 )
 
-// storedValue is the value of a key, with the time of day at which it was written: ages count from then
-// where a daemon that starts reads it.
+// storedValue is the value of a key. The ages in it are those at the time Written; a read of all keys
+// adds the time since then.
 type storedValue struct {
 	Written  time.Time
 	Evidence []quarantine.RecordDigest
 	Trial    *quarantine.Trial
 }
 
-// SyncWithStore writes this daemon's evidence and trials to the store and reads those of all, until the
-// context ends.
+// SyncWithStore writes this daemon's evidence and trials to the store and reads those of all daemons.
+// It returns nil when the context ends.
 func (t *Tracker) SyncWithStore(ctx context.Context, store Store, group Group) error {
 	t.mu.Lock()
 	t.store = store
@@ -71,7 +72,8 @@
 
 func (t *Tracker) requestWrite() { notify(t.writeRequested) }
 
-// notify signals somebody who may not wait now, but will look before waiting again.
+// notify sends a signal without blocking. The channel has a buffer of one, so that a receiver that
+// is busy gets the signal when it waits next.
 func notify(signal chan struct{}) {
 	select {
 	case signal <- struct{}{}:
@@ -79,27 +81,28 @@
 	}
 }
 
-// readLoop reads what all daemons write, as one of those that do so for others or when it is
-// asked to.
+// readLoop reads what all daemons write to the store, if this daemon is one of the readers or a read
+// is requested.
 func (t *Tracker) readLoop(ctx context.Context, store Store, group Group) {
-	asked := false
+	requested := false
 	for ctx.Err() == nil {
-		again := syncInterval
-		if asked || readsStore(t.host, group, time.Now()) {
-			again = t.readAndReport(ctx, store, time.Duration(group.HostCount()))
+		delay := syncInterval
+		if requested || readsStore(t.host, group, time.Now()) {
+			delay = t.readAndReport(ctx, store, time.Duration(group.HostCount()))
 		}
 		select {
-		case <-time.After(again):
-			asked = false
+		case <-time.After(delay):
+			requested = false
 		case <-t.readRequested:
-			asked = true
+			requested = true
 		case <-ctx.Done():
 		}
 	}
 }
 
-// readAndReport reads once, tells when the store is lost or back, and returns the time to the next read.
-func (t *Tracker) readAndReport(ctx context.Context, store Store, hosts time.Duration) (again time.Duration) {
+// readAndReport reads once, logs when the store becomes unreachable or reachable again, and returns
+// the time to the next read.
+func (t *Tracker) readAndReport(ctx context.Context, store Store, hosts time.Duration) (delay time.Duration) {
 	err := t.readOnce(ctx, store, min(readWait+hosts*readWaitPerHost, maxReadWait))
 	if ctx.Err() != nil {
 		return 0
@@ -120,10 +123,11 @@
 	return syncInterval + hosts*syncIntervalPerHost
 }
 
-func (t *Tracker) readOnce(ctx context.Context, store Store, open time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, open+readTimeout)
+// readOnce reads the store once, waits up to maxWait for new records, and merges them.
+func (t *Tracker) readOnce(ctx context.Context, store Store, maxWait time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, maxWait+readTimeout)
 	defer cancel()
-	batch, err := store.Next(ctx, open)
+	batch, err := store.Next(ctx, maxWait)
 	if err != nil {
 		return err
 	}
@@ -134,68 +138,68 @@
 		t.applyRecord(r, batch.Whole, now)
 	}
 	if batch.Whole {
-		t.writtenEvidence = nil // what the store has of this host may be older, or nothing
+		t.writtenEvidence = nil // the store's copy of this host's evidence may be older or missing
 	}
 	t.storeLoaded = true
 	close(t.readDone)
 	t.readDone = make(chan struct{})
-	news := t.core.Version() != before
+	changed := t.core.Version() != before
 	t.mu.Unlock()
-	if news || batch.Whole {
+	if changed || batch.Whole {
 		t.log.WithFields(logrus.Fields{"records": len(batch.Records), "whole": batch.Whole}).Info("suspects_read")
 		t.signalEvidence()
 	}
 	return nil
 }
 
-// applyRecord takes in one record of the store. The caller holds the lock.
+// applyRecord merges one record of the store. The caller holds the lock.
 func (t *Tracker) applyRecord(r Record, whole bool, now time.Time) {
 	if r.Value == nil {
-		return // what it said has expired
+		return // the removed value had expired
 	}
-	var k storedValue
-	if err := gob.NewDecoder(bytes.NewReader(r.Value)).Decode(&k); err != nil {
+	var v storedValue
+	if err := gob.NewDecoder(bytes.NewReader(r.Value)).Decode(&v); err != nil {
 		t.log.WithError(err).WithField("key", r.Key).Warn("suspects_record_undecodable")
 		return
 	}
-	var older time.Duration
+	var sinceWritten time.Duration
 	if whole {
-		older = max(now.Sub(k.Written), 0)
+		sinceWritten = max(now.Sub(v.Written), 0)
 	}
-	if older > staleAfter && len(t.staleKeys) < maxStaleRemovals {
+	if sinceWritten > staleAfter && len(t.staleKeys) < maxStaleRemovals {
 		t.staleKeys = append(t.staleKeys, r.Key)
 	}
-	for i := range k.Evidence {
-		k.Evidence[i].Age += older
+	for i := range v.Evidence {
+		v.Evidence[i].Age += sinceWritten
 	}
 	host, isEvidence := strings.CutPrefix(r.Key, evidencePrefix)
 	switch {
 	case isEvidence && host == t.host && !t.storeLoaded:
-		t.core.RestoreOwnRecords(k.Evidence, now)
+		t.core.RestoreOwnRecords(v.Evidence, now)
 	case isEvidence:
-		t.core.Merge(quarantine.Digest{Records: k.Evidence}, now)
-	case k.Trial != nil:
-		k.Trial.Age += older
-		t.core.ApplyStoredTrial(*k.Trial, now)
+		t.core.Merge(quarantine.Digest{Records: v.Evidence}, now)
+	case v.Trial != nil:
+		v.Trial.Age += sinceWritten
+		t.core.ApplyStoredTrial(*v.Trial, now)
 	}
 }
 
-// writeLoop writes what is new of this daemon's own.
+// writeLoop writes this daemon's new evidence and trial outcomes.
 func (t *Tracker) writeLoop(ctx context.Context, store Store, group Group) {
 	for ctx.Err() == nil {
-		again := time.Duration(group.HostCount()) * syncIntervalPerHost
+		delay := time.Duration(group.HostCount()) * syncIntervalPerHost
 		if err := t.writeOnce(ctx, store); err != nil && ctx.Err() == nil {
 			t.log.WithError(err).Warn("suspects_not_written")
-			again = storeRetryInterval
+			delay = storeRetryInterval
 		}
-		if !wait.For(ctx, again) {
+		if !wait.For(ctx, delay) {
 			return
 		}
 		t.awaitWrite(ctx)
 	}
 }
 
-// awaitWrite waits for something to write: for what is not urgent keepPace at the least.
+// awaitWrite waits for something to write, and at least syncInterval if it is not urgent.
 func (t *Tracker) awaitWrite(ctx context.Context) {
 	select {
 	case <-t.urgentWrite:
@@ -207,11 +211,12 @@
 	select {
 	case <-t.urgentWrite:
 	case <-t.writeRequested:
-	case <-time.After(maxShareInterval): // a write that failed, or evidence that has expired
+	case <-time.After(maxShareInterval): // to retry a failed write, or write that evidence has expired
 	case <-ctx.Done():
 	}
 }
 
+// writeOnce writes what has changed to the store, for at most writeTimeout.
 func (t *Tracker) writeOnce(ctx context.Context, store Store) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -224,19 +229,19 @@
 	return t.removeStale(ctx, store)
 }
 
-// writeEvidence writes this host's evidence if it says something else than what the store has.
-// Nothing is written before the store was read: a former life's evidence is adopted first.
+// writeEvidence writes this host's evidence if it differs from what the store has. It writes nothing
+// before the store was read, because evidence of an earlier incarnation has to be restored first.
 func (t *Tracker) writeEvidence(ctx context.Context, store Store) error {
 	now := time.Now()
 	t.mu.Lock()
 	unaged, aged := t.core.OwnRecords(now, false), t.core.OwnRecords(now, true)
-	began, written := t.storeLoaded, t.writtenEvidence
+	loaded, written := t.storeLoaded, t.writtenEvidence
 	t.mu.Unlock()
-	said, err := encode(unaged)
-	if !began && len(unaged) > 0 {
+	encoded, err := encode(unaged)
+	if !loaded && len(unaged) > 0 {
 		t.requestRead()
 	}
-	if err != nil || !began || bytes.Equal(said, written) || len(unaged) == 0 && len(written) == 0 {
+	if err != nil || !loaded || bytes.Equal(encoded, written) || len(unaged) == 0 && len(written) == 0 {
 		return err
 	}
 	var value []byte
@@ -249,7 +254,7 @@
 		return merry.Prepend(err, "write evidence")
 	}
 	t.mu.Lock()
-	t.writtenEvidence = said
+	t.writtenEvidence = encoded
 	t.mu.Unlock()
 	t.log.WithField("deaths", len(aged)).Info("evidence_written")
 	return nil
@@ -261,7 +266,7 @@
 	return b.Bytes(), merry.Prepend(err, "encode for the store")
 }
 
-// writeTrials writes the outcomes that the store has not been told.
+// writeTrials writes the outcomes of trials that are not in the store yet.
 func (t *Tracker) writeTrials(ctx context.Context, store Store) error {
 	now := time.Now()
 	t.mu.Lock()
@@ -272,18 +277,19 @@
 		}
 	}
 	t.mu.Unlock()
-	for _, told := range due {
-		if err := putTrial(ctx, store, told); err != nil {
+	for _, r := range due {
+		if err := putTrial(ctx, store, r); err != nil {
 			return err
 		}
 		t.mu.Lock()
-		t.trials[told.ID].outcomeUnwritten = false
+		t.trials[r.ID].outcomeUnwritten = false
 		t.mu.Unlock()
 	}
 	return nil
 }
 
-// removeStale removes what nobody counts any more: of hosts that are gone, and trials of this one.
+// removeStale removes records that no longer count: stale ones that were read from the store, and
+// old trials of this host.
 func (t *Tracker) removeStale(ctx context.Context, store Store) error {
 	now := time.Now()
 	t.mu.Lock()
@@ -298,7 +304,7 @@
 	t.mu.Unlock()
 	for _, key := range stale {
 		if err := store.Put(ctx, key, nil); err != nil {
-			return merry.Prepend(err, "remove what is stale") // whoever starts next finds it again
+			return merry.Prepend(err, "remove stale record") // the next daemon that starts removes it
 		}
 	}
 	return nil
--- a/internal/suspects/keep_test.go
+++ b/internal/suspects/sync_test.go
@@ -19,7 +19,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// memoryStore is a store in memoryStore, as a keyed stream and as a log.
+// memoryStore is an in-memory store that serves as a platform.Keyed and as a platform.Log.
 type memoryStore struct {
 	mu          sync.Mutex
 	records     []platform.KeyedRecord
@@ -29,19 +29,19 @@
 }
 
 var (
-	errUnreachable = merry.Sentinel("the store is away")
-	errBeyond      = merry.Sentinel("the stream ends before that")
+	errUnreachable = merry.Sentinel("store unreachable")
+	errBeyond      = merry.Sentinel("offset beyond the end of the stream")
 )
 
 func newMemory() *memoryStore { return &memoryStore{grown: make(chan struct{})} }
 
-func (m *memoryStore) setUnreachable(away bool) {
+func (m *memoryStore) setUnreachable(unreachable bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.unreachable = away
+	m.unreachable = unreachable
 }
 
-// restore goes back to nothing.
+// restore simulates a restore from an empty backup.
 func (m *memoryStore) restore() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -89,9 +89,9 @@
 	timeout := time.After(wait)
 	for {
 		m.mu.Lock()
-		records, away, grown, era := m.records, m.unreachable, m.grown, m.era
+		records, unreachable, grown, era := m.records, m.unreachable, m.grown, m.era
 		m.mu.Unlock()
-		if away {
+		if unreachable {
 			return platform.KeyedPage{}, errUnreachable
 		}
 		page := platform.KeyedPage{Next: int64(len(records)), Era: era}
@@ -121,7 +121,7 @@
 	return 0, nil
 }
 
-// Read has offsets from 1, as logs do, and refuses others.
+// Read refuses offsets below 1, which is a log's first offset.
 func (m *memoryStore) Read(ctx context.Context, _ string, from int64, limit int, wait time.Duration) (platform.Page, error) {
 	if from < 1 {
 		return platform.Page{}, errBeyond
@@ -143,7 +143,7 @@
 func (smallGroup) HostCount() int                     { return 8 }
 func (smallGroup) DomainMembers() []membership.Member { return nil }
 
-// startDaemons starts some that keep their evidence in one store, and do not hear each other.
+// startDaemons starts trackers that share a store but do not exchange digests.
 func startDaemons(t *testing.T, store func() Store, names ...string) []*Tracker {
 	t.Helper()
 	log := logrus.New()
@@ -164,10 +164,11 @@
 	return all
 }
 
-// culprit is a fingerprint that ends engines.
+// culprit is the fingerprint of a request that crashes engines.
 const culprit = 7
 
-// crashUnderCulprit has a daemon see that an engine ended under the culprit and another request.
+// crashUnderCulprit records at a daemon that an engine died while it ran the culprit and another
+// request.
 func crashUnderCulprit(t *testing.T, tr *Tracker, engine string, beside uint64) {
 	t.Helper()
 	for _, fingerprint := range []uint64{culprit, beside} {
@@ -180,7 +181,7 @@
 
 const settleTime = quarantine.DefaultSettleAfter + time.Second
 
-// forEachStore runs a test on both kinds of store, by a clock of its own.
+// forEachStore runs a test with both kinds of store, under a fake clock.
 func forEachStore(t *testing.T, test func(t *testing.T, m *memoryStore, store func() Store)) {
 	for name, of := range map[string]func(m *memoryStore) Store{
 		"keyed": func(m *memoryStore) Store { return NewKeyedStore(m, "s") },
@@ -195,8 +196,8 @@
 	}
 }
 
-// TestOneDaemonAtATimeRunsATrial guards against daemons that cannot hear each
-// other and try it at one moment, each knowing all of its deaths.
+// TestOneDaemonAtATimeRunsATrial guards against daemons that do not exchange digests and run a
+// culprit at the same time although each knows all of its deaths.
 func TestOneDaemonAtATimeRunsATrial(t *testing.T) {
 	forEachStore(t, func(t *testing.T, _ *memoryStore, store func() Store) {
 		all := startDaemons(t, store, "a", "b", "c", "d")
@@ -214,13 +215,13 @@
 				if trial != nil {
 					granted = append(granted, trial)
 				} else if refusal == nil || refusal.Code != request.CodeSuspect || refusal.RetryAfter <= 0 {
-					t.Errorf("%s may place it as any other: %v", tr.host, refusal)
+					t.Errorf("%s: neither a trial nor a refusal to retry later: %v", tr.host, refusal)
 				}
 			})
 		}
 		asked.Wait()
 		if len(granted) != 1 {
-			t.Fatalf("%d of %d try it", len(granted), len(all))
+			t.Fatalf("%d of %d daemons were granted a trial", len(granted), len(all))
 		}
 		granted[0].MarkSent()
 		granted[0].End(quarantine.TrialCompleted)
@@ -233,8 +234,8 @@
 	})
 }
 
-// TestRefusalEndsAnUnsentTrial guards against a request that waits for a place under
-// its trial though it is refused by now, and against one that asks again for what it has.
+// TestRefusalEndsAnUnsentTrial guards against a request that still waits to be placed under its trial
+// after it was quarantined, and against one that requests a second trial.
 func TestRefusalEndsAnUnsentTrial(t *testing.T) {
 	forEachStore(t, func(t *testing.T, _ *memoryStore, store func() Store) {
 		tr := startDaemons(t, store, "a")[0]
@@ -245,7 +246,7 @@
 		if again, refusal := tr.Admit(t.Context(), culprit, trial, time.Minute); trial == nil || again != trial || refusal != nil {
 			t.Fatalf("got %v after %v: %v", again, trial, refusal)
 		}
-		tr.End(tr.core.Started("e3", 101), true) // the first death has one cause left
+		tr.End(tr.core.Started("e3", 101), true) // leaves the culprit as the only cause of the first death
 		if again, refusal := tr.Admit(t.Context(), culprit, trial, time.Minute); again != nil || refusal == nil || refusal.Code != request.CodeQuarantined {
 			t.Errorf("got %v, %v", again, refusal)
 		}
@@ -255,8 +256,8 @@
 	})
 }
 
-// TestRequestInManyDeathsNeedsTheStore: one in few is tried without its word, one in three or
-// more is not, and neither waits longer than the question takes.
+// TestRequestInManyDeathsNeedsTheStore checks that, while the store is unreachable, a request in two
+// deaths gets a trial, one in three does not, and neither waits longer than trialTimeout.
 func TestRequestInManyDeathsNeedsTheStore(t *testing.T) {
 	forEachStore(t, func(t *testing.T, m *memoryStore, store func() Store) {
 		all := startDaemons(t, store, "a")
@@ -284,8 +285,8 @@
 	})
 }
 
-// TestEvidenceSurvivesRestartOfAllDaemons guards against evidence that is lost with those
-// who gathered it, in the store's order or where it went back to nothing meanwhile.
+// TestEvidenceSurvivesRestartOfAllDaemons guards against evidence that is lost when all daemons
+// restart, also after the store was restored from an empty backup.
 func TestEvidenceSurvivesRestartOfAllDaemons(t *testing.T) {
 	forEachStore(t, func(t *testing.T, m *memoryStore, store func() Store) {
 		first := startDaemons(t, store, "a", "b")
@@ -299,14 +300,14 @@
 				t.Errorf("%s knows %d deaths", tr.host, got)
 			}
 			if got := len(tr.core.OwnRecords(time.Now(), false)); got != 1 {
-				t.Errorf("%s has seen %d itself", tr.host, got)
+				t.Errorf("%s has %d own records", tr.host, got)
 			}
 		}
 	})
 }
 
-// TestDeathsAreWrittenBeforeTheirDaemonIsKilled guards against evidence that waits for the
-// next write, and is lost with its daemon.
+// TestDeathsAreWrittenBeforeTheirDaemonIsKilled guards against evidence of a death that waits for the
+// next regular write and is lost with its daemon.
 func TestDeathsAreWrittenBeforeTheirDaemonIsKilled(t *testing.T) {
 	forEachStore(t, func(t *testing.T, _ *memoryStore, store func() Store) {
 		first := startDaemons(t, store, "a")
@@ -319,13 +320,13 @@
 			t.Fatal(err)
 		}
 		if got := second.core.Deaths(culprit); got != 2 {
-			t.Errorf("the store tells of %d deaths", got)
+			t.Errorf("the store has %d deaths", got)
 		}
 	})
 }
 
-// TestTrialOfADeadDaemonExpires guards against a request that waits for ever for one
-// whose daemon tells nothing more, and one that is tried on for each that does not.
+// TestTrialOfADeadDaemonExpires guards against a request that waits forever for a trial whose daemon
+// never reports its end, and against an unlimited number of such trials.
 func TestTrialOfADeadDaemonExpires(t *testing.T) {
 	forEachStore(t, func(t *testing.T, _ *memoryStore, store func() Store) {
 		all := startDaemons(t, store, "a", "b", "c", "d", "e")
@@ -338,14 +339,14 @@
 				t.Fatalf("%s: %v, %v", tr.host, got, refusal)
 			}
 			if _, again := all[(i+1)%len(all)].Admit(t.Context(), culprit, nil, time.Second); again == nil {
-				t.Errorf("another one beside that of %s", tr.host)
+				t.Errorf("another daemon gets a trial during that of %s", tr.host)
 			}
 			time.Sleep(5*time.Second + 2*trialMargin)
 		}
 	})
 }
 
-// TestStaleRecordsAreRemoved: what daemons wrote that are gone does not stay for good.
+// TestStaleRecordsAreRemoved guards against records of removed daemons that stay in the store forever.
 func TestStaleRecordsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMemory()
--- a/internal/suspects/trial.go
+++ b/internal/suspects/trial.go
@@ -15,17 +15,20 @@
 )
 
 const (
-	// trialTimeout bounds the question for a trial: a write and a read of the store.
+	// trialTimeout limits the time of a trial request: a write to the store and a read.
 	trialTimeout = time.Second
-	// trialMargin is how much longer than its request a trial counts as running.
+	// trialMargin is how much longer than its request's deadline a trial counts as running.
 	trialMargin = time.Second
-	// trialRetryAfter is told to callers whose request waits for another trial, or for the store.
+	// trialRetryAfter is the retry delay sent to callers whose request has to wait for another
+	// trial or for the store.
 	trialRetryAfter = time.Second
-	// maxUnconfirmedDeaths is the number of deaths up to which a request may run without the store's word.
+	// maxUnconfirmedDeaths is the number of deaths up to which a request may run under a trial that
+	// the store has not confirmed.
 	maxUnconfirmedDeaths = 2
 )
 
-// Trial is the right to run a request once that has been in enough deaths. End must follow.
+// Trial is the permission to run a request of standing Isolate once. End must be called when it is over. A nil
+// Trial is valid and does nothing.
 type Trial struct {
 	tracker     *Tracker
 	id          string
@@ -36,7 +39,7 @@
 	done bool
 }
 
-// MarkSent notes that the request goes to an upstream.
+// MarkSent records that the request is sent to an upstream.
 func (r *Trial) MarkSent() {
 	if r == nil {
 		return
@@ -46,7 +49,7 @@
 	r.sent = true
 }
 
-// WasSent reports whether the request went to an upstream under this trial.
+// WasSent reports whether the request was sent to an upstream under this trial.
 func (r *Trial) WasSent() bool {
 	if r == nil {
 		return false
@@ -56,8 +59,8 @@
 	return r.sent
 }
 
-// End tells what became of the trial; the first word counts. One whose request went to no
-// upstream was not sent, whatever is told.
+// End records the outcome of the trial; only the first call counts. If the request was sent to no
+// upstream, the outcome is TrialNotSent whatever the argument.
 func (r *Trial) End(outcome quarantine.TrialOutcome) {
 	if r == nil {
 		return
@@ -87,10 +90,11 @@
 	t.log.WithFields(logrus.Fields{"work": formatFingerprint(r.fingerprint), "trial": r.id, "outcome": outcome.String()}).Info("trial_ended")
 }
 
-// Admit says whether a request may be placed now: as any other, where no trial is returned; under
-// the trial; or, where a refusal is returned, later or not at all. A request that has been in
-// enough deaths runs one copy at a time among all daemons, as the store orders them. It keeps the
-// trial that it has, if that has come to nothing so far; without one, nil is given.
+// Admit decides whether a request may be placed now. It returns a trial if the request may run only
+// under that, a refusal if it must wait or is refused, and neither if it may run like any other. A
+// request of standing Isolate runs one copy at a time among all daemons, in the store's order. The trial that
+// the request already has, nil if none, is returned again unless its request was sent. life is the
+// time that the request has left.
 func (t *Tracker) Admit(ctx context.Context, fingerprint uint64, has *Trial, life time.Duration) (*Trial, *request.Refusal) {
 	if refusal := t.Refusal(fingerprint, time.Now()); refusal != nil {
 		has.End(quarantine.TrialNotSent)
@@ -117,17 +121,17 @@
 }
 
 func refuseForNow(after time.Duration) *request.Refusal {
-	return request.Refuse(request.CodeSuspect, after, "servers have ended under this request, and its turn to be tried has not come")
+	return request.Refuse(request.CodeSuspect, after, "servers have crashed while running this request; it has to wait for its turn to be tried")
 }
 
-// requestTrial asks the store for a trial. While it does not answer, a request in few deaths runs without
-// its word.
+// requestTrial requests a trial through the store. While the store does not answer, a request in at
+// most maxUnconfirmedDeaths deaths gets an unconfirmed trial.
 func (t *Tracker) requestTrial(ctx context.Context, store Store, fingerprint uint64, life time.Duration, deaths int) (*Trial, *request.Refusal) {
-	began := time.Now()
-	r, own := t.newTrial(fingerprint, life, began)
+	start := time.Now()
+	r, own := t.newTrial(fingerprint, life, start)
 	verdict, err := t.decideTrial(ctx, store, own)
 	log := t.log.WithFields(logrus.Fields{
-		"work": formatFingerprint(fingerprint), "trial": r.id, "deaths": deaths, "took_ms": time.Since(began).Milliseconds(),
+		"work": formatFingerprint(fingerprint), "trial": r.id, "deaths": deaths, "took_ms": time.Since(start).Milliseconds(),
 	})
 	switch {
 	case err == nil:
@@ -149,8 +153,8 @@
 	return nil, refuseForNow(trialRetryAfter)
 }
 
-// decideTrial writes a trial to the store, waits until it has been read back, and returns what the
-// store's order says of it.
+// decideTrial writes a trial to the store, waits until it has been read back, and returns the verdict
+// that follows from the store's order.
 func (t *Tracker) decideTrial(ctx context.Context, store Store, own *ownTrial) (quarantine.TrialVerdict, error) {
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
@@ -164,12 +168,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.core.Standing(own.trial.Fingerprint, now) != quarantine.Isolate {
-		return quarantine.TrialBusy, nil // more was read meanwhile
+		return quarantine.TrialBusy, nil // the read brought other evidence
 	}
 	return t.core.EvaluateTrial(own.trial.ID, own.trial.Fingerprint, now), nil
 }
 
-// mergeUnconfirmedTrial has this daemon and its peers know of a trial that the store may not have.
+// mergeUnconfirmedTrial makes this daemon and, through digests, its peers aware of a trial that may
+// be missing in the store.
 func (t *Tracker) mergeUnconfirmedTrial(own *ownTrial) {
 	now := time.Now()
 	t.mu.Lock()
@@ -181,17 +186,17 @@
 	metrics.GetOrCreateCounter(fmt.Sprintf(`buckthorndock_trials_total{verdict=%q}`, verdict)).Inc()
 }
 
-// ownTrial is a trial of this daemon as it is told to others.
+// ownTrial is a trial of this daemon.
 type ownTrial struct {
-	trial            quarantine.Trial // without its age
+	trial            quarantine.Trial // Age unused
 	requestedAt      time.Time
-	outcomeUnwritten bool // the store has not been told its outcome
+	outcomeUnwritten bool // the outcome is not in the store yet
 }
 
 func (o *ownTrial) withAge(now time.Time) quarantine.Trial {
-	told := o.trial
-	told.Age = now.Sub(o.requestedAt)
-	return told
+	r := o.trial
+	r.Age = now.Sub(o.requestedAt)
+	return r
 }
 
 func (t *Tracker) newTrial(fingerprint uint64, life time.Duration, now time.Time) (*Trial, *ownTrial) {
@@ -207,7 +212,7 @@
 	return &Trial{tracker: t, id: id, fingerprint: fingerprint}, own
 }
 
-// awaitReadBack waits until a trial has been read from the store, so that all before it have been.
+// awaitReadBack waits until a trial has been read from the store, and thus all trials before it.
 func (t *Tracker) awaitReadBack(ctx context.Context, id string) error {
 	for {
 		t.mu.Lock()
@@ -220,7 +225,7 @@
 		select {
 		case <-read:
 		case <-ctx.Done():
-			return merry.Prepend(ctx.Err(), "trial not read back")
+			return merry.Prepend(ctx.Err(), "trial not read back from the store")
 		}
 	}
 }
