--- a/internal/core/membership/members.go
+++ b/internal/core/membership/members.go
@@ -13,7 +13,7 @@
 type Config struct {
 	Self Identity
 
-	HeartbeatInterval time.Duration // time between two heartbeats, each of which raises the own version; default 1 s
+	HeartbeatInterval time.Duration // time between two heartbeats, each of which raises this host's version; default 1 s
 	SuspectAfter      time.Duration // silence after which a host of this domain is suspect; default 5 s
 	DeadAfter         time.Duration // silence after which it is dead; default 12 s
 	RemoteFactor      int           // multiplies both limits for hosts of other domains; default 10
--- a/internal/core/membership/pace.go
+++ b/internal/core/membership/pace.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// fullRateHosts is the number of hosts of a domain up to which they send heartbeats and exchange at the
-	// configured intervals. In larger domains the intervals grow in proportion: the bytes that a
-	// host sends per second stay the same, and silence is detected later. Leaves and new hosts
-	// are pushed without delay.
+	// fullRateHosts is the number of hosts of a domain up to which they send heartbeats and exchange
+	// at the configured intervals. In larger domains the intervals grow in proportion: the bytes that
+	// a host sends per second stay the same, and silence is detected later. Leaves and new hosts are
+	// pushed without delay.
 	fullRateHosts = 100
 	// settleAfter is the time without many new hosts after which exchanges slow down.
 	settleAfter = 2 * time.Second
@@ -20,8 +20,8 @@
 // intervalFactor returns the factor by which heartbeat intervals are longer than in a small domain.
 func (m *Members) intervalFactor() float64 { return max(1, float64(m.localCount)/fullRateHosts) }
 
-// ExchangeIntervalFactor returns the factor by which this host's exchange interval is to be longer than in a small
-// domain. It is 1 while many new hosts are being discovered, as when all start.
+// ExchangeIntervalFactor returns the factor by which this host's exchange interval is to be longer
+// than in a small domain. It is 1 while many new hosts are being discovered, as when all start.
 func (m *Members) ExchangeIntervalFactor() float64 {
 	if !m.settled() {
 		return 1
--- a/internal/core/membership/tick.go
+++ b/internal/core/membership/tick.go
@@ -26,8 +26,8 @@
 	failureBackoff   = 30 * time.Second
 )
 
-// Tick raises the own version when a heartbeat is due and returns the exchanges to
-// open now: one inside the domain, one with each other domain when this host is
+// Tick raises this host's version when a heartbeat is due and returns the exchanges
+// to open now: one inside the domain, one with each other domain when this host is
 // a gateway and they are due, and from time to time a probe of a silent or
 // unknown address.
 func (m *Members) Tick(now time.Time, rng *rand.Rand) []Outgoing {
--- a/internal/core/quarantine/tracker.go
+++ b/internal/core/quarantine/tracker.go
@@ -92,7 +92,7 @@
 	brokenRuns  map[string][]brokenRun // by engine
 	trials      map[string]*trial      // by ID
 	trialsOf    map[uint64][]*trial    // by fingerprint
-	derived     map[uint64]bool        // by fingerprint: a refusal that follows from trials was counted in version
+	derived     map[uint64]bool        // by fingerprint: its refusal, which follows from trials, raised version
 	version     uint64
 	lastExpiry  time.Time // time of the last scan by expire
 
--- a/internal/suspects/trial.go
+++ b/internal/suspects/trial.go
@@ -27,8 +27,8 @@
 	maxUnconfirmedDeaths = 2
 )
 
-// Trial is the permission to run a request of standing Isolate once. End must be called when it is over. A nil
-// Trial is valid and does nothing.
+// Trial is the permission to run a request of standing Isolate once. End must be called when it is
+// over. A nil Trial is valid and does nothing.
 type Trial struct {
 	tracker     *Tracker
 	id          string
@@ -92,9 +92,9 @@
 
 // Admit decides whether a request may be placed now. It returns a trial if the request may run only
 // under that, a refusal if it must wait or is refused, and neither if it may run like any other. A
-// request of standing Isolate runs one copy at a time among all daemons, in the store's order. The trial that
-// the request already has, nil if none, is returned again unless its request was sent. life is the
-// time that the request has left.
+// request of standing Isolate runs one copy at a time among all daemons, in the store's order. The
+// trial that the request already has, nil if none, is returned again unless its request was sent.
+// life is the time that the request has left.
 func (t *Tracker) Admit(ctx context.Context, fingerprint uint64, has *Trial, life time.Duration) (*Trial, *request.Refusal) {
 	if refusal := t.Refusal(fingerprint, time.Now()); refusal != nil {
 		has.End(quarantine.TrialNotSent)
