--- a/internal/core/membership/near_test.go
+++ b/internal/core/membership/near_test.go
@@ -9,8 +9,9 @@
 
 const placeSection = "place"
 
-// region is a domain of hosts in several places that know where they are.
-func region(t testing.TB, places, each int, nearBy string) *site {
+// newRegion returns a site with one domain, whose hosts are spread evenly over places and publish
+// their place.
+func newRegion(t testing.TB, places, each int, nearBy string) *site {
 	s := newSite(t, 1)
 	for p := range places {
 		for i := range each {
@@ -28,7 +29,7 @@
 	return s
 }
 
-// farShare returns the share of the partners of all hosts that are in other places.
+// farShare returns the fraction of all hosts' partners that are in other places.
 func farShare(s *site) float64 {
 	far, all := 0, 0
 	for _, m := range s.hosts {
@@ -43,27 +44,28 @@
 	return float64(far) / float64(all)
 }
 
-// TestPartnersAreNear is the pattern of a region with many hosts in a few failure domains:
-// most exchanges stay inside one, and every host still hears of all others in time.
-func TestPartnersAreNear(t *testing.T) {
-	s := region(t, 5, 20, placeSection)
+// TestMostPartnersAreNear runs a region with many hosts in a few failure domains: most exchanges
+// stay inside one, and heartbeats of all hosts still reach every other host in time.
+func TestMostPartnersAreNear(t *testing.T) {
+	s := newRegion(t, 5, 20, placeSection)
 	s.run(20 * time.Second)
 	if share := farShare(s); share > 0.3 || share < 0.1 {
 		t.Errorf("%.2f of the partners are far", share)
 	}
-	if wrong := s.wrong("region", "region", Live); wrong != "" {
+	if wrong := s.mismatch("region", "region", Live); wrong != "" {
 		t.Error(wrong)
 	}
-	local, _ := oldest(s)
+	local, _ := longestSilence(s)
 	if most := defaultSuspectAfter; local >= most {
-		t.Errorf("some host was not heard for %s, which makes it suspect", local)
+		t.Errorf("some host was not heard from for %s, which makes it suspect", local)
 	}
 }
 
-// TestHostsOfFewPlacesKeepTheirPartners: with no or few hosts near, others take the places.
-func TestHostsOfFewPlacesKeepTheirPartners(t *testing.T) {
+// TestFarHostsFillPartnersWhereFewAreNear guards against hosts with few or no near hosts having
+// too few partners.
+func TestFarHostsFillPartnersWhereFewAreNear(t *testing.T) {
 	for _, each := range []int{1, 3} {
-		s := region(t, 10, each, placeSection)
+		s := newRegion(t, 10, each, placeSection)
 		s.run(10 * time.Second)
 		for _, m := range s.hosts {
 			if n := len(m.partners); n != defaultPartners {
@@ -73,10 +75,10 @@
 	}
 }
 
-// TestCutPlaceGoesOnAlone: hosts behind a cut have their near partners, and meet the others
-// again after it.
-func TestCutPlaceGoesOnAlone(t *testing.T) {
-	s := region(t, 3, 10, placeSection)
+// TestPartitionedPlaceKeepsWorkingAndRecovers guards against hosts of a partitioned place that
+// lose each other, or do not find the others again after the partition.
+func TestPartitionedPlaceKeepsWorkingAndRecovers(t *testing.T) {
+	s := newRegion(t, 3, 10, placeSection)
 	s.run(15 * time.Second)
 	place := func(address string) string { return string(s.at[address].self.sections[placeSection].Data) }
 	s.cutHosts = func(from, to *Members) bool {
@@ -87,23 +89,23 @@
 	for _, m := range s.hosts[:10] {
 		for _, o := range s.hosts[:10] {
 			if got, _ := s.stateAt(m, o.Self().Host); got != Live {
-				t.Fatalf("behind the cut %s sees %s %s", m.Self().Host, o.Self().Host, got)
+				t.Fatalf("in the partitioned place %s sees %s %s", m.Self().Host, o.Self().Host, got)
 			}
 		}
 	}
 	s.cutHosts = nil
-	s.run(40 * time.Second) // an address that failed is left alone for 30 s
-	if wrong := s.wrong("region", "region", Live); wrong != "" {
+	s.run(40 * time.Second) // longer than failureBackoff
+	if wrong := s.mismatch("region", "region", Live); wrong != "" {
 		t.Error(wrong)
 	}
 }
 
-// BenchmarkNearPartners tells what exchanges send between places and how young news are, in
-// a region of 300 hosts in five places.
+// BenchmarkNearPartners reports the bytes sent per host, in total and between places, and the
+// longest silence, in a region of 300 hosts in five places.
 func BenchmarkNearPartners(b *testing.B) {
 	for _, c := range []struct{ name, nearBy string }{{"any", ""}, {"near", placeSection}} {
 		b.Run(c.name, func(b *testing.B) {
-			s := region(b, 5, 60, c.nearBy)
+			s := newRegion(b, 5, 60, c.nearBy)
 			s.run(30 * time.Second)
 			s.wire = newWire()
 			const span = 10 * time.Second
@@ -115,7 +117,7 @@
 			for _, n := range s.wire.sent {
 				total += n
 			}
-			local, _ := oldest(s)
+			local, _ := longestSilence(s)
 			share := farShare(s)
 			b.ReportMetric(float64(total)/float64(len(s.hosts))/span.Seconds(), "sent-B/s")
 			b.ReportMetric(share*float64(total)/float64(len(s.hosts))/span.Seconds(), "far-B/s")
@@ -124,15 +126,15 @@
 	}
 }
 
-func TestFirstAndNear(t *testing.T) {
+func TestTopAndNearby(t *testing.T) {
 	var ranked []Member
 	for _, host := range []string{"far-1", "near-1", "far-2", "near-2", "far-3", "near-3"} {
 		ranked = append(ranked, Member{Identity: Identity{Host: host}})
 	}
 	near := func(host string) bool { return strings.HasPrefix(host, "near") }
 	cases := []struct {
-		n, few int
-		want   string
+		n, maxNear int
+		want       string
 	}{
 		{1, 2, "far-1 near-1 near-2"},
 		{2, 1, "far-1 near-1 near-2"},
@@ -143,11 +145,11 @@
 	}
 	for _, c := range cases {
 		var got []string
-		for _, m := range TopAndNearby(ranked, c.n, c.few, near) {
+		for _, m := range TopAndNearby(ranked, c.n, c.maxNear, near) {
 			got = append(got, m.Host)
 		}
 		if s := strings.Join(got, " "); s != c.want {
-			t.Errorf("first %d and %d near: %s, want %s", c.n, c.few, s, c.want)
+			t.Errorf("first %d and %d near: %s, want %s", c.n, c.maxNear, s, c.want)
 		}
 	}
 }
--- a/internal/core/quarantine/tracker_test.go
+++ b/internal/core/quarantine/tracker_test.go
@@ -31,13 +31,13 @@
 
 // world is a pool of engines and hosts that place jobs on them.
 type world struct {
-	rng         *rand.Rand
-	now         time.Time
-	hosts       []*Tracker
-	engines     int
-	incarnation []int
-	jobs        []*job
-	wronged     bool // an innocent was refused
+	rng             *rand.Rand
+	now             time.Time
+	hosts           []*Tracker
+	engines         int
+	incarnation     []int
+	jobs            []*job
+	innocentRefused bool // an innocent was refused
 }
 
 func newWorld(seed uint64, hosts, engines int) *world {
@@ -52,7 +52,7 @@
 	w.jobs = append(w.jobs, &job{fingerprint: uint64(len(w.jobs) + 1), culprit: culprit, host: w.rng.IntN(len(w.hosts)), engine: -1})
 }
 
-// step places, runs, completes and crashes, then spreads the digests.
+// step places and ends jobs, and then exchanges digests between all hosts.
 func (w *world) step() {
 	w.now = w.now.Add(step)
 	for _, i := range w.rng.Perm(len(w.jobs)) {
@@ -88,7 +88,7 @@
 func (w *world) place(j *job) {
 	t := w.hosts[j.host]
 	if t.Standing(j.fingerprint, w.now) == Refused {
-		w.wronged = w.wronged || !j.culprit
+		w.innocentRefused = w.innocentRefused || !j.culprit
 		j.done = true
 		return
 	}
@@ -109,16 +109,17 @@
 	for _, j := range w.jobs {
 		if j.engine == engine && !j.done {
 			j.engine = -1
-			w.hosts[j.host].End(j.run, false) // late, after the death
+			w.hosts[j.host].End(j.run, false) // reported after the death
 		}
 	}
 }
 
-// play adds innocents and culprits over time, more innocents afterwards, and runs
-// until all is over. It returns the most crashes of one culprit.
-func (w *world) play(innocents, culprits int) (worst int, over bool) {
+// run adds innocents and culprits over time, more innocents afterwards, and steps
+// until all jobs are done. It returns the most crashes of one culprit and whether
+// all jobs are done.
+func (w *world) run(innocents, culprits int) (worst int, over bool) {
 	kinds := w.rng.Perm(innocents + culprits)
-	for n := 0; n < 2000 && (n < 60 || !w.over()); n++ {
+	for n := 0; n < 2000 && (n < 60 || !w.allDone()); n++ {
 		for k := 0; k < 3 && len(kinds) > 0; k++ {
 			w.add(kinds[0] < culprits)
 			kinds = kinds[1:]
@@ -131,10 +132,10 @@
 	for _, j := range w.jobs {
 		worst = max(worst, j.crashes)
 	}
-	return worst, w.over()
+	return worst, w.allDone()
 }
 
-func (w *world) over() bool {
+func (w *world) allDone() bool {
 	return !slices.ContainsFunc(w.jobs, func(j *job) bool { return !j.done })
 }
 
@@ -149,12 +150,12 @@
 			worst := 0
 			props.Property("all innocents complete, all culprits are refused in time", prop.ForAll(func(seed uint64) bool {
 				w := newWorld(seed, c.hosts, c.engines)
-				crashes, over := w.play(c.innocents, c.culprits)
+				crashes, over := w.run(c.innocents, c.culprits)
 				worst = max(worst, crashes)
 				if c.hosts == 1 && crashes > DefaultCrashThreshold+1 {
 					return false
 				}
-				return over && !w.wronged && crashes >= DefaultCrashThreshold
+				return over && !w.innocentRefused && crashes >= DefaultCrashThreshold
 			}, gen.UInt64()))
 			props.TestingRun(t)
 			t.Logf("most crashes of one culprit: %d", worst)
@@ -162,8 +163,8 @@
 	}
 }
 
-// crashAll starts fingerprints on an engine and lets it die.
-func crashAll(t *Tracker, engine, incarnation string, now time.Time, fingerprints ...uint64) {
+// crashEngine starts fingerprints on an engine and records its death.
+func crashEngine(t *Tracker, engine, incarnation string, now time.Time, fingerprints ...uint64) {
 	for _, f := range fingerprints {
 		t.Started(engine, f)
 	}
@@ -172,8 +173,8 @@
 
 func TestStandings(t *testing.T) {
 	tr := New(Options{})
-	crashAll(tr, "e1", "1", start, 1, 2)
-	crashAll(tr, "e1", "1", start, 2) // the same death, told again
+	crashEngine(tr, "e1", "1", start, 1, 2)
+	crashEngine(tr, "e1", "1", start, 2) // the same death, reported again
 	now := start.Add(DefaultSettleAfter)
 	if got := tr.Standing(1, now); got != Suspect {
 		t.Fatalf("after one death: %s", got)
@@ -200,7 +201,7 @@
 	}
 	run := tr.Started("e4", 1)
 	if tr.MayPlace("e4", 5, now) {
-		t.Error("a clear request was let in beside an isolated one")
+		t.Error("a clear request may start beside an isolated one")
 	}
 	tr.End(run, false)
 	tr.End(tr.Started("e3", 2), true)
@@ -209,20 +210,20 @@
 		t.Errorf("when all beside it have completed: %s", got)
 	}
 	now = now.Add(DefaultQuarantineTime)
-	if got := tr.Standing(1, now); got != Clear || len(tr.records) != 0 || len(tr.of) != 0 {
+	if got := tr.Standing(1, now); got != Clear || len(tr.records) != 0 || len(tr.openRecords) != 0 {
 		t.Errorf("when its time is over: %s, %d records", got, len(tr.records))
 	}
 }
 
 func TestMergeIsAUnion(t *testing.T) {
 	props := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(51))
-	props.Property("any order and repetition gives the same evidence", prop.ForAll(func(seed uint64) bool {
+	props.Property("any order and repetition give the same evidence", prop.ForAll(func(seed uint64) bool {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		var digests []Digest
 		for h := range 3 {
 			tr := New(Options{Host: fmt.Sprint(h)})
 			for i := range 4 {
-				crashAll(tr, fmt.Sprint(i), "1", start, rng.Uint64N(5), rng.Uint64N(5))
+				crashEngine(tr, fmt.Sprint(i), "1", start, rng.Uint64N(5), rng.Uint64N(5))
 			}
 			tr.End(tr.Started("x", rng.Uint64N(5)), true)
 			digests = append(digests, tr.Digest(start))
@@ -242,8 +243,8 @@
 
 func TestRefusalSpreadsAndEvidenceIsBounded(t *testing.T) {
 	a, b := New(Options{Host: "a", SettleAfter: -1}), New(Options{Host: "b"})
-	crashAll(a, "e1", "1", start, 7)
-	crashAll(a, "e2", "1", start, 7)
+	crashEngine(a, "e1", "1", start, 7)
+	crashEngine(a, "e2", "1", start, 7)
 	if got := a.Standing(7, start); got != Refused {
 		t.Fatalf("alone in two deaths: %s", got)
 	}
@@ -257,8 +258,8 @@
 	if got := a.Standing(7, start.Add(DefaultQuarantineTime)); got != Clear {
 		t.Errorf("when its time is over: %s", got)
 	}
-	crashAll(a, "e1", "2", start, 1, 2)
-	crashAll(a, "e2", "2", start, 1, 3)
+	crashEngine(a, "e1", "2", start, 1, 2)
+	crashEngine(a, "e2", "2", start, 1, 3)
 	b.Merge(a.Digest(start), start)
 	a.End(a.Started("e3", 2), true)
 	b.Merge(a.Digest(start), start)
@@ -266,10 +267,10 @@
 		t.Errorf("when a peer has cleared the other: %s", got)
 	}
 	for i := range 2 * DefaultMaxRecords {
-		crashAll(b, "e", fmt.Sprint(i), start.Add(time.Duration(i)), uint64(100+i))
+		crashEngine(b, "e", fmt.Sprint(i), start.Add(time.Duration(i)), uint64(100+i))
 	}
-	if len(b.records) != DefaultMaxRecords || len(b.of) > DefaultMaxRecords {
-		t.Errorf("%d records of %d fingerprints are kept", len(b.records), len(b.of))
+	if len(b.records) != DefaultMaxRecords || len(b.openRecords) > DefaultMaxRecords {
+		t.Errorf("%d records of %d fingerprints are kept", len(b.records), len(b.openRecords))
 	}
 	hold := Digest{Host: "c", Holds: []Hold{{"e9", 500, Isolate}}}
 	b.Merge(hold, start)
@@ -278,7 +279,7 @@
 	}
 	b.ForgetHost("c")
 	if !b.MayPlace("e9", 9, start) {
-		t.Error("the hold of a host that left still counts")
+		t.Error("the hold of a forgotten host still counts")
 	}
 }
 
@@ -289,12 +290,12 @@
 	}
 	b.Run("no evidence", func(b *testing.B) { benchmarkMayPlace(b, t) })
 	for i := range 100 {
-		crashAll(t, fmt.Sprint(i), "1", start, uint64(1000+i), uint64(2000+i))
+		crashEngine(t, fmt.Sprint(i), "1", start, uint64(1000+i), uint64(2000+i))
 	}
 	b.Run("100 deaths", func(b *testing.B) { benchmarkMayPlace(b, t) })
 }
 
-// benchmarkMayPlace asks for an engine that runs 100 requests.
+// benchmarkMayPlace measures MayPlace for an engine that runs 100 requests.
 func benchmarkMayPlace(b *testing.B, t *Tracker) {
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/suspects/stored_test.go
+++ b/internal/suspects/stored_test.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var today kept
+	var today storedValue
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&today); err != nil {
 		t.Fatal(err)
 	}
