--- a/internal/core/ledger/gather_test.go
+++ b/internal/core/ledger/gather_test.go
@@ -11,15 +11,16 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// gangWorld adds gathering fronts to a world. Each engine has its own owner.
+// gangWorld adds fronts that gather gangs to a world. Each engine has its own
+// owner.
 type gangWorld struct {
 	*world
-	turns   []*Turns // two hosts may both believe that they keep the turn
-	gathers []*Gatherer
-	ids     []string // reservation id of each gathered gang, else empty
-	ends    []time.Time
-	over    []bool
-	forget  bool // mutant: a release counts as done once it was sent
+	turns          []*Turns // of two hosts that both manage the pool's turn
+	gathers        []*Gatherer
+	ids            []string // reservation id of each gathered gang, else empty
+	ends           []time.Time
+	over           []bool
+	forgetReleases bool // mutant: a release counts as confirmed once it was sent
 }
 
 func newGangWorld(seed uint64, gangs int, lossy bool) *gangWorld {
@@ -88,7 +89,7 @@
 
 func (w *gangWorld) releaseMember(i int, s ReleaseMember) {
 	l := w.owner(s.Engine)
-	if w.forget {
+	if w.forgetReleases {
 		w.gathers[i].Released(s.Engine, s.ID)
 	}
 	w.send(func() {
@@ -107,7 +108,7 @@
 	}
 }
 
-// answer carries out an owner's actions; what concerns a front is sent to it.
+// answer carries out an owner's actions; grants and denials are sent to the front.
 func (w *gangWorld) answer(i int, l *Ledger, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -126,7 +127,8 @@
 	}
 }
 
-// run steps all until every gang has worked and ended, and returns what is wrong.
+// run steps the world until every gang has been gathered, has run and has ended.
+// It returns an error if a member is missing or something is left over.
 func (w *gangWorld) run() error {
 	for range 20000 {
 		w.now = w.now.Add(time.Duration(w.rnd.IntN(20)) * time.Millisecond)
@@ -142,13 +144,14 @@
 			w.do(l, l.Tick(w.now))
 		}
 		if w.done() {
-			return w.left()
+			return w.leftovers()
 		}
 	}
 	return fmt.Errorf("not done: over %v, gathered %v", w.over, w.ids)
 }
 
-// check verifies that a gathered gang has each member, and ends it in time.
+// check verifies that a gathered gang holds all its members, and aborts it at its
+// end.
 func (w *gangWorld) check(i int) error {
 	if w.ids[i] == "" || w.over[i] {
 		return nil
@@ -165,7 +168,7 @@
 }
 
 func (w *gangWorld) done() bool {
-	if len(w.under) > 0 {
+	if len(w.inFlight) > 0 {
 		return false
 	}
 	for i, g := range w.gathers {
@@ -176,7 +179,7 @@
 	return true
 }
 
-func TestGangsAreAllOrNothingAndEndAtZero(t *testing.T) {
+func TestGangsAreAllOrNothingAndReleaseEverything(t *testing.T) {
 	props := gopter.NewProperties(parameters(60))
 	for _, lossy := range []bool{false, true} {
 		name := fmt.Sprintf("overlapping gangs over four owners and two turns, answers lost: %v", lossy)
@@ -196,11 +199,12 @@
 	props.TestingRun(t)
 }
 
-// A Gather that takes a release for done once it was sent must leak.
+// A Gatherer that counts a release as confirmed once it was sent must leak
+// memory.
 func TestMutantForgettingReleasesIsCaught(t *testing.T) {
 	for seed := range uint64(30) {
 		w := newGangWorld(seed, 5, true)
-		w.forget = true
+		w.forgetReleases = true
 		if w.run() != nil {
 			return
 		}
@@ -215,14 +219,14 @@
 		return ok
 	}
 	if !take("a", 0) || take("b", 0) || take("c", 0) {
-		t.Fatal("the first to ask alone must have the turn")
+		t.Fatal("only the first gang to ask gets the turn")
 	}
 	turns.Release("p", "a")
 	if take("c", time.Second) || !take("b", time.Second) {
-		t.Fatal("the turn goes to the one who asked first")
+		t.Fatal("the turn goes to the gang that asked first")
 	}
 	if take("c", 4*time.Second) || !take("c", 5*time.Second) {
-		t.Fatal("a turn that is not given back lapses after its limit")
+		t.Fatal("a turn that is not released expires after its limit")
 	}
 }
 
@@ -230,17 +234,17 @@
 	gang := Gang{Request: "g", Pool: "p", Members: []Member{{Engine: "b"}, {Engine: "a"}}, Deadline: epoch.Add(time.Hour)}
 	g := NewGatherer(GatherOptions{}, gang, rand.New(rand.NewPCG(1, 1)))
 	g.Tick(epoch)
-	ask := g.HandleTurnAnswer(true, 0, epoch)[0].(ReserveMember).Request
-	if ask.Engine != "a" {
-		t.Fatalf("asked %s first, want a", ask.Engine)
+	req := g.HandleTurnAnswer(true, 0, epoch)[0].(ReserveMember).Request
+	if req.Engine != "a" {
+		t.Fatalf("asked %s first, want a", req.Engine)
 	}
 	released := g.Tick(epoch.Add(DefaultAnswerTimeout)) // the answer is lost
-	if released[0] != (ReleaseMember{Engine: "a", ID: ask.ID}) {
+	if released[0] != (ReleaseMember{Engine: "a", ID: req.ID}) {
 		t.Fatalf("a lost answer gave %+v", released)
 	}
-	g.Released("a", ask.ID)
-	late := g.Granted(ask, epoch.Add(2*DefaultAnswerTimeout))
-	if len(late) != 1 || late[0] != (ReleaseMember{Engine: "a", ID: ask.ID}) {
+	g.Released("a", req.ID)
+	late := g.Granted(req, epoch.Add(2*DefaultAnswerTimeout))
+	if len(late) != 1 || late[0] != (ReleaseMember{Engine: "a", ID: req.ID}) {
 		t.Errorf("a late grant gave %+v, want its release", late)
 	}
 }
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -16,7 +16,8 @@
 	return p
 }
 
-// runWorld returns what is wrong with a random run, or nothing.
+// runWorld does a random run. It returns an error if an engine holds more than
+// its memory or something is left over.
 func runWorld(w *world, steps int) error {
 	stranger := Item{ID: ID{Kind: Export, Name: "x1"}, Holder: Holder{Host: "gone", Incarnation: "9"}, Tokens: 500}
 	for _, n := range w.names {
@@ -34,10 +35,10 @@
 		}
 	}
 	w.drain()
-	return w.left()
+	return w.leftovers()
 }
 
-func (w *world) left() error {
+func (w *world) leftovers() error {
 	for _, e := range w.engines {
 		if len(e.books) > 0 {
 			return fmt.Errorf("engine %s still lists %v", e.name, e.books)
@@ -53,8 +54,9 @@
 	return nil
 }
 
-// One owner keeps below capacity by its own books: these engines check nothing.
-func TestGrantsStayBelowCapacityAndEndAtZero(t *testing.T) {
+// A single owner stays below capacity by its own accounting: its engines check
+// nothing.
+func TestGrantsStayBelowCapacityAndAreReleased(t *testing.T) {
 	props := gopter.NewProperties(parameters(300))
 	granted := 0
 	props.Property("one owner, engines that check nothing", prop.ForAll(func(seed uint64) string {
@@ -68,7 +70,7 @@
 	}, gen.UInt64()))
 	props.TestingRun(t)
 	if granted < 1000 {
-		t.Errorf("only %d grants: the property saw too little", granted)
+		t.Errorf("only %d grants: the property was hardly exercised", granted)
 	}
 }
 
@@ -95,7 +97,7 @@
 	t.Error("granting before the rebuild passed 100 runs")
 }
 
-// Books that are taken for newer than they are drop fresh grants.
+// A ledger that takes old books for new ones drops fresh grants and must fail.
 func TestMutantTrustingOldBooksIsCaught(t *testing.T) {
 	for seed := range uint64(100) {
 		w := newWorld(seed, 1, 1, 3, false)
@@ -131,7 +133,7 @@
 	return Item{ID: ID{Kind: kind, Name: name, Attempt: 1}, Holder: Holder{Host: host, Incarnation: incarnation}, Tokens: tokens}
 }
 
-// tickUntil ticks each second and returns when and why the first end was asked.
+// tickUntil ticks each second and returns when and why the first end was requested.
 func tickUntil(l *Ledger, renew func(now time.Time), limit time.Duration) (time.Duration, Cause) {
 	for d := time.Second; d <= limit; d += time.Second {
 		now := epoch.Add(d)
@@ -214,8 +216,9 @@
 	}
 }
 
-// A claim that the books do not know is gone only when newer books lack it too.
-func TestGoneIsSaidAfterFreshBooks(t *testing.T) {
+// A claimed reservation that is not in the books is reported gone only if books
+// read after the claim do not list it either.
+func TestGoneIsReportedAfterFreshBooks(t *testing.T) {
 	l := ownedWith()
 	claim := Claim{Engine: "e0", ID: ID{Kind: Reservation, Name: "r"}}
 	renew := func(seq uint64, at time.Duration) (int, int) {
@@ -236,7 +239,8 @@
 	}
 }
 
-// A reserve call that takes effect after its release is undone by the next books.
+// A reserve call that takes effect after its release is undone when the next books
+// list it.
 func TestLateReservationIsEndedAtOnce(t *testing.T) {
 	l := ownedWith()
 	late := item(Reservation, "r", "h", "1")
@@ -250,7 +254,7 @@
 	}
 }
 
-// A paused owner must not take its own pause for its holders' silence.
+// A paused owner must not mistake its own pause for silence of the holders.
 func TestPauseOfTheOwnerEndsNothing(t *testing.T) {
 	l := ownedWith(item(Reservation, "r", "h", "1"))
 	l.Renew(Renewal{Holder: Holder{Host: "h", Incarnation: "1"}, Seq: 1}, epoch)
--- a/internal/core/ledger/reconcile.go
+++ b/internal/core/ledger/reconcile.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// ApplyBooks compares an engine's own list with the ledger. What the engine
-// lists and nobody asked for is taken in, to be claimed or ended; what it no
-// longer lists is forgotten.
+// ApplyBooks reconciles the ledger with an engine's own list. Listed holdings
+// that the ledger does not know are added, to be claimed or ended; holdings that
+// are no longer listed are dropped.
 func (l *Ledger) ApplyBooks(b Books, now time.Time) []Action {
 	e := l.engines[b.Engine]
-	if e == nil || b.ReadStarted.Before(e.read) {
+	if e == nil || b.ReadStarted.Before(e.readStart) {
 		return nil
 	}
-	e.read = b.ReadStarted
+	e.readStart = b.ReadStarted
 	e.known = true
 	e.incarnation = b.Incarnation
 	e.total = b.Total
 	listed := make(map[ID]struct{}, len(b.Items))
 	var acts []Action
 	for _, it := range b.Items {
-		acts = append(acts, l.sawHolder(it.Holder, now)...)
+		acts = append(acts, l.observeHolder(it.Holder, now)...)
 	}
 	for _, it := range b.Items {
 		listed[it.ID] = struct{}{}
-		acts = append(acts, l.takeIn(e, it, b.ReadStarted, now)...)
+		acts = append(acts, l.applyItem(e, it, b.ReadStarted, now)...)
 	}
-	return append(acts, l.forget(e, listed, b.ReadStarted, now)...)
+	return append(acts, l.dropUnlisted(e, listed, b.ReadStarted, now)...)
 }
 
-// takeIn handles one line of an engine's books.
-func (l *Ledger) takeIn(e *engine, it Item, asked, now time.Time) []Action {
+// applyItem reconciles one holding of an engine's books.
+func (l *Ledger) applyItem(e *engine, it Item, readStart, now time.Time) []Action {
 	en := e.entries[it.ID]
 	if en != nil {
 		en.Tokens = it.Tokens
@@ -40,9 +40,9 @@
 		en.Reservation = it.Reservation
 		return nil
 	}
-	en = &entry{Item: it, state: held, changed: asked, claimed: now}
+	en = &entry{Item: it, state: held, changed: readStart, claimed: now}
 	e.entries[it.ID] = en
-	if at, ok := e.ended[it.ID]; ok && at.Before(asked) {
+	if at, ok := e.ended[it.ID]; ok && at.Before(readStart) {
 		return l.end(e, en, CauseLate, now)
 	}
 	if l.replaced(it.Holder) {
@@ -51,18 +51,19 @@
 	return nil
 }
 
-// forget drops what books that began after the last news of it do not list.
-func (l *Ledger) forget(e *engine, listed map[ID]struct{}, asked, now time.Time) []Action {
+// dropUnlisted drops the entries that the books do not list, if the read of the
+// books began after the entry last changed.
+func (l *Ledger) dropUnlisted(e *engine, listed map[ID]struct{}, readStart, now time.Time) []Action {
 	var acts []Action
 	for _, en := range e.sorted() {
 		if _, ok := listed[en.ID]; ok {
 			continue
 		}
-		if en.reserving || !en.changed.Before(asked) {
+		if en.reserving || !en.changed.Before(readStart) {
 			continue
 		}
 		if en.state == ending {
-			acts = append(acts, l.confirm(e, en, now)...)
+			acts = append(acts, l.confirmEnd(e, en, now)...)
 			continue
 		}
 		delete(e.entries, en.ID)
@@ -70,34 +71,34 @@
 	return acts
 }
 
-// MarkEngineDown says that an engine does not answer. It may have died or may be
-// out of reach, so nothing is granted on it and nothing forgotten before its
-// books are read again.
+// MarkEngineDown records that an engine does not answer. It may have crashed or
+// may only be unreachable, so until its books are read again nothing is granted
+// on it and no entry is dropped.
 func (l *Ledger) MarkEngineDown(name string) {
 	if e := l.engines[name]; e != nil {
 		e.known = false
 	}
 }
 
-// Renew handles a holder's list of all that it has here.
+// Renew handles a holder's list of all its holdings on this owner's engines.
 func (l *Ledger) Renew(r Renewal, now time.Time) (RenewalReply, []Action) {
 	if l.replaced(r.Holder) {
 		return RenewalReply{Newer: l.holders[r.Holder.Host].incarnation}, nil
 	}
-	acts := l.sawHolder(r.Holder, now)
+	acts := l.observeHolder(r.Holder, now)
 	h := l.holders[r.Holder.Host]
 	if !h.renewed.IsZero() && r.Seq <= h.seq {
 		return RenewalReply{}, nil
 	}
-	if h.first.IsZero() {
-		h.first = now
+	if h.firstRenewed.IsZero() {
+		h.firstRenewed = now
 	}
 	h.seq = r.Seq
 	h.renewed = now
-	h.gone = time.Time{}
+	h.goneSince = time.Time{}
 	var reply RenewalReply
 	for _, c := range r.Held {
-		gone, doubt := l.claim(c, r.Holder, now)
+		gone, doubt := l.applyClaim(c, r.Holder, now)
 		if gone {
 			reply.Gone = append(reply.Gone, c)
 		}
@@ -108,10 +109,10 @@
 	return reply, acts
 }
 
-// claim notes a claim. It tells whether a claimed reservation is gone, or whether
-// the engine's books are to be read to know: another owner may have granted it
-// since they were read last.
-func (l *Ledger) claim(c Claim, h Holder, now time.Time) (gone, doubt bool) {
+// applyClaim records a claim. It reports whether a claimed reservation is gone,
+// or in doubt, so that the engine's books have to be read: another owner may have
+// granted it since the last read.
+func (l *Ledger) applyClaim(c Claim, h Holder, now time.Time) (gone, doubt bool) {
 	e := l.engines[c.Engine]
 	if e == nil {
 		return false, false
@@ -119,10 +120,10 @@
 	en := e.entries[c.ID]
 	if en != nil && en.Holder == h && en.state != ending {
 		en.claimed = now
-		e.claimUsed(en, now)
+		e.claimReservationOf(en, now)
 		return false, false
 	}
-	// A running request may be younger than the books, and books in doubt say
+	// A running request may be newer than the books, and unknown books prove
 	// nothing.
 	if c.ID.Kind != Reservation || !e.known {
 		return false, false
@@ -132,11 +133,12 @@
 		e.missed[c.ID] = now
 		return false, true
 	}
-	return e.read.After(missed), false
+	return e.readStart.After(missed), false
 }
 
-// claimUsed claims the reservation that a claimed running request uses.
-func (e *engine) claimUsed(run *entry, now time.Time) {
+// claimReservationOf also claims the reservation that a claimed running request
+// uses.
+func (e *engine) claimReservationOf(run *entry, now time.Time) {
 	if run.Reservation == "" {
 		return
 	}
@@ -145,13 +147,13 @@
 	}
 }
 
-// ObserveHolder says that a host lives in an incarnation, also when that one holds
-// nothing here.
+// ObserveHolder records that a host runs in an incarnation, even if that one
+// holds nothing here.
 func (l *Ledger) ObserveHolder(h Holder, now time.Time) []Action {
-	return l.sawHolder(h, now)
+	return l.observeHolder(h, now)
 }
 
-// Hosts returns the hosts that hold something on owned engines, sorted.
+// Hosts returns the hosts with holdings on owned engines, sorted.
 func (l *Ledger) Hosts() []string {
 	seen := map[string]struct{}{}
 	for _, e := range l.engines {
@@ -162,9 +164,9 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// sawHolder notes a holder; the first sight of a newer incarnation ends what the
-// older ones hold.
-func (l *Ledger) sawHolder(h Holder, now time.Time) []Action {
+// observeHolder records a holder. The first time a newer incarnation is seen, the
+// holdings of older ones are ended.
+func (l *Ledger) observeHolder(h Holder, now time.Time) []Action {
 	old := l.holders[h.Host]
 	if old != nil && !newer(h.Incarnation, old.incarnation) {
 		return nil
@@ -176,13 +178,13 @@
 	return l.endReplaced(now)
 }
 
-// replaced tells whether a newer incarnation of the host is known.
+// replaced reports whether a newer incarnation of the host is known.
 func (l *Ledger) replaced(h Holder) bool {
 	known := l.holders[h.Host]
 	return known != nil && newer(known.incarnation, h.Incarnation)
 }
 
-// endReplaced ends at once what older incarnations hold.
+// endReplaced ends all holdings of older incarnations at once.
 func (l *Ledger) endReplaced(now time.Time) []Action {
 	var acts []Action
 	for _, name := range l.Owned() {
@@ -196,11 +198,12 @@
 	return acts
 }
 
-// Tick ends what has been unclaimed for too long and repeats unconfirmed ends.
-// It is to be called a few times in a soft limit at the least.
+// Tick ends holdings that have been unclaimed for too long and repeats
+// unconfirmed ends. Call it at least a few times per UnclaimedTimeout.
 func (l *Ledger) Tick(now time.Time) []Action {
 	if !l.ticked.IsZero() && now.Sub(l.ticked) > l.opts.UnclaimedTimeout/2 {
-		// This process was paused: renewals may wait unread. All limits start anew.
+		// This process was paused and may not have read renewals yet: all
+		// timeouts start again.
 		l.resumed = now
 	}
 	l.ticked = now
@@ -218,12 +221,12 @@
 	}
 	for _, en := range e.sorted() {
 		if en.state == ending {
-			if now.Sub(en.acted) >= l.opts.RetryEvery {
-				acts = append(acts, l.act(e, en, now)...)
+			if now.Sub(en.endRequested) >= l.opts.RetryEvery {
+				acts = append(acts, l.requestEnd(e, en, now)...)
 			}
 			continue
 		}
-		if cause := l.abandoned(e, en, now); cause != "" {
+		if cause := l.endCause(e, en, now); cause != "" {
 			acts = append(acts, l.end(e, en, cause, now)...)
 		}
 	}
@@ -240,43 +243,44 @@
 	}
 }
 
-// MarkHostGone says that a host has left the site. It is for a caller that knows from
-// more than its own silence; a renewal takes it back.
+// MarkHostGone records that a host has left the site. The caller must know this
+// from more than the host's silence; a later renewal cancels it.
 func (l *Ledger) MarkHostGone(host string, now time.Time) {
-	if h := l.holders[host]; h != nil && h.gone.IsZero() {
-		h.gone = now
+	if h := l.holders[host]; h != nil && h.goneSince.IsZero() {
+		h.goneSince = now
 	}
 }
 
-// abandoned returns why a holding is to be ended, or nothing. Silence alone ends
-// work late: the holder may be cut off from this owner only, or renew with
-// another host that owns the engine as well.
-func (l *Ledger) abandoned(e *engine, en *entry, now time.Time) Cause {
+// endCause returns why a holding is to be ended, or an empty Cause. For a holder
+// that is merely silent the timeout is long: it may be cut off from this owner
+// only, or renew with another host that also owns the engine.
+func (l *Ledger) endCause(e *engine, en *entry, now time.Time) Cause {
 	h := l.holders[en.Holder.Host]
 	if h == nil {
 		h = &holder{}
 	}
 	since := latest(en.claimed, l.resumed)
 	switch {
-	case !h.gone.IsZero():
-		return causeAfter(CauseGone, now.Sub(latest(since, h.gone)), l.opts.UnclaimedTimeout)
-	case !h.first.IsZero() && now.Sub(h.renewed) <= l.opts.UnclaimedTimeout:
-		// A renewal that was on its way when this owner took over may have left
-		// things out: the limit starts at the first renewal.
-		return causeAfter(CauseUnclaimed, now.Sub(latest(since, h.first)), l.opts.UnclaimedTimeout)
+	case !h.goneSince.IsZero():
+		return causeAfter(CauseGone, now.Sub(latest(since, h.goneSince)), l.opts.UnclaimedTimeout)
+	case !h.firstRenewed.IsZero() && now.Sub(h.renewed) <= l.opts.UnclaimedTimeout:
+		// A renewal already under way when this owner took over may have left
+		// holdings out: the timeout starts at the first renewal.
+		return causeAfter(CauseUnclaimed, now.Sub(latest(since, h.firstRenewed)), l.opts.UnclaimedTimeout)
 	}
 	limit := l.opts.SilentTimeout
-	if e.streams(en) {
+	if e.hasOpenStream(en) {
 		limit = l.opts.StreamTimeout
 	}
-	if h.first.IsZero() {
+	if h.firstRenewed.IsZero() {
 		return causeAfter(CauseUnknown, now.Sub(since), limit)
 	}
 	return causeAfter(CauseSilent, now.Sub(since), limit)
 }
 
-// streams tells whether an entry is, or serves, a request with an open stream.
-func (e *engine) streams(en *entry) bool {
+// hasOpenStream reports whether an entry is a running request with an open stream
+// or the reservation of one.
+func (e *engine) hasOpenStream(en *entry) bool {
 	if en.Kind == Running {
 		return !en.Orphaned
 	}
@@ -302,8 +306,8 @@
 	return b
 }
 
-// sorted returns the entries in the order of their ids, so that the actions of
-// a step are the same in every run.
+// sorted returns the entries in order of their IDs, so that the order of actions
+// is deterministic.
 func (e *engine) sorted() []*entry {
 	list := make([]*entry, 0, len(e.entries))
 	for _, en := range e.entries {
--- a/internal/core/ledger/room.go
+++ b/internal/core/ledger/room.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// hold keeps room on an engine for a gang that could not be served yet, so that
-// a stream of smaller asks does not starve it.
+// hold keeps memory free on an engine for a gang that does not fit yet, so that
+// a stream of smaller requests does not starve it.
 type hold struct {
-	request string // the request waited for; each try of its gang has a new id
-	id      string // reservation id of the last try
+	request string // id of the gang's request; each round of the gang has a new reservation id
+	id      string // reservation id of the last round
 	tokens  int64
 	start   time.Time // when the gang is expected to fit
 	expires time.Time
 }
 
-func (h *hold) drop(ask ReserveRequest) {
-	if h.id != "" && h.request == ask.Request {
+func (h *hold) clearRequest(req ReserveRequest) {
+	if h.id != "" && h.request == req.Request {
 		*h = hold{}
 	}
 }
 
-func (h *hold) dropID(id string) {
+func (h *hold) clearID(id string) {
 	if h.id == id {
 		*h = hold{}
 	}
 }
 
-// used returns the tokens that count against the engine's memory.
+// used returns the tokens in use of the engine's memory.
 func (e *engine) used() int64 {
 	var sum int64
 	for _, en := range e.entries {
@@ -38,8 +38,8 @@
 	return sum
 }
 
-// counts tells whether an entry's memory is its own; a running request that
-// uses a reservation has its memory counted there.
+// counts reports whether an entry's tokens count as used. Those of a running
+// request with a reservation are counted in the reservation.
 func (en *entry) counts(e *engine) bool {
 	if en.Kind != Running || en.Reservation == "" {
 		return true
@@ -47,43 +47,44 @@
 	return e.entries[ID{Kind: Reservation, Name: en.Reservation}] == nil
 }
 
-// fits returns no reason when the ask may be granted, else a reason and a time
-// to wait.
-func (l *Ledger) fits(e *engine, ask ReserveRequest, now time.Time) (Reason, time.Duration) {
+// checkRoom returns an empty Reason if the request may be granted, else the
+// reason of the denial and a time to wait.
+func (l *Ledger) checkRoom(e *engine, req ReserveRequest, now time.Time) (Reason, time.Duration) {
 	if e.hold.id != "" && now.After(e.hold.expires) {
 		e.hold = hold{}
 	}
 	free := e.total - e.used()
-	if ask.Tokens > free {
-		start := e.freeAt(ask.Tokens-free, now.Add(l.opts.DenyRetryAfter))
-		l.keep(e, ask, start, now)
+	if req.Tokens > free {
+		start := e.freeAt(req.Tokens-free, now.Add(l.opts.DenyRetryAfter))
+		l.holdRoom(e, req, start, now)
 		return NoMemory, start.Sub(now)
 	}
-	if e.hold.id == "" || e.hold.request == ask.Request {
+	if e.hold.id == "" || e.hold.request == req.Request {
 		return "", 0
 	}
-	if ask.Tokens+e.hold.tokens <= free {
+	if req.Tokens+e.hold.tokens <= free {
 		return "", 0
 	}
-	if !ask.Until.IsZero() && ask.Until.Before(e.hold.start) {
-		return "", 0 // backfill: it ends before the gang can start
+	if !req.Until.IsZero() && req.Until.Before(e.hold.start) {
+		return "", 0 // backfilling: it ends before the gang can start
 	}
 	return KeptForGang, max(l.opts.DenyRetryAfter, e.hold.start.Sub(now))
 }
 
-// keep reserves the next free room for a gang; the first gang to ask has it.
-func (l *Ledger) keep(e *engine, ask ReserveRequest, start, now time.Time) {
-	if ask.GangSize < 2 {
+// holdRoom keeps the memory that becomes free next for a gang. Only the first
+// gang to ask gets a hold.
+func (l *Ledger) holdRoom(e *engine, req ReserveRequest, start, now time.Time) {
+	if req.GangSize < 2 {
 		return
 	}
-	if e.hold.id != "" && e.hold.request != ask.Request {
+	if e.hold.id != "" && e.hold.request != req.Request {
 		return
 	}
-	e.hold = hold{request: ask.Request, id: ask.ID, tokens: ask.Tokens, start: start, expires: now.Add(l.opts.HoldLimit)}
+	e.hold = hold{request: req.Request, id: req.ID, tokens: req.Tokens, start: start, expires: now.Add(l.opts.HoldLimit)}
 }
 
-// freeAt estimates when so many more tokens are free, by the expected ends of
-// what is held; at the least it returns soonest.
+// freeAt estimates from the expected ends of the entries when the given number of
+// further tokens will be free. It returns soonest or later.
 func (e *engine) freeAt(tokens int64, soonest time.Time) time.Time {
 	var list []*entry
 	for _, en := range e.entries {
@@ -105,16 +106,16 @@
 	return soonest
 }
 
-// Room is a hint for placement of an engine.
+// Room describes an engine's memory, in tokens, as a hint for placement.
 type Room struct {
-	Known         bool
+	Known         bool // the engine's books are known
 	Total         int64
-	Used          int64     // tokens held, by the ledger's books
-	ReservedUntil time.Time // a gang waits to start then; zero: none does
-	ReservedRoom  int64     // tokens it waits for; shorts that end before ReservedUntil may use them
+	Used          int64     // in use according to the ledger
+	ReservedUntil time.Time // when the gang that waits for memory is expected to start; zero without one
+	ReservedRoom  int64     // kept for that gang; requests that end before ReservedUntil may use it
 }
 
-// Room returns the hint for an engine; ok is false when it is not owned.
+// Room returns the hint for an engine; ok is false if it is not owned.
 func (l *Ledger) Room(name string, now time.Time) (r Room, ok bool) {
 	e := l.engines[name]
 	if e == nil {
--- a/internal/core/ledger/sim_test.go
+++ b/internal/core/ledger/sim_test.go
@@ -8,11 +8,11 @@
 
 var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fakeEngine keeps books the way an engine does.
+// fakeEngine keeps books as an engine does.
 type fakeEngine struct {
 	name    string
 	total   int64
-	refuses bool // checks its own accounting
+	refuses bool // refuses what does not fit
 	starts  int
 	books   map[ID]Item
 }
@@ -70,21 +70,21 @@
 	return r
 }
 
-// world runs ledgers, engines and fronts against each other. Answers of engines
-// come in any order and are lost at times.
+// world simulates ledgers, engines and fronts. Answers of engines arrive in any
+// order, and some are lost.
 type world struct {
-	rnd     *rand.Rand
-	now     time.Time
-	engines map[string]*fakeEngine
-	names   []string
-	owners  []*Ledger
-	fronts  []*front
-	lossy   bool
-	under   []func() // deliveries under way
-	serial  int
-	granted int
-	denied  map[Reason]int
-	ended   func(Ended) // hears of confirmed ends; may be nil
+	rnd      *rand.Rand
+	now      time.Time
+	engines  map[string]*fakeEngine
+	names    []string
+	owners   []*Ledger
+	fronts   []*front
+	lossy    bool
+	inFlight []func() // undelivered messages
+	serial   int
+	granted  int
+	denied   map[Reason]int
+	ended    func(Ended) // called on confirmed ends; may be nil
 }
 
 func newWorld(seed uint64, engines, owners, fronts int, refuses bool) *world {
@@ -123,7 +123,7 @@
 			w.readBooks(l, a.Engine)
 		case Grant:
 			w.granted++
-			w.told(a.Request)
+			w.recordGrant(a.Request)
 		case Deny:
 			w.denied[a.Reason]++
 		case Ended:
@@ -134,7 +134,7 @@
 	}
 }
 
-func (w *world) told(a ReserveRequest) {
+func (w *world) recordGrant(a ReserveRequest) {
 	for _, f := range w.fronts {
 		if f.holder() == a.Holder {
 			f.held[a.ID] = a.Engine
@@ -171,27 +171,27 @@
 }
 
 func (w *world) readBooks(l *Ledger, engine string) {
-	asked := w.now
+	readStart := w.now
 	w.send(func() {
-		b := w.engines[engine].read(asked)
+		b := w.engines[engine].read(readStart)
 		w.send(func() { w.do(l, l.ApplyBooks(b, w.now)) })
 	})
 }
 
-func (w *world) send(f func()) { w.under = append(w.under, f) }
+func (w *world) send(f func()) { w.inFlight = append(w.inFlight, f) }
 
-// deliver runs one delivery; any may be next.
+// deliver delivers one message, chosen at random.
 func (w *world) deliver() {
-	if len(w.under) == 0 {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	i := w.rnd.IntN(len(w.under))
-	f := w.under[i]
-	w.under = append(w.under[:i], w.under[i+1:]...)
+	i := w.rnd.IntN(len(w.inFlight))
+	f := w.inFlight[i]
+	w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
 	f()
 }
 
-// step does one random thing.
+// step makes one random event happen.
 func (w *world) step() {
 	w.now = w.now.Add(time.Duration(1+w.rnd.IntN(200)) * time.Millisecond)
 	l := w.owners[w.rnd.IntN(len(w.owners))]
@@ -200,8 +200,8 @@
 	switch w.rnd.IntN(12) {
 	case 0, 1, 2:
 		w.serial++
-		ask := ReserveRequest{Engine: name, ID: fmt.Sprintf("r%d", w.serial), Holder: f.holder(), Tokens: 1 + w.rnd.Int64N(600)}
-		w.do(l, l.Reserve(ask, w.now))
+		req := ReserveRequest{Engine: name, ID: fmt.Sprintf("r%d", w.serial), Holder: f.holder(), Tokens: 1 + w.rnd.Int64N(600)}
+		w.do(l, l.Reserve(req, w.now))
 	case 3:
 		w.releaseOne(l, f)
 	case 4:
@@ -211,7 +211,7 @@
 	case 6:
 		w.readBooks(l, name)
 	case 7:
-		w.rare(f, name)
+		w.restartSome(f, name)
 	default:
 		w.deliver()
 	}
@@ -233,8 +233,8 @@
 	w.do(l, acts)
 }
 
-// rare restarts a front or an engine.
-func (w *world) rare(f *front, engine string) {
+// restartSome restarts a front or an engine now and then.
+func (w *world) restartSome(f *front, engine string) {
 	switch w.rnd.IntN(8) {
 	case 0:
 		f.start++
@@ -247,7 +247,7 @@
 	}
 }
 
-// drain lets everything end: fronts want nothing any more.
+// drain lets all holdings end: the fronts claim nothing any more.
 func (w *world) drain() {
 	w.lossy = false
 	for _, f := range w.fronts {
@@ -261,7 +261,7 @@
 			}
 			w.do(l, l.Tick(w.now))
 		}
-		for len(w.under) > 0 {
+		for len(w.inFlight) > 0 {
 			w.deliver()
 		}
 	}
--- a/internal/core/ledger/turns.go
+++ b/internal/core/ledger/turns.go
@@ -2,42 +2,41 @@
 
 import "time"
 
-// Turns lets one gang of a pool gather at a time. It is a courtesy: two hosts
-// that both give a turn cost retries and never a member, as each gang asks its
-// members in one order and keeps all or none. A turn lapses by itself, so a lost
-// GiveTurn or a dead front holds up nobody for long.
+// Turns lets one gang of a pool gather at a time. It only avoids contention: if
+// two hosts both grant a turn, that costs retries but no deadlock, as all gangs
+// reserve their members in the same order and keep all or none. A turn expires,
+// so a lost ReleaseTurn or a crashed front blocks others only briefly.
 type Turns struct {
 	limit time.Duration
 	pools map[string]*turn
 }
 
+// turn is the turn of one pool and the queue for it.
 type turn struct {
-	gang    string
+	gang    string // that has the turn; empty if none has
 	expires time.Time
 	waiting []waiter
 }
 
 type waiter struct {
 	gang  string
-	asked time.Time
+	asked time.Time // last request for the turn
 }
 
-// Shares of a turn's limit: how long a gang that has stopped asking keeps its
-// place in the queue, when the first in the queue asks again, and the longest
-// wait of the others.
+// Fractions of a turn's limit, as divisors.
 const (
-	shareKept  = 2
-	shareFirst = 64
-	shareLast  = 4
+	queueKeptDivisor  = 2  // how long a gang that no longer asks keeps its place in the queue
+	firstRetryDivisor = 64 // after which the first in the queue asks again
+	maxRetryDivisor   = 4  // longest time after which any other asks again
 )
 
-// NewTurns returns Turns whose turns lapse after limit.
+// NewTurns returns Turns whose turns expire after limit.
 func NewTurns(limit time.Duration) *Turns {
 	return &Turns{limit: limit, pools: map[string]*turn{}}
 }
 
 // Acquire asks for a pool's turn. Gangs get it in the order in which they first
-// asked; asking again is idempotent. When ok is false, wait is when to ask again.
+// asked; asking again is idempotent. If ok is false, ask again after wait.
 func (t *Turns) Acquire(pool, gang string, now time.Time) (wait time.Duration, ok bool) {
 	p := t.pools[pool]
 	if p == nil {
@@ -47,7 +46,7 @@
 	if p.gang != "" && !now.Before(p.expires) {
 		p.gang = ""
 	}
-	p.note(gang, now, t.limit/shareKept)
+	p.enqueue(gang, now, t.limit/queueKeptDivisor)
 	if p.gang == "" && p.waiting[0].gang == gang {
 		p.gang = gang
 		p.expires = now.Add(t.limit)
@@ -57,10 +56,11 @@
 	if p.gang == gang {
 		return 0, true
 	}
-	return min(t.limit/shareFirst*time.Duration(p.place(gang)+1), t.limit/shareLast), false
+	return min(t.limit/firstRetryDivisor*time.Duration(p.position(gang)+1), t.limit/maxRetryDivisor), false
 }
 
-func (p *turn) place(gang string) int {
+// position returns a gang's place in the queue, from 0.
+func (p *turn) position(gang string) int {
 	for i, w := range p.waiting {
 		if w.gang == gang {
 			return i
@@ -69,8 +69,9 @@
 	return len(p.waiting)
 }
 
-// note puts a gang into the queue and drops those that ask no longer.
-func (p *turn) note(gang string, now time.Time, limit time.Duration) {
+// enqueue adds a gang to the queue and removes those that have not asked within
+// limit.
+func (p *turn) enqueue(gang string, now time.Time, limit time.Duration) {
 	if p.gang == gang {
 		return
 	}
--- a/internal/core/ledger/types.go
+++ b/internal/core/ledger/types.go
@@ -7,15 +7,15 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/option"
 )
 
-// Holder is an entry host and its start, on whose behalf memory is held. The
-// incarnations of one host rise with its starts: numbers without leading zeros,
-// or texts of one length that sort by time.
+// Holder is the entry host, and its incarnation, for which memory is held. A
+// host's incarnations grow with each start: they are numbers without leading
+// zeros, or strings of equal length that sort by start time.
 type Holder struct {
 	Host        string
 	Incarnation string
 }
 
-// newer tells whether incarnation a was started after b.
+// newer reports whether incarnation a was started after b.
 func newer(a, b string) bool {
 	if len(a) != len(b) {
 		return len(a) > len(b)
@@ -23,10 +23,10 @@
 	return a > b
 }
 
-// Kind says what holds memory.
+// Kind is the kind of a holding: what uses memory on an engine.
 type Kind uint8
 
-// Kinds of holding.
+// Kinds of holdings.
 const (
 	Reservation Kind = iota + 1
 	Running
@@ -35,7 +35,7 @@
 
 var kindNames = map[Kind]string{Reservation: "reservation", Running: "running", Export: "export"}
 
-// String returns the name used in logs.
+// String returns the kind's name for logs.
 func (k Kind) String() string {
 	if n, ok := kindNames[k]; ok {
 		return n
@@ -43,74 +43,74 @@
 	return fmt.Sprintf("kind(%d)", uint8(k))
 }
 
-// ID names one holding on an engine. Attempt is used by Running alone.
+// ID identifies one holding on an engine. Attempt is set for Running only.
 type ID struct {
 	Kind    Kind
 	Name    string // reservation id, request id or export id
 	Attempt int
 }
 
-// Item is one line of an engine's books.
+// Item is one holding in an engine's books.
 type Item struct {
 	ID
 	Holder      Holder
 	Tokens      int64
-	Reservation string // of a running request that uses one, else empty
-	Orphaned    bool   // a running request whose stream is gone
+	Reservation string // name of the reservation that a running request uses, or empty
+	Orphaned    bool   // a running request whose stream is closed
 }
 
-// Books is what an engine lists as holding its memory.
+// Books is an engine's own list of the holdings in its memory.
 type Books struct {
 	Engine      string
 	Incarnation string
-	Total       int64     // memory in tokens
-	ReadStarted time.Time // when the read began; the books are not older
+	Total       int64     // the engine's memory in tokens
+	ReadStarted time.Time // when the read began; the list is at least as recent
 	Items       []Item
 }
 
-// ReserveRequest is a front's ask for a reservation. Asking again with the same id is
-// idempotent.
+// ReserveRequest is a front's request for a reservation. Repeating it with the
+// same ID is idempotent.
 type ReserveRequest struct {
 	Engine   string
 	ID       string
-	Request  string // id of the request it is for
+	Request  string // id of the request that needs the memory
 	Holder   Holder
 	Tokens   int64
-	GangSize int       // members of the gang, 0 or 1 without one
-	Until    time.Time // expected end of the work; zero: not known
+	GangSize int       // number of gang members; 0 or 1 without a gang
+	Until    time.Time // expected end of the request; zero if unknown
 }
 
-// Claim says that a holder still wants a holding.
+// Claim states that a holder still needs a holding.
 type Claim struct {
 	Engine string
 	ID     ID
 }
 
-// Renewal names everything that a holder has on the engines of one owner. What
-// is left out is unclaimed.
+// Renewal lists everything that a holder has on the engines of one owner.
+// Holdings that it leaves out are unclaimed.
 type Renewal struct {
 	Holder Holder
-	Seq    uint64 // grows with each renewal of a holder; an older one is ignored
+	Seq    uint64 // grows with each renewal of a holder; older renewals are ignored
 	Held   []Claim
 }
 
 // RenewalReply answers a Renewal.
 type RenewalReply struct {
-	Newer string  // a newer incarnation of the host is known; the renewal counts for nothing
-	Gone  []Claim // claimed reservations that the engine does not hold (any more)
+	Newer string  // newer incarnation of the host, if one is known: the renewal is then ignored
+	Gone  []Claim // claimed reservations that the engine does not hold
 }
 
-// Options are the limits of a Ledger. Zero fields take the defaults.
+// Options configures a Ledger. Zero fields take the defaults.
 type Options struct {
-	UnclaimedTimeout time.Duration // work is ended so long after its holder left it out of its renewals, or after its host has gone; 15 s
-	SilentTimeout    time.Duration // work of a holder that is silent or was never heard of is ended after it; 60 s
-	StreamTimeout    time.Duration // the same for a request whose stream is open; 5 min
-	RetryEvery       time.Duration // time between two asks for the same end; 1 s
-	DenyRetryAfter   time.Duration // retry time of a denial without a better estimate; 250 ms
-	HoldLimit        time.Duration // longest time that room is kept free for a gang; 10 s
+	UnclaimedTimeout time.Duration // a holding is ended this long after its last claim if its holder renews without it, or after its host has gone; 15 s
+	SilentTimeout    time.Duration // a holding is ended this long after its last claim if its holder is silent or has never renewed; 60 s
+	StreamTimeout    time.Duration // SilentTimeout of a request whose stream is open; 5 min
+	RetryEvery       time.Duration // interval of repeated requests for the same end; 1 s
+	DenyRetryAfter   time.Duration // RetryAfter of a denial without a better estimate; 250 ms
+	HoldLimit        time.Duration // longest time that memory is kept free for a gang; 10 s
 }
 
-// Defaults of Options. Fronts renew three times in a soft limit.
+// Defaults of Options. Fronts renew three times per unclaimed timeout.
 const (
 	DefaultUnclaimedTimeout = 15 * time.Second
 	DefaultSilentTimeout    = 60 * time.Second
