--- a/internal/core/admission/class.go
+++ b/internal/core/admission/class.go
@@ -2,41 +2,42 @@
 
 import "slices"
 
-// class holds the entries of one priority: a flow a customer, ordered by start
-// tag.
+// class holds the entries of one priority: one flow per customer, ordered by
+// start tag.
 type class struct {
 	flows map[string]*flow
 	ready flowHeap // flows with entries
 	byAge list
 	now   float64 // virtual time: start tag of the entry served last
 	cost  int
-	aside []*flow
+	aside []*flow // scratch of find
 }
 
-// flow is one customer's backlog in a class. It outlives the last entry, for the
-// finish tag still counts when the customer comes back at once.
+// flow is one customer's backlog in a class. It is kept after its last entry has
+// left, because the finish tag still counts if the customer soon queues again.
 type flow struct {
 	customer string
 	start    float64 // tag of the next entry to be served
-	weight   int     // told by the entry pushed last
+	weight   int     // of the entry pushed last
 	cost     int
 	lanes    []*lane // with entries only
 	index    int     // in the heap, -1 when not in it
 }
 
-// lane is a flow's entries that need the same kind of capacity.
+// lane holds the entries of a flow that need the same kind of capacity.
 type lane struct {
 	id   uint64
 	flow *flow
 	list list
 }
 
-// maxLag bounds what a customer is owed, in tokens over weight, whose entries
-// found no place: else it would keep all others waiting once they do.
+// maxLag bounds how far, in tokens over weight, a customer may fall behind while
+// its entries find no place. Without a bound it would delay all others once they
+// do.
 const maxLag = 1 << 20
 
-// push adds an entry. A flow that was empty starts at the virtual time: an idle
-// customer saves up nothing.
+// push adds an entry. An empty flow starts at the virtual time, so that an idle
+// customer accumulates no credit.
 func (c *class) push(e *Entry) {
 	f := c.flows[e.Customer]
 	if f == nil {
@@ -54,8 +55,8 @@
 	}
 }
 
-// charge moves the virtual time and the customer's tag on; e is about to be
-// removed because it is served.
+// charge advances the virtual time and the customer's tag for an entry that is
+// about to be removed and served.
 func (c *class) charge(e *Entry) {
 	f := e.lane.flow
 	c.now = max(c.now, f.start)
@@ -80,10 +81,11 @@
 	c.forgetIdle()
 }
 
-// maxIdleFlows bounds the empty flows that are kept for their tags.
+// maxIdleFlows is the number of empty flows above which those whose tags no
+// longer count are removed.
 const maxIdleFlows = 64
 
-// forgetIdle drops empty flows whose tag no longer counts.
+// forgetIdle removes empty flows whose tags no longer count.
 func (c *class) forgetIdle() {
 	if len(c.flows)-len(c.ready) <= maxIdleFlows {
 		return
@@ -95,7 +97,8 @@
 	}
 }
 
-// find returns the first head, flows in order of start tag, for which ok is true.
+// find returns the first lane head for which ok is true, trying flows in order of
+// start tag, or nil.
 func (c *class) find(ok func(*Entry) bool) *Entry {
 	var found *Entry
 	c.aside = c.aside[:0]
@@ -114,8 +117,8 @@
 	return found
 }
 
-// ahead estimates the cost of this class that is served before e.
-func (c *class) ahead(e *Entry) int {
+// costAhead estimates the cost of this class that is served before e.
+func (c *class) costAhead(e *Entry) int {
 	own, share := 0, float64(e.Cost)
 	if f := c.flows[e.Customer]; f != nil {
 		own = f.cost
@@ -131,7 +134,8 @@
 	return total
 }
 
-// find tries the heads of the lanes, the oldest first.
+// find returns the first lane head for which ok is true, trying the oldest first,
+// or nil.
 func (f *flow) find(ok func(*Entry) bool) *Entry {
 	if len(f.lanes) > 1 {
 		slices.SortFunc(f.lanes, func(a, b *lane) int { return a.list.first.pushed.Compare(b.list.first.pushed) })
--- a/internal/core/admission/divide.go
+++ b/internal/core/admission/divide.go
@@ -5,15 +5,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// division is the data by which one node's limits are divided.
+// division is the input for dividing one node's limits.
 type division struct {
 	id      uint32
-	floor   float64 // part of the limit that is spread evenly
+	floor   float64 // fraction of the limit that is divided evenly
 	domains []demand
 	hosts   []demand
 }
 
-// demand is what a host or domain asked of a node lately.
+// demand is the recent demand of a host or domain for a node's limits.
 type demand struct{ requests, tokens uint64 }
 
 func (d *demand) add(n NodeUsage) {
@@ -25,13 +25,13 @@
 
 func ofTokens(d demand) uint64 { return d.tokens }
 
-// divide returns this host's part of a node's limits.
+// divide returns this host's share of a node's limits.
 func (v *view) divide(limits settings.Limits, id uint32, floorShare float64, expected int) settings.Limits {
 	if limits == (settings.Limits{}) {
 		return limits
 	}
 	if v.known()*2 < expected {
-		// Just started: too few digests to tell who needs what.
+		// Just started: too few digests to divide by demand.
 		return settings.Limits{
 			RequestsInFlight:     limits.RequestsInFlight / expected,
 			PromptTokensInFlight: limits.PromptTokensInFlight / expected,
@@ -54,9 +54,9 @@
 	}
 }
 
-// part returns this host's part of one limit, from 0 to limit. First the limit is
+// part returns this host's share of one limit, from 0 to limit. First the limit is
 // divided among domains, then the own domain's part among its hosts, each time by
-// recent demand above a floor. Each host gets at least one unit when there are
+// recent demand above a floor. Each host gets at least one unit if there are
 // enough.
 func (v *view) part(limit int, d *division, weight func(demand) uint64) int {
 	if limit <= 0 {
@@ -94,7 +94,7 @@
 	own := 0
 	for i, h := range v.hosts {
 		claims[i] = claim{floor: min(floor, part/len(v.hosts)), tie: tie(d.id, h.hash)}
-		if !v.alone { // cut off alone: equal parts of the last known hosts
+		if !v.alone { // an isolated host takes an equal part among the last known hosts
 			claims[i].weight = weight(d.hosts[i])
 		}
 		if h.Host == v.host {
@@ -106,7 +106,8 @@
 
 func hashName(name string) uint64 { return xxhash.Sum64String(name) }
 
-// tie spreads the odd units of many nodes over the hosts.
+// tie returns the rank by which a host gets the last unit of an equal division.
+// It depends on the node, so that the units of many nodes spread over the hosts.
 func tie(id uint32, hash uint64) uint64 {
 	return (hash ^ uint64(id)) * 0x9e3779b97f4a7c15
 }
--- a/internal/core/admission/drain_test.go
+++ b/internal/core/admission/drain_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// TestDrainIgnoresTheFill: what leaves the queue in its first moments goes into room
-// that was left, and does not count as the lasting rate.
-func TestDrainIgnoresTheFill(t *testing.T) {
+// TestDrainRateIgnoresFillTime checks that entries that leave the queue in the first
+// moments of a backlog, into spare capacity, do not count for the sustained rate.
+func TestDrainRateIgnoresFillTime(t *testing.T) {
 	var d DrainRate
 	now := time.Unix(1_000_000, 0)
 	d.SetBacklogged(true, now)
 	d.RecordServed(1_000_000, now)
 	if _, ok := d.DrainTime(1000, now.Add(fillTime)); ok {
-		t.Error("a rate is known after the fill alone")
+		t.Error("a rate is known after the fill time alone")
 	}
 	for range 20 { // 100 in a tenth of a second
 		now = now.Add(100 * time.Millisecond)
@@ -21,14 +21,14 @@
 	}
 	wait, ok := d.DrainTime(1000, now)
 	if !ok || wait < 900*time.Millisecond || wait > 1100*time.Millisecond {
-		t.Errorf("1000 at 1000 a second take %v", wait)
+		t.Errorf("a cost of 1000 at 1000 per second takes %v", wait)
 	}
-	// A short gap begins no new backlog.
+	// After a short gap it is still the same backlog.
 	d.SetBacklogged(false, now)
 	now = now.Add(quietTime / 2)
 	d.SetBacklogged(true, now)
 	d.RecordServed(1000, now)
 	if shorter, _ := d.DrainTime(1000, now); shorter >= wait {
-		t.Errorf("what was served right after a short gap does not count: %v", shorter)
+		t.Errorf("entries served right after a short gap are not counted: %v", shorter)
 	}
 }
--- a/internal/core/admission/limiter.go
+++ b/internal/core/admission/limiter.go
@@ -21,37 +21,37 @@
 // LimiterOptions configures a Limiter.
 type LimiterOptions struct {
 	Host, Domain  string
-	ExpectedHosts int           // hosts of the site; until half of them are heard the limits are divided evenly by it
-	FloorShare    float64       // part of each limit that is spread evenly; DefaultFloorShare when zero
-	StaleAfter    time.Duration // a host not heard for longer is silent; DefaultStaleAfter when zero
-	HoldFor       time.Duration // a silent domain keeps its part for so long; DefaultHoldFor when zero
+	ExpectedHosts int           // hosts of the site; limits are divided evenly by it until digests of half of them are known
+	FloorShare    float64       // fraction of each limit that is divided evenly; DefaultFloorShare when zero
+	StaleAfter    time.Duration // a host without a digest for longer is silent; DefaultStaleAfter when zero
+	HoldFor       time.Duration // how long a silent domain keeps its part; DefaultHoldFor when zero
 	DemandTime    time.Duration // time constant of recent demand; DefaultDemandTime when zero
-	Burst         time.Duration // tokens a second that may come at once, as time; DefaultBurst when zero
+	Burst         time.Duration // burst of the limit on tokens per second, as the time in which it refills; DefaultBurst when zero
 	MaxNodes      int           // nodes in a digest, those with the most demand; DefaultMaxNodes when zero
 }
 
-// Node is one place whose limits a request must fit: a settings path, or the
-// customer. Names are unique; paths begin with a slash.
+// Node is a set of limits that a request must fit: those of a settings path or of
+// the customer. Names are unique; paths begin with a slash.
 type Node struct {
 	Name   string
 	Limits settings.Limits
 }
 
-// Cost is what a request takes from the limits.
+// Cost is what a request takes from the limits, in tokens.
 type Cost struct {
 	PromptTokens int
 	TotalTokens  int // prompt and answer, estimated
 }
 
-// Verdict is the answer to Admit.
+// Verdict is the result of Admit.
 type Verdict struct {
 	OK         bool
-	Node       string        // whose limit was met
-	Limit      LimitKind     // which one
-	RetryAfter time.Duration // estimate; zero when the request alone is over the limit and never fits
+	Node       string        // node whose limit was reached
+	Limit      LimitKind     // the limit that was reached
+	RetryAfter time.Duration // estimate; zero if the request exceeds the limit by itself and never fits
 }
 
-// LimitKind names one of a node's limits.
+// LimitKind is one of a node's limits.
 type LimitKind uint8
 
 // Kinds of limit.
@@ -71,7 +71,7 @@
 	return limitNames[k]
 }
 
-// Limiter holds this host's use of the limits. It is not safe for concurrent use.
+// Limiter tracks this host's use of the limits. It is not safe for concurrent use.
 type Limiter struct {
 	opts    LimiterOptions
 	nodes   map[string]*node
@@ -81,7 +81,7 @@
 	view    view
 }
 
-// NewLimiter returns a Limiter that knows of no peer yet.
+// NewLimiter returns a Limiter that knows no other hosts yet.
 func NewLimiter(o LimiterOptions) *Limiter {
 	o.ExpectedHosts = max(o.ExpectedHosts, 1)
 	o.FloorShare = cmp.Or(o.FloorShare, DefaultFloorShare)
@@ -97,8 +97,8 @@
 	return l
 }
 
-// Admit takes the cost from each node of the chain, or from none. A refused
-// request counts as demand all the same, so that the host's share can grow.
+// Admit takes the cost from all nodes of the chain or from none. A refused
+// request counts as demand too, so that the host's share can grow.
 func (l *Limiter) Admit(chain []Node, c Cost, now time.Time) Verdict {
 	l.scratch = l.scratch[:0]
 	for i := range chain {
@@ -123,9 +123,9 @@
 	return Verdict{OK: true}
 }
 
-// Done gives back what an admitted request held. The estimate taken from tokens a
-// second is put right with what the request used, prompt and answer; zero when it
-// never ran.
+// Done releases what an admitted request held. The estimate taken from tokens per
+// second is replaced by usedTokens, the tokens of prompt and answer that the
+// request used; zero if it never ran.
 func (l *Limiter) Done(chain []Node, c Cost, usedTokens int, now time.Time) {
 	for i := range chain {
 		n := l.nodes[chain[i].Name]
@@ -143,8 +143,8 @@
 	}
 }
 
-// Usage returns this host's digest. The shares follow the digest last returned,
-// not newer demand: only so do all hosts divide by the same figures.
+// Usage returns this host's digest. The shares are computed from the digest last
+// returned, not from newer demand, so that all hosts divide by the same figures.
 func (l *Limiter) Usage(now time.Time) Usage {
 	u := Usage{Host: l.opts.Host, Domain: l.opts.Domain, Hosts: 1}
 	for name, n := range l.nodes {
@@ -169,27 +169,29 @@
 	return u
 }
 
-// ApplyPeers takes digests of other hosts, or of whole domains, heard at now. They
-// count from the next Refresh on.
+// ApplyPeers stores digests of other hosts, or of whole domains, received at now.
+// They take effect at the next Refresh.
 func (l *Limiter) ApplyPeers(us []Usage, now time.Time) { l.view.apply(us, now) }
 
-// DomainUsage returns the sum over the own domain, for gateways to other domains.
+// DomainUsage returns the summed usage of the own domain, for gateways to send to
+// other domains.
 func (l *Limiter) DomainUsage() Usage { return l.view.sum() }
 
-// SetExpectedHosts tells how many hosts the site has, as the membership sees it.
-// It counts from the next Refresh on.
+// SetExpectedHosts sets the number of hosts of the site according to the
+// membership. It takes effect at the next Refresh.
 func (l *Limiter) SetExpectedHosts(n int) { l.opts.ExpectedHosts = max(n, 1) }
 
-// RemoveHost drops a host that has left for good, from the next Refresh on.
+// RemoveHost removes a host that has left permanently. It takes effect at the
+// next Refresh.
 func (l *Limiter) RemoveHost(domain, host string) { delete(l.view.peers, digestKey{domain, host}) }
 
-// Share returns this host's part of a node's limits. Zero in a field whose limit
-// is set means that nothing may enter here.
+// Share returns this host's share of a node's limits. Zero in a field whose limit
+// is set means that this host may admit nothing.
 func (l *Limiter) Share(n Node) settings.Limits { return l.node(&n).share }
 
-// Refresh divides the limits anew by the digests heard so far. To be called once
-// an interval, after Usage and ApplyPeers. A node's limits are divided when it is
-// next used, so that no call takes long.
+// Refresh makes the limits be divided again by the digests received so far. Call
+// it once per interval, after Usage and ApplyPeers. Each node's limits are divided
+// when it is next used, so that no single call takes long.
 func (l *Limiter) Refresh(now time.Time) {
 	l.view.refresh(l.own, l.opts.StaleAfter, l.opts.HoldFor, now)
 	l.round++
@@ -200,7 +202,7 @@
 	n.share = l.view.divide(n.limits, n.id, l.opts.FloorShare, l.opts.ExpectedHosts)
 }
 
-// node returns the state of a node, with the limits that are in force now.
+// node returns the state of a node, with its current limits and share.
 func (l *Limiter) node(of *Node) *node {
 	n := l.nodes[of.Name]
 	if n != nil && n.round == l.round && n.limits == of.Limits {
@@ -227,8 +229,8 @@
 		if c.PromptTokens > limit {
 			return PromptTokensInFlight, 0, false
 		}
-		// A prompt longer than the host's share enters when it is alone: else
-		// the longest that the limit allows could enter nowhere.
+		// A prompt longer than the host's share is admitted when no other is in
+		// flight: otherwise no host could admit the longest that the limit allows.
 		over := n.promptTokens + c.PromptTokens - n.share.PromptTokensInFlight
 		if over > 0 && n.promptTokens > 0 {
 			return PromptTokensInFlight, n.waitFor(float64(over), n.recent.freed, l.opts.DemandTime), false
--- a/internal/core/admission/limiter_test.go
+++ b/internal/core/admission/limiter_test.go
@@ -39,8 +39,8 @@
 	return s
 }
 
-// ask puts random demand on some hosts.
-func (s *site) ask(rng *rand.Rand, n Node, now time.Time) {
+// addDemand puts random demand on some hosts.
+func (s *site) addDemand(rng *rand.Rand, n Node, now time.Time) {
 	for _, h := range s.hosts {
 		for range rng.IntN(3) * rng.IntN(20) {
 			h.Admit([]Node{n}, Cost{TotalTokens: 1 + rng.IntN(5000)}, now)
@@ -48,8 +48,8 @@
 	}
 }
 
-// exchange lets all hosts hear all others, other domains by their sum when asked;
-// across domains only when linked.
+// exchange sends the digests of all hosts to all others: across domains only if
+// linked, and then as the sum of a domain if sums is true.
 func (s *site) exchange(sums, linked bool, now time.Time) {
 	var us []Usage
 	for _, h := range s.hosts {
@@ -77,7 +77,8 @@
 	}
 }
 
-// total adds up the shares; low is the smallest share of requests in flight.
+// total returns the sum of the shares and low, the smallest share of requests in
+// flight.
 func (s *site) total(n Node) (sum settings.Limits, low int) {
 	low = n.Limits.RequestsInFlight
 	for _, h := range s.hosts {
@@ -91,26 +92,26 @@
 }
 
 func TestSharesAddUpToTheLimit(t *testing.T) {
-	check(t, 30, "shares of equal views add up to the limit, and none is starved", func(seed uint64, a, b, c, requests int, sums bool) bool {
+	check(t, 30, "shares of hosts with equal views add up to the limit, and none is zero", func(seed uint64, a, b, c, requests int, sums bool) bool {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		n := Node{"/frigolijst", settings.Limits{RequestsInFlight: requests, PromptTokensInFlight: 1 + rng.IntN(1e7), TokensPerSecond: 1 + rng.IntN(1e6)}}
 		s := newSite(a, b, c)
-		s.ask(rng, n, start)
+		s.addDemand(rng, n, start)
 		s.exchange(sums, true, start)
 		sum, low := s.total(n)
 		return sum == n.Limits && (low >= 1 || requests < a+b+c)
 	}, gen.UInt64(), gen.IntRange(1, 6), gen.IntRange(0, 6), gen.IntRange(0, 6), gen.IntRange(1, 300), gen.Bool())
 }
 
-func TestSharesHoldDuringACut(t *testing.T) {
-	check(t, 31, "demand that moves while domains are cut never adds up to more", func(seed uint64, sums bool) bool {
+func TestSharesHoldDuringAPartition(t *testing.T) {
+	check(t, 31, "while domains are partitioned, shares add up to the limit under changing demand", func(seed uint64, sums bool) bool {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		n := Node{"customer", settings.Limits{RequestsInFlight: 100, PromptTokensInFlight: 1e6, TokensPerSecond: 1e5}}
 		s := newSite(3, 2, 4)
 		now := start
 		for step := range 12 {
 			cut := step >= 3 && step < 9
-			s.ask(rng, n, now)
+			s.addDemand(rng, n, now)
 			s.exchange(sums, !cut, now)
 			if sum, low := s.total(n); sum != n.Limits || low < 1 {
 				return false
@@ -125,28 +126,28 @@
 	n := Node{"customer", settings.Limits{RequestsInFlight: 80}}
 	l := NewLimiter(LimiterOptions{Host: "a", Domain: "hal-a", ExpectedHosts: 8})
 	if got := l.Share(n).RequestsInFlight; got != 10 {
-		t.Errorf("a new host of 8 takes %d of 80", got)
+		t.Errorf("a new host of 8 gets %d of 80, want 10", got)
 	}
 	busy := []NodeUsage{{Node: NodeID("customer"), Requests: 9000, Tokens: 1}}
 	l.ApplyPeers([]Usage{{Host: "b", Domain: "hal-a", Nodes: busy}, {Host: "c", Domain: "hal-a"}, {Host: "d", Domain: "hal-a"}}, start)
 	l.Refresh(start)
 	if got := l.Share(n).RequestsInFlight; got != 4 {
-		t.Errorf("an idle host beside a busy one takes %d of 80, want its floor 4", got)
+		t.Errorf("an idle host beside a busy one gets %d of 80, want its floor 4", got)
 	}
 	l.Refresh(start.Add(time.Minute))
 	if got := l.Share(n).RequestsInFlight; got != 20 {
-		t.Errorf("cut off from its 3 peers it takes %d of 80", got)
+		t.Errorf("cut off from its 3 peers it gets %d of 80, want 20", got)
 	}
 	l.RemoveHost("hal-a", "b")
 	l.SetExpectedHosts(3)
 	l.Refresh(start.Add(time.Minute))
 	if got := l.Share(n).RequestsInFlight; got < 26 || got > 27 {
-		t.Errorf("after one has left it takes %d of 80", got)
+		t.Errorf("after one host has left it gets %d of 80, want 26 or 27", got)
 	}
 }
 
 func TestLimiterKeepsEachLimit(t *testing.T) {
-	check(t, 32, "in flight stays within each node's limits, and all is given back", func(seed uint64) bool {
+	check(t, 32, "usage stays within each node's limits, and all of it is released", func(seed uint64) bool {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		chain := []Node{{"/", settings.Limits{RequestsInFlight: 9}}, {"/a", settings.Limits{PromptTokensInFlight: 1000}}, {"c", settings.Limits{TokensPerSecond: 2000}}}
 		l := NewLimiter(LimiterOptions{Host: "a", Domain: "d"})
@@ -177,7 +178,7 @@
 				prompt += c.PromptTokens
 				taken += float64(c.TotalTokens)
 			}
-			// One burst, the rate since, and the debt of one request at most.
+			// At most one burst, the rate since, and the debt of one request.
 			if taken > 2000*(1+now.Sub(start).Seconds())+800 {
 				return false
 			}
@@ -199,27 +200,27 @@
 	n := []Node{{"c", settings.Limits{PromptTokensInFlight: 1000}}}
 	l := NewLimiter(LimiterOptions{Host: "a", Domain: "d", ExpectedHosts: 8})
 	if v := l.Admit(n, Cost{PromptTokens: 1001}, start); v.OK || v.RetryAfter != 0 {
-		t.Errorf("over the site's limit: %+v, want never", v)
+		t.Errorf("over the site's limit: %+v, want refused without a retry time", v)
 	}
 	if v := l.Admit(n, Cost{PromptTokens: 900}, start); !v.OK {
-		t.Errorf("longer than the host's share, alone: %+v", v)
+		t.Errorf("longer than the host's share, alone: %+v, want admitted", v)
 	}
 	if v := l.Admit(n, Cost{PromptTokens: 1}, start); v.OK || v.Node != "c" || v.Limit != PromptTokensInFlight {
-		t.Errorf("beside it: %+v, want refused", v)
+		t.Errorf("second prompt beside it: %+v, want refused", v)
 	}
 }
 
-func TestEstimateIsPutRight(t *testing.T) {
+func TestEstimateIsCorrectedByUsage(t *testing.T) {
 	n := []Node{{"c", settings.Limits{TokensPerSecond: 1000}}}
 	l := NewLimiter(LimiterOptions{Host: "a", Domain: "d"})
 	c := Cost{TotalTokens: 5000}
 	l.Admit(n, c, start)
 	if v := l.Admit(n, c, start); v.OK || v.RetryAfter < 4*time.Second || v.RetryAfter > 5*time.Second {
-		t.Errorf("4000 tokens in debt: %+v", v)
+		t.Errorf("4000 tokens in debt: %+v, want refused for 4 to 5 seconds", v)
 	}
 	l.Done(n, c, 0, start)
 	if v := l.Admit(n, c, start); !v.OK {
-		t.Errorf("after the first never ran: %+v", v)
+		t.Errorf("after the first ended without running: %+v, want admitted", v)
 	}
 }
 
@@ -241,8 +242,8 @@
 	}
 }
 
-// BenchmarkExchange is one round of digests, with all limits divided, at the size to design for: 60 hosts in
-// the own domain, the sums of 6 others, 210 customers and 30 paths.
+// BenchmarkExchange is one round of digests, with all limits divided, at the size to design for: 60 hosts
+// in the own domain, the sums of 6 other domains, 210 customers and 30 paths.
 func BenchmarkExchange(b *testing.B) {
 	l := NewLimiter(LimiterOptions{Host: "host-0", Domain: "hal-0", MaxNodes: 64})
 	var us []Usage
--- a/internal/core/admission/node.go
+++ b/internal/core/admission/node.go
@@ -7,32 +7,32 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// Bounds of the time after which a caller that met a limit is told to come back.
+// Bounds of the RetryAfter of a request that a limit refused.
 const (
 	minLimitWait = 100 * time.Millisecond
 	maxLimitWait = 30 * time.Second
 )
 
-// node is the use of one node's limits on this host.
+// node tracks the use of one node's limits on this host.
 type node struct {
 	id           uint32
 	limits       settings.Limits
 	share        settings.Limits
-	round        uint64 // refresh that the share is of
+	round        uint64 // refresh for which the share was computed
 	inFlight     int
 	promptTokens int
 	bucket       bucket
 	recent       recent
 }
 
-// recent holds sums that decay together: what was added a time constant ago
+// recent holds exponentially decaying sums: what was added one time constant ago
 // counts 1/e.
 type recent struct {
 	at       time.Time
-	requests float64 // asked for, refused ones too
-	tokens   float64
-	done     float64 // ended
-	freed    float64 // prompt tokens of ended ones
+	requests float64 // including refused ones
+	tokens   float64 // estimated, prompt and answer, including refused requests
+	done     float64 // requests that ended
+	freed    float64 // prompt tokens of requests that ended
 }
 
 func (r *recent) decay(now time.Time, tau time.Duration) {
@@ -48,7 +48,8 @@
 	r.freed *= left
 }
 
-// waitFor estimates when need units will have been given back.
+// waitFor estimates when need units will have been released; given is the recent
+// decaying sum of released units.
 func (n *node) waitFor(need, given float64, tau time.Duration) time.Duration {
 	if given <= 0 {
 		return time.Second
@@ -56,7 +57,7 @@
 	return clampWait(seconds(need * tau.Seconds() / given))
 }
 
-// idle reports whether nothing is lost by forgetting the node.
+// idle reports whether the node can be dropped without losing state.
 func (n *node) idle() bool {
 	return n.inFlight == 0 && n.recent.requests < 1.0/requestUnit && n.bucket.level >= 0
 }
--- a/internal/core/admission/order.go
+++ b/internal/core/admission/order.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// Lists that an entry is in at the same time.
+// Indexes of the lists that an entry is in at the same time.
 const (
 	listByAge = iota
 	listByLane
@@ -11,7 +11,7 @@
 
 type links struct{ prev, next *Entry }
 
-// list is a doubly linked list of entries through one of their links.
+// list is a doubly linked list of entries, linked through Entry.links[which].
 type list struct{ first, last *Entry }
 
 func (l *list) push(e *Entry, which int) {
@@ -39,7 +39,7 @@
 	e.links[which] = links{}
 }
 
-// flowHeap orders flows by start tag, equal ones by customer.
+// flowHeap orders flows by start tag, then by customer.
 type flowHeap []*flow
 
 func (h *flowHeap) push(f *flow)   { heap.Push((*flowSlice)(h), f) }
@@ -78,7 +78,7 @@
 	return f
 }
 
-// expiryHeap orders entries by their latest start.
+// expiryHeap orders entries by LatestStart.
 type expiryHeap []*Entry
 
 func (h *expiryHeap) push(e *Entry)   { heap.Push((*expirySlice)(h), e) }
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -15,34 +15,35 @@
 	DefaultAgedEvery   = 8
 )
 
-// customerShare bounds a customer's backlog by what its class has left: with a
-// share of 2 one customer alone fills two thirds, and room for others remains.
+// customerShare bounds a customer's backlog to this multiple of the room that its
+// class has left: with 2, a single customer fills two thirds at most and room for
+// others remains.
 const customerShare = 2
 
-// classFill is the part of the bounds that a class and those below it may fill,
-// in tenths: bulk work never keeps an urgent call out.
+// classFill is the part of the bounds, in tenths, up to which entries of a class
+// may fill the queue, so that bulk work never keeps out an urgent request.
 var classFill = [request.NumPriorities]int{10, 9, 8}
 
 // QueueOptions configures a Queue.
 type QueueOptions struct {
 	MaxRequests int           // DefaultMaxRequests when zero
 	MaxTokens   int           // prompt tokens; DefaultMaxTokens when zero
-	AgeAfter    time.Duration // an entry that waited longer is aged; DefaultAgeAfter when zero
-	AgedEvery   int           // while aged entries wait, every so many pops serve the oldest; DefaultAgedEvery when zero
+	AgeAfter    time.Duration // wait after which an entry is aged; DefaultAgeAfter when zero
+	AgedEvery   int           // while aged entries wait, one of this many pops serves the oldest; DefaultAgedEvery when zero
 }
 
 // Entry is one waiting request. The queue owns it from Push until it is popped,
-// removed or handed back as expired.
+// removed or returned as expired.
 type Entry struct {
 	ID          string
 	Customer    string
-	Weight      int // of the customer, 1 when less
+	Weight      int // of the customer; values below 1 count as 1
 	Priority    request.Priority
 	Lane        uint64    // entries of one lane need the same kind of capacity
-	Tokens      int       // of the prompt
-	Cost        int       // what fairness counts, in tokens; Tokens when zero
+	Tokens      int       // prompt tokens
+	Cost        int       // cost for fair queueing, in tokens; Tokens when zero
 	LatestStart time.Time // after it the deadline cannot be met
-	Value       any       // the caller's
+	Value       any       // for the caller's use
 
 	pushed time.Time
 	lane   *lane
@@ -51,11 +52,11 @@
 }
 
 // Queue holds the requests that wait for a pool. Order: urgent before normal
-// before bulk; within a class start-time fair queueing among customers by cost
-// over weight; within a customer and lane first in, first out. It is not safe for
+// before bulk; within a class, start-time fair queueing among customers by cost
+// over weight; within a customer and lane, first in, first out. It is not safe for
 // concurrent use.
 //
-// Invariant: an entry is in the queue exactly as long as it is in byID, in one
+// Invariant: an entry is queued if and only if it is in byID, in one
 // lane, in its class's list by age, and in the expiry heap.
 type Queue struct {
 	opts      QueueOptions
@@ -64,14 +65,14 @@
 	customers map[string]*backlog
 	expiry    expiryHeap
 	tokens    int
-	skipped   int // pops that passed over an aged entry since one was served
-	blocked   []laneLimit
+	skipped   int         // pops that passed over an aged entry since one was served
+	blocked   []laneLimit // of the current Pop
 }
 
 // backlog is what one customer has queued, by class.
 type backlog [request.NumPriorities]struct{ requests, tokens int }
 
-// upTo adds up the class and those above it.
+// upTo returns the sums over the class and those above it.
 func (b *backlog) upTo(p request.Priority) (requests, tokens int) {
 	for _, c := range b[:p+1] {
 		requests += c.requests
@@ -80,8 +81,8 @@
 	return requests, tokens
 }
 
-// laneLimit says that an entry found no place, nor would one of its lane that is
-// as long and as urgent at most.
+// laneLimit records an entry that found no place: no entry of its lane that is at
+// least as long and no more urgent would find one either.
 type laneLimit struct {
 	lane     uint64
 	tokens   int
@@ -98,7 +99,7 @@
 	return q
 }
 
-// SetOptions changes the bounds. Entries that are queued stay.
+// SetOptions changes the options. Queued entries stay.
 func (q *Queue) SetOptions(o QueueOptions) {
 	o.MaxRequests = cmp.Or(max(o.MaxRequests, 0), DefaultMaxRequests)
 	o.MaxTokens = cmp.Or(max(o.MaxTokens, 0), DefaultMaxTokens)
@@ -107,15 +108,15 @@
 	q.opts = o
 }
 
-// Len returns how many entries wait.
+// Len returns the number of queued entries.
 func (q *Queue) Len() int { return len(q.byID) }
 
-// Tokens returns the prompt tokens of the waiting entries.
+// Tokens returns the prompt tokens of the queued entries.
 func (q *Queue) Tokens() int { return q.tokens }
 
-// Push adds an entry. It returns a *FullError when there is no room, an
-// ExpiredError when it is too late already, and a *DuplicateError when the ID is
-// queued.
+// Push adds an entry. It returns a *FullError if there is no room, an
+// ExpiredError if the latest start has passed, and a *DuplicateError if the ID is
+// already queued.
 func (q *Queue) Push(e *Entry, now time.Time) error {
 	e.Priority = min(e.Priority, request.Bulk)
 	if !now.Before(e.LatestStart) {
@@ -124,7 +125,7 @@
 	if _, ok := q.byID[e.ID]; ok {
 		return &DuplicateError{ID: e.ID}
 	}
-	if err := q.room(e); err != nil {
+	if err := q.checkRoom(e); err != nil {
 		return err
 	}
 	e.Weight = max(e.Weight, 1)
@@ -144,11 +145,11 @@
 	return nil
 }
 
-// Pop removes and returns the first entry, in order, for which can is true, nil
-// when there is none. After can returned true it is not called again. It must be
-// monotone: when an entry finds no place, no entry of its lane that has as many
-// tokens and is no more urgent would; those are not asked about in the same Pop.
-// An entry whose time is over is not offered.
+// Pop removes and returns the first entry, in order, for which can returns true,
+// or nil if there is none. It does not call can again after that. The function
+// must be monotone: if an entry finds no place, no entry of its lane with at least
+// as many tokens and no higher priority would; can is not called for those in the
+// same Pop, nor for entries whose latest start has passed.
 func (q *Queue) Pop(can func(*Entry) bool, now time.Time) *Entry {
 	q.blocked = q.blocked[:0]
 	if e := q.findAged(can, now); e != nil {
@@ -162,8 +163,8 @@
 	return nil
 }
 
-// Remove takes an entry out, as when its caller has gone; nil when it is not
-// queued.
+// Remove removes and returns an entry, for example when its caller has gone. It
+// returns nil if the ID is not queued.
 func (q *Queue) Remove(id string) *Entry {
 	e := q.byID[id]
 	if e != nil {
@@ -183,7 +184,7 @@
 	return expired
 }
 
-// NextExpiry returns when Tick is due; ok is false when the queue is empty.
+// NextExpiry returns when Expire is next due; ok is false if the queue is empty.
 func (q *Queue) NextExpiry() (t time.Time, ok bool) {
 	if len(q.expiry) == 0 {
 		return time.Time{}, false
@@ -191,19 +192,19 @@
 	return q.expiry[0].LatestStart, true
 }
 
-// CostAhead estimates the cost that is served before an entry like e: all of the
-// classes above, the customer's own backlog in the class, and of each other
-// customer as much as fair queueing lets pass meanwhile.
+// CostAhead estimates the cost that is served before an entry like e: that of all
+// classes above, of the customer's own backlog in the class, and of each other
+// customer as much as fair queueing serves meanwhile.
 func (q *Queue) CostAhead(e *Entry) int {
 	priority := min(e.Priority, request.Bulk)
-	ahead := q.classes[priority].ahead(e)
+	ahead := q.classes[priority].costAhead(e)
 	for i := range q.classes[:priority] {
 		ahead += q.classes[i].cost
 	}
 	return ahead
 }
 
-// Cost returns the cost of the waiting entries.
+// Cost returns the cost of the queued entries.
 func (q *Queue) Cost() int {
 	cost := 0
 	for i := range q.classes {
@@ -214,9 +215,9 @@
 
 func (q *Queue) class(e *Entry) *class { return &q.classes[e.Priority] }
 
-// room returns a *FullError when the entry does not fit. An entry that finds the
-// queue empty fits always, however long its prompt.
-func (q *Queue) room(e *Entry) error {
+// checkRoom returns a *FullError if the entry does not fit. In an empty queue an
+// entry always fits, however long its prompt.
+func (q *Queue) checkRoom(e *Entry) error {
 	if len(q.byID) == 0 {
 		return nil
 	}
@@ -237,8 +238,9 @@
 	return nil
 }
 
-// findAged finds the oldest aged entry that fits, of the classes that strict
-// priority could starve, when it is their turn.
+// findAged returns the oldest aged entry that fits, of the classes that strict
+// priority could starve. It returns nil until AgedEvery-1 pops have passed over
+// an aged entry.
 func (q *Queue) findAged(can func(*Entry) bool, now time.Time) *Entry {
 	if q.skipped < q.opts.AgedEvery-1 {
 		return nil
@@ -269,8 +271,8 @@
 	return nil
 }
 
-// countSkipped notes that an entry of a class was served while a lower one holds
-// an aged entry.
+// countSkipped counts an entry that was served while a lower class holds an aged
+// entry.
 func (q *Queue) countSkipped(served request.Priority, now time.Time) {
 	for _, c := range q.classes[served+1:] {
 		if e := c.byAge.first; e != nil && q.aged(e, now) {
@@ -282,7 +284,8 @@
 
 func (q *Queue) aged(e *Entry, now time.Time) bool { return now.Sub(e.pushed) >= q.opts.AgeAfter }
 
-// fits asks about an entry, unless a like one was refused in this Pop.
+// fits calls can for an entry, unless one that is no longer and no less urgent
+// was refused in this Pop, or its latest start has passed.
 func (q *Queue) fits(e *Entry, can func(*Entry) bool, now time.Time) bool {
 	if !now.Before(e.LatestStart) {
 		return false
@@ -299,7 +302,7 @@
 	return false
 }
 
-// take removes an entry that is served and charges its customer.
+// take removes an entry to be served and charges its customer.
 func (q *Queue) take(e *Entry) *Entry {
 	q.class(e).charge(e)
 	q.remove(e)
--- a/internal/core/admission/queue_test.go
+++ b/internal/core/admission/queue_test.go
@@ -42,7 +42,7 @@
 					ok = leave(e) && can(e) && now.Before(e.LatestStart)
 				}
 				for _, m := range model {
-					// A head was passed over only if nothing of its lane fits.
+					// A lane's head was passed over only if it does not fit.
 					if e == nil || m.Priority < e.Priority {
 						head := q.classes[m.Priority].flows[m.Customer].lane(m.Lane).list.first
 						ok = ok && !(can(head) && now.Before(head.LatestStart))
@@ -97,7 +97,7 @@
 			c := e.Value.(int)
 			served[c] += float64(e.Tokens) / float64(weights[c])
 			push(c, 1000+i)
-			// Start-time fair queueing: two customers differ by one entry of each.
+			// Start-time fair queueing: two customers differ by at most one entry of each.
 			for a := range served {
 				for b := range served {
 					bound := float64(sizes[a])/float64(weights[a]) + float64(sizes[b])/float64(weights[b])
@@ -138,7 +138,7 @@
 	}
 }
 
-// served pops n entries and counts the cost served of each customer.
+// served pops n entries and returns the cost served per customer.
 func served(q *Queue, n int, can func(*Entry) bool) map[string]int {
 	cost := make(map[string]int)
 	for range n {
@@ -240,7 +240,7 @@
 		t.Errorf("over the token bound: %v", err)
 	}
 	if err := NewQueue(QueueOptions{MaxTokens: 10}).Push(&Entry{ID: "x", Tokens: 1000, LatestStart: start.Add(1)}, start); err != nil {
-		t.Errorf("an empty queue refused a long prompt: %v", err)
+		t.Errorf("an empty queue refuses a long prompt: %v", err)
 	}
 	e := &Entry{ID: "1", LatestStart: start.Add(time.Hour)}
 	if err := q.Push(e, start); !errors.As(err, new(*DuplicateError)) {
@@ -251,7 +251,7 @@
 	}
 }
 
-func TestAheadPredictsWhatIsServedFirst(t *testing.T) {
+func TestCostAheadPredictsWhatIsServedFirst(t *testing.T) {
 	check(t, 42, "the estimate is near the cost served before the entry", func(seed uint64) bool {
 		rng := rand.New(rand.NewPCG(seed, 4))
 		q := NewQueue(QueueOptions{AgeAfter: time.Hour})
@@ -268,9 +268,9 @@
 	}, gen.UInt64())
 }
 
-// TestSecondWaveIsFlat: ten thousand callers refused within a second, while the
-// backlog that they are told of grows, come back spread.
-func TestSecondWaveIsFlat(t *testing.T) {
+// TestRetriesOfRefusedCallersAreSpread checks that ten thousand callers that were refused within a
+// second retry evenly spread, for backlogs from none to an hour.
+func TestRetriesOfRefusedCallersAreSpread(t *testing.T) {
 	for _, backlog := range []time.Duration{0, time.Second, 5 * time.Second, 20 * time.Second, time.Minute, time.Hour} {
 		rng := rand.New(rand.NewPCG(7, 7))
 		bins := make(map[int]int)
@@ -296,7 +296,7 @@
 func TestDrainCountsOnlyBusyTime(t *testing.T) {
 	var d DrainRate
 	if _, ok := d.DrainTime(100, start); ok {
-		t.Error("an estimate out of nothing")
+		t.Error("an estimate without data")
 	}
 	now := start
 	for range 100 {
@@ -312,7 +312,7 @@
 	}
 	d.RecordRefused(10_000, now)
 	if back := d.RetryBacklog(10_000, now); back < 2*got-time.Millisecond || back > 2*got+time.Millisecond {
-		t.Errorf("with as much refused come back after %v, want twice %v", back, got)
+		t.Errorf("with the same cost refused, retries spread over %v, want twice %v", back, got)
 	}
 }
 
@@ -335,7 +335,7 @@
 	}
 }
 
-// BenchmarkPopNothingFits is the dearest Pop: 2000 entries and no place for any.
+// BenchmarkPopNothingFits measures the most expensive Pop: none of 2000 entries fits.
 func BenchmarkPopNothingFits(b *testing.B) {
 	q := NewQueue(QueueOptions{MaxTokens: 1e9})
 	for i := range 2000 {
--- a/internal/core/admission/rate.go
+++ b/internal/core/admission/rate.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// rate is a sum that decays: what was added a time constant ago counts 1/e.
+// rate is an exponentially decaying sum: what was added one time constant ago
+// counts 1/e.
 type rate struct {
 	sum float64
 	at  time.Time
@@ -27,14 +28,14 @@
 	r.sum += x
 }
 
-// bucket is a token bucket that may go into debt: one request may cost more than
-// the bucket ever holds, and its true cost is known only at its end.
+// bucket is a token bucket whose level may go negative: a request may cost more
+// than the bucket ever holds, and its actual cost is known only at its end.
 type bucket struct {
 	level float64
 	at    time.Time
 }
 
-// fill brings the bucket to now. It holds at most burst; a new one is full.
+// fill refills the bucket up to now, to at most burst. A new bucket is full.
 func (b *bucket) fill(perSecond, burst float64, now time.Time) {
 	if b.at.IsZero() {
 		b.at = now
@@ -48,7 +49,8 @@
 	b.level = min(b.level, burst)
 }
 
-// wait returns how long the bucket stays empty.
+// wait returns the time until the bucket holds one token, or zero if it is not
+// empty.
 func (b *bucket) wait(perSecond float64) time.Duration {
 	if b.level > 0 {
 		return 0
@@ -56,7 +58,7 @@
 	return seconds((1 - b.level) / perSecond)
 }
 
-// maxWait keeps a wait that was worked out from a rate near zero in range.
+// maxWait bounds a wait computed from a rate near zero.
 const maxWait = time.Hour
 
 func seconds(s float64) time.Duration {
--- a/internal/core/admission/share.go
+++ b/internal/core/admission/share.go
@@ -8,14 +8,15 @@
 
 // claim is one host's or domain's claim on a limit.
 type claim struct {
-	floor  int    // given first
+	floor  int    // allocated first
 	weight uint64 // share of the rest
 	tie    uint64 // decides which of two equal remainders gets the last unit
 }
 
-// allocate divides total among the claims: the floors first, when they fit, the
-// rest by weight with the largest remainders rounded up. All in integers, so that
-// hosts with the same view get the same result and it adds up to total exactly.
+// allocate divides total among the claims: first the floors, if they fit, then the
+// rest by weight, with the largest remainders rounded up. It uses integers only, so
+// that hosts with the same view get the same result, and the parts add up to total
+// exactly.
 func allocate(total int, claims []claim) []int {
 	out := make([]int, len(claims))
 	var floors int
@@ -51,7 +52,7 @@
 	return out
 }
 
-// roundUp gives the n units that rounding down left over, n < len(claims).
+// roundUp distributes the n units left over by rounding down, n < len(claims).
 func roundUp(out []int, rems []uint64, claims []claim, n int) {
 	if n == 0 {
 		return
--- a/internal/core/admission/usage.go
+++ b/internal/core/admission/usage.go
@@ -9,29 +9,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Usage is a host's recent demand for limits, as spread to its peers. A gateway
-// may send the sum of its domain instead.
+// Usage is a host's recent demand for limits, as published to other hosts. A
+// gateway may send the sum of its domain instead.
 type Usage struct {
 	Host   string // empty in the sum of a domain
 	Domain string
-	Hosts  int         // hosts summed up; 1 for a host's own
-	Nodes  []NodeUsage // by Node, upwards
+	Hosts  int         // number of hosts in the sum; 1 for a single host
+	Nodes  []NodeUsage // in ascending order of Node
 }
 
 // NodeUsage is the demand for the limits of one node of the settings.
 type NodeUsage struct {
 	Node     uint32 // NodeID of its name
-	Requests uint32 // hundredths of a request, decayed sum
-	Tokens   uint32 // decayed sum
+	Requests uint32 // decaying sum, in hundredths of a request
+	Tokens   uint32 // decaying sum
 }
 
-// requestUnit is the resolution of NodeUsage.Requests.
+// requestUnit is the number of units of NodeUsage.Requests per request.
 const requestUnit = 100
 
-// NodeID returns the number that stands for a node's name in digests.
+// NodeID returns the number that identifies a node's name in digests.
 func NodeID(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// find returns the demand for a node, zero when the digest does not name it.
+// find returns the demand for a node, zero if the digest does not contain it.
 func (u *Usage) find(id uint32) NodeUsage {
 	i, ok := slices.BinarySearchFunc(u.Nodes, id, func(n NodeUsage, id uint32) int { return cmp.Compare(n.Node, id) })
 	if !ok {
@@ -40,7 +40,7 @@
 	return u.Nodes[i]
 }
 
-// digest is a Usage with the time it was heard.
+// digest is a Usage with the time at which it was received.
 type digest struct {
 	Usage
 	hash uint64 // of the host's name
@@ -49,16 +49,16 @@
 
 type digestKey struct{ domain, host string }
 
-// view is what a limiter knows of the hosts that share the limits.
+// view is what a Limiter knows of the hosts that share the limits.
 type view struct {
 	host, domain string
 	peers        map[digestKey]*digest
-	hosts        []*digest // of the own domain, itself included, by name
-	alone        bool      // all others of the own domain are silent
+	hosts        []*digest // of the own domain, including this host, by name
+	alone        bool      // all other hosts of the own domain are silent
 	domains      []domainView
 }
 
-// domainView is one failure domain in the division of a limit. While a domain is
+// domainView is one failure domain in the division of limits. While any domain is
 // silent the list is not rebuilt: see refresh.
 type domainView struct {
 	name  string
@@ -67,7 +67,7 @@
 	parts []*digest
 }
 
-// apply stores digests of others; the own one is ignored.
+// apply stores digests of other hosts; this host's own is ignored.
 func (v *view) apply(us []Usage, now time.Time) {
 	for _, u := range us {
 		if u.Domain == "" || u.Host == v.host && u.Domain == v.domain {
@@ -83,11 +83,12 @@
 
 func compareNodes(a, b NodeUsage) int { return cmp.Compare(a.Node, b.Node) }
 
-// refresh rebuilds the view. Within the own domain a silent host is dropped, for
-// the balancer sends its callers to the others; when all others are silent they
-// are kept, for then it is this host that is cut off. As long as another domain
-// is silent the division among domains stays as it was when all were last heard:
-// the other side of a cut does the same, so the parts still add up to the limit.
+// refresh rebuilds the view. Within the own domain a silent host is dropped,
+// because the load balancer sends its callers to the others; if all others are
+// silent they are kept, because then it is this host that is cut off. While
+// another domain is silent, the division among domains stays as it was when all
+// domains were last heard: the other side of a partition does the same, so the
+// parts still add up to the limit.
 func (v *view) refresh(own *digest, stale, hold time.Duration, now time.Time) {
 	for k, d := range v.peers {
 		if now.Sub(d.at) > hold {
@@ -120,8 +121,8 @@
 	slices.SortFunc(v.hosts, func(a, b *digest) int { return cmp.Compare(a.Host, b.Host) })
 }
 
-// allHeard reports whether each known domain but the own was heard lately, and
-// the own too unless this host is the only one of it.
+// allHeard reports whether each other known domain was heard recently and this
+// host is not isolated from the other hosts of its own domain.
 func (v *view) allHeard(stale time.Duration, now time.Time) bool {
 	heard := make(map[string]bool)
 	for k, d := range v.peers {
@@ -142,7 +143,7 @@
 			continue
 		}
 		if sum, ok := v.peers[digestKey{k.domain, ""}]; ok && now.Sub(sum.at) <= stale && sum != d {
-			continue // the sum stands for the domain's hosts
+			continue // the sum already covers the domain's hosts
 		}
 		dv := byName[k.domain]
 		if dv == nil {
@@ -159,7 +160,7 @@
 	slices.SortFunc(v.domains, func(a, b domainView) int { return cmp.Compare(a.name, b.name) })
 }
 
-// known returns how many hosts the division counts.
+// known returns the number of hosts among which limits are divided.
 func (v *view) known() int {
 	n := 0
 	for _, d := range v.domains {
@@ -168,7 +169,7 @@
 	return n
 }
 
-// sum adds up the digests of the own domain, for a gateway to send.
+// sum returns the sum of the digests of the own domain, for a gateway to send.
 func (v *view) sum() Usage {
 	total := Usage{Domain: v.domain, Hosts: len(v.hosts)}
 	at := make(map[uint32]int)
