--- a/internal/core/claim/claim_test.go
+++ b/internal/core/claim/claim_test.go
@@ -15,7 +15,7 @@
 const (
 	modelSeed  = 20261202
 	modelCases = 800
-	modelSteps = 800 // a case takes a random number of steps below it
+	modelSteps = 800 // upper bound of the random number of steps of a case
 )
 
 func modelParameters() *gopter.TestParameters {
@@ -25,7 +25,7 @@
 	return p
 }
 
-// atMostOnce is the one property that the sound hosts must keep and the mutants
+// atMostOnce is the property that the sound hosts must keep and that each mutant
 // must break.
 func atMostOnce(m mutant) gopter.Prop {
 	return prop.ForAll(func(steps []uint32) bool {
@@ -33,7 +33,7 @@
 		for _, n := range steps {
 			w.step(n)
 		}
-		return w.once()
+		return w.atMostOnePerKey()
 	}, gen.SliceOf(gen.UInt32()))
 }
 
@@ -43,32 +43,33 @@
 	properties.TestingRun(t)
 }
 
-// TestAtMostOnceWhenTheLogGoesBack guards against claims that the log had confirmed and has lost,
-// and against offsets that it gives out again: of a key's claims one dispatches at the most, also
-// where a combiner has not heard of the new era yet.
-func TestAtMostOnceWhenTheLogGoesBack(t *testing.T) {
+// TestAtMostOnceWhenTheLogIsRestored guards against a second dispatch of a key after the log was
+// restored from an older copy: confirmed claims are lost, offsets are reused, and some combiners do
+// not know the new era yet.
+func TestAtMostOnceWhenTheLogIsRestored(t *testing.T) {
 	properties := gopter.NewProperties(modelParameters())
-	properties.Property("no key is dispatched twice", atMostOnceOver(sound))
+	properties.Property("no key is dispatched twice", atMostOnceWithRestores(sound))
 	properties.TestingRun(t)
-	if result := atMostOnceOver(ignoresEras).Check(modelParameters()); result.Status != gopter.TestFailed {
+	if result := atMostOnceWithRestores(ignoresEras).Check(modelParameters()); result.Status != gopter.TestFailed {
 		t.Errorf("a host that ignores eras passes the property: %v", result.Status)
 	}
 }
 
-// atMostOnceOver is atMostOnce where the log may come back from older copies.
-func atMostOnceOver(m mutant) gopter.Prop {
+// atMostOnceWithRestores is atMostOnce with a log that may be restored from older copies.
+func atMostOnceWithRestores(m mutant) gopter.Prop {
 	return prop.ForAll(func(steps []uint32) bool {
 		w := newWorld(m)
 		w.restores = true
 		for _, n := range steps {
 			w.step(n)
 		}
-		return w.once()
+		return w.atMostOnePerKey()
 	}, gen.SliceOf(gen.UInt32()))
 }
 
-// TestKeysAreServedAgainOnceTheEraIsOlderThanTheWindow: by a mark of any host, also where it was
-// itself lost for a replay that began later.
+// TestKeysAreServedAgainOnceTheEraIsOlderThanTheWindow checks that a mark of any host shows how long
+// the log has been in its era, by its own time or by the start of the era that it states. The latter
+// is for replays that start after the first mark.
 func TestKeysAreServedAgainOnceTheEraIsOlderThanTheWindow(t *testing.T) {
 	began := time.UnixMilli(1_800_000_000_000)
 	r := NewReplayIn(Options{}, 2)
@@ -106,10 +107,10 @@
 	}
 }
 
-// TestFaultlessRunsOnce: with every append and read working, each key that any
-// number of hosts ask for, in any order, is dispatched exactly once. The last key
-// of the model is left out: its time is yet to come.
-func TestFaultlessRunsOnce(t *testing.T) {
+// TestEachKeyRunsOnceWithoutFaults checks that if every append and read works, each
+// key that any number of hosts ask for, in any order, is dispatched exactly once.
+// The last key of the model is left out: its timestamp is in the future.
+func TestEachKeyRunsOnceWithoutFaults(t *testing.T) {
 	parameters := modelParameters()
 	parameters.MaxSize = modelSteps / 10
 	properties := gopter.NewProperties(parameters)
@@ -124,9 +125,9 @@
 		for i, h := range w.hosts {
 			c := w.hosts[(i+1)%modelHosts]
 			w.read(c, len(w.log))
-			for _, t := range h.tries {
-				w.verdict(t, c)
-				w.permit(t)
+			for _, t := range h.attempts {
+				w.readVerdict(t, c)
+				w.tryDispatch(t)
 			}
 		}
 		for key := range w.asked {
@@ -139,8 +140,9 @@
 	properties.TestingRun(t)
 }
 
-// TestModelReachesTheHardCases keeps the property honest: the random steps must
-// in fact supersede, restart after a trim and run keys.
+// TestModelReachesTheHardCases guards against a property that passes because it is
+// hardly exercised: the random steps must run and supersede keys, restart after a
+// trim and meet uncertain keys.
 func TestModelReachesTheHardCases(t *testing.T) {
 	var ran, superseded, restarted, uncertain int
 	prop.ForAll(func(steps []uint32) bool {
@@ -174,7 +176,7 @@
 	now := time.UnixMilli(1000)
 	p := NewPermit(now)
 	if p.Dispatch(now) || !p.Grant(7) || p.Grant(8) || p.Offset() != 7 {
-		t.Fatal("asked: only the first grant may pass")
+		t.Fatal("asked: only the first grant may succeed")
 	}
 	if !p.Dispatch(now) || p.Dispatch(now) || p.Release() || p.Kill() {
 		t.Fatal("claimed: one dispatch, then nothing")
@@ -182,15 +184,15 @@
 	late := NewPermit(now)
 	late.Grant(1)
 	if late.Dispatch(now.Add(1)) || late.State() != Dead || !late.Release() || late.Release() {
-		t.Fatal("a late permit dies and can be released once")
+		t.Fatal("a late permit becomes dead and can be released once")
 	}
 }
 
-func TestPermitDiesByTheWallClock(t *testing.T) {
+func TestPermitExpiresByTheWallClock(t *testing.T) {
 	now := time.Now()
 	p := NewPermit(now.Add(time.Minute))
 	p.Grant(1)
-	// A suspended machine: an hour by the wall clock, nothing by the monotonic.
+	// A suspended machine: an hour passes on the wall clock, none on the monotonic.
 	if p.Dispatch(now.Round(0).Add(time.Hour)) || p.State() != Dead {
 		t.Error("dispatched after a suspension")
 	}
@@ -229,12 +231,12 @@
 	}
 	for i, rel := range strangers {
 		if ev := r.Apply(input(t, int64(i+2), Record{Release: &rel})); ev.Kind != EventNone {
-			t.Errorf("release %+v was taken", rel)
+			t.Errorf("release %+v was accepted", rel)
 		}
 	}
 	own := Release{Offset: 1, Host: c.Host, Incarnation: c.Incarnation}
 	if ev := r.Apply(input(t, 5, Record{Release: &own})); ev.Kind != EventReleased {
-		t.Error("the holder's own release was not taken")
+		t.Error("the holder's own release was not accepted")
 	}
 }
 
@@ -329,7 +331,7 @@
 
 var benchReplay *Replay
 
-// BenchmarkReplayMemory reports the memory that one remembered key takes.
+// BenchmarkReplayMemory reports the memory that a replay uses per key.
 func BenchmarkReplayMemory(b *testing.B) {
 	const keys = 26_000
 	var before, after runtime.MemStats
--- a/internal/core/claim/model_test.go
+++ b/internal/core/claim/model_test.go
@@ -24,28 +24,29 @@
 	ignoresEras
 )
 
-// try is one request of a host.
-type try struct {
+// attempt is one request that a host tries to dispatch.
+type attempt struct {
 	claim   Claim
 	permit  *Permit
 	claimed time.Time // by the log, when it was last appended
 }
 
-// modelHost is a front and a combiner; both are lost when it is replaced.
+// modelHost is a host with a front and a combiner, whose state is lost when the
+// host is replaced.
 type modelHost struct {
 	name        string
 	incarnation uint64
 	replay      *Replay
-	tries       []*try
+	attempts    []*attempt
 }
 
-// dispatch is one run of a key as the upstream sees it.
+// dispatch is one run of a key at the upstream.
 type dispatch struct {
 	claimed   time.Time // log time of the claim
 	permitted time.Time
 }
 
-// world is the log, the hosts and the upstream's witness.
+// world simulates the log, the hosts and an upstream that records dispatches.
 type world struct {
 	now       time.Time
 	firstKept int64
@@ -57,7 +58,7 @@
 	lastID    uint64
 	mutant    mutant
 	era       int64
-	restores  bool // the log may go back to an older copy
+	restores  bool // the log may be restored from an older copy
 }
 
 func newWorld(m mutant) *world {
@@ -70,7 +71,7 @@
 	}
 	w.keys = [modelKeys]string{"opaque-1", "opaque-2", uuidV7(w.now), uuidV7(w.now.Add(2 * modelLife))}
 	for i := range w.hosts {
-		w.replace(i)
+		w.replaceHost(i)
 	}
 	return w
 }
@@ -83,9 +84,9 @@
 	return id.String()
 }
 
-// replace puts an empty host in the place of another; it reads from the first
+// replaceHost replaces a host by one with empty state, which reads from the first
 // kept record on.
-func (w *world) replace(i int) {
+func (w *world) replaceHost(i int) {
 	old := w.hosts[i]
 	h := &modelHost{name: string(rune('a' + i)), incarnation: 1, replay: NewReplay(Options{})}
 	if old != nil {
@@ -113,11 +114,11 @@
 	}
 }
 
-// ask starts a request at a host. Whether it is appended, and how often, is up
-// to later steps; the claim supersedes a released holder that combiner c knows.
-func (w *world) ask(h, c *modelHost, key string) *try {
+// ask starts a request at a host. Later steps decide whether and how often its
+// claim is appended. The claim supersedes a released holder that combiner c knows.
+func (w *world) ask(h, c *modelHost, key string) *attempt {
 	w.lastID++
-	t := &try{permit: NewPermit(w.now.Add(modelLife / 2))}
+	t := &attempt{permit: NewPermit(w.now.Add(modelLife / 2))}
 	t.claim = Claim{
 		Customer:    "customer",
 		Key:         key,
@@ -131,13 +132,13 @@
 	if st.State == KeyReleased {
 		t.claim.Supersedes = st.Holder.Offset
 	}
-	h.tries = append(h.tries, t)
+	h.attempts = append(h.attempts, t)
 	w.asked[key] = true
 	return t
 }
 
-// verdict lets a front learn from combiner c what became of a try.
-func (w *world) verdict(t *try, c *modelHost) {
+// readVerdict applies the verdict that combiner c knows to an attempt.
+func (w *world) readVerdict(t *attempt, c *modelHost) {
 	if w.mutant == skipsReadBack {
 		t.permit.Grant(int64(len(w.log)))
 		return
@@ -153,8 +154,9 @@
 	}
 }
 
-// permit takes the atomic step before the first byte; send comes any time later.
-func (w *world) permit(t *try) {
+// tryDispatch takes the permit's transition before the first byte; the bytes may be
+// sent any time later.
+func (w *world) tryDispatch(t *attempt) {
 	if w.mutant == dispatchesAfterRelease && t.permit.State() == Released {
 		t.permit.state.Store(uint32(Claimed))
 	}
@@ -168,52 +170,52 @@
 	w.runs[t.claim.Key] = append(w.runs[t.claim.Key], dispatch{claimed, w.now})
 }
 
-// release gives a try up and writes the record when lost is false.
-func (w *world) release(h *modelHost, t *try, lost bool) {
+// release gives an attempt up and writes the record if lost is false.
+func (w *world) release(h *modelHost, t *attempt, lost bool) {
 	if !t.permit.Release() || lost || t.permit.Offset() == 0 {
 		return
 	}
 	w.append(Record{Release: &Release{Offset: t.permit.Offset(), ID: t.claim.ID, Host: h.name, Incarnation: h.incarnation}})
 }
 
-// wanted is the state in which a step does something; any other is tried too.
-var wanted = [20]PermitState{13: Claimed, 14: Claimed, 15: Claimed, 16: Claimed, 17: Claimed, 18: Dead}
+// wantedState is the permit state, by step, in which the step has an effect.
+var wantedState = [20]PermitState{13: Claimed, 14: Claimed, 15: Claimed, 16: Claimed, 17: Claimed, 18: Dead}
 
-// pick mostly returns a try in the wanted state, now and then any, so that steps
-// out of turn are taken as well. It returns nil without a try.
-func pick(tries []*try, arg uint32, want PermitState) *try {
-	if len(tries) == 0 {
+// pickAttempt mostly returns an attempt in the wanted state and sometimes any, so
+// that steps are also taken out of order. It returns nil if there is no attempt.
+func pickAttempt(attempts []*attempt, arg uint32, want PermitState) *attempt {
+	if len(attempts) == 0 {
 		return nil
 	}
-	first := int(arg) % len(tries)
+	first := int(arg) % len(attempts)
 	if arg%7 == 0 {
-		return tries[first]
+		return attempts[first]
 	}
-	for i := range tries {
-		if t := tries[(first+i)%len(tries)]; t.permit.State() == want {
+	for i := range attempts {
+		if t := attempts[(first+i)%len(attempts)]; t.permit.State() == want {
 			return t
 		}
 	}
-	return tries[first]
+	return attempts[first]
 }
 
-// step takes one step that the number picks, faults included.
+// step takes the step that n selects, which may be a fault.
 func (w *world) step(n uint32) {
 	op, arg := n%20, n/20
 	if w.restores && arg%16 == 0 {
-		w.restore(int(arg / 16 % 8))
+		w.restoreLog(int(arg / 16 % 8))
 		return
 	}
 	h := w.hosts[arg%modelHosts]
 	arg /= modelHosts
 	c := w.hosts[arg%modelHosts]
 	arg /= modelHosts
-	t := pick(h.tries, arg, wanted[op])
+	t := pickAttempt(h.attempts, arg, wantedState[op])
 	switch {
 	case op < 3:
 		t = w.ask(h, c, w.keys[arg%modelKeys])
 		arg /= modelKeys
-		if arg%4 == 3 { // a combiner that is wrong about the holder
+		if arg%4 == 3 { // a combiner with a wrong view of the holder
 			t.claim.Supersedes = max(0, int64(len(w.log))-int64(arg/4%8))
 		}
 		w.appendClaim(t, arg)
@@ -228,18 +230,18 @@
 	case op == 9:
 		w.now = w.now.Add([]time.Duration{0, time.Second, time.Second, time.Minute, 4 * time.Minute, modelLife}[arg%6])
 	case op == 10 && arg%4 == 0:
-		w.replace(slices.Index(w.hosts[:], h))
+		w.replaceHost(slices.Index(w.hosts[:], h))
 	case op == 10 && arg%4 == 1:
 		w.firstKept = min(w.firstKept+int64(arg/4%6), int64(len(w.log))+1)
 	case t == nil:
-	case op == 11: // the try is appended late, or once more
+	case op == 11: // the claim is appended late, or again
 		w.appendClaim(t, arg)
 	case op < 13:
-		for _, t := range h.tries {
-			w.verdict(t, c)
+		for _, t := range h.attempts {
+			w.readVerdict(t, c)
 		}
 	case op < 17:
-		w.permit(t)
+		w.tryDispatch(t)
 	case op < 19:
 		w.release(h, t, arg%4 == 3)
 	default:
@@ -247,7 +249,7 @@
 	}
 }
 
-// mark has a host show the log's time, and the era as it has read it.
+// mark appends a host's mark, with the era that the host knows.
 func (w *world) mark(h *modelHost) {
 	m := Mark{Host: h.name, Era: h.replay.Era()}
 	if !h.replay.EraStart().IsZero() {
@@ -256,25 +258,25 @@
 	w.append(Record{Mark: &m})
 }
 
-// restore has the log come back from a copy that lacks the last few records.
-func (w *world) restore(lost int) {
+// restoreLog restores the log from a copy that lacks the last few records.
+func (w *world) restoreLog(lost int) {
 	w.log = slices.Clone(w.log[:max(len(w.log)-lost, int(w.firstKept)-1, 0)])
 	w.era++
 }
 
-// appendClaim appends a try: not at all, once, or twice. Whether the answer
-// reaches the host makes no difference, since only reading back counts.
-func (w *world) appendClaim(t *try, arg uint32) {
+// appendClaim appends an attempt's claim not at all, once or twice. Whether the
+// host gets the answer makes no difference, since only reading back counts.
+func (w *world) appendClaim(t *attempt, arg uint32) {
 	for range []int{0, 1, 1, 1, 2}[arg%5] {
 		t.claimed = w.now
 		w.append(Record{Claim: &t.claim})
 	}
 }
 
-// once reports whether no key ran twice: a time-stamped key never again, an
-// opaque one only for a claim that is later than the first run and than the key
-// life after the first claim.
-func (w *world) once() bool {
+// atMostOnePerKey reports whether no key ran twice. A time-stamped key may never run
+// again, an opaque one only by a claim that was recorded after the first run and
+// more than the key life after the first claim.
+func (w *world) atMostOnePerKey() bool {
 	for key, runs := range w.runs {
 		_, stamped := KeyTime(key)
 		for i, second := range runs {
--- a/internal/core/claim/permit.go
+++ b/internal/core/claim/permit.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// PermitState is where a permit stands.
+// PermitState is the state of a Permit.
 type PermitState uint32
 
-// States of a permit. Asked is the first; Dispatching, Released and Dead are
-// final, but for Dead, which may still be released.
+// States of a permit. It starts as Asked. Dispatching and Released are final; a
+// Dead permit may still be released.
 const (
-	Asked       PermitState = iota // verdict not read back yet
+	Asked       PermitState = iota // the verdict has not been read back yet
 	Claimed                        // read back as holder
 	Dispatching                    // the first byte may have been sent
 	Released                       // not dispatched, and never will be
-	Dead                           // undecided or too late: never dispatched
+	Dead                           // not granted or not dispatched in time: never dispatched
 )
 
 var permitStateNames = [...]string{"asked", "claimed", "dispatching", "released", "dead"}
@@ -28,8 +28,8 @@
 	return permitStateNames[s]
 }
 
-// Permit is the holder's in-memory right to dispatch once. Each step is one
-// atomic compare-and-swap, so of dispatch and release only one can ever happen.
+// Permit is the holder's in-memory right to dispatch once. Each transition is one
+// atomic compare-and-swap, so dispatch and release exclude each other.
 type Permit struct {
 	state    atomic.Uint32
 	offset   atomic.Int64
@@ -42,7 +42,7 @@
 	return &Permit{notAfter: notAfter}
 }
 
-// State returns the present state.
+// State returns the current state.
 func (p *Permit) State() PermitState {
 	return PermitState(p.state.Load())
 }
@@ -52,46 +52,46 @@
 	return p.offset.Load()
 }
 
-// NotAfter returns the last time for a dispatch.
+// NotAfter returns the latest time for a dispatch.
 func (p *Permit) NotAfter() time.Time {
 	return p.notAfter
 }
 
-// Grant records that the claim was read back as holder at the offset. It
-// reports false when the permit was given up before.
+// Grant records that the claim was read back as holder at the offset. It reports
+// false if the permit is not in state Asked.
 func (p *Permit) Grant(offset int64) bool {
-	if !p.step(Asked, Claimed) {
+	if !p.transition(Asked, Claimed) {
 		return false
 	}
 	p.offset.Store(offset)
 	return true
 }
 
-// Dispatch must be called before the first byte is written; only when it
-// reports true may anything be sent. It reports true at most once. Past
-// NotAfter the permit dies instead, by the monotonic clock or by the wall clock:
-// the former stands still while a machine is suspended.
+// Dispatch must be called before the first byte is written; only if it reports
+// true may anything be sent. It reports true at most once. Past NotAfter the
+// permit becomes Dead instead. NotAfter is compared on both the monotonic and the
+// wall clock, because the former stops while a machine is suspended.
 func (p *Permit) Dispatch(now time.Time) bool {
 	if now.After(p.notAfter) || now.Round(0).After(p.notAfter.Round(0)) {
-		p.step(Claimed, Dead)
+		p.transition(Claimed, Dead)
 		return false
 	}
-	return p.step(Claimed, Dispatching)
+	return p.transition(Claimed, Dispatching)
 }
 
-// Release gives the right up for good. It reports true when a Release record
-// may be written: the request was not dispatched and never will be. A dead
-// permit can be released as well.
+// Release gives up the right to dispatch permanently. It reports true if a Release
+// record may be written: the request was not dispatched and never will be. A Dead
+// permit can be released too.
 func (p *Permit) Release() bool {
-	return p.step(Claimed, Released) || p.step(Dead, Released)
+	return p.transition(Claimed, Released) || p.transition(Dead, Released)
 }
 
-// Kill ends a permit whose verdict did not come in time. It reports false when
-// the request was dispatched or released before.
+// Kill makes a permit Dead whose verdict did not come in time. It reports false if
+// the permit was already dispatched, released or Dead.
 func (p *Permit) Kill() bool {
-	return p.step(Asked, Dead) || p.step(Claimed, Dead)
+	return p.transition(Asked, Dead) || p.transition(Claimed, Dead)
 }
 
-func (p *Permit) step(from, to PermitState) bool {
+func (p *Permit) transition(from, to PermitState) bool {
 	return p.state.CompareAndSwap(uint32(from), uint32(to))
 }
--- a/internal/core/claim/record.go
+++ b/internal/core/claim/record.go
@@ -11,9 +11,9 @@
 	"github.com/google/uuid"
 )
 
-// Partitions is the number of claim streams. It is a constant: a change would
-// send a key to another partition and so forget its claims. The number keeps a
-// combiner's bytes within its budget, see docs/design/005-claims.md.
+// Partitions is the number of claim streams. It is a constant: a change would map
+// keys to other partitions, where their earlier claims are not found. The number
+// keeps a combiner's bytes within its budget, see docs/design/005-claims.md.
 const Partitions = 32
 
 // Bounds of a record's fields, in bytes.
@@ -25,7 +25,7 @@
 
 const idBytes = 16
 
-// ID names one claim. A repeated append carries the same ID.
+// ID identifies one claim. A repeated append has the same ID.
 type ID [idBytes]byte
 
 // String returns the ID in unpadded base64.
@@ -51,34 +51,34 @@
 	return nil
 }
 
-// Claim asks for the sole right to dispatch the request of a key.
+// Claim requests the exclusive right to dispatch the request with a key.
 type Claim struct {
 	Customer    string `json:"u"`
 	Key         string `json:"k"`
 	ID          ID     `json:"i"`
-	Host        string `json:"h"`           // host that would dispatch
+	Host        string `json:"h"`           // host that will dispatch
 	Incarnation uint64 `json:"n"`           // of that host's process
 	Fingerprint uint64 `json:"f"`           // of the request's body
-	NotAfterMs  int64  `json:"t"`           // Unix time in ms; recorded later, it never holds
-	LifeMs      int64  `json:"l"`           // key life that the host works with
+	NotAfterMs  int64  `json:"t"`           // Unix time in ms; a claim recorded more than MaxSkew later never holds
+	LifeMs      int64  `json:"l"`           // key life configured on the host
 	Supersedes  int64  `json:"s,omitempty"` // offset of a released holder, 0 for none
 }
 
-// Release says that the holder has not dispatched and never will. The holder
-// alone writes it.
+// Release states that the holder has not dispatched and never will. Only the
+// holder writes it.
 type Release struct {
 	Offset      int64  `json:"o"` // of the claim
-	ID          ID     `json:"i"` // of the claim; earlier releases of the program write none
+	ID          ID     `json:"i"` // of the claim; earlier versions write none
 	Host        string `json:"h"`
 	Incarnation uint64 `json:"n"`
 }
 
-// Mark only shows the log's time, so that an idle stream always has a record
-// from which a replay can tell how far back it sees, and since when the log is in its era.
+// Mark records the log's time, so that even an idle stream has a record from which
+// a replay can tell how far back it reaches and since when the log is in its era.
 type Mark struct {
 	Host    string `json:"h"`
 	Era     int64  `json:"e,omitempty"` // of the log, as the host has read it
-	SinceMs int64  `json:"s,omitempty"` // log time in Unix ms from which on it was; zero: the record's own
+	SinceMs int64  `json:"s,omitempty"` // log time in Unix ms since which the log is known to be in the era; zero: the record's own time
 }
 
 // Record is one entry of a claim stream: exactly one field is set.
@@ -88,8 +88,8 @@
 	Mark    *Mark    `json:"m,omitempty"`
 }
 
-// Encode returns the bytes of a record that Decode accepts, or an error that
-// says what is wrong with it.
+// Encode returns a record's bytes, which Decode accepts, or an error if the record
+// is invalid.
 func Encode(r Record) ([]byte, error) {
 	if err := r.check(); err != nil {
 		return nil, err
@@ -97,8 +97,8 @@
 	return json.Marshal(r)
 }
 
-// Decode reads a record. What it refuses is ignored by every replay alike, so
-// its rules may only change with a new stream name.
+// Decode decodes and checks a record. All replays ignore the records that it
+// refuses, so its rules may change only with a new stream name.
 func Decode(data []byte) (Record, error) {
 	var r Record
 	if len(data) > maxRecord {
@@ -145,7 +145,7 @@
 	case c.Host == "" || len(c.Host) > MaxNameBytes:
 		return merry.Errorf("claim: host has %d bytes, want 1 to %d", len(c.Host), MaxNameBytes)
 	case !utf8.ValidString(c.Customer + c.Key + c.Host):
-		return merry.New("claim: customer, key or host is not UTF-8") // JSON would change it
+		return merry.New("claim: customer, key or host is not UTF-8") // JSON encoding would alter it
 	case c.ID == ID{}:
 		return merry.New("claim: no id")
 	case c.LifeMs <= 0:
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// Partition returns the stream number of a customer's key, from 0.
+// Partition returns the stream number, from 0, of a customer's key.
 func Partition(customer, key string) int {
 	var d xxhash.Digest
 	d.Reset()
@@ -177,7 +177,7 @@
 	return int(d.Sum64() % Partitions)
 }
 
-// KeyTime returns the time inside a UUIDv7 key; ok is false for opaque keys.
+// KeyTime returns the timestamp of a UUIDv7 key; ok is false for opaque keys.
 func KeyTime(key string) (t time.Time, ok bool) {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 || id.Variant() != uuid.RFC4122 {
--- a/internal/core/claim/replay.go
+++ b/internal/core/claim/replay.go
@@ -10,13 +10,13 @@
 	DefaultMaxSkew = time.Minute
 )
 
-// Options of a replay. They must be the same on all hosts of a site; a claim
-// made under another key life is never taken for a holder.
+// Options configures a Replay. All hosts of a site must use the same values; a
+// claim made with another key life never becomes holder.
 type Options struct {
 	// KeyLife is how long a key is protected after its claim. Default 10 min.
 	KeyLife time.Duration
-	// MaxSkew is the largest difference between a caller's or host's clock and
-	// the log's that is put up with. Default 1 min.
+	// MaxSkew is the largest tolerated difference between a caller's or host's
+	// clock and the log's. Default 1 min.
 	MaxSkew time.Duration
 }
 
@@ -30,9 +30,9 @@
 	return o
 }
 
-// Window is how far back a verdict looks: an entry is remembered for this long
-// after the last claim of its key. It exceeds the key life by the skew, so that
-// a time-stamped key cannot outlive its entry.
+// Window returns how long an entry is kept after the last claim of its key, and
+// thus how far back a verdict depends on the log. It is the key life plus the
+// skew, so that a time-stamped key cannot outlive its entry.
 func (o Options) Window() time.Duration {
 	o = o.withDefaults()
 	return o.KeyLife + o.MaxSkew
@@ -45,25 +45,25 @@
 	Data   []byte
 }
 
-// scopedKey is a key within its customer: customers never meet.
+// scopedKey is a customer's key; equal keys of two customers are unrelated.
 type scopedKey struct {
 	customer, key string
 }
 
-// seen is the verdict on one claim ID.
-type seen struct {
+// seenClaim is the verdict on one claim ID.
+type seenClaim struct {
 	id      ID
 	offset  int64
 	verdict Verdict
 }
 
-// entry is what is known of one key.
+// entry is what is known about one key.
 type entry struct {
-	holder   Claim
-	offset   int64 // of the holder, 0 when the holder is not known for certain
-	released bool
-	last     time.Time // of the last claim of any outcome
-	seen     []seen
+	holder    Claim
+	offset    int64 // of the holder, 0 if the holder is not known for certain
+	released  bool
+	lastClaim time.Time // of the last claim, whatever its verdict
+	seen      []seenClaim
 }
 
 type expiry struct {
@@ -71,33 +71,33 @@
 	at  time.Time
 }
 
-// Replay is the state of one partition after a prefix of its stream.
+// Replay is the state of one partition after a prefix of its stream was applied.
 type Replay struct {
 	o        Options
 	next     int64
 	clock    time.Time // highest record time so far
-	certain  time.Time // claims recorded before it may have unseen forerunners
-	era      int64     // of the log; over zero: it has lost records, so claims may have unseen forerunners
-	began    time.Time // log time from which on the era is known to have lasted; zero: not known
+	certain  time.Time // claims recorded before it may have earlier claims of their key that were not seen
+	era      int64     // of the log; above zero the log has lost records, so earlier claims may be missing
+	eraStart time.Time // log time since which the log is known to be in the era; zero if unknown
 	entries  map[scopedKey]*entry
 	byOffset map[int64]scopedKey // holders that were not superseded
 	queue    []expiry            // in order of time
 	stats    Stats
 }
 
-// Stats counts what a replay met.
+// Stats counts exceptional records of a replay.
 type Stats struct {
 	Undecodable     int64 // records that were ignored
-	Restarts        int64 // holes in the offsets: earlier state was dropped
-	TimeRegressions int64 // records with a time before their forerunner's
+	Restarts        int64 // gaps in the offsets, at which earlier state was dropped
+	TimeRegressions int64 // records with a time before the previous record's
 }
 
-// NewReplay returns the state before the first record of a stream whose log has never lost any.
+// NewReplay returns the state before the first record of a stream whose log has never lost records.
 func NewReplay(o Options) *Replay { return NewReplayIn(o, 0) }
 
-// NewReplayIn returns the state before the first record of a stream in an era of its log. What
-// was recorded before the era may be lost, so verdicts are uncertain until a Mark has shown
-// since when the era has lasted, and that is older than the window.
+// NewReplayIn returns the state before the first record of a stream whose log is in the given era.
+// Records from before the era may be lost, so verdicts are uncertain until a Mark shows that the
+// era began longer ago than the window.
 func NewReplayIn(o Options, era int64) *Replay {
 	r := &Replay{o: o.withDefaults(), next: 1, era: era}
 	r.clear()
@@ -110,36 +110,36 @@
 	r.queue = nil
 }
 
-// Next returns the offset that Apply wants next.
+// Next returns the offset of the next record to apply.
 func (r *Replay) Next() int64 { return r.next }
 
 // Clock returns the highest record time seen, zero before the first record.
 func (r *Replay) Clock() time.Time { return r.clock }
 
-// CertainFrom returns the log time from which on verdicts are certain; zero
-// when the stream was read from its first record.
+// CertainFrom returns the log time after which verdicts are certain; zero if the
+// stream was read from its first record.
 func (r *Replay) CertainFrom() time.Time { return r.certain }
 
-// Era returns the log's era that the replay is of.
+// Era returns the era of the log that is replayed.
 func (r *Replay) Era() int64 { return r.era }
 
-// EraStart returns the log time from which on the era is known to have lasted; zero while no Mark
-// has shown any, and in the first era.
-func (r *Replay) EraStart() time.Time { return r.began }
+// EraStart returns the log time since which the log is known to be in its era; zero in the first
+// era and until a Mark shows it.
+func (r *Replay) EraStart() time.Time { return r.eraStart }
 
-// IsCertain reports whether the verdicts on claims that are recorded now are certain.
-func (r *Replay) IsCertain() bool { return r.sure(r.clock) }
+// IsCertain reports whether verdicts on claims recorded now are certain.
+func (r *Replay) IsCertain() bool { return r.isCertainAt(r.clock) }
 
-// Len returns the number of keys remembered.
+// Len returns the number of keys with an entry.
 func (r *Replay) Len() int { return len(r.entries) }
 
 // Stats returns the counts so far.
 func (r *Replay) Stats() Stats { return r.stats }
 
-// Apply takes the next record. Offsets already applied are ignored. A hole in
-// the offsets means that records were trimmed unread: all earlier state is
-// dropped and verdicts stay uncertain until the hole is older than the window.
-// The event has Kind EventNone when the record decides nothing.
+// Apply applies the next record. Offsets already applied are ignored. A gap in
+// the offsets means that records were trimmed before they were read: all earlier
+// state is dropped, and verdicts stay uncertain until the gap is older than the
+// window. The event has Kind EventNone if the record decides nothing.
 func (r *Replay) Apply(in Input) Event {
 	if in.Offset < r.next {
 		return Event{}
@@ -165,15 +165,15 @@
 	return Event{}
 }
 
-// applyMark learns since when the log is in its era.
+// applyMark takes from a mark since when the log is in its era.
 func (r *Replay) applyMark(at time.Time, m Mark) {
-	if r.era == 0 || m.Era != r.era || !r.began.IsZero() {
+	if r.era == 0 || m.Era != r.era || !r.eraStart.IsZero() {
 		return
 	}
 	if since := time.UnixMilli(m.SinceMs); m.SinceMs > 0 && since.Before(at) {
 		at = since
 	}
-	r.began = at
+	r.eraStart = at
 	if certain := at.Add(r.o.Window()); certain.After(r.certain) {
 		r.certain = certain
 	}
@@ -188,15 +188,15 @@
 	r.certain = at.Add(r.o.Window())
 }
 
-// advance moves the clock, which never goes back, and drops the entries whose
-// window has passed.
+// advance moves the clock forward, never back, and drops the entries whose window
+// has passed.
 func (r *Replay) advance(at time.Time) {
 	if at.Before(r.clock) {
 		r.stats.TimeRegressions++
 		return
 	}
 	r.clock = at
-	for len(r.queue) > 0 && r.past(r.queue[0].at, r.clock) {
+	for len(r.queue) > 0 && r.outsideWindow(r.queue[0].at, r.clock) {
 		r.drop(r.queue[0])
 		r.queue = r.queue[1:]
 	}
@@ -204,29 +204,30 @@
 
 func (r *Replay) drop(x expiry) {
 	e := r.entries[x.key]
-	if e == nil || !e.last.Equal(x.at) {
-		return // claimed again since; a later expiry stands in the queue
+	if e == nil || !e.lastClaim.Equal(x.at) {
+		return // claimed again since; a later expiry is in the queue
 	}
 	delete(r.byOffset, e.offset)
 	delete(r.entries, x.key)
 }
 
-// sure reports whether every claim that still counts at a log time was seen.
-// The record at the edge may share its time with one that was trimmed.
-func (r *Replay) sure(now time.Time) bool {
-	if r.era != 0 && r.began.IsZero() {
+// isCertainAt reports whether every claim that still counts at a log time was
+// seen. A record at exactly the boundary does not suffice: it may share its time
+// with one that was trimmed.
+func (r *Replay) isCertainAt(now time.Time) bool {
+	if r.era != 0 && r.eraStart.IsZero() {
 		return false
 	}
 	return r.certain.IsZero() || now.After(r.certain)
 }
 
-func (r *Replay) past(last, now time.Time) bool {
+func (r *Replay) outsideWindow(last, now time.Time) bool {
 	return now.Sub(last) > r.o.Window()
 }
 
-// isOf reports whether a release names a claim: where the log has given offsets out again, its
-// offset alone does not.
-func (r *Replay) isOf(rel Release, holder Claim) bool {
+// releaseMatches reports whether a release is of the given claim. The offset alone does not identify the
+// claim if the log has reused offsets.
+func (r *Replay) releaseMatches(rel Release, holder Claim) bool {
 	return rel.ID == holder.ID || rel.ID == ID{} && r.era == 0
 }
 
@@ -236,7 +237,7 @@
 		return Event{}
 	}
 	e := r.entries[key]
-	if e.holder.Host != rel.Host || e.holder.Incarnation != rel.Incarnation || !r.isOf(rel, e.holder) {
+	if e.holder.Host != rel.Host || e.holder.Incarnation != rel.Incarnation || !r.releaseMatches(rel, e.holder) {
 		return Event{}
 	}
 	e.released = true
--- a/internal/core/claim/verdict.go
+++ b/internal/core/claim/verdict.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Verdict is what the log decided on a claim.
+// Verdict is the outcome of a claim according to the log.
 type Verdict uint8
 
 // Verdicts.
 const (
 	Undecided Verdict = iota // not in the log so far
-	Holds                    // this claim may be dispatched by its host
+	Holds                    // the claim's host may dispatch the request
 	Held                     // another claim holds the key
-	Conflict                 // as Held, and the holder's body is another one
-	Expired                  // the key's own time is outside its life
-	Late                     // recorded after its NotAfter
-	Uncertain                // earlier claims of the key may have been trimmed
+	Conflict                 // another claim holds the key, for a request with another body
+	Expired                  // the key's own timestamp is outside the key life
+	Late                     // recorded more than MaxSkew after its NotAfter
+	Uncertain                // earlier claims of the key may have been trimmed or lost
 )
 
 var verdictNames = [...]string{"undecided", "holds", "held", "conflict", "expired", "late", "uncertain"}
@@ -29,23 +29,23 @@
 	return verdictNames[v]
 }
 
-// EventKind tells the events of Apply apart.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // Kinds of event.
 const (
 	EventNone     EventKind = iota // nothing was decided
 	EventDecided                   // a claim got its verdict
-	EventReleased                  // a holder gave its key up
+	EventReleased                  // a holder released its key
 )
 
-// Event is what one record decided.
+// Event is the effect of one record.
 type Event struct {
 	Kind    EventKind
 	Claim   Claim
 	Offset  int64 // of Claim
 	Verdict Verdict
-	Holder  Holder // set with Held and Conflict
+	Holder  Holder // set if the verdict is Held or Conflict
 }
 
 // Holder is a claim that holds its key.
@@ -58,7 +58,7 @@
 }
 
 func (r *Replay) applyClaim(offset int64, c Claim) Event {
-	v := r.judgeAlone(c)
+	v := r.judgeRecord(c)
 	if v != Holds {
 		return Event{Kind: EventDecided, Claim: c, Offset: offset, Verdict: v}
 	}
@@ -69,26 +69,27 @@
 		r.entries[key] = e
 	} else if _, ok := e.find(c.ID); ok {
 		r.touch(key, e)
-		return Event{} // a repeat: the first append of an ID decides
+		return Event{} // a repeated append: the first one decides
 	}
 	v = r.judge(e, c)
 	ev := Event{Kind: EventDecided, Claim: c, Offset: offset, Verdict: v}
 	if v == Held || v == Conflict {
-		ev.Holder = e.current()
+		ev.Holder = e.currentHolder()
 	}
 	if v == Holds {
 		delete(r.byOffset, e.offset)
 		r.byOffset[offset] = key
 		e.holder, e.offset, e.released = c, offset, false
 	}
-	e.seen = append(e.seen, seen{id: c.ID, offset: offset, verdict: v})
+	e.seen = append(e.seen, seenClaim{id: c.ID, offset: offset, verdict: v})
 	r.touch(key, e)
 	return ev
 }
 
-// judgeAlone gives the verdicts that depend on the record only. Such a claim
-// leaves no trace, so that every replay agrees wherever it began.
-func (r *Replay) judgeAlone(c Claim) Verdict {
+// judgeRecord returns the verdicts that depend on the record only: Expired, Late
+// or else Holds. A claim refused here leaves no entry, so that all replays agree
+// wherever they started.
+func (r *Replay) judgeRecord(c Claim) Verdict {
 	if r.keyExpired(c.Key, r.clock) {
 		return Expired
 	}
@@ -107,12 +108,12 @@
 	return now.After(t.Add(r.o.KeyLife)) || t.After(now.Add(r.o.MaxSkew))
 }
 
-// judge decides a claim against its key's entry. A fresh entry has no seen
-// claims. A claim that is uncertain leaves the entry without a known holder,
-// which blocks the key until its window has passed.
+// judge returns the verdict on a claim given its key's entry. A new entry has no
+// seen claims. An uncertain claim leaves the entry without a known holder, which
+// blocks the key until the window has passed.
 func (r *Replay) judge(e *entry, c Claim) Verdict {
 	if len(e.seen) == 0 {
-		if !r.sure(r.clock) || c.LifeMs != r.o.KeyLife.Milliseconds() {
+		if !r.isCertainAt(r.clock) || c.LifeMs != r.o.KeyLife.Milliseconds() {
 			return Uncertain
 		}
 		return Holds
@@ -130,22 +131,22 @@
 	return Held
 }
 
-// touch starts the entry's window anew. Losing claims count too: a verdict
-// then depends on nothing but the window before the claim.
+// touch restarts the entry's window. Claims that do not hold count too, so that a
+// verdict depends only on the window before the claim.
 func (r *Replay) touch(key scopedKey, e *entry) {
-	e.last = r.clock
+	e.lastClaim = r.clock
 	r.queue = append(r.queue, expiry{key: key, at: r.clock})
 }
 
-func (e *entry) find(id ID) (seen, bool) {
-	i := slices.IndexFunc(e.seen, func(s seen) bool { return s.id == id })
+func (e *entry) find(id ID) (seenClaim, bool) {
+	i := slices.IndexFunc(e.seen, func(s seenClaim) bool { return s.id == id })
 	if i < 0 {
-		return seen{}, false
+		return seenClaim{}, false
 	}
 	return e.seen[i], true
 }
 
-func (e *entry) current() Holder {
+func (e *entry) currentHolder() Holder {
 	return Holder{
 		ID:          e.holder.ID,
 		Host:        e.holder.Host,
@@ -159,11 +160,11 @@
 type Decision struct {
 	Verdict Verdict
 	Offset  int64  // of the claim
-	Holder  Holder // present holder of the key, zero when unknown
+	Holder  Holder // current holder of the key, zero if unknown
 }
 
-// Decided returns the verdict on a claim that the replay has met within its
-// window. The verdicts Expired and Late are not kept.
+// Decided returns the verdict on a claim that was applied within the window. The
+// verdicts Expired and Late are not kept.
 func (r *Replay) Decided(customer, key string, id ID) (Decision, bool) {
 	e := r.entries[scopedKey{customer, key}]
 	if e == nil {
@@ -175,34 +176,34 @@
 	}
 	d := Decision{Verdict: s.verdict, Offset: s.offset}
 	if e.offset != 0 {
-		d.Holder = e.current()
+		d.Holder = e.currentHolder()
 	}
 	return d, true
 }
 
-// KeyState says how a key stands before a claim is appended.
+// KeyState is the state of a key before a claim is appended.
 type KeyState uint8
 
 // States of a key.
 const (
-	KeyFree      KeyState = iota // a claim is worth appending
-	KeyHeld                      // by Holder
-	KeyReleased                  // by Holder: supersede its offset
-	KeyExpired                   // its own time is outside its life
+	KeyFree      KeyState = iota // a claim may get the key
+	KeyHeld                      // held by Holder
+	KeyReleased                  // released by Holder: a claim must supersede its offset
+	KeyExpired                   // the key's own timestamp is outside the key life
 	KeyUncertain                 // too little of the stream was seen
 )
 
-// Status is the answer to Lookup.
+// Status is the result of Lookup.
 type Status struct {
 	State  KeyState
 	Holder Holder
-	// Wait is how long KeyUncertain lasts at the least, zero if not known.
+	// Wait is the minimum time for which KeyUncertain lasts, zero if unknown.
 	Wait time.Duration
 }
 
-// Lookup tells how a key stands at a log time, which must not be later than
-// the log's clock now. It only saves appends that would be in vain: the verdict
-// on a claim is that of its record.
+// Lookup returns the state of a key at a log time, which must not be later than
+// the log's current time. It only avoids useless appends: the verdict on a claim
+// is that of its record.
 func (r *Replay) Lookup(customer, key string, now time.Time) Status {
 	if now.Before(r.clock) {
 		now = r.clock
@@ -211,17 +212,17 @@
 		return Status{State: KeyExpired}
 	}
 	e := r.entries[scopedKey{customer, key}]
-	if e == nil || r.past(e.last, now) {
-		if !r.sure(now) {
+	if e == nil || r.outsideWindow(e.lastClaim, now) {
+		if !r.isCertainAt(now) {
 			return Status{State: KeyUncertain, Wait: max(r.certain.Sub(now), 0)}
 		}
 		return Status{State: KeyFree}
 	}
 	switch {
 	case e.offset == 0:
-		return Status{State: KeyUncertain, Wait: e.last.Add(r.o.Window()).Sub(now)}
+		return Status{State: KeyUncertain, Wait: e.lastClaim.Add(r.o.Window()).Sub(now)}
 	case e.released:
-		return Status{State: KeyReleased, Holder: e.current()}
+		return Status{State: KeyReleased, Holder: e.currentHolder()}
 	}
-	return Status{State: KeyHeld, Holder: e.current()}
+	return Status{State: KeyHeld, Holder: e.currentHolder()}
 }
