--- a/internal/core/order/keeper.go
+++ b/internal/core/order/keeper.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Options are the times of order leases. Zero fields take the defaults.
+// Options configures the times of order leases. Zero fields take the defaults.
 type Options struct {
 	Lease           time.Duration // length of a lease by the log's clock, the same on all hosts; 30 s
-	RenewInterval   time.Duration // time between two renewals; 10 s
-	Margin          time.Duration // a holder stops so much before its lease ends; 3 s
-	ReadBackTimeout time.Duration // a record not read back after this is written anew; 5 s
+	RenewInterval   time.Duration // interval of renewals; 10 s
+	Margin          time.Duration // a holder stops this long before its lease ends; 3 s
+	ReadBackTimeout time.Duration // a record not read back within this is written again; 5 s
 }
 
 // Defaults of Options.
@@ -21,7 +21,7 @@
 	DefaultReadBackTimeout = 5 * time.Second
 )
 
-// WithDefaults fills zero fields.
+// WithDefaults returns the options with zero fields set to their defaults.
 func (o Options) WithDefaults() Options {
 	o.Lease = cmp.Or(o.Lease, DefaultLease)
 	o.RenewInterval = cmp.Or(o.RenewInterval, DefaultRenewInterval)
@@ -30,41 +30,41 @@
 	return o
 }
 
-// Keeper is one host's part in one pool's order lease. All times are of the
-// host's own clock.
+// Keeper claims and renews one pool's order lease for one host. All times are by
+// the host's own clock.
 type Keeper struct {
-	opts    Options
-	me      Holder
-	pool    string
-	checks  bool          // the pool's engines check fencing
-	longest time.Duration // longest time an order takes to act
-	newID   func() string
-	sent    map[string]time.Time // records not yet read back, by the time before their append
-	last    time.Time            // when the last record was sent
-	other   string               // last record of another holder's lease
-	seen    time.Time            // when that was first read
-	fence   int64
-	valid   time.Time // orders may be given before it
-	from    time.Time // and not before this
+	opts          Options
+	me            Holder
+	pool          string
+	checksFencing bool          // the pool's engines check fencing
+	longestOrder  time.Duration // longest time until an order has taken effect
+	newID         func() string
+	sent          map[string]time.Time // records not read back yet, with the time before their append
+	lastSent      time.Time            // when the last record was sent
+	otherLastID   string               // last record id of another holder's lease
+	otherSeen     time.Time            // when otherLastID was first read
+	fence         int64
+	validUntil    time.Time // orders may be given before it
+	notBefore     time.Time // orders may be given from it on
 }
 
-// NewKeeper returns the part of a host in a pool's lease. newID returns ids that
-// are unique for ever.
-func NewKeeper(opts Options, me Holder, pool string, checks bool, longest time.Duration, newID func() string) *Keeper {
+// NewKeeper returns the Keeper of a host for a pool's lease. newID must return
+// ids that are never reused.
+func NewKeeper(opts Options, me Holder, pool string, checksFencing bool, longestOrder time.Duration, newID func() string) *Keeper {
 	return &Keeper{
-		opts:    opts.WithDefaults(),
-		me:      me,
-		pool:    pool,
-		checks:  checks,
-		longest: longest,
-		newID:   newID,
-		sent:    map[string]time.Time{},
+		opts:          opts.WithDefaults(),
+		me:            me,
+		pool:          pool,
+		checksFencing: checksFencing,
+		longestOrder:  longestOrder,
+		newID:         newID,
+		sent:          map[string]time.Time{},
 	}
 }
 
-// Step compares the replay with what the host wants and returns a record to
-// append, or nil. The record counts from now on, so it must not be sent if the
-// caller waits first. It is for a replay that has caught up with the log.
+// Step returns the record to append so that the host gets, keeps or drops the
+// lease as wanted, or nil. The lease is measured from now, so the record must be
+// sent at once or not at all. The replay must have caught up with the log.
 func (k *Keeper) Step(r *Replay, want bool, now time.Time) *Record {
 	l, known := r.Lease(k.pool)
 	mine := known && l.Holder == k.me && !l.Dropped
@@ -72,46 +72,47 @@
 		k.readBack(l, now)
 	} else {
 		k.fence = 0
-		k.watch(l, now)
+		k.watchOther(l, now)
 	}
 	k.expire(now)
-	if now.Sub(k.last) < k.opts.ReadBackTimeout && len(k.sent) > 0 {
+	if now.Sub(k.lastSent) < k.opts.ReadBackTimeout && len(k.sent) > 0 {
 		return nil
 	}
 	switch {
 	case mine && !want:
-		k.valid = time.Time{} // the record may come to the log at any time
-		return k.write(DropRecord, l.Fence, now)
-	case mine && now.Before(k.valid):
-		if now.Sub(k.last) < k.opts.RenewInterval {
+		k.validUntil = time.Time{} // the record may reach the log at any time
+		return k.newRecord(DropRecord, l.Fence, now)
+	case mine && now.Before(k.validUntil):
+		if now.Sub(k.lastSent) < k.opts.RenewInterval {
 			return nil
 		}
-		return k.write(RenewRecord, l.Fence, now)
-	case want && (!known || mine || l.Dropped || now.Sub(k.seen) >= k.opts.Lease):
-		if !k.last.IsZero() && now.Sub(k.last) < k.opts.ReadBackTimeout {
+		return k.newRecord(RenewRecord, l.Fence, now)
+	case want && (!known || mine || l.Dropped || now.Sub(k.otherSeen) >= k.opts.Lease):
+		if !k.lastSent.IsZero() && now.Sub(k.lastSent) < k.opts.ReadBackTimeout {
 			return nil
 		}
-		return k.write(ClaimRecord, r.HighestFence(k.pool), now)
+		return k.newRecord(ClaimRecord, r.HighestFence(k.pool), now)
 	}
 	return nil
 }
 
-// watch notes when another holder's last record came up: its lease has lapsed a
-// lease's time later at the latest.
-func (k *Keeper) watch(l Lease, now time.Time) {
-	if l.LastID != k.other {
-		k.other = l.LastID
-		k.seen = now
+// watchOther records when another holder's last record was first read: at the
+// latest its lease has expired the length of a lease later.
+func (k *Keeper) watchOther(l Lease, now time.Time) {
+	if l.LastID != k.otherLastID {
+		k.otherLastID = l.LastID
+		k.otherSeen = now
 	}
 }
 
-// readBack counts the lease from the moment before its last record was sent.
+// readBack applies the host's own lease as read back. Orders are allowed until it
+// ends, measured from just before its last record was sent.
 func (k *Keeper) readBack(l Lease, now time.Time) {
 	if k.fence != l.Fence {
 		k.fence = l.Fence
-		k.valid = time.Time{}
-		if !k.checks && l.Previous != k.me {
-			k.from = now.Add(k.opts.Lease + k.longest)
+		k.validUntil = time.Time{}
+		if !k.checksFencing && l.Previous != k.me {
+			k.notBefore = now.Add(k.opts.Lease + k.longestOrder)
 		}
 	}
 	at, ok := k.sent[l.LastID]
@@ -119,8 +120,8 @@
 		return
 	}
 	delete(k.sent, l.LastID)
-	if v := at.Add(k.opts.Lease - k.opts.Margin); v.After(k.valid) {
-		k.valid = v
+	if v := at.Add(k.opts.Lease - k.opts.Margin); v.After(k.validUntil) {
+		k.validUntil = v
 	}
 }
 
@@ -132,23 +133,23 @@
 	}
 }
 
-func (k *Keeper) write(kind RecordKind, fence int64, now time.Time) *Record {
+func (k *Keeper) newRecord(kind RecordKind, fence int64, now time.Time) *Record {
 	rec := &Record{Kind: kind, ID: k.newID(), Pool: k.pool, Holder: k.me, Fence: fence}
 	k.sent[rec.ID] = now
-	k.last = now
+	k.lastSent = now
 	return rec
 }
 
-// MarkLogUnavailable says that the log does not answer: no orders until a record is read
-// back again.
+// MarkLogUnavailable records that the log does not answer: no orders may be given
+// until a record is read back again.
 func (k *Keeper) MarkLogUnavailable() {
-	k.valid = time.Time{}
+	k.validUntil = time.Time{}
 }
 
-// MayOrder returns the fencing number when orders may be given now. It is to be
-// asked anew before each order.
+// MayOrder returns the fencing number for orders; ok is false if none may be given
+// now. It must be called before each order.
 func (k *Keeper) MayOrder(now time.Time) (fence int64, ok bool) {
-	if k.fence == 0 || now.Before(k.from) || !now.Before(k.valid) {
+	if k.fence == 0 || now.Before(k.notBefore) || !now.Before(k.validUntil) {
 		return 0, false
 	}
 	return k.fence, true
--- a/internal/core/order/order_test.go
+++ b/internal/core/order/order_test.go
@@ -25,24 +25,24 @@
 	keeper *Keeper
 	replay *Replay
 	skew   time.Duration // its clock against true time
-	era    int           // of the log, as it has read it
-	paused time.Time     // does nothing before
-	down   time.Time     // cannot reach the log before
+	era    int           // era of the log that it knows
+	paused time.Time     // does nothing before this time
+	down   time.Time     // cannot reach the log before this time
 }
 
-// world is a log with hosts that all want the lease of one pool.
+// world simulates a log and hosts that all want the lease of one pool.
 type world struct {
-	rnd    *rand.Rand
-	now    time.Time
-	log    []Entry
-	hosts  []*host
-	late   []Record // appends whose answer was lost, yet to come
-	orders int
-	actor  int       // host that gave the last order
-	until  time.Time // its order may act until then
-	fence  int64     // of the last order
-	goes   bool      // the log goes back to older copies
-	era    int       // times that it has
+	rnd      *rand.Rand
+	now      time.Time
+	log      []Entry
+	hosts    []*host
+	delayed  []Record // records that are appended later, as their appends timed out
+	orders   int
+	actor    int       // host that gave the last order, -1 before the first
+	until    time.Time // until when that order may take effect
+	fence    int64     // of the last order
+	restores bool      // the log is restored from older copies at times
+	era      int       // number of restores so far
 }
 
 func newWorld(seed uint64, margin time.Duration, checks bool) *world {
@@ -69,14 +69,14 @@
 	w.log = append(w.log, Entry{Offset: int64(len(w.log) + 1), At: w.now, Data: b})
 }
 
-// step lets one host act and returns what is wrong.
+// step lets one host act and returns an error text if it must not act so.
 func (w *world) step() string {
 	w.now = w.now.Add(time.Duration(w.rnd.IntN(900)) * time.Millisecond)
-	if len(w.late) > 0 && w.rnd.IntN(4) == 0 {
-		w.append(w.late[0])
-		w.late = w.late[1:]
+	if len(w.delayed) > 0 && w.rnd.IntN(4) == 0 {
+		w.append(w.delayed[0])
+		w.delayed = w.delayed[1:]
 	}
-	w.goBack()
+	w.restoreLog()
 	i := w.rnd.IntN(len(w.hosts))
 	h := w.hosts[i]
 	if w.now.Before(h.paused) {
@@ -95,9 +95,9 @@
 	return w.order(i, h)
 }
 
-// goBack has the log lose some of its newest records.
-func (w *world) goBack() {
-	if w.goes && len(w.log) > 0 && w.rnd.IntN(300) == 0 {
+// restoreLog now and then removes some of the newest records from the log.
+func (w *world) restoreLog() {
+	if w.restores && len(w.log) > 0 && w.rnd.IntN(300) == 0 {
 		w.log = slices.Clone(w.log[:len(w.log)-w.rnd.IntN(min(len(w.log), 8))])
 		w.era++
 	}
@@ -121,7 +121,7 @@
 	switch w.rnd.IntN(8) {
 	case 0: // lost
 	case 1: // comes late
-		w.late = append(w.late, *rec)
+		w.delayed = append(w.delayed, *rec)
 	case 2: // appended twice
 		w.append(*rec)
 		w.append(*rec)
@@ -135,16 +135,16 @@
 	if !ok {
 		return ""
 	}
-	unread := fence < w.fence && w.goes // the log has lost a claim before this host read of it
-	if unread && h.keeper.checks {
+	unread := fence < w.fence && w.restores // the log lost a claim before this host read it
+	if unread && h.keeper.checksFencing {
 		return "" // the engine refuses the order
 	}
 	if fence < w.fence && !unread {
-		return fmt.Sprintf("host %d orders with fence %d after %d", i, fence, w.fence)
+		return fmt.Sprintf("host %d gives an order with fence %d after fence %d", i, fence, w.fence)
 	}
 	w.fence = fence
-	if !h.keeper.checks && w.actor != i && w.now.Before(w.until) {
-		return fmt.Sprintf("host %d orders while an order of host %d may still act", i, w.actor)
+	if !h.keeper.checksFencing && w.actor != i && w.now.Before(w.until) {
+		return fmt.Sprintf("host %d gives an order while one of host %d may still take effect", i, w.actor)
 	}
 	w.orders++
 	w.actor = i
@@ -174,32 +174,33 @@
 	}, gen.UInt64(), gen.Bool()))
 	props.TestingRun(t)
 	if orders < 10000 || changes < 200 {
-		t.Errorf("only %d orders and %d changes of holder: the property saw too little", orders, changes)
+		t.Errorf("only %d orders and %d changes of holder: the property was hardly exercised", orders, changes)
 	}
 }
 
-// TestOrdersNeverOverlapWhenTheLogGoesBack: the lost leases run on, and what hosts claim meanwhile
-// gives no order that overlaps theirs.
-func TestOrdersNeverOverlapWhenTheLogGoesBack(t *testing.T) {
+// TestOrdersNeverOverlapWhenTheLogIsRestored guards against overlapping orders when the log was
+// restored from an older copy: holders of lost leases may still act while other hosts claim new ones.
+func TestOrdersNeverOverlapWhenTheLogIsRestored(t *testing.T) {
 	orders, restores := 0, 0
 	for seed := range uint64(100) {
 		for _, checks := range []bool{false, true} {
 			w := newWorld(seed, 0, checks)
-			w.goes = true
+			w.restores = true
 			for range 3000 {
 				if err := w.step(); err != "" {
-					t.Fatalf("seed %d, checks %v, %d times back: %s", seed, checks, w.era, err)
+					t.Fatalf("seed %d, checks %v, %d restores: %s", seed, checks, w.era, err)
 				}
 			}
 			orders, restores = orders+w.orders, restores+w.era
 		}
 	}
 	if orders < 10000 || restores < 200 {
-		t.Errorf("only %d orders and %d times back: the property saw too little", orders, restores)
+		t.Errorf("only %d orders and %d restores: the property was hardly exercised", orders, restores)
 	}
 }
 
-// A holder that counts its lease far too long must be caught.
+// A holder that takes its lease for three times as long as it is must fail the
+// property.
 func TestMutantWithoutMarginIsCaught(t *testing.T) {
 	for seed := range uint64(100) {
 		w := newWorld(seed, -2*DefaultLease, false)
@@ -212,7 +213,7 @@
 	t.Error("a lease held for three times its length passed 100 runs")
 }
 
-func TestNoOrdersWhileTheLogIsAway(t *testing.T) {
+func TestNoOrdersWhileTheLogIsUnavailable(t *testing.T) {
 	r := NewReplay(DefaultLease)
 	k := NewKeeper(Options{}, Holder{Host: "h"}, pool, true, longest, func() string { return "1" })
 	b, err := k.Step(r, true, epoch).Encode()
@@ -228,7 +229,7 @@
 	}
 	k.MarkLogUnavailable()
 	if _, ok := k.MayOrder(epoch.Add(time.Second)); ok {
-		t.Error("orders go out while the log is away")
+		t.Error("orders are allowed while the log is unavailable")
 	}
 }
 
@@ -268,7 +269,7 @@
 		p.MarkSent(o, epoch)
 	}
 	if again := p.Plan(engines, epoch.Add(time.Second)); len(again) != 0 {
-		t.Errorf("loads beyond the budget: %+v", again)
+		t.Errorf("loads beyond MaxLoads: %+v", again)
 	}
 	engines[0].State.Models = []string{"fast"}
 	engines[1].State.Models = []string{"fast"}
--- a/internal/core/order/plan.go
+++ b/internal/core/order/plan.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Kind is what an order does; the values are those of the engine API.
+// Kind is the kind of an order; the values are those of the engine API.
 type Kind string
 
-// Kinds of order.
+// Kinds of orders.
 const (
 	LoadModel     Kind = "load_model"
 	UnloadModel   Kind = "unload_model"
@@ -20,7 +20,7 @@
 	SetRole       Kind = "set_role"
 )
 
-// Model is a model that the engines of a pool shall serve.
+// Model is a model that the engines of a pool should serve.
 type Model struct {
 	Name     string
 	Version  string // empty: any
@@ -28,13 +28,13 @@
 	Urgent   bool // loaded before others
 }
 
-// Desired is what the settings want of each engine of a pool.
+// Desired is the state that the settings demand of each engine of a pool.
 type Desired struct {
 	Models []Model
 	Role   string // empty: any
 }
 
-// State is what an engine says of itself. Models are name or name@version.
+// State is the state that an engine reports. Models are name or name@version.
 type State struct {
 	Fence    int64
 	Role     string
@@ -43,7 +43,7 @@
 	Loading  []string
 }
 
-// Order brings one engine nearer to its desired state. Repeating it is harmless.
+// Order is one step to bring an engine to its desired state. It is idempotent.
 type Order struct {
 	Engine  string
 	Kind    Kind
@@ -54,7 +54,8 @@
 	Urgent  bool
 }
 
-// ID names the order under a fencing number; a repeat has the same.
+// ID returns the ID of the order under a fencing number; a repeated order has the
+// same ID.
 func (o Order) ID(fence int64) string {
 	return fmt.Sprintf("%d/%s", fence, o.key())
 }
@@ -63,7 +64,7 @@
 	return strings.Join([]string{o.Engine, string(o.Kind), versioned(o.Model, o.Version), o.Adapter, o.Role}, "/")
 }
 
-// IsLoad tells whether the order reads weights from the weight store.
+// IsLoad reports whether the order reads weights from the weight store.
 func (o Order) IsLoad() bool {
 	return o.Kind == LoadModel || o.Kind == LoadAdapter
 }
@@ -81,8 +82,8 @@
 }
 
 // Diff returns the orders that are due on an engine. An old version is unloaded
-// only after the wanted one is loaded, an adapter is loaded only after its model.
-// Nothing is unloaded while nothing is desired: no settings are no wish.
+// only after the desired one is loaded, and an adapter is loaded only after its
+// model. If no models are desired, nothing is unloaded: settings may be missing.
 func Diff(engine string, d Desired, s State) []Order {
 	if len(d.Models) == 0 {
 		return nil
@@ -92,14 +93,14 @@
 		orders = append(orders, Order{Engine: engine, Kind: SetRole, Role: d.Role})
 	}
 	for _, m := range d.Models {
-		orders = append(orders, loads(engine, m, s)...)
+		orders = append(orders, loadOrders(engine, m, s)...)
 	}
-	return append(orders, unloads(engine, d, s)...)
+	return append(orders, unloadOrders(engine, d, s)...)
 }
 
-func loads(engine string, m Model, s State) []Order {
-	if !s.serves(m) {
-		if s.loads(m) {
+func loadOrders(engine string, m Model, s State) []Order {
+	if !s.isServing(m) {
+		if s.isLoading(m) {
 			return nil
 		}
 		return []Order{{Engine: engine, Kind: LoadModel, Model: m.Name, Version: m.Version, Urgent: m.Urgent}}
@@ -113,11 +114,11 @@
 	return orders
 }
 
-func (s State) serves(m Model) bool {
+func (s State) isServing(m Model) bool {
 	return listed(s.Models, m)
 }
 
-func (s State) loads(m Model) bool {
+func (s State) isLoading(m Model) bool {
 	return listed(s.Loading, m)
 }
 
@@ -130,7 +131,7 @@
 	})
 }
 
-func unloads(engine string, d Desired, s State) []Order {
+func unloadOrders(engine string, d Desired, s State) []Order {
 	var orders []Order
 	for _, have := range s.Models {
 		if !mayUnload(have, d, s) {
@@ -148,8 +149,8 @@
 	return orders
 }
 
-// mayUnload tells whether a loaded model is neither wanted nor still needed until
-// its new version is loaded.
+// mayUnload reports whether a loaded model is neither desired nor still needed
+// until its new version is loaded.
 func mayUnload(have string, d Desired, s State) bool {
 	for _, m := range d.Models {
 		if m.Name != modelName(have) {
@@ -158,17 +159,17 @@
 		if m.Version == "" || have == versioned(m.Name, m.Version) {
 			return false
 		}
-		if !s.serves(m) {
+		if !s.isServing(m) {
 			return false
 		}
 	}
 	return true
 }
 
-// PlanOptions bounds a Planner. Zero fields take the defaults.
+// PlanOptions configures a Planner. Zero fields take the defaults.
 type PlanOptions struct {
-	MaxLoads   int           // loads under way in the pool at once; 2
-	RetryEvery time.Duration // an order whose effect is not read back is given again; 15 s
+	MaxLoads   int           // maximum number of concurrent loads in the pool; 2
+	RetryEvery time.Duration // an order without effect after this is given again; 15 s
 }
 
 // Defaults of PlanOptions.
@@ -177,20 +178,20 @@
 	DefaultOrderRetry = 15 * time.Second
 )
 
-// Engine is one engine's wanted state and the state it was read back in.
+// Engine is one engine with its desired and its reported state.
 type Engine struct {
 	Name    string
 	Desired Desired
 	State   State
 }
 
-// Planner chooses the orders to give next over the engines of a pool.
+// Planner chooses the next orders to the engines of a pool.
 type Planner struct {
 	opts PlanOptions
-	sent map[string]time.Time // by order key
+	sent map[string]time.Time // when orders were last given, by order key
 }
 
-// NewPlanner returns a planner that has given no order.
+// NewPlanner returns a Planner without earlier orders.
 func NewPlanner(opts PlanOptions) *Planner {
 	if opts.MaxLoads == 0 {
 		opts.MaxLoads = DefaultMaxLoads
@@ -199,16 +200,16 @@
 	return &Planner{opts: opts, sent: map[string]time.Time{}}
 }
 
-// Plan returns the orders to give now, loads of urgent models first. An order
-// that was given is not repeated before RetryEvery, and loads are held to
-// MaxLoads at once.
+// Plan returns the orders to give now: first those that load no weights, then
+// loads of urgent models, then other loads. An order is not repeated within
+// RetryEvery, and there are at most MaxLoads loads at once.
 func (p *Planner) Plan(engines []Engine, now time.Time) []Order {
 	var due []Order
 	loading := 0
 	for _, e := range engines {
 		loading += len(e.State.Loading)
 		for _, o := range Diff(e.Name, e.Desired, e.State) {
-			if p.waits(o, now) {
+			if p.recentlySent(o, now) {
 				loading += count(o.IsLoad())
 				continue
 			}
@@ -228,12 +229,12 @@
 	return kept
 }
 
-// MarkSent notes that an order was given.
+// MarkSent records that an order was given.
 func (p *Planner) MarkSent(o Order, now time.Time) {
 	p.sent[o.key()] = now
 }
 
-func (p *Planner) waits(o Order, now time.Time) bool {
+func (p *Planner) recentlySent(o Order, now time.Time) bool {
 	at, ok := p.sent[o.key()]
 	return ok && now.Sub(at) < p.opts.RetryEvery
 }
@@ -246,7 +247,8 @@
 	}
 }
 
-// rank orders kinds: what needs no weights first, then urgent loads.
+// rank returns the sort key of an order: orders that load no weights come first,
+// then urgent loads.
 func rank(o Order) int {
 	switch {
 	case !o.IsLoad():
--- a/internal/core/order/record.go
+++ b/internal/core/order/record.go
@@ -7,20 +7,20 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// RecordKind says what a record of the stream does.
+// RecordKind is the kind of a record of the stream.
 type RecordKind string
 
-// Kinds of record.
+// Kinds of records.
 const (
 	ClaimRecord RecordKind = "claim" // takes a free lease
-	RenewRecord RecordKind = "renew" // prolongs the writer's lease
-	DropRecord  RecordKind = "drop"  // gives the writer's lease up
+	RenewRecord RecordKind = "renew" // extends the writer's lease
+	DropRecord  RecordKind = "drop"  // gives up the writer's lease
 )
 
-// maxRecordBytes bounds what Decode reads.
+// maxRecordBytes is the maximum size of a record that Decode accepts.
 const maxRecordBytes = 4096
 
-// Holder is an entry host and its start.
+// Holder is an entry host and its incarnation.
 type Holder struct {
 	Host        string `json:"host"`
 	Incarnation string `json:"incarnation"`
@@ -29,10 +29,10 @@
 // Record is one record of a domain's order stream.
 type Record struct {
 	Kind   RecordKind `json:"kind"`
-	ID     string     `json:"id"` // unique; a record appended twice counts once
+	ID     string     `json:"id"` // unique; a record that was appended twice counts once
 	Pool   string     `json:"pool"`
 	Holder Holder     `json:"holder"`
-	Fence  int64      `json:"fence,omitempty"` // of the lease renewed or dropped; of a claim, the highest that its writer knows
+	Fence  int64      `json:"fence,omitempty"` // of the lease to renew or drop; in a claim, the highest that its writer knows
 }
 
 // Stream returns the name of a failure domain's order stream.
@@ -40,13 +40,13 @@
 	return "orders-" + domain
 }
 
-// Encode returns the record as it stands in the log.
+// Encode returns the record as stored in the log.
 func (r Record) Encode() ([]byte, error) {
 	b, err := json.Marshal(r)
 	return b, merry.Prepend(err, "encode order record")
 }
 
-// Decode reads a record.
+// Decode decodes and checks a record.
 func Decode(b []byte) (Record, error) {
 	var r Record
 	if len(b) > maxRecordBytes {
--- a/internal/core/order/replay.go
+++ b/internal/core/order/replay.go
@@ -2,60 +2,61 @@
 
 import "time"
 
-// Lease is the present order lease of a pool.
+// Lease is the current order lease of a pool.
 type Lease struct {
 	Pool     string
 	Holder   Holder
-	Fence    int64     // offset of the claim, or more where the log went back; see Replay
+	Fence    int64     // offset of the claim, or higher after a restore of the log; see Replay
 	Until    time.Time // by the log's clock
 	Dropped  bool      // given up by its holder
-	ClaimID  string    // id of the claim record; empty when that was trimmed
-	LastID   string    // id of the last record that counted
-	Previous Holder    // whose lease ended before; zero: none known
+	ClaimID  string    // id of the claim record; empty if that was trimmed
+	LastID   string    // id of the last record that changed the lease
+	Previous Holder    // holder of the lease before; zero if unknown
 }
 
-// Replay gives the records of one stream their meaning, in offset order.
+// Replay derives the leases of one stream from its records, applied in offset order.
 //
-// A log that comes back from an older copy gives offsets out again. Its leases are those of the
-// records that it has: who held one by a lost record stops. The fencing numbers of lost claims are
-// remembered, for engines have seen them: a claim that is written later gets a number above all
-// known ones. It tells the highest that its writer knows, so that hosts count alike.
+// A log that is restored from an older copy reuses offsets. Its leases are those of the records that
+// it has: a host that held one by a lost record stops. The fencing numbers of lost claims are kept,
+// because engines have seen them: a later claim gets a number above all known ones. A claim record
+// contains the highest number that its writer knows, so that all hosts compute the same one.
 type Replay struct {
-	lease   time.Duration
-	pools   map[string]*Lease
-	fences  map[string]int64 // highest of each pool before the log went back
-	back    time.Time        // the latest record time then
-	next    int64            // to read from
-	known   int64            // offset after the last record that was taken in
-	clock   time.Time        // the latest record time
-	refused int
+	lease               time.Duration
+	pools               map[string]*Lease
+	fencesBeforeRestore map[string]int64 // highest of each pool before the log was restored
+	clockBeforeRestore  time.Time        // latest record time before the log was restored
+	next                int64            // offset to read from
+	applied             int64            // offset after the last applied record
+	clock               time.Time        // latest record time
+	undecodable         int
 }
 
-// NewReplay returns a replay with the length of a lease, which must be the same
-// on all hosts.
+// NewReplay returns an empty Replay. The length of a lease must be the same on all
+// hosts.
 func NewReplay(lease time.Duration) *Replay {
-	return &Replay{lease: lease, pools: map[string]*Lease{}, fences: map[string]int64{}}
+	return &Replay{lease: lease, pools: map[string]*Lease{}, fencesBeforeRestore: map[string]int64{}}
 }
 
 // Next returns the offset to read from.
 func (r *Replay) Next() int64 { return max(r.next, 1) }
 
-// HandleLogRestored says that the log has come back from an older copy: it is replayed from its start.
+// HandleLogRestored records that the log was restored from an older copy: it is replayed from its
+// start.
 func (r *Replay) HandleLogRestored() {
 	for pool, l := range r.pools {
-		r.fences[pool] = max(r.fences[pool], l.Fence)
+		r.fencesBeforeRestore[pool] = max(r.fencesBeforeRestore[pool], l.Fence)
 	}
-	if r.clock.After(r.back) {
-		r.back = r.clock
+	if r.clock.After(r.clockBeforeRestore) {
+		r.clockBeforeRestore = r.clock
 	}
 	clear(r.pools)
-	r.next, r.known, r.clock = 0, 0, time.Time{}
+	r.next, r.applied, r.clock = 0, 0, time.Time{}
 }
 
 // Undecodable returns the number of records that could not be decoded.
-func (r *Replay) Undecodable() int { return r.refused }
+func (r *Replay) Undecodable() int { return r.undecodable }
 
-// Lease returns a pool's lease; ok is false when no record names the pool.
+// Lease returns a pool's lease; ok is false if no record names the pool.
 func (r *Replay) Lease(pool string) (l Lease, ok bool) {
 	p := r.pools[pool]
 	if p == nil {
@@ -68,21 +69,21 @@
 	return l.Dropped || !at.Before(l.Until)
 }
 
-// Apply takes the next entry in. One at an offset that was taken in before is ignored, unless it
-// was written after all that is known: the log went back. An entry that cannot be decoded is
-// counted and changes nothing, on every host alike.
+// Apply applies the next entry. An entry at an offset that was applied before is ignored, unless it
+// is newer than all applied ones: then the log was restored. An entry that cannot be decoded is
+// counted and changes nothing, which is the same on all hosts.
 func (r *Replay) Apply(e Entry) error {
 	r.next = e.Offset + 1
-	if e.Offset < r.known && !e.At.After(r.clock) {
+	if e.Offset < r.applied && !e.At.After(r.clock) {
 		return nil
 	}
-	r.known = e.Offset + 1
+	r.applied = e.Offset + 1
 	if e.At.After(r.clock) {
 		r.clock = e.At
 	}
 	rec, err := Decode(e.Data)
 	if err != nil {
-		r.refused++
+		r.undecodable++
 		return err
 	}
 	switch rec.Kind {
@@ -96,24 +97,24 @@
 	return nil
 }
 
-// fence returns the fencing number of a claim: its offset, where the log has never gone back.
+// fence returns the fencing number of a claim: its offset, unless the log was ever restored.
 func (r *Replay) fence(rec Record, e Entry) int64 {
 	fence := max(e.Offset, rec.Fence+1)
 	if old := r.pools[rec.Pool]; old != nil {
 		fence = max(fence, old.Fence+1)
 	}
-	if known := r.fences[rec.Pool]; known > 0 && e.At.After(r.back) {
+	if known := r.fencesBeforeRestore[rec.Pool]; known > 0 && e.At.After(r.clockBeforeRestore) {
 		fence = max(fence, known+1)
 	}
 	return fence
 }
 
-// HighestFence returns the highest fencing number known of a pool.
+// HighestFence returns the highest known fencing number of a pool.
 func (r *Replay) HighestFence(pool string) int64 {
 	if l := r.pools[pool]; l != nil {
-		return max(l.Fence, r.fences[pool])
+		return max(l.Fence, r.fencesBeforeRestore[pool])
 	}
-	return r.fences[pool]
+	return r.fencesBeforeRestore[pool]
 }
 
 // claim takes a free lease, or the claimer's own with a new fencing number.
@@ -122,7 +123,7 @@
 	if old == nil {
 		old = &Lease{}
 	} else if old.ClaimID == rec.ID {
-		return // appended twice
+		return // the record was appended twice
 	} else if !old.free(r.clock) && old.Holder != rec.Holder {
 		return
 	}
@@ -138,19 +139,19 @@
 	r.pools[rec.Pool] = l
 }
 
-// previous returns whose lease ended before a claim. After one of before the log went back there
-// may have been another, by lost records.
+// previous returns the holder of the lease before a claim. If that lease is from before a restore of
+// the log, it returns none: lost records may have given the lease to another.
 func (r *Replay) previous(old *Lease) Holder {
 	last := old.Until.Add(-r.lease)
-	if !r.back.IsZero() && !last.After(r.back) {
+	if !r.clockBeforeRestore.IsZero() && !last.After(r.clockBeforeRestore) {
 		return Holder{}
 	}
 	return old.Holder
 }
 
-// renew prolongs a lease that has not lapsed. A renewal with a higher fencing
-// number than the known lease stems from a claim that was trimmed from the log;
-// its writer has read it back, so it counts.
+// renew extends a lease that has not expired. A renewal with a higher fencing
+// number than the known lease belongs to a claim that was trimmed from the log;
+// its writer has read the claim back, so the renewal counts.
 func (r *Replay) renew(rec Record) {
 	l := r.pools[rec.Pool]
 	if l == nil || rec.Fence > l.Fence {
@@ -163,19 +164,19 @@
 		}
 		return
 	}
-	if l.Holder == rec.Holder && !l.free(r.clock) { // whatever number its writer counts by
+	if l.Holder == rec.Holder && !l.free(r.clock) { // whatever fencing number its writer used
 		l.Until = r.clock.Add(r.lease)
 		l.LastID = rec.ID
 	}
 }
 
 func (r *Replay) drop(rec Record) {
-	if l := r.pools[rec.Pool]; l != nil && l.is(rec) {
+	if l := r.pools[rec.Pool]; l != nil && l.matches(rec) {
 		l.Dropped = true
 		l.LastID = rec.ID
 	}
 }
 
-func (l *Lease) is(rec Record) bool {
+func (l *Lease) matches(rec Record) bool {
 	return l.Holder == rec.Holder && l.Fence == rec.Fence
 }
--- a/internal/core/order/restored_test.go
+++ b/internal/core/order/restored_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestLeaseClaimedAfterTheLogWentBackHoldsUnderAHigherFence guards against a log that comes back
-// from an older copy: a claim that is recorded then, at an offset that was given out before, is
-// passed over, and its fencing number would be lower than one that engines have seen.
-func TestLeaseClaimedAfterTheLogWentBackHoldsUnderAHigherFence(t *testing.T) {
+// TestLeaseClaimedAfterALogRestoreHasAHigherFence guards against a claim after a restore of the log
+// from an older copy, at a reused offset: it must not be ignored as already applied, and its fencing
+// number must not be lower than one that engines have seen.
+func TestLeaseClaimedAfterALogRestoreHasAHigherFence(t *testing.T) {
 	claim := func(offset int64, at time.Time, host string) Entry {
 		rec := Record{Kind: ClaimRecord, Pool: pool, ID: host, Holder: Holder{Host: host, Incarnation: "1"}}
 		data, err := rec.Encode()
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	before, _ := r.Lease(pool)
-	if err := r.Apply(claim(5, epoch.Add(2*DefaultLease), "b")); err != nil { // the log ended at 4
+	if err := r.Apply(claim(5, epoch.Add(2*DefaultLease), "b")); err != nil { // the restored log ended at 4
 		t.Fatal(err)
 	}
 	after, _ := r.Lease(pool)
