--- a/internal/edge/listchange.go
+++ b/internal/edge/listchange.go
@@ -36,7 +36,7 @@
 func (p *process) identified(u fleet.Upstream, itself bool) {
 	changed := false
 	p.changeList(func(l *fleet.List) bool {
-		changed = l.Identified(u, itself)
+		changed = l.RecordResponder(u, itself)
 		return changed
 	})
 	if changed {
@@ -129,9 +129,9 @@
 		}
 		if next, over := after.Successor(u); over {
 			p.pool.Drop(u.Address)
-			p.relay.Ended(u, next)
+			p.relay.UpstreamReplaced(u, next)
 		} else {
-			p.relay.Lapsed(u)
+			p.relay.UpstreamDelisted(u)
 		}
 	}
 }
--- a/internal/relay/leases_test.go
+++ b/internal/relay/leases_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	s.leases = map[string]bool{}
 	part := func(id string) booking.Part {
-		return booking.Part{Upstream: id, Life: fleet.Life{Name: id, Born: 10}, Address: id + ":1", Lease: "l-" + id, Reserve: 5}
+		return booking.Part{Upstream: id, Life: fleet.Incarnation{Name: id, Born: 10}, Address: id + ":1", Lease: "l-" + id, Reserve: 5}
 	}
 	l := &leases{
 		sender: s, log: logrus.NewEntry(logrus.New()), first: part("first"),
@@ -90,8 +90,8 @@
 	for f.script.held() > 0 { // the release is an order of its own; the test's timeout bounds it
 		time.Sleep(time.Millisecond)
 	}
-	if second := f.script.sent[1]; second.To.ID != "e3" || f.script.orders != 1 {
-		t.Errorf("moved to %s after %d orders", second.To.ID, f.script.orders)
+	if second := f.script.sent[1]; second.Upstream.ID != "e3" || f.script.orders != 1 {
+		t.Errorf("moved to %s after %d orders", second.Upstream.ID, f.script.orders)
 	}
 }
 
@@ -164,7 +164,7 @@
 	if refusal := f.relay.Run(t.Context(), req, &record{}); refusal != nil {
 		t.Fatal(refusal)
 	}
-	if len(f.script.sent) != 2 || f.script.sent[1].To.ID != "e3" {
+	if len(f.script.sent) != 2 || f.script.sent[1].Upstream.ID != "e3" {
 		t.Errorf("sent %+v", f.script.sent)
 	}
 }
