--- a/internal/core/ledger/gather_test.go
+++ b/internal/core/ledger/gather_test.go
@@ -16,10 +16,10 @@
 type gangWorld struct {
 	*world
 	turns          []*Turns // of two hosts that both manage the pool's turn
-	gathers        []*Gatherer
+	gatherers      []*Gatherer
 	ids            []string // reservation id of each gathered gang, else empty
-	ends           []time.Time
-	over           []bool
+	endsAt         []time.Time
+	gaveUp         []bool
 	forgetReleases bool // mutant: a release counts as confirmed once it was sent
 }
 
@@ -27,7 +27,7 @@
 	w := &gangWorld{world: newWorld(seed, 4, 4, 0, true)}
 	w.lossy = lossy
 	for i, n := range w.names {
-		w.do(w.owners[i], w.owners[i].Own(n))
+		w.carryOut(w.owners[i], w.owners[i].Own(n))
 	}
 	w.turns = []*Turns{NewTurns(4 * time.Second), NewTurns(4 * time.Second)}
 	for i := range gangs {
@@ -40,13 +40,13 @@
 		for _, m := range w.rnd.Perm(4)[:2+w.rnd.IntN(3)] {
 			gang.Members = append(gang.Members, Member{Engine: w.names[m], Tokens: 600})
 		}
-		w.gathers = append(w.gathers, NewGatherer(GatherOptions{}, gang, rand.New(rand.NewPCG(seed, uint64(i)))))
+		w.gatherers = append(w.gatherers, NewGatherer(GatherOptions{}, gang, rand.New(rand.NewPCG(seed, uint64(i)))))
 	}
 	w.ids = make([]string, gangs)
-	w.ends = make([]time.Time, gangs)
-	w.over = make([]bool, gangs)
+	w.endsAt = make([]time.Time, gangs)
+	w.gaveUp = make([]bool, gangs)
 	w.ended = func(e Ended) {
-		for _, g := range w.gathers {
+		for _, g := range w.gatherers {
 			w.reply(func() { g.Released(e.Engine, e.ID.Name) })
 		}
 	}
@@ -62,14 +62,14 @@
 	return nil
 }
 
-func (w *gangWorld) drive(i int, steps []Step) {
-	g := w.gathers[i]
+func (w *gangWorld) performSteps(i int, steps []Step) {
+	g := w.gatherers[i]
 	for _, s := range steps {
 		switch s := s.(type) {
 		case AcquireTurn:
 			w.send(func() {
 				wait, ok := w.turns[w.rnd.IntN(2)].Acquire(s.Pool, s.Gang, w.now)
-				w.reply(func() { w.drive(i, g.HandleTurnAnswer(ok, wait, w.now)) })
+				w.reply(func() { w.performSteps(i, g.HandleTurnAnswer(ok, wait, w.now)) })
 			})
 		case ReleaseTurn:
 			w.send(func() { w.turns[0].Release(s.Pool, s.Gang); w.turns[1].Release(s.Pool, s.Gang) })
@@ -80,9 +80,9 @@
 			w.releaseMember(i, s)
 		case Gathered:
 			w.ids[i] = s.ID
-			w.ends[i] = w.now.Add(3 * time.Second)
+			w.endsAt[i] = w.now.Add(3 * time.Second)
 		case GaveUp:
-			w.over[i] = true
+			w.gaveUp[i] = true
 		}
 	}
 }
@@ -90,14 +90,14 @@
 func (w *gangWorld) releaseMember(i int, s ReleaseMember) {
 	l := w.owner(s.Engine)
 	if w.forgetReleases {
-		w.gathers[i].Released(s.Engine, s.ID)
+		w.gatherers[i].Released(s.Engine, s.ID)
 	}
 	w.send(func() {
 		if w.lost() {
 			return
 		}
 		id := ID{Kind: Reservation, Name: s.ID}
-		w.answer(i, l, l.Release(s.Engine, id, w.gathers[i].gang.Holder, w.now))
+		w.answer(i, l, l.Release(s.Engine, id, w.gatherers[i].gang.Holder, w.now))
 	})
 }
 
@@ -113,16 +113,16 @@
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Grant:
-			w.reply(func() { w.drive(i, w.gathers[i].Granted(a.Request, w.now)) })
+			w.reply(func() { w.performSteps(i, w.gatherers[i].Granted(a.Request, w.now)) })
 		case Deny:
-			w.reply(func() { w.drive(i, w.gathers[i].Denied(a, false, w.now)) })
+			w.reply(func() { w.performSteps(i, w.gatherers[i].Denied(a, false, w.now)) })
 		case ReserveOn:
 			w.send(func() {
 				result := w.engines[a.Request.Engine].reserve(a.Request)
 				w.send(func() { w.answer(i, l, l.HandleReserveAnswer(a.Request, result, w.now)) })
 			})
 		default:
-			w.do(l, []Action{a})
+			w.carryOut(l, []Action{a})
 		}
 	}
 }
@@ -135,34 +135,34 @@
 		for range 5 {
 			w.deliver()
 		}
-		i := w.rnd.IntN(len(w.gathers))
-		w.drive(i, w.gathers[i].Tick(w.now))
+		i := w.rnd.IntN(len(w.gatherers))
+		w.performSteps(i, w.gatherers[i].Tick(w.now))
 		if err := w.check(i); err != nil {
 			return err
 		}
 		for _, l := range w.owners {
-			w.do(l, l.Tick(w.now))
+			w.carryOut(l, l.Tick(w.now))
 		}
 		if w.done() {
 			return w.leftovers()
 		}
 	}
-	return fmt.Errorf("not done: over %v, gathered %v", w.over, w.ids)
+	return fmt.Errorf("not done: gave up %v, gathered %v", w.gaveUp, w.ids)
 }
 
 // check verifies that a gathered gang holds all its members, and aborts it at its
 // end.
 func (w *gangWorld) check(i int) error {
-	if w.ids[i] == "" || w.over[i] {
+	if w.ids[i] == "" || w.gaveUp[i] {
 		return nil
 	}
-	for _, m := range w.gathers[i].gang.Members {
+	for _, m := range w.gatherers[i].gang.Members {
 		if _, ok := w.engines[m.Engine].books[ID{Kind: Reservation, Name: w.ids[i]}]; !ok {
 			return fmt.Errorf("gang %d runs without member %s", i, m.Engine)
 		}
 	}
-	if w.now.After(w.ends[i]) {
-		w.drive(i, w.gathers[i].Abort(w.now))
+	if w.now.After(w.endsAt[i]) {
+		w.performSteps(i, w.gatherers[i].Abort(w.now))
 	}
 	return nil
 }
@@ -171,8 +171,8 @@
 	if len(w.inFlight) > 0 {
 		return false
 	}
-	for i, g := range w.gathers {
-		if !w.over[i] || !g.Done() {
+	for i, g := range w.gatherers {
+		if !w.gaveUp[i] || !g.Done() {
 			return false
 		}
 	}
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -23,7 +23,7 @@
 	for _, n := range w.names {
 		w.engines[n].books[stranger.ID] = stranger
 		for _, l := range w.owners {
-			w.do(l, l.Own(n))
+			w.carryOut(l, l.Own(n))
 		}
 	}
 	for range steps {
@@ -102,7 +102,7 @@
 	for seed := range uint64(100) {
 		w := newWorld(seed, 1, 1, 3, false)
 		for _, n := range w.names {
-			w.do(w.owners[0], w.owners[0].Own(n))
+			w.carryOut(w.owners[0], w.owners[0].Own(n))
 		}
 		for range 30 {
 			old := w.engines["e0"].read(w.now)
@@ -110,7 +110,7 @@
 				w.step()
 			}
 			old.ReadStarted = w.now
-			w.do(w.owners[0], w.owners[0].ApplyBooks(old, w.now))
+			w.carryOut(w.owners[0], w.owners[0].ApplyBooks(old, w.now))
 			if w.engines["e0"].used() > 1000 {
 				return
 			}
--- a/internal/core/ledger/sim_test.go
+++ b/internal/core/ledger/sim_test.go
@@ -109,8 +109,8 @@
 	return w
 }
 
-// do carries out a ledger's actions.
-func (w *world) do(l *Ledger, acts []Action) {
+// carryOut carries out a ledger's actions.
+func (w *world) carryOut(l *Ledger, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case ReserveOn:
@@ -153,7 +153,7 @@
 		if w.lost() {
 			result = Lost
 		}
-		w.send(func() { w.do(l, l.HandleReserveAnswer(a, result, w.now)) })
+		w.send(func() { w.carryOut(l, l.HandleReserveAnswer(a, result, w.now)) })
 	})
 }
 
@@ -166,7 +166,7 @@
 		if w.lost() {
 			return
 		}
-		w.send(func() { w.do(l, l.HandleEndAnswer(engine, id, true, w.now)) })
+		w.send(func() { w.carryOut(l, l.HandleEndAnswer(engine, id, true, w.now)) })
 	})
 }
 
@@ -174,7 +174,7 @@
 	readStart := w.now
 	w.send(func() {
 		b := w.engines[engine].read(readStart)
-		w.send(func() { w.do(l, l.ApplyBooks(b, w.now)) })
+		w.send(func() { w.carryOut(l, l.ApplyBooks(b, w.now)) })
 	})
 }
 
@@ -201,13 +201,13 @@
 	case 0, 1, 2:
 		w.serial++
 		req := ReserveRequest{Engine: name, ID: fmt.Sprintf("r%d", w.serial), Holder: f.holder(), Tokens: 1 + w.rnd.Int64N(600)}
-		w.do(l, l.Reserve(req, w.now))
+		w.carryOut(l, l.Reserve(req, w.now))
 	case 3:
 		w.releaseOne(l, f)
 	case 4:
 		w.renew(l, f)
 	case 5:
-		w.do(l, l.Tick(w.now))
+		w.carryOut(l, l.Tick(w.now))
 	case 6:
 		w.readBooks(l, name)
 	case 7:
@@ -220,7 +220,7 @@
 func (w *world) releaseOne(l *Ledger, f *front) {
 	for id, e := range f.held {
 		delete(f.held, id)
-		w.do(l, l.Release(e, ID{Kind: Reservation, Name: id}, f.holder(), w.now))
+		w.carryOut(l, l.Release(e, ID{Kind: Reservation, Name: id}, f.holder(), w.now))
 		return
 	}
 }
@@ -230,7 +230,7 @@
 	for _, c := range reply.Gone {
 		delete(f.held, c.ID.Name)
 	}
-	w.do(l, acts)
+	w.carryOut(l, acts)
 }
 
 // restartSome restarts a front or an engine now and then.
@@ -259,7 +259,7 @@
 			for _, n := range l.Owned() {
 				w.readBooks(l, n)
 			}
-			w.do(l, l.Tick(w.now))
+			w.carryOut(l, l.Tick(w.now))
 		}
 		for len(w.inFlight) > 0 {
 			w.deliver()
--- a/internal/core/order/order_test.go
+++ b/internal/core/order/order_test.go
@@ -16,8 +16,8 @@
 var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 const (
-	pool    = "p"
-	longest = 20 * time.Second
+	pool         = "p"
+	longestOrder = 20 * time.Second
 )
 
 // host is one daemon with its own clock, replay and keeper.
@@ -32,28 +32,28 @@
 
 // world simulates a log and hosts that all want the lease of one pool.
 type world struct {
-	rnd      *rand.Rand
-	now      time.Time
-	log      []Entry
-	hosts    []*host
-	delayed  []Record // records that are appended later, as their appends timed out
-	orders   int
-	actor    int       // host that gave the last order, -1 before the first
-	until    time.Time // until when that order may take effect
-	fence    int64     // of the last order
-	restores bool      // the log is restored from older copies at times
-	era      int       // number of restores so far
+	rnd          *rand.Rand
+	now          time.Time
+	log          []Entry
+	hosts        []*host
+	delayed      []Record // records that are appended later, as their appends timed out
+	orders       int
+	lastHost     int       // host that gave the last order, -1 before the first
+	lastOrderEnd time.Time // until when that order may take effect
+	fence        int64     // of the last order
+	restores     bool      // the log is restored from older copies at times
+	era          int       // number of restores so far
 }
 
 func newWorld(seed uint64, margin time.Duration, checks bool) *world {
-	w := &world{rnd: rand.New(rand.NewPCG(seed, 7)), now: epoch, actor: -1}
+	w := &world{rnd: rand.New(rand.NewPCG(seed, 7)), now: epoch, lastHost: -1}
 	serial := 0
 	newID := func() string { serial++; return fmt.Sprint(serial) }
 	for i := range 3 {
 		me := Holder{Host: fmt.Sprint(i), Incarnation: "1"}
 		opts := Options{Margin: margin}
 		w.hosts = append(w.hosts, &host{
-			keeper: NewKeeper(opts, me, pool, checks, longest, newID),
+			keeper: NewKeeper(opts, me, pool, checks, longestOrder, newID),
 			replay: NewReplay(DefaultLease),
 			skew:   time.Duration(w.rnd.IntN(7200)-3600) * time.Second,
 		})
@@ -143,12 +143,12 @@
 		return fmt.Sprintf("host %d gives an order with fence %d after fence %d", i, fence, w.fence)
 	}
 	w.fence = fence
-	if !h.keeper.checksFencing && w.actor != i && w.now.Before(w.until) {
-		return fmt.Sprintf("host %d gives an order while one of host %d may still take effect", i, w.actor)
+	if !h.keeper.checksFencing && w.lastHost != i && w.now.Before(w.lastOrderEnd) {
+		return fmt.Sprintf("host %d gives an order while one of host %d may still take effect", i, w.lastHost)
 	}
 	w.orders++
-	w.actor = i
-	w.until = w.now.Add(longest)
+	w.lastHost = i
+	w.lastOrderEnd = w.now.Add(longestOrder)
 	return ""
 }
 
@@ -164,8 +164,8 @@
 			if err := w.step(); err != "" {
 				return err
 			}
-			if w.actor != last {
-				last = w.actor
+			if w.lastHost != last {
+				last = w.lastHost
 				changes++
 			}
 		}
@@ -215,7 +215,7 @@
 
 func TestNoOrdersWhileTheLogIsUnavailable(t *testing.T) {
 	r := NewReplay(DefaultLease)
-	k := NewKeeper(Options{}, Holder{Host: "h"}, pool, true, longest, func() string { return "1" })
+	k := NewKeeper(Options{}, Holder{Host: "h"}, pool, true, longestOrder, func() string { return "1" })
 	b, err := k.Step(r, true, epoch).Encode()
 	if err != nil {
 		t.Fatal(err)
