--- a/internal/core/order/keeper.go
+++ b/internal/core/order/lease_manager.go
@@ -30,9 +30,9 @@
 	return o
 }
 
-// Keeper claims and renews one pool's order lease for one host. All times are by
-// the host's own clock.
-type Keeper struct {
+// LeaseManager claims and renews one pool's order lease for one host. All times
+// are by the host's own clock.
+type LeaseManager struct {
 	opts          Options
 	me            Holder
 	pool          string
@@ -48,10 +48,10 @@
 	notBefore     time.Time // orders may be given from it on
 }
 
-// NewKeeper returns the Keeper of a host for a pool's lease. newID must return
-// ids that are never reused.
-func NewKeeper(opts Options, me Holder, pool string, checksFencing bool, longestOrder time.Duration, newID func() string) *Keeper {
-	return &Keeper{
+// NewLeaseManager returns the LeaseManager of a host for a pool's lease. newID
+// must return ids that are never reused.
+func NewLeaseManager(opts Options, me Holder, pool string, checksFencing bool, longestOrder time.Duration, newID func() string) *LeaseManager {
+	return &LeaseManager{
 		opts:          opts.WithDefaults(),
 		me:            me,
 		pool:          pool,
@@ -65,92 +65,92 @@
 // Step returns the record to append so that the host gets, keeps or drops the
 // lease as wanted, or nil. The lease is measured from now, so the record must be
 // sent at once or not at all. The replay must have caught up with the log.
-func (k *Keeper) Step(r *Replay, want bool, now time.Time) *Record {
-	l, known := r.Lease(k.pool)
-	mine := known && l.Holder == k.me && !l.Dropped
+func (m *LeaseManager) Step(r *Replay, want bool, now time.Time) *Record {
+	l, known := r.Lease(m.pool)
+	mine := known && l.Holder == m.me && !l.Dropped
 	if mine {
-		k.readBack(l, now)
+		m.readBack(l, now)
 	} else {
-		k.fence = 0
-		k.watchOther(l, now)
+		m.fence = 0
+		m.watchOther(l, now)
 	}
-	k.expire(now)
-	if now.Sub(k.lastSent) < k.opts.ReadBackTimeout && len(k.sent) > 0 {
+	m.expire(now)
+	if now.Sub(m.lastSent) < m.opts.ReadBackTimeout && len(m.sent) > 0 {
 		return nil
 	}
 	switch {
 	case mine && !want:
-		k.validUntil = time.Time{} // the record may reach the log at any time
-		return k.newRecord(DropRecord, l.Fence, now)
-	case mine && now.Before(k.validUntil):
-		if now.Sub(k.lastSent) < k.opts.RenewInterval {
+		m.validUntil = time.Time{} // the record may reach the log at any time
+		return m.newRecord(DropRecord, l.Fence, now)
+	case mine && now.Before(m.validUntil):
+		if now.Sub(m.lastSent) < m.opts.RenewInterval {
 			return nil
 		}
-		return k.newRecord(RenewRecord, l.Fence, now)
-	case want && (!known || mine || l.Dropped || now.Sub(k.otherSeen) >= k.opts.Lease):
-		if !k.lastSent.IsZero() && now.Sub(k.lastSent) < k.opts.ReadBackTimeout {
+		return m.newRecord(RenewRecord, l.Fence, now)
+	case want && (!known || mine || l.Dropped || now.Sub(m.otherSeen) >= m.opts.Lease):
+		if !m.lastSent.IsZero() && now.Sub(m.lastSent) < m.opts.ReadBackTimeout {
 			return nil
 		}
-		return k.newRecord(ClaimRecord, r.HighestFence(k.pool), now)
+		return m.newRecord(ClaimRecord, r.HighestFence(m.pool), now)
 	}
 	return nil
 }
 
 // watchOther records when another holder's last record was first read: at the
 // latest its lease has expired the length of a lease later.
-func (k *Keeper) watchOther(l Lease, now time.Time) {
-	if l.LastID != k.otherLastID {
-		k.otherLastID = l.LastID
-		k.otherSeen = now
+func (m *LeaseManager) watchOther(l Lease, now time.Time) {
+	if l.LastID != m.otherLastID {
+		m.otherLastID = l.LastID
+		m.otherSeen = now
 	}
 }
 
-// readBack applies the host's own lease as read back. Orders are allowed until it
-// ends, measured from just before its last record was sent.
-func (k *Keeper) readBack(l Lease, now time.Time) {
-	if k.fence != l.Fence {
-		k.fence = l.Fence
-		k.validUntil = time.Time{}
-		if !k.checksFencing && l.Previous != k.me {
-			k.notBefore = now.Add(k.opts.Lease + k.longestOrder)
+// readBack applies the host's own lease as read back. Orders are allowed until
+// Margin before its end, measured from just before its last record was sent.
+func (m *LeaseManager) readBack(l Lease, now time.Time) {
+	if m.fence != l.Fence {
+		m.fence = l.Fence
+		m.validUntil = time.Time{}
+		if !m.checksFencing && l.Previous != m.me {
+			m.notBefore = now.Add(m.opts.Lease + m.longestOrder)
 		}
 	}
-	at, ok := k.sent[l.LastID]
+	at, ok := m.sent[l.LastID]
 	if !ok {
 		return
 	}
-	delete(k.sent, l.LastID)
-	if v := at.Add(k.opts.Lease - k.opts.Margin); v.After(k.validUntil) {
-		k.validUntil = v
+	delete(m.sent, l.LastID)
+	if v := at.Add(m.opts.Lease - m.opts.Margin); v.After(m.validUntil) {
+		m.validUntil = v
 	}
 }
 
-func (k *Keeper) expire(now time.Time) {
-	for id, at := range k.sent {
-		if now.Sub(at) > k.opts.Lease {
-			delete(k.sent, id)
+func (m *LeaseManager) expire(now time.Time) {
+	for id, at := range m.sent {
+		if now.Sub(at) > m.opts.Lease {
+			delete(m.sent, id)
 		}
 	}
 }
 
-func (k *Keeper) newRecord(kind RecordKind, fence int64, now time.Time) *Record {
-	rec := &Record{Kind: kind, ID: k.newID(), Pool: k.pool, Holder: k.me, Fence: fence}
-	k.sent[rec.ID] = now
-	k.lastSent = now
+func (m *LeaseManager) newRecord(kind RecordKind, fence int64, now time.Time) *Record {
+	rec := &Record{Kind: kind, ID: m.newID(), Pool: m.pool, Holder: m.me, Fence: fence}
+	m.sent[rec.ID] = now
+	m.lastSent = now
 	return rec
 }
 
 // MarkLogUnavailable records that the log does not answer: no orders may be given
 // until a record is read back again.
-func (k *Keeper) MarkLogUnavailable() {
-	k.validUntil = time.Time{}
+func (m *LeaseManager) MarkLogUnavailable() {
+	m.validUntil = time.Time{}
 }
 
 // MayOrder returns the fencing number for orders; ok is false if none may be given
 // now. It must be called before each order.
-func (k *Keeper) MayOrder(now time.Time) (fence int64, ok bool) {
-	if k.fence == 0 || now.Before(k.notBefore) || !now.Before(k.validUntil) {
+func (m *LeaseManager) MayOrder(now time.Time) (fence int64, ok bool) {
+	if m.fence == 0 || now.Before(m.notBefore) || !now.Before(m.validUntil) {
 		return 0, false
 	}
-	return k.fence, true
+	return m.fence, true
 }
--- a/internal/core/order/order_test.go
+++ b/internal/core/order/order_test.go
@@ -20,14 +20,14 @@
 	longestOrder = 20 * time.Second
 )
 
-// host is one daemon with its own clock, replay and keeper.
+// host is one daemon with its own clock, replay and manager.
 type host struct {
-	keeper *Keeper
-	replay *Replay
-	skew   time.Duration // its clock against true time
-	era    int           // era of the log that it knows
-	paused time.Time     // does nothing before this time
-	down   time.Time     // cannot reach the log before this time
+	manager *LeaseManager
+	replay  *Replay
+	skew    time.Duration // its clock against true time
+	era     int           // era of the log that it knows
+	paused  time.Time     // does nothing before this time
+	down    time.Time     // cannot reach the log before this time
 }
 
 // world simulates a log and hosts that all want the lease of one pool.
@@ -53,9 +53,9 @@
 		me := Holder{Host: fmt.Sprint(i), Incarnation: "1"}
 		opts := Options{Margin: margin}
 		w.hosts = append(w.hosts, &host{
-			keeper: NewKeeper(opts, me, pool, checks, longestOrder, newID),
-			replay: NewReplay(DefaultLease),
-			skew:   time.Duration(w.rnd.IntN(7200)-3600) * time.Second,
+			manager: NewLeaseManager(opts, me, pool, checks, longestOrder, newID),
+			replay:  NewReplay(DefaultLease),
+			skew:    time.Duration(w.rnd.IntN(7200)-3600) * time.Second,
 		})
 	}
 	return w
@@ -114,7 +114,7 @@
 		}
 	}
 	want := w.rnd.IntN(50) > 0
-	rec := h.keeper.Step(h.replay, want, w.now.Add(h.skew))
+	rec := h.manager.Step(h.replay, want, w.now.Add(h.skew))
 	if rec == nil {
 		return
 	}
@@ -131,19 +131,19 @@
 }
 
 func (w *world) order(i int, h *host) string {
-	fence, ok := h.keeper.MayOrder(w.now.Add(h.skew))
+	fence, ok := h.manager.MayOrder(w.now.Add(h.skew))
 	if !ok {
 		return ""
 	}
 	unread := fence < w.fence && w.restores // the log lost a claim before this host read it
-	if unread && h.keeper.checksFencing {
+	if unread && h.manager.checksFencing {
 		return "" // the engine refuses the order
 	}
 	if fence < w.fence && !unread {
 		return fmt.Sprintf("host %d gives an order with fence %d after fence %d", i, fence, w.fence)
 	}
 	w.fence = fence
-	if !h.keeper.checksFencing && w.lastHost != i && w.now.Before(w.lastOrderEnd) {
+	if !h.manager.checksFencing && w.lastHost != i && w.now.Before(w.lastOrderEnd) {
 		return fmt.Sprintf("host %d gives an order while one of host %d may still take effect", i, w.lastHost)
 	}
 	w.orders++
@@ -215,20 +215,20 @@
 
 func TestNoOrdersWhileTheLogIsUnavailable(t *testing.T) {
 	r := NewReplay(DefaultLease)
-	k := NewKeeper(Options{}, Holder{Host: "h"}, pool, true, longestOrder, func() string { return "1" })
-	b, err := k.Step(r, true, epoch).Encode()
+	m := NewLeaseManager(Options{}, Holder{Host: "h"}, pool, true, longestOrder, func() string { return "1" })
+	b, err := m.Step(r, true, epoch).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := r.Apply(Entry{Offset: 5, At: epoch, Data: b}); err != nil {
 		t.Fatal(err)
 	}
-	k.Step(r, true, epoch.Add(time.Second))
-	if fence, ok := k.MayOrder(epoch.Add(time.Second)); !ok || fence != 5 {
+	m.Step(r, true, epoch.Add(time.Second))
+	if fence, ok := m.MayOrder(epoch.Add(time.Second)); !ok || fence != 5 {
 		t.Fatalf("the holder has fence %d, %v", fence, ok)
 	}
-	k.MarkLogUnavailable()
-	if _, ok := k.MayOrder(epoch.Add(time.Second)); ok {
+	m.MarkLogUnavailable()
+	if _, ok := m.MayOrder(epoch.Add(time.Second)); ok {
 		t.Error("orders are allowed while the log is unavailable")
 	}
 }
