--- a/internal/relay/door.go
+++ b/internal/relay/admitter.go
@@ -17,80 +17,82 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/route"
 )
 
-// Call is a request as an entry binding has read it, before anything was decided.
+// Call is a request as the caller binding has read it, before anything was decided.
 type Call struct {
 	ID           string
-	Key          string // of the customer, empty without one
+	Key          string // API key of the customer, empty if there is none
 	Method       string
 	URI          string // path and query as sent
 	Path         string // the URI without its query, as sent
 	Host         string
-	Header       http.Header // those that are meant for the upstream
-	PromptTokens int         // tokens
-	MaxTokens    int         // tokens at the most
+	Header       http.Header // headers to forward to the upstream
+	PromptTokens int         // length of the prompt
+	MaxTokens    int         // limit on the answer
 	LastEvent    string
-	Timeout      time.Duration // how long the caller waits; zero: it does not say
+	Timeout      time.Duration // how long the caller waits; zero if it does not say
 	Arrived      time.Time
 }
 
-// Admitter decides whether a call becomes a request, and which.
+// Admitter decides whether a call is admitted as a request, and builds that request.
 type Admitter struct {
 	relay *Relay
 	table atomic.Pointer[route.Table]
 	log   *logrus.Entry
 
-	inFlight atomic.Int64
-	admitted atomic.Int64
-	leaveBy  atomic.Pointer[time.Time] // nil: it stays
+	inFlight         atomic.Int64
+	admitted         atomic.Int64
+	shutdownDeadline atomic.Pointer[time.Time] // nil while the daemon is not shutting down
 
-	begun time.Time
-	opens sync.Once
-	open  chan struct{} // closed when the daemon can serve
+	startedAt time.Time
+	readyOnce sync.Once
+	ready     chan struct{} // closed when the daemon can serve
 
-	wants  sync.Once
-	wanted chan struct{} // closed when a call waits for it
+	demandOnce sync.Once
+	demanded   chan struct{} // closed when a call waits for ready
 }
 
-// NewAdmitter returns a Door that refuses all until it has a table.
+// NewAdmitter returns an Admitter that refuses all calls until it has a routing table.
 func NewAdmitter(r *Relay, log *logrus.Entry) *Admitter {
-	return &Admitter{relay: r, log: log, begun: time.Now(), open: make(chan struct{}), wanted: make(chan struct{})}
+	return &Admitter{relay: r, log: log, startedAt: time.Now(), ready: make(chan struct{}), demanded: make(chan struct{})}
 }
 
-// Bounds of the wait at a daemon that has just started. It knows settings and upstreams
-// 20 ms after its start if the store answers, and soon another daemon; callers that
-// meet it before then are served in time, where a refusal would send them to others that
-// have started with it.
+// Limits on how long calls wait for a daemon that has just started. It knows settings and
+// upstreams 20 ms after its start if the store answers, and soon after from another daemon.
+// Callers that arrive earlier are still served in time, whereas a refusal would send them to
+// other daemons that have started at the same time.
 const (
-	startHold = 250 * time.Millisecond // of one call
-	startSpan = time.Second            // since the start; what takes longer takes long
+	maxStartWait = 250 * time.Millisecond // per call
+	startPeriod  = time.Second            // after the start; a start that takes longer is not waited for
 )
 
-// MarkReady tells that the daemon can serve.
-func (d *Admitter) MarkReady() { d.opens.Do(func() { close(d.open) }) }
+// MarkReady records that the daemon can serve. It may be called several times.
+func (d *Admitter) MarkReady() { d.readyOnce.Do(func() { close(d.ready) }) }
 
-// Demanded returns a channel that is closed when a call has come before the daemon could serve.
-func (d *Admitter) Demanded() <-chan struct{} { return d.wanted }
+// Demanded returns a channel that is closed when a call has come before the daemon could
+// serve.
+func (d *Admitter) Demanded() <-chan struct{} { return d.demanded }
 
-// AwaitReady waits a moment until a daemon that has just started can serve.
+// AwaitReady waits until a daemon that has just started can serve, for maxStartWait at most.
 func (d *Admitter) AwaitReady(ctx context.Context) {
 	select {
-	case <-d.open:
+	case <-d.ready:
 		return
 	default:
-		d.wants.Do(func() { close(d.wanted) })
+		d.demandOnce.Do(func() { close(d.demanded) })
 	}
-	left := min(startHold, startSpan-time.Since(d.begun))
+	left := min(maxStartWait, startPeriod-time.Since(d.startedAt))
 	if left <= 0 {
 		return
 	}
 	select {
-	case <-d.open:
+	case <-d.ready:
 	case <-time.After(left):
 	case <-ctx.Done():
 	}
 }
 
-// SetTable replaces the table by a newer one. It returns false for one that is not newer.
+// SetTable installs a newer routing table. It returns false if t is not newer than the
+// current one.
 func (d *Admitter) SetTable(t *route.Table) bool {
 	for {
 		before := d.table.Load()
@@ -103,25 +105,27 @@
 	}
 }
 
-// Table returns the table in use, nil before there is one.
+// Table returns the routing table in use, nil if there is none yet.
 func (d *Admitter) Table() *route.Table { return d.table.Load() }
 
-// SetShutdownDeadline makes the Door refuse the calls that may not have ended by a time: all that is
-// admitted is to be finished. Others are served on, for a balancer without a better choice
-// still sends them.
-func (d *Admitter) SetShutdownDeadline(at time.Time) { d.leaveBy.Store(&at) }
+// SetShutdownDeadline makes the Admitter refuse calls that may not end before the given
+// time, so that every admitted request can be finished. Shorter calls are still served,
+// because a balancer that has no better choice keeps sending them. The zero time refuses all
+// calls.
+func (d *Admitter) SetShutdownDeadline(at time.Time) { d.shutdownDeadline.Store(&at) }
 
-// Admitted returns how many calls have become requests.
+// Admitted returns how many calls have been admitted.
 func (d *Admitter) Admitted() int64 { return d.admitted.Load() }
 
 // InFlight returns the number of requests in progress.
 func (d *Admitter) InFlight() int { return int(d.inFlight.Load()) }
 
-// notReadyAfter is when a daemon that has just started is expected to be ready.
-const notReadyAfter = 300 * time.Millisecond
+// retryAfterStart is the time after which callers may retry at a daemon that has just
+// started: it is expected to be ready by then.
+const retryAfterStart = 300 * time.Millisecond
 
-// Admit checks a call against the table and returns the request, its body still to
-// be filled in.
+// Admit checks a call against the routing table. It returns the request, without its body,
+// or a refusal, which it logs.
 func (d *Admitter) Admit(c *Call) (*Request, *request.Refusal) {
 	req, refusal := d.admit(c)
 	if refusal != nil {
@@ -129,13 +133,13 @@
 			"request": c.ID, "host": c.Host, "path": c.Path, "code": string(refusal.Code), "why": refusal.Message,
 		}).Info("request_refused")
 	}
-	return req, spread(refusal)
+	return req, jitterRetryAfter(refusal)
 }
 
 func (d *Admitter) admit(c *Call) (*Request, *request.Refusal) {
 	t := d.table.Load()
 	if t == nil {
-		return nil, request.Refuse(request.CodeNotReady, notReadyAfter, "no settings yet")
+		return nil, request.Refuse(request.CodeNotReady, retryAfterStart, "no settings yet")
 	}
 	r := t.Match(c.Host, c.Path)
 	if r == nil {
@@ -145,15 +149,15 @@
 	if customer == nil && t.NeedsKey(r) {
 		return nil, request.Refuse(request.CodeUnauthorized, 0, "the key is unknown")
 	}
-	req := d.build(c, t, r, customer)
-	if by := d.leaveBy.Load(); by != nil && req.endsBy().After(*by) {
+	req := d.newRequest(c, t, r, customer)
+	if by := d.shutdownDeadline.Load(); by != nil && req.expectedEnd().After(*by) {
 		return nil, request.Refuse(request.CodeLeaving, retryAfterLeaving, "this daemon shuts down")
 	}
 	d.admitted.Add(1)
 	return req, nil
 }
 
-func (d *Admitter) build(c *Call, t *route.Table, r *route.Route, customer *route.Customer) *Request {
+func (d *Admitter) newRequest(c *Call, t *route.Table, r *route.Route, customer *route.Customer) *Request {
 	service := t.Service(r.Pick(rand.Float64()))
 	req := &Request{
 		ID:           c.ID,
@@ -186,16 +190,17 @@
 	return req
 }
 
-// ReadBody takes in the body of an admitted request, whose length is -1 where it is not told.
-// The function that it returns is called when the request has ended.
+// ReadBody reads the body of an admitted request into req. length is -1 if the caller did
+// not give it. The returned function releases the body's memory and must be called when the
+// request has ended.
 func (d *Admitter) ReadBody(req *Request, body io.Reader, length int64) (free func(), refusal *request.Refusal) {
 	limit := d.Table().Limits().BodyBytes
 	data, free, err := d.relay.opts.BodyMemory.Read(body, length, limit)
 	switch {
 	case errors.Is(err, ErrBodyTooLarge):
-		// A caller that still sends when its connection is closed does not see the answer.
+		// A caller that is still sending when its connection is closed would not see the answer.
 		_, _ = io.CopyN(io.Discard, body, limit)
-		refusal = request.Refuse(request.CodeTooLarge, 0, "the body is over %d bytes", limit)
+		refusal = request.Refuse(request.CodeTooLarge, 0, "the body exceeds %d bytes", limit)
 	case errors.Is(err, ErrBodiesFull):
 		refusal = request.Refuse(request.CodeQueueFull, retryAfterFailure, "no memory is left for the body")
 	case err != nil:
@@ -205,7 +210,7 @@
 	return free, refusal
 }
 
-// Serve takes an admitted request with its body to its end; see Relay.Run.
+// Serve carries an admitted request with its body to its end; see Relay.Run.
 func (d *Admitter) Serve(ctx context.Context, req *Request, sink Sink) *request.Refusal {
 	d.inFlight.Add(1)
 	defer d.inFlight.Add(-1)
@@ -213,12 +218,13 @@
 	return d.relay.Run(ctx, req, sink)
 }
 
-// fingerprint names the work of a request, whoever sends it again and when.
+// fingerprint identifies the work of a request: customer, method, URI and body. The same
+// work sent again has the same fingerprint.
 func fingerprint(req *Request) uint64 {
 	h := xxhash.New()
 	for _, part := range []string{req.Customer, "\x00", req.Method, "\x00", req.URI, "\x00"} {
-		_, _ = h.WriteString(part) // a hash takes all
+		_, _ = h.WriteString(part) // never fails
 	}
-	_, _ = h.Write(req.Body) // a hash takes all
+	_, _ = h.Write(req.Body) // never fails
 	return h.Sum64()
 }
--- a/internal/relay/door_test.go
+++ b/internal/relay/admitter_test.go
@@ -13,7 +13,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/route"
 )
 
-func newDoor(t *testing.T) *Admitter {
+func newTestAdmitter(t *testing.T) *Admitter {
 	t.Helper()
 	routes := []route.Route{
 		{Name: "stream", Host: "h", Prefix: "/s/", Kind: route.Stream, Resumable: true, Timeout: 10 * time.Second,
@@ -32,15 +32,15 @@
 	log.SetOutput(io.Discard)
 	d := NewAdmitter(newFixture(t).relay, logrus.NewEntry(log))
 	if !d.SetTable(table) {
-		t.Fatal("the table was not taken")
+		t.Fatal("the routing table was rejected")
 	}
 	return d
 }
 
-// TestLeavingDaemonServesWhatItCanFinish is the pattern of daemons that are stopped one
-// after the other while the balancer has no better choice: of three in a failure domain one
-// leaves, one has just started and one cannot be reached. Its balancer sends requests to all
-// three then, and a refusal sends callers to one that may refuse as well.
+// TestLeavingDaemonServesWhatItCanFinish guards against unnecessary refusals while daemons
+// are stopped one after the other: if one of the three in a failure domain is leaving, one
+// has just started and one is unreachable, the balancer sends requests to all three, and a
+// caller that is refused may be refused again.
 func TestLeavingDaemonServesWhatItCanFinish(t *testing.T) {
 	for _, c := range []struct {
 		path     string
@@ -48,16 +48,16 @@
 		left     time.Duration // until the daemon ends
 		admitted bool
 	}{
-		{"/s/x", 1600, 5 * time.Second, true}, // it writes for 1.6 s
+		{"/s/x", 1600, 5 * time.Second, true}, // decoding takes 1.6 s
 		{"/s/x", 1600, 2 * time.Second, false},
 		{"/s/x", 0, 5 * time.Second, true}, // the usual answer
 		{"/s/x", 40_000, 5 * time.Second, false},
 		{"/s/x", 40_000, 11 * time.Second, true}, // its deadline comes first
-		{"/l/x", 800, 5 * time.Second, false},    // it may be read late
+		{"/l/x", 800, 5 * time.Second, false},    // its prefill may be late
 		{"/c/x", 0, 3 * time.Second, true},
 		{"/c/x", 0, time.Second, false},
 	} {
-		d := newDoor(t)
+		d := newTestAdmitter(t)
 		now := time.Now()
 		d.SetShutdownDeadline(now.Add(c.left))
 		req, refusal := d.Admit(&Call{ID: "r", Path: c.path, URI: c.path, Host: "h", PromptTokens: 5000, MaxTokens: c.answer, Arrived: now})
@@ -70,10 +70,10 @@
 	}
 }
 
-// TestCallMeetsADaemonThatHasJustStarted is the pattern of all daemons dying at once: callers
-// come before the first of them knows settings and upstreams.
-func TestCallMeetsADaemonThatHasJustStarted(t *testing.T) {
-	d := newDoor(t)
+// TestCallsWaitForStartingDaemon guards against refusals after all daemons died at once:
+// callers arrive before the first of them knows settings and upstreams.
+func TestCallsWaitForStartingDaemon(t *testing.T) {
+	d := newTestAdmitter(t)
 	waited := make(chan struct{})
 	go func() {
 		d.AwaitReady(t.Context())
@@ -81,11 +81,11 @@
 	}()
 	d.MarkReady()
 	<-waited
-	d.MarkReady() // again, as each list does
-	old := newDoor(t)
-	old.begun = time.Now().Add(-startSpan)
-	old.AwaitReady(t.Context()) // ends at once: the test's timeout bounds it
+	d.MarkReady() // repeated, as after each update of the list
+	old := newTestAdmitter(t)
+	old.startedAt = time.Now().Add(-startPeriod)
+	old.AwaitReady(t.Context()) // returns at once; the test's timeout bounds it
 	gone, cancel := context.WithCancel(t.Context())
 	cancel()
-	newDoor(t).AwaitReady(gone)
+	newTestAdmitter(t).AwaitReady(gone)
 }
--- a/internal/relay/bodies.go
+++ b/internal/relay/bodies.go
@@ -10,54 +10,56 @@
 )
 
 var (
-	// ErrBodyTooLarge: the body has more bytes than a caller may send.
+	// ErrBodyTooLarge is returned for a body with more bytes than a caller may send.
 	ErrBodyTooLarge = merry.Sentinel("the body is too large")
-	// ErrBodiesFull: the bodies of the requests in progress take all the memory that they may.
+	// ErrBodiesFull is returned if the bodies of the requests in progress use all the memory
+	// allowed.
 	ErrBodiesFull = merry.Sentinel("no memory is left for bodies of requests")
 )
 
 var bodiesRefused = metrics.GetOrCreateCounter(`buckthorndock_bodies_refused_total`)
 
-// BodyMemory bounds the memory of the bodies of requests, each of which is held until its request
-// has ended, and of large answers: callers and upstreams may be slow. It is safe for concurrent
-// use.
+// BodyMemory bounds the memory of request bodies, each of which is held until its request
+// has ended, and of large answers: callers and upstreams may be slow. It is safe for
+// concurrent use.
 type BodyMemory struct {
-	most int64 // bytes
-	held atomic.Int64
+	capacity int64 // bytes
+	held     atomic.Int64
 }
 
-// NewBodyMemory returns Bodies that hold up to so many bytes at once.
-func NewBodyMemory(most int64) *BodyMemory { return &BodyMemory{most: most} }
+// NewBodyMemory returns a BodyMemory with the given capacity in bytes.
+func NewBodyMemory(capacity int64) *BodyMemory { return &BodyMemory{capacity: capacity} }
 
-// take sets bytes aside; false: there are none left.
-func (b *BodyMemory) take(n int64) bool {
-	if b.held.Add(n) <= b.most {
+// reserve reserves n bytes. It returns false if they are not available.
+func (b *BodyMemory) reserve(n int64) bool {
+	if b.held.Add(n) <= b.capacity {
 		return true
 	}
-	b.give(n)
+	b.release(n)
 	return false
 }
 
-// give gives bytes back.
-func (b *BodyMemory) give(n int64) { b.held.Add(-n) }
+// release returns n reserved bytes.
+func (b *BodyMemory) release(n int64) { b.held.Add(-n) }
 
-// firstRead is what a body of unknown length begins with, in bytes.
-const firstRead = 4 << 10
+// initialBodyBuffer is the size in bytes of the first buffer for a body of unknown length.
+const initialBodyBuffer = 4 << 10
 
-// Read takes a whole body in. length is that which was told, -1 without one; limit bounds it,
-// zero: nothing does. The function that it returns gives the memory back, also after an error.
+// Read reads a whole body. length is the announced length, -1 if unknown; limit bounds it in
+// bytes, zero means no limit. The function that it returns releases the memory and must be
+// called after an error as well.
 func (b *BodyMemory) Read(r io.Reader, length, limit int64) (body []byte, free func(), err error) {
 	var taken int64
-	free = func() { b.give(taken) }
+	free = func() { b.release(taken) }
 	if limit > 0 && length > limit {
 		return nil, free, merry.Wrap(ErrBodyTooLarge)
 	}
 	size := length
 	if length < 0 {
-		size = firstRead
+		size = initialBodyBuffer
 	}
 	for {
-		if !b.take(size - taken) {
+		if !b.reserve(size - taken) {
 			bodiesRefused.Inc()
 			return nil, free, merry.Wrap(ErrBodiesFull)
 		}
--- a/internal/relay/bodies_test.go
+++ b/internal/relay/bodies_test.go
@@ -10,8 +10,8 @@
 	"testing/iotest"
 )
 
-// TestBodiesOfSlowRequestsStayBounded guards against a daemon whose memory grows with the
-// requests that wait for slow callers and upstreams: their bodies are held until they end.
+// TestBodiesOfSlowRequestsStayBounded guards against memory that grows with the number of
+// requests waiting for slow callers and upstreams, whose bodies are held until they end.
 func TestBodiesOfSlowRequestsStayBounded(t *testing.T) {
 	const size, most = 1000, 10_500
 	b := NewBodyMemory(most)
@@ -41,11 +41,12 @@
 	}
 }
 
-// TestBodyOfUnknownLengthIsCountedAsItComes: a caller that sends in chunks tells no length.
+// TestBodyOfUnknownLengthIsCountedAsItComes covers callers that send chunked bodies, whose
+// length is not announced.
 func TestBodyOfUnknownLengthIsCountedAsItComes(t *testing.T) {
-	for _, size := range []int{0, 1, firstRead - 1, firstRead, firstRead + 1, 10 * firstRead} {
+	for _, size := range []int{0, 1, initialBodyBuffer - 1, initialBodyBuffer, initialBodyBuffer + 1, 10 * initialBodyBuffer} {
 		want := bytes.Repeat([]byte("y"), size)
-		b := NewBodyMemory(100 * firstRead)
+		b := NewBodyMemory(100 * initialBodyBuffer)
 		got, free, err := b.Read(iotest.HalfReader(bytes.NewReader(want)), -1, 0)
 		if err != nil || !bytes.Equal(got, want) || b.held.Load() < int64(size) {
 			t.Errorf("%d bytes: got %d, %v, %d held", size, len(got), err, b.held.Load())
@@ -54,14 +55,14 @@
 		if n := b.held.Load(); n != 0 {
 			t.Errorf("%d bytes: %d are left", size, n)
 		}
-		if _, free, err = b.Read(bytes.NewReader(want), -1, firstRead); size > 2*firstRead && !errors.Is(err, ErrBodyTooLarge) {
+		if _, free, err = b.Read(bytes.NewReader(want), -1, initialBodyBuffer); size > 2*initialBodyBuffer && !errors.Is(err, ErrBodyTooLarge) {
 			t.Errorf("%d bytes over the limit: %v", size, err)
 		}
 		free()
 	}
 }
 
-func TestBodyThatIsNotWholeIsNone(t *testing.T) {
+func TestIncompleteBodyIsRejected(t *testing.T) {
 	b := NewBodyMemory(1000)
 	if _, free, err := b.Read(strings.NewReader("abc"), 5, 0); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("got %v", err)
@@ -78,7 +79,7 @@
 	}
 }
 
-func TestBodiesAreCountedByManyAtOnce(t *testing.T) {
+func TestConcurrentBodiesAreAccounted(t *testing.T) {
 	b := NewBodyMemory(500)
 	var all sync.WaitGroup
 	for range 100 {
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -9,47 +9,48 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/retry"
 )
 
-// budgetShare is the part of a daemon's share of the site's budget that it uses.
-// The rest covers daemons that another one does not know of, and the edges of the
-// windows.
+// budgetShare is the fraction of a daemon's share of the site's budget that it uses. The
+// rest covers daemons that do not know of each other, and the edges of the windows.
 const budgetShare = 0.7
 
-// leastRepeats is what a daemon may repeat in a window whatever its part is, so that one
-// with few requests can move one. Where there are more daemons than that allows, some have none.
-const leastRepeats = 1
+// minRepeats is the number of repeats that a daemon may make in a window however small its
+// share is, so that one with few requests can move one. If there are more daemons than the
+// slack allows for, some get none.
+const minRepeats = 1
 
-// floor returns the repeats in a window that this daemon may make besides a share of its
-// requests. Those of all daemons together stay within the slack, where it is known.
-func (r *Relay) floor(o BudgetOptions) int {
+// repeatFloor returns the number of repeats per window that this daemon may make in addition
+// to a share of its requests. The sum over all daemons stays within the slack, if the slack
+// is known.
+func (r *Relay) repeatFloor(o BudgetOptions) int {
 	hosts := float64(max(o.Hosts, 1))
 	part := budgetShare * o.Slack / hosts
-	if part >= leastRepeats {
+	if part >= minRepeats {
 		return int(part)
 	}
-	if o.Slack == 0 || hosts*leastRepeats <= o.Slack {
-		return leastRepeats
+	if o.Slack == 0 || hosts*minRepeats <= o.Slack {
+		return minRepeats
 	}
-	return int(part + r.draw)
+	return int(part + r.hostFraction)
 }
 
-// mostAttempts bounds the sends of one request, those that could not connect and that
-// were declined included.
-const mostAttempts = 8
+// maxSends bounds the sends of one request, including those that could not connect and those
+// that were declined.
+const maxSends = 8
 
-// budget is this daemon's part of the site's bound for one service.
+// budget is this daemon's share of the site's budget for one service.
 type budget struct {
 	*retry.Budget
 	policy *retry.Policy
 }
 
-// budgetOf returns the budget of a service. The caller holds the lock.
+// budgetOf returns the budget of a service with the current options. The caller holds r.mu.
 func (r *Relay) budgetOf(service string) *budget {
 	o := r.opts.Budget()
 	b := r.budgets[service]
 	if b == nil {
 		core := retry.NewBudget(retry.BudgetOptions{Window: o.Window})
 		policy := retry.NewPolicy(retry.PolicyOptions{
-			MaxAttempts:    mostAttempts,
+			MaxAttempts:    maxSends,
 			RetryAfter:     retryAfterFailure,
 			ChargeArrivals: true,
 		}, core)
@@ -57,26 +58,27 @@
 		r.budgets[service] = b
 	}
 	b.SetRatio(budgetShare * o.Ratio)
-	b.SetFloor(r.floor(o))
+	b.SetFloor(r.repeatFloor(o))
 	return b
 }
 
-// earn counts a request, of which the repeats are a share.
-func (r *Relay) earn(service string, now time.Time) {
+// countRequest counts a request; the repeats allowed are a share of these.
+func (r *Relay) countRequest(service string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.budgetOf(service).Deposit(now)
 }
 
-// next decides what follows an attempt.
-func (r *Relay) next(service string, a retry.Attempt, q *request.Request) retry.Decision {
+// retryDecision decides what follows an attempt.
+func (r *Relay) retryDecision(service string, a retry.Attempt, q *request.Request) retry.Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.budgetOf(service).policy.Next(a, q, time.Now())
 }
 
-// takeRepeat takes a repeat from the budget, if one is left. A displaced stream only pauses
-// without one, so half of the budget is kept for those that would be lost.
+// takeRepeat takes a repeat from the budget and reports whether one was left. Displaced
+// streams may use only half of the budget: without a repeat they merely pause, and the rest
+// is kept for streams that would be lost.
 func (r *Relay) takeRepeat(service string, why error) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,32 +89,32 @@
 	return b.TryRetry(time.Now())
 }
 
-// Times told to callers whose request was not run.
+// Retry times given to callers whose request was not run.
 const (
-	// retryAfterFailure follows failures: by then failing upstreams are known.
+	// retryAfterFailure follows failures: after that time the failing upstreams are known.
 	retryAfterFailure = 200 * time.Millisecond
-	// retryAfterLeaving follows a refusal by one daemon alone: others serve at once, and
-	// the shortest objectives, of 300 ms, may still be met there.
+	// retryAfterLeaving follows a refusal by a daemon that shuts down: other daemons serve
+	// at once, and may still meet even the shortest objective, of 300 ms.
 	retryAfterLeaving = 30 * time.Millisecond
-	// retryAfterNone follows a lack of upstreams, which takes longer to mend.
-	retryAfterNone = 500 * time.Millisecond
-	// retryAfterMost bounds what the backlog of the engines suggests.
-	retryAfterMost = 2 * time.Second
+	// retryAfterNoUpstream follows a lack of upstreams, which lasts longer.
+	retryAfterNoUpstream = 500 * time.Millisecond
+	// maxRetryAfter bounds the time derived from the backlog of the engines.
+	maxRetryAfter = 2 * time.Second
 )
 
-// Spread of the time that a caller is told to wait: those who were refused together are
-// not to come back together.
+// Bounds of the factor by which the retry time is varied, so that callers that were refused
+// together do not return together.
 const (
-	spreadLeast = 0.75
-	spreadWidth = 0.5
+	retryJitterMin   = 0.75
+	retryJitterWidth = 0.5
 )
 
-// spread varies the time after which a refusal's caller comes back.
-func spread(r *request.Refusal) *request.Refusal {
+// jitterRetryAfter returns the refusal with a randomly varied retry time.
+func jitterRetryAfter(r *request.Refusal) *request.Refusal {
 	if r == nil || r.RetryAfter <= 0 {
 		return r
 	}
 	changed := *r
-	changed.RetryAfter = time.Duration((spreadLeast + spreadWidth*rand.Float64()) * float64(r.RetryAfter))
+	changed.RetryAfter = time.Duration((retryJitterMin + retryJitterWidth*rand.Float64()) * float64(r.RetryAfter))
 	return &changed
 }
--- a/internal/relay/budget_test.go
+++ b/internal/relay/budget_test.go
@@ -12,17 +12,17 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// pausing are engines that send the first events of a stream, and the last ones when told to.
-type pausing struct{ goOn chan struct{} }
+// pausingEngine sends the first events of a stream, and the last ones once resume is closed.
+type pausingEngine struct{ resume chan struct{} }
 
-func (p pausing) answer(ctx context.Context, a Attempt) (*Answer, error) {
+func (p pausingEngine) answer(ctx context.Context, a Attempt) (*Answer, error) {
 	r, w := io.Pipe()
 	go func() {
 		_, _ = w.Write([]byte(firstEvents))
 		select {
 		case <-ctx.Done():
 			w.CloseWithError(ctx.Err())
-		case <-p.goOn:
+		case <-p.resume:
 			_, _ = w.Write([]byte(lastEvents))
 			_ = w.Close()
 		}
@@ -30,18 +30,19 @@
 	return answerFrom(200, r)(ctx, a)
 }
 
-// moveMore starts more streams than a daemon has repeats for, and moves all at once.
-func moveMore(t *testing.T, move func(s *cutSite, streams []string)) {
+// testMovesWithinBudget starts more streams than the daemon has repeats for, moves all at
+// once, and checks that only minRepeats move while the others complete.
+func testMovesWithinBudget(t *testing.T, move func(s *cutSite, streams []string)) {
 	const streams = 3
-	p := pausing{make(chan struct{})}
+	p := pausingEngine{make(chan struct{})}
 	s := newCutSite(t, p.answer, p.answer, p.answer, answer(200, lastEvents))
-	s.relay.opts.Budget = func() BudgetOptions { return BudgetOptions{Window: time.Hour, Hosts: 1} } // leastRepeats
+	s.relay.opts.Budget = func() BudgetOptions { return BudgetOptions{Window: time.Hour, Hosts: 1} } // minRepeats apply
 	s.planner.plans = []booking.Plan{onEngine("far1")}
 	ends := make(chan *request.Refusal, streams)
 	for range streams {
-		go func() { ends <- s.relay.Run(t.Context(), streamRequest(true), &record{}) }()
+		go func() { ends <- s.relay.Run(t.Context(), streamRequest(true), &recordingSink{}) }()
 	}
-	writing := func() []*attempt { return s.relay.running.of(func(a *attempt) bool { return a.begun.Load() }) }
+	writing := func() []*attempt { return s.relay.running.filter(func(a *attempt) bool { return a.streaming.Load() }) }
 	for len(writing()) < streams {
 		time.Sleep(time.Millisecond)
 	}
@@ -49,41 +50,43 @@
 	if refusal := <-ends; refusal != nil {
 		t.Errorf("the first to end was cut: %v", refusal)
 	}
-	close(p.goOn)
+	close(p.resume)
 	for range streams - 1 {
 		if refusal := <-ends; refusal != nil {
 			t.Errorf("cut: %v", refusal)
 		}
 	}
-	if sends := len(s.script.sent); sends != streams+leastRepeats {
+	if sends := len(s.script.sent); sends != streams+minRepeats {
 		t.Errorf("%d sends", sends)
 	}
 }
 
-// TestMoveTakesItsRepeatFirst is the pattern of a cut behind which a daemon has more streams
-// than repeats left: those that cannot be repeated stay, for their engines may come back.
-func TestMoveTakesItsRepeatFirst(t *testing.T) {
-	moveMore(t, func(s *cutSite, _ []string) { s.relay.moveFrom("far") })
+// TestMoveTakesRepeatBeforeCancelling covers a network cut behind which a daemon has more
+// streams than repeats left: streams for which no repeat is left are not cancelled, because
+// their engines may come back.
+func TestMoveTakesRepeatBeforeCancelling(t *testing.T) {
+	testMovesWithinBudget(t, func(s *cutSite, _ []string) { s.relay.moveAttemptsFrom("far") })
 }
 
-// TestDisplacedStreamsStayWithoutARepeat is the pattern of a long prompt that is read where
-// more streams write than may be repeated: the others only pause.
+// TestDisplacedStreamsStayWithoutARepeat covers the prefill of a long prompt on an engine
+// with more streams than may be repeated: the others only pause.
 func TestDisplacedStreamsStayWithoutARepeat(t *testing.T) {
-	moveMore(t, func(s *cutSite, streams []string) {
+	testMovesWithinBudget(t, func(s *cutSite, streams []string) {
 		if moved := s.relay.Displace(streams); moved != 1 {
-			t.Errorf("%d moved", moved)
+			t.Errorf("%d streams moved, want 1", moved)
 		}
 	})
 }
 
-// TestDisplacedStreamGoesOnAndBlamesNobody: its engine is sound, and is ruled out for this
-// request only; the time to its next event is what is left of the pause that it bears.
-func TestDisplacedStreamGoesOnAndBlamesNobody(t *testing.T) {
-	p := pausing{make(chan struct{})}
+// TestDisplacedStreamResumesWithoutBlame checks that the healthy engine of a displaced
+// stream is excluded for this request only, and that the time to the next event is what is
+// left of the stream's gap objective.
+func TestDisplacedStreamResumesWithoutBlame(t *testing.T) {
+	p := pausingEngine{make(chan struct{})}
 	s := newCutSite(t, p.answer, answer(200, lastEvents))
 	s.planner.plans = []booking.Plan{onEngine("far1"), onEngine("near1")}
 	ends := make(chan *request.Refusal)
-	sink := &record{}
+	sink := &recordingSink{}
 	req := streamRequest(true)
 	go func() { ends <- s.relay.Run(t.Context(), req, sink) }()
 	for s.relay.Displace([]string{"h1/r1/1"}) == 0 {
@@ -95,7 +98,7 @@
 	if got := sink.body.String(); got != firstEvents+lastEvents {
 		t.Errorf("the caller got %q", got)
 	}
-	if avoided := s.relay.failing(); len(avoided) != 0 {
+	if avoided := s.relay.failedRecently(); len(avoided) != 0 {
 		t.Errorf("avoided %v", avoided)
 	}
 	again := s.planner.asks[1]
@@ -107,12 +110,12 @@
 	}
 }
 
-// TestDisplacedStreamsLeaveRepeatsToFailures is the pattern of long prompts that follow each
-// other while engines fail: streams that only pause leave half of the repeats to those that
+// TestDisplacedStreamsLeaveRepeatsToFailures covers long prompts that follow each other
+// while engines fail: streams that would only pause leave half of the repeats to those that
 // would be lost.
 func TestDisplacedStreamsLeaveRepeatsToFailures(t *testing.T) {
 	const streams = 4
-	p := pausing{make(chan struct{})}
+	p := pausingEngine{make(chan struct{})}
 	s := newCutSite(t)
 	for range 2 * streams {
 		s.script.steps = append(s.script.steps, p.answer)
@@ -127,22 +130,22 @@
 		req := streamRequest(true)
 		req.ID = fmt.Sprint("r", i)
 		names = append(names, "h1/"+req.ID+"/1")
-		go func() { ends <- s.relay.Run(t.Context(), req, &record{}) }()
+		go func() { ends <- s.relay.Run(t.Context(), req, &recordingSink{}) }()
 	}
-	for len(s.relay.running.of(func(a *attempt) bool { return a.begun.Load() })) < streams {
+	for len(s.relay.running.filter(func(a *attempt) bool { return a.streaming.Load() })) < streams {
 		time.Sleep(time.Millisecond)
 	}
 	if moved := s.relay.Displace(names); moved != streams/2 {
 		t.Errorf("%d of %d were displaced", moved, streams)
 	}
-	stay := func(a *attempt) bool { return a.begun.Load() && slices.Contains(names, a.id) }
-	for len(s.relay.running.of(stay)) > streams/2 { // the others have left
+	stay := func(a *attempt) bool { return a.streaming.Load() && slices.Contains(names, a.id) }
+	for len(s.relay.running.filter(stay)) > streams/2 { // the others have been cancelled
 		time.Sleep(time.Millisecond)
 	}
-	if moved := s.relay.moveFrom("far"); moved < streams/2 {
-		t.Errorf("%d were moved from behind the cut", moved)
+	if moved := s.relay.moveAttemptsFrom("far"); moved < streams/2 {
+		t.Errorf("%d were moved away from the cut domain", moved)
 	}
-	close(p.goOn)
+	close(p.resume)
 	for range streams {
 		if refusal := <-ends; refusal != nil {
 			t.Errorf("cut: %v", refusal)
@@ -150,15 +153,15 @@
 	}
 }
 
-// TestRepeatsOfAllDaemonsStayWithinTheSlack guards against parts that are rounded up: with more
-// daemons than the slack has repeats, one for each is too many.
+// TestRepeatsOfAllDaemonsStayWithinTheSlack guards against shares that are rounded up: with
+// more daemons than the slack has repeats, one for each is too many.
 func TestRepeatsOfAllDaemonsStayWithinTheSlack(t *testing.T) {
 	const slack = 1000
 	for _, hosts := range []int{1, 10, 100, 500, 985, 1970, 3940} {
 		all, none := 0, 0
 		for i := range hosts {
-			r := &Relay{draw: drawOf(fmt.Sprint("host-", i))}
-			n := r.floor(BudgetOptions{Slack: slack, Hosts: hosts})
+			r := &Relay{hostFraction: hashFraction(fmt.Sprint("host-", i))}
+			n := r.repeatFloor(BudgetOptions{Slack: slack, Hosts: hosts})
 			all += n
 			if n == 0 {
 				none++
--- a/internal/relay/deliver.go
+++ b/internal/relay/deliver.go
@@ -16,231 +16,234 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/route"
 )
 
-// wholeBytes is the size up to which an answer is taken in whole before any of it is
-// passed on, so that one that breaks can be replaced.
-const wholeBytes = 256 << 10
+// maxHeldAnswer is the size in bytes up to which an answer is read completely before any of
+// it is passed on, so that one that breaks off can be replaced.
+const maxHeldAnswer = 256 << 10
 
-// copyBytes is the size of the pieces in which longer answers are passed on.
-const copyBytes = 32 << 10
+// copyBufferBytes is the size of the pieces in which longer answers are passed on.
+const copyBufferBytes = 32 << 10
 
-// attempt is one sending under way.
+// attempt is one attempt in progress.
 type attempt struct {
 	*run
-	id      string          // in the book
-	ctx     context.Context // ends with the attempt
-	cancel  context.CancelCauseFunc
-	watch   *silence
-	onFirst func()
-	to      fleet.Upstream
-	helpers []booking.Part
-	begun   atomic.Bool // its first event has come
+	id           string          // as in the book
+	ctx          context.Context // ends with the attempt
+	cancel       context.CancelCauseFunc
+	silence      *silenceTimer
+	onFirstEvent func()
+	upstream     fleet.Upstream
+	helpers      []booking.Part
+	streaming    atomic.Bool // its first event has arrived
 }
 
-// dependsOn reports whether the attempt needs a failure domain: its upstream is there, or
-// an engine that reads or holds a part of its prompt.
+// dependsOn reports whether the attempt needs a failure domain: its upstream is there, or an
+// engine that has yet to prefill a part of its prompt or that holds memory for it.
 func (t *attempt) dependsOn(domain string, list *fleet.Snapshot) bool {
-	if t.to.Domain == domain {
+	if t.upstream.Domain == domain {
 		return true
 	}
 	for _, p := range t.helpers {
-		if u, known := list.Get(p.Upstream); known && u.Domain == domain && (p.Reserve > 0 || !t.begun.Load()) {
+		if u, known := list.Get(p.Upstream); known && u.Domain == domain && (p.Reserve > 0 || !t.streaming.Load()) {
 			return true
 		}
 	}
 	return false
 }
 
-// exchange sends an attempt and passes its answer on. limit bounds the silence
-// before the head and, of streams, the first event; gap that between two events.
-func (g *run) exchange(ctx context.Context, a Attempt, limit, gap time.Duration, onFirst func()) ending {
+// exchange sends an attempt and passes its answer on. limit bounds the silence before the
+// head and, for streams, before the first event; gap bounds the silence between two events.
+func (g *run) exchange(ctx context.Context, a Attempt, limit, gap time.Duration, onFirst func()) attemptResult {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	t := &attempt{run: g, id: g.attemptID(), ctx: ctx, cancel: cancel, onFirst: onFirst, to: a.Upstream, helpers: a.Helpers}
-	t.watch = g.watchSilence(limit, gap, cancel)
-	defer t.watch.stop()
+	t := &attempt{run: g, id: g.attemptID(), ctx: ctx, cancel: cancel, onFirstEvent: onFirst, upstream: a.Upstream, helpers: a.Helpers}
+	t.silence = g.newSilenceTimer(limit, gap, cancel)
+	defer t.silence.stop()
 	defer g.relay.running.add(t)()
-	g.relay.ways.watch()
-	g.noteSend(a.Upstream)
+	g.relay.domains.wake()
+	g.logRestrictedSend(a.Upstream)
 	answer, err := g.relay.opts.Sender.Send(ctx, a)
 	t.identify(err)
 	if err != nil {
-		return t.broken(err)
+		return t.resultOf(err)
 	}
 	defer answer.Close()
-	g.relay.ways.heard(a.Upstream.Domain)
+	g.relay.domains.noteAnswer(a.Upstream.Domain)
 	if g.req.Route.Kind == route.Stream && answer.Status == http.StatusOK {
-		return t.stream(answer)
+		return t.passStream(answer)
 	}
-	return t.plain(answer)
+	return t.passAnswer(answer)
 }
 
-// identify tells which of the upstreams whose entries name one address lives there, as
-// how an attempt was answered shows.
+// identify reports which of the upstreams that are listed at the same address answered the
+// attempt.
 func (t *attempt) identify(err error) {
-	if len(t.to.Rivals) == 0 {
+	if len(t.upstream.Rivals) == 0 {
 		return
 	}
 	var f *Failure
 	switch {
 	case err == nil:
-		t.relay.opts.OnIdentified(t.to, true)
+		t.relay.opts.OnIdentified(t.upstream, true)
 	case errors.As(err, &f) && f.WrongUpstream:
-		t.relay.opts.OnIdentified(t.to, false)
+		t.relay.opts.OnIdentified(t.upstream, false)
 	}
 }
 
-// broken tells why an attempt has ended without a whole answer.
-func (t *attempt) broken(err error) ending {
+// resultOf returns the result of an attempt that failed with err or was cancelled.
+func (t *attempt) resultOf(err error) attemptResult {
 	cause := context.Cause(t.ctx)
-	var lost *lostError
+	var lost *engineLostError
 	var f *Failure
-	told := errors.As(err, &f)
+	isFailure := errors.As(err, &f)
 	switch {
-	case told && f.End == retry.Declined: // its word holds whatever has become of it since
-		return ending{end: f.End, at: f.FaultyAddress, err: f.Err}
+	case isFailure && f.End == retry.Declined: // the promise holds even if the attempt was cancelled since
+		return attemptResult{end: f.End, faultyAddress: f.FaultyAddress, err: f.Err}
 	case errors.Is(cause, errSilent), errors.Is(cause, errDisplaced):
-		return ending{end: retry.Silent, err: cause}
+		return attemptResult{end: retry.Silent, err: cause}
 	case errors.As(cause, &lost):
-		return ending{end: retry.Silent, at: lost.part.Address, err: cause}
-	case errors.Is(cause, errLifeOver):
-		return ending{end: retry.Broken, err: cause}
+		return attemptResult{end: retry.Silent, faultyAddress: lost.part.Address, err: cause}
+	case errors.Is(cause, errUpstreamEnded):
+		return attemptResult{end: retry.Broken, err: cause}
 	}
 	if t.ctx.Err() != nil && !errors.Is(t.ctx.Err(), context.DeadlineExceeded) {
-		return ending{gone: true}
+		return attemptResult{callerGone: true}
 	}
-	if told {
-		return ending{end: f.End, at: f.FaultyAddress, err: f.Err}
+	if isFailure {
+		return attemptResult{end: f.End, faultyAddress: f.FaultyAddress, err: f.Err}
 	}
-	return ending{end: retry.Broken, err: err}
+	return attemptResult{end: retry.Broken, err: err}
 }
 
-// plain passes on an answer that is no stream.
-func (t *attempt) plain(answer *Answer) ending {
-	whole, rest, err := readWhole(answer.Body, copyBytes)
-	if bodies := t.relay.opts.BodyMemory; rest != nil && bodies.take(wholeBytes) {
-		defer bodies.give(wholeBytes)
+// passAnswer passes on an answer that is not a stream.
+func (t *attempt) passAnswer(answer *Answer) attemptResult {
+	whole, rest, err := readUpTo(answer.Body, copyBufferBytes)
+	if bodies := t.relay.opts.BodyMemory; rest != nil && bodies.reserve(maxHeldAnswer) {
+		defer bodies.release(maxHeldAnswer)
 		var more []byte
-		more, rest, err = readWhole(rest, wholeBytes-copyBytes)
+		more, rest, err = readUpTo(rest, maxHeldAnswer-copyBufferBytes)
 		whole = append(whole, more...)
 	}
 	if err != nil {
-		return t.broken(err)
+		return t.resultOf(err)
 	}
-	t.watch.stop()
+	t.silence.stop()
 	if answer.Status >= http.StatusInternalServerError && rest == nil {
-		return ending{end: retry.Faulted, kept: &kept{head: answer.Head, body: whole}, err: errFaulted}
+		return attemptResult{end: retry.Faulted, heldAnswer: &heldAnswer{head: answer.Head, body: whole}, err: errFaulted}
 	}
 	head := answer.Head
 	if rest == nil {
 		head.Length = int64(len(whole))
 	}
-	t.markFirst()
+	t.noteFirstEvent()
 	if err := t.sink.Head(head); err != nil {
-		return ending{gone: true, err: err}
+		return attemptResult{callerGone: true, err: err}
 	}
-	t.started = true
+	t.headSent = true
 	if err := t.sink.Body(whole, rest == nil); err != nil {
-		return ending{gone: true, err: err}
+		return attemptResult{callerGone: true, err: err}
 	}
 	if rest == nil {
-		return ending{delivered: true}
+		return attemptResult{delivered: true}
 	}
 	return t.copyRest(rest)
 }
 
 var errFaulted = merry.Sentinel("the upstream failed the request")
 
-// readWhole reads a body up to a number of bytes; rest has what follows, nil when nothing
-// does.
-func readWhole(body io.Reader, most int) (whole []byte, rest io.Reader, err error) {
-	whole, err = io.ReadAll(io.LimitReader(body, int64(most)))
-	if err != nil || len(whole) < most {
+// readUpTo reads up to limit bytes of a body. rest is the remainder, nil if the body has
+// ended.
+func readUpTo(body io.Reader, limit int) (whole []byte, rest io.Reader, err error) {
+	whole, err = io.ReadAll(io.LimitReader(body, int64(limit)))
+	if err != nil || len(whole) < limit {
 		return whole, nil, err
 	}
 	return whole, body, nil
 }
 
-func (t *attempt) copyRest(rest io.Reader) ending {
-	buf := make([]byte, copyBytes)
+// copyRest passes on the remainder of a long answer as it arrives.
+func (t *attempt) copyRest(rest io.Reader) attemptResult {
+	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := rest.Read(buf)
 		if n > 0 {
 			if sinkErr := t.sink.Body(buf[:n], true); sinkErr != nil {
-				return ending{gone: true, err: sinkErr}
+				return attemptResult{callerGone: true, err: sinkErr}
 			}
 		}
 		if err == io.EOF {
-			return ending{delivered: true}
+			return attemptResult{delivered: true}
 		}
 		if err != nil {
-			return t.broken(err)
+			return t.resultOf(err)
 		}
 	}
 }
 
-// stream passes the events of an answer on, those after the last one that the caller
+// passStream passes on the events of an answer, which follow the last one that the caller
 // has.
-func (t *attempt) stream(answer *Answer) ending {
+func (t *attempt) passStream(answer *Answer) attemptResult {
 	events := newEventReader(answer.Body)
 	for {
 		ev, err := events.next()
 		if err == io.EOF {
-			return t.streamEnd(answer)
+			return t.endStream(answer)
 		}
 		if err != nil {
-			return t.broken(err)
+			return t.resultOf(err)
 		}
-		t.watch.heard()
+		t.silence.reset()
 		if err := t.passHead(answer); err != nil {
-			return ending{gone: true, err: err}
+			return attemptResult{callerGone: true, err: err}
 		}
-		t.markEvent()
+		t.noteEvent()
 		if err := t.sink.Body(ev.raw, true); err != nil {
-			return ending{gone: true, err: err}
+			return attemptResult{callerGone: true, err: err}
 		}
 		if ev.id != "" {
-			t.after = ev.id
+			t.lastEvent = ev.id
 		}
 	}
 }
 
-func (t *attempt) streamEnd(answer *Answer) ending {
+// endStream ends a stream that is complete; one without events still gets its head.
+func (t *attempt) endStream(answer *Answer) attemptResult {
 	if err := t.passHead(answer); err != nil {
-		return ending{gone: true, err: err}
+		return attemptResult{callerGone: true, err: err}
 	}
-	return ending{delivered: true}
+	return attemptResult{delivered: true}
 }
 
-// passHead passes the head of a stream on, once: a stream that goes on at another
-// upstream keeps its first head.
+// passHead passes on the head of a stream once: a stream that continues at another upstream
+// keeps its first head.
 func (t *attempt) passHead(answer *Answer) error {
-	if t.started {
+	if t.headSent {
 		return nil
 	}
-	t.started = true
+	t.headSent = true
 	head := answer.Head
 	head.Length = -1
 	return t.sink.Head(head)
 }
 
-// markEvent notes the time of an event.
-func (t *attempt) markEvent() {
-	t.markFirst()
-	t.begun.Store(true)
-	t.relay.ways.heard(t.to.Domain)
+// noteEvent records the arrival of an event.
+func (t *attempt) noteEvent() {
+	t.noteFirstEvent()
+	t.streaming.Store(true)
+	t.relay.domains.noteAnswer(t.upstream.Domain)
 	now := time.Now()
-	if !t.latest.IsZero() {
-		t.pause = max(t.pause, now.Sub(t.latest))
+	if !t.lastEventAt.IsZero() {
+		t.longestGap = max(t.longestGap, now.Sub(t.lastEventAt))
 	}
-	t.latest = now
+	t.lastEventAt = now
 }
 
-func (t *attempt) markFirst() {
-	if t.first.IsZero() {
-		t.first = time.Now()
+// noteFirstEvent records the arrival of the first part of an answer.
+func (t *attempt) noteFirstEvent() {
+	if t.firstAt.IsZero() {
+		t.firstAt = time.Now()
 	}
-	if t.onFirst != nil {
-		t.onFirst()
-		t.onFirst = nil
+	if t.onFirstEvent != nil {
+		t.onFirstEvent()
+		t.onFirstEvent = nil
 	}
 }
--- a/internal/relay/displace.go
+++ b/internal/relay/displace.go
@@ -8,21 +8,23 @@
 	"github.com/sirupsen/logrus"
 )
 
-// errDisplaced moves a stream that would pause for longer than it bears, for its engine is
-// about to read a long prompt.
+// errDisplaced cancels an attempt whose stream is moved because its engine is about to
+// prefill a long prompt, which would pause the stream for longer than its gap objective
+// allows.
 var errDisplaced = merry.Sentinel("the engine is about to read a long prompt")
 
-var displaced = metrics.GetOrCreateCounter(`buckthorndock_displaced_streams_total`)
+var displacedStreams = metrics.GetOrCreateCounter(`buckthorndock_displaced_streams_total`)
 
-// Displace moves streams to other engines, those that have begun and may be moved, and
-// returns how many. They are named as in the book.
+// Displace tries to move streams to other engines and returns how many were moved. attempts
+// are their names in the book. A stream is moved only if its first event has arrived and if
+// it may be repeated.
 func (r *Relay) Displace(attempts []string) int {
 	moved := 0
-	for _, t := range r.running.of(func(t *attempt) bool { return slices.Contains(attempts, t.id) }) {
-		if t.begun.Load() && t.watch.move(errDisplaced) {
+	for _, t := range r.running.filter(func(t *attempt) bool { return slices.Contains(attempts, t.id) }) {
+		if t.streaming.Load() && t.silence.move(errDisplaced) {
 			moved++
-			displaced.Inc()
-			r.log.WithFields(logrus.Fields{"request": t.req.ID, "attempt": t.id, "upstream": t.to.ID}).Info("stream_displaced")
+			displacedStreams.Inc()
+			r.log.WithFields(logrus.Fields{"request": t.req.ID, "attempt": t.id, "upstream": t.upstream.ID}).Info("stream_displaced")
 		}
 	}
 	return moved
--- a/internal/relay/displace_test.go
+++ b/internal/relay/displace_test.go
@@ -17,9 +17,9 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/booking"
 )
 
-// displacedSink is a caller whose stream is told to move at drawn events.
+// displacedSink is a caller whose stream is displaced at randomly drawn events.
 type displacedSink struct {
-	record
+	recordingSink
 	relay *Relay
 	rng   *rand.Rand
 	names []string // of its attempts in the book
@@ -29,11 +29,11 @@
 	if s.rng.IntN(2) == 0 {
 		s.relay.Displace(s.names)
 	}
-	return s.record.Body(p, flush)
+	return s.recordingSink.Body(p, flush)
 }
 
-// writesUntil sends the events that the caller has not had, one at a time, until it is
-// cancelled. It breaks after the last one that it may send.
+// writesUntil returns a step that sends the events that the caller does not have yet, one at
+// a time, until it is cancelled. It breaks off after event number last.
 func writesUntil(last int) func(context.Context, Attempt) (*Answer, error) {
 	return func(ctx context.Context, a Attempt) (*Answer, error) {
 		r, w := io.Pipe()
@@ -46,14 +46,14 @@
 				}
 				_, _ = io.WriteString(w, streamEvents(n, n+1))
 			}
-			w.CloseWithError(ctx.Err()) // io.EOF when it was not cancelled
+			w.CloseWithError(ctx.Err()) // io.EOF if it was not cancelled
 		}()
 		return answerFrom(200, r)(ctx, a)
 	}
 }
 
-// playDisplaced runs one stream that is told to move at drawn events, again and again, from
-// engines some of which break, with a drawn number of attempts and of repeats.
+// playDisplaced runs one stream that is displaced repeatedly at drawn events, on engines
+// some of which break off, with a drawn number of attempts and of repeats.
 func playDisplaced(t *testing.T, seed uint64) error {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 9))
@@ -64,13 +64,13 @@
 	f.relay.opts.Budget = func() BudgetOptions {
 		return BudgetOptions{Window: time.Hour, Slack: (float64(repeats) + 0.5) / budgetShare, Hosts: 1}
 	}
-	for range mostAttempts {
+	for range maxSends {
 		f.script.steps = append(f.script.steps, writesUntil(1+rng.IntN(2*resetEvents)))
 	}
-	f.live("e1", "e2")
+	f.listEngines("e1", "e2")
 	f.planner.plans = []booking.Plan{onEngine("e1"), onEngine("e2")}
 	sink := &displacedSink{relay: f.relay, rng: rng}
-	for n := range mostAttempts {
+	for n := range maxSends {
 		sink.names = append(sink.names, fmt.Sprintf("h1/%s/%d", req.ID, n+1))
 	}
 	refusal := f.relay.Run(t.Context(), req, sink)
@@ -92,9 +92,9 @@
 	return nil
 }
 
-// TestDisplacedAtAnyEventBreaksNoPromise is the pattern of long prompts that are read wherever
-// a stream goes: it is told to move more often than it may.
-func TestDisplacedAtAnyEventBreaksNoPromise(t *testing.T) {
+// TestDisplacementAtAnyEventKeepsGuarantees covers long prompts that are prefilled wherever
+// a stream goes: it is displaced more often than it may move.
+func TestDisplacementAtAnyEventKeepsGuarantees(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(41)
 	params.MinSuccessfulTests = 2000
 	props := gopter.NewProperties(params)
--- a/internal/relay/engine.go
+++ b/internal/relay/engine.go
@@ -17,32 +17,35 @@
 	"github.com/buckthorndock/buckthorndock/internal/wait"
 )
 
-// Silence after which a stream is moved to another engine. A stream that is late has lost
-// what it can lose until its caller leaves, after two seconds at the least, and a move has
-// its prompt read anew: so it comes as late as the other engine needs.
+// Silence after which a stream is moved to another engine. A late stream has already missed
+// its objective, but its caller stays for at least two seconds, and a move makes another
+// engine prefill the prompt again: so a stream is moved as late as that engine's prefill
+// time permits.
 const (
-	// firstSilence is how often the expected time to the first event may pass,
-	// besides the objective, before an engine counts as silent.
-	firstSilence     = 2.0
-	leastFirstSilent = 1100 * time.Millisecond
-	// gapSilence is the same for pauses, in gap objectives: callers leave after
+	// firstSilenceFactor times the expected time to the first event, plus the objective, is
+	// how long an engine may be silent before the first event.
+	firstSilenceFactor = 2.0
+	minFirstSilence    = 1100 * time.Millisecond
+	// gapSilenceFactor is the same between events, in gap objectives: callers leave after
 	// eight.
-	gapSilence     = 4.0
-	leastGapSilent = 1500 * time.Millisecond
+	gapSilenceFactor = 4.0
+	minGapSilence    = 1500 * time.Millisecond
 )
 
-// Times between two tries to place a request.
+// Delays between two attempts to place a request.
 const (
-	placeAgain = 50 * time.Millisecond  // for which no engine has room
-	yieldAgain = 100 * time.Millisecond // that is late and lets others go first
-	planAgain  = 5 * time.Millisecond   // whose plan has an engine that the planner alone lists
+	placeRetryDelay = 50 * time.Millisecond  // no engine has room
+	yieldRetryDelay = 100 * time.Millisecond // the request is late and yields to others
+	replanDelay     = 5 * time.Millisecond   // an engine of the plan takes no new work or is not listed here, or the turn was missed
 )
 
-// attemptID names the attempt in the book. Hosts may get the same request.
+// attemptID names the attempt in the book. It contains the host, because several hosts may
+// get the same request.
 func (g *run) attemptID() string {
 	return g.relay.opts.Host + "/" + g.req.ID + "/" + strconv.Itoa(g.attempt)
 }
 
+// ask describes the next attempt to the planner.
 func (g *run) ask() booking.Request {
 	r := g.req
 	expected := r.MaxTokens
@@ -57,65 +60,65 @@
 		Prompt:    r.PromptTokens,
 		Answer:    r.MaxTokens,
 		Expected:  expected,
-		Objective: g.eventLeft(),
+		Objective: g.timeToNextEvent(),
 		Gap:       r.Route.GapObjective,
-		Left:      g.left(),
+		Left:      g.timeLeft(),
 		Exclude:   slices.Concat(g.exclude, g.relay.opts.Upstreams().Superseded),
-		Avoid:     g.avoid(),
+		Avoid:     g.toAvoid(),
 		Barred:    g.relay.opts.Notices.barred(),
-		Begun:     g.started,
+		Begun:     g.headSent,
 	}
 }
 
-// eventLeft returns the time until the next event of a stream is late.
-func (g *run) eventLeft() time.Duration {
-	if g.started {
-		return g.req.Route.GapObjective - time.Since(g.latest)
+// timeToNextEvent returns the time left until the stream's next event is late.
+func (g *run) timeToNextEvent() time.Duration {
+	if g.headSent {
+		return g.req.Route.GapObjective - time.Since(g.lastEventAt)
 	}
 	return g.req.Route.Objective - time.Since(g.req.Arrived)
 }
 
-// place books engines, waiting for room as long as the deadline allows.
+// place books engines. It waits for room as long as the deadline allows.
 func (g *run) place(ctx context.Context) (booking.Plan, *request.Refusal) {
 	for {
-		if refusal := g.behindCuts(); refusal != nil && !g.started {
+		if refusal := g.cutOffRefusal(); refusal != nil && !g.headSent {
 			return booking.Plan{}, refusal
 		}
 		p := g.relay.opts.Planner.Place(ctx, g.ask())
-		g.asked++
-		g.planned = p
-		g.plan = p.Verdict.String() + "/" + string(p.Reason)
+		g.plansAsked++
+		g.lastPlan = p
+		g.verdict = p.Verdict.String() + "/" + string(p.Reason)
 		switch p.Verdict {
 		case booking.Booked:
 			return p, nil
 		case booking.TooLate:
-			comeBack := min(max(p.Backlog, retryAfterFailure), retryAfterMost)
-			return p, request.Refuse(request.CodeDeadline, comeBack, "the deadline cannot be met at the present load")
+			retryAfter := min(max(p.Backlog, retryAfterFailure), maxRetryAfter)
+			return p, request.Refuse(request.CodeDeadline, retryAfter, "the deadline cannot be met at the present load")
 		case booking.TooLarge:
-			return p, request.Refuse(request.CodeNeverPossible, 0, "longer than all engines of the service hold")
+			return p, request.Refuse(request.CodeNeverPossible, 0, "the request exceeds the memory of all engines of the service")
 		case booking.AtLimit:
-			if !g.started { // else it waits for a daemon that tells
-				return p, request.Refuse(request.CodeQueueFull, retryAfterFailure, "all engines of %s have named limits, and no daemon tells what is left of these", g.req.Service.Name)
+			if !g.headSent { // a stream that has begun waits for a daemon that knows the limits
+				return p, request.Refuse(request.CodeQueueFull, retryAfterFailure, "all engines of %s have reported limits, and no daemon knows what is left of these", g.req.Service.Name)
 			}
 		case booking.NoEngine:
-			return p, g.noneTakes("engine")
+			return p, g.noUpstreamRefusal("engine")
 		}
-		pause := placeAgain
+		pause := placeRetryDelay
 		if p.Verdict == booking.Yield {
-			pause = yieldAgain
+			pause = yieldRetryDelay
 		}
-		if g.left() < 2*pause {
+		if g.timeLeft() < 2*pause {
 			return p, request.Refuse(request.CodeQueueFull, retryAfterFailure, "no engine has had room")
 		}
 		if !wait.For(ctx, pause) {
-			return p, g.ended(ctx)
+			return p, g.contextRefusal(ctx)
 		}
 	}
 }
 
-// turn books engines and waits until they are free to read. A plan of which an engine
-// begins to leave in the meantime is made anew.
-func (g *run) turn(ctx context.Context) (booking.Plan, *request.Refusal) {
+// placeAndWait books engines and waits until they are free to prefill the prompt. It plans
+// again if an engine of the plan stops taking work in the meantime.
+func (g *run) placeAndWait(ctx context.Context) (booking.Plan, *request.Refusal) {
 	for {
 		p, refusal := g.place(ctx)
 		if refusal != nil {
@@ -124,29 +127,32 @@
 		planned := time.Now()
 		if !wait.For(ctx, p.Wait) {
 			g.relay.opts.Planner.End(g.attemptID())
-			return p, g.ended(ctx)
+			return p, g.contextRefusal(ctx)
 		}
-		if !missedTurn(planned, p.Wait) && g.allStay(p) {
+		if !missedTurn(planned, p.Wait) && g.allTakeWork(p) {
 			return p, nil
 		}
 		g.relay.opts.Planner.End(g.attemptID())
-		if !wait.For(ctx, planAgain) {
-			return p, g.ended(ctx)
+		if !wait.For(ctx, replanDelay) {
+			return p, g.contextRefusal(ctx)
 		}
 	}
 }
 
-// turnOver is how much later than its turn a request may be sent. One that is later has been
-// held up by its daemon, which others were not: all that it held would go at once.
-const turnOver = 250 * time.Millisecond
+// maxTurnDelay is how much later than its turn a request may be sent. A later one was held
+// up because this daemon stalled, and all requests that waited with it would be sent at
+// once.
+const maxTurnDelay = 250 * time.Millisecond
 
-// missedTurn reports whether a wait that was begun at a time has lasted for too long.
-func missedTurn(begun time.Time, wait time.Duration) bool { return time.Since(begun)-wait > turnOver }
+// missedTurn reports whether a wait that began at a given time has lasted too long.
+func missedTurn(begun time.Time, wait time.Duration) bool {
+	return time.Since(begun)-wait > maxTurnDelay
+}
 
-// allStay reports whether all engines of a plan still take new work, by the list and by their
-// own word. One that does not is ruled out, for the planner's list may be older than the one
-// here.
-func (g *run) allStay(p booking.Plan) bool {
+// allTakeWork reports whether all engines of a plan still take new work, according to the
+// list and to their own notices. It excludes the first one that does not, because the
+// planner's list may be older than the one here.
+func (g *run) allTakeWork(p booking.Plan) bool {
 	list := g.relay.opts.Upstreams()
 	for _, part := range p.Parts {
 		u, known := list.Get(part.Upstream)
@@ -164,10 +170,10 @@
 }
 
 // tryEngine makes one attempt on engines.
-func (g *run) tryEngine(ctx context.Context) ending {
-	p, refusal := g.turn(ctx)
+func (g *run) tryEngine(ctx context.Context) attemptResult {
+	p, refusal := g.placeAndWait(ctx)
 	if refusal != nil {
-		return ending{refusal: refusal}
+		return attemptResult{refusal: refusal}
 	}
 	id := g.attemptID()
 	defer g.relay.opts.Planner.End(id)
@@ -176,84 +182,87 @@
 	if !known {
 		to = fleet.Upstream{ID: first.Upstream, Incarnation: first.Life, Service: g.req.Service.Name, Address: first.Address}
 	}
-	started, ok := g.start(to)
+	started, ok := g.noteStart(to)
 	if !ok {
-		return apart(to)
+		return suspectConflict(to)
 	}
-	g.sent = g.sent[:0]
+	g.sentTo = g.sentTo[:0]
 	for _, part := range p.Parts {
-		g.sent = append(g.sent, part.Upstream)
+		g.sentTo = append(g.sentTo, part.Upstream)
 	}
-	leases, failed := g.lease(ctx, id, p.Parts)
+	leases, failed := g.reserveMemory(ctx, id, p.Parts)
 	defer leases.release()
 	if failed != nil {
 		g.relay.opts.Suspects.End(started, false)
-		g.relay.failed(failed.blamed, retry.Declined) // reached or not, it gave no memory
+		g.relay.noteFailures(failed.blamed, retry.Declined) // whether reached or not, it granted no memory
 		return *failed
 	}
 	g.trial.MarkSent()
-	sending, read, end := leases.watch(ctx, g.relay.leaseTimes)
+	sending, stopCheck, end := leases.maintain(ctx, g.relay.leaseTimes)
 	defer end()
 	e := g.exchange(sending, Attempt{
 		Request:       g.req,
 		Number:        g.attempt,
 		Upstream:      to,
 		Helpers:       p.Parts[1:],
-		Timeout:       g.left(),
-		LastEvent:     g.after,
+		Timeout:       g.timeLeft(),
+		LastEvent:     g.lastEvent,
 		NewConnection: !g.req.Route.Repeatable(),
-	}, g.firstLimit(p), g.gapLimit(), func() {
-		read()
+	}, g.firstEventTimeout(p), g.gapTimeout(), func() {
+		stopCheck()
 		g.relay.opts.Planner.FirstEvent(id)
 	})
-	g.finish(ctx, to, started, e)
-	if e.delivered || e.gone {
+	g.noteEnd(ctx, to, started, e)
+	if e.delivered || e.callerGone {
 		if e.delivered {
-			g.relay.succeeded(first.Upstream)
+			g.relay.noteSuccess(first.Upstream)
 		}
 		return e
 	}
 	e.blamed = g.blame(e, p)
 	e.unreached = e.end == retry.NotWritten
 	if !errors.Is(e.err, errDisplaced) {
-		g.relay.failed(e.blamed, e.end)
+		g.relay.noteFailures(e.blamed, e.end)
 	}
 	return e
 }
 
-// blame returns the engines at fault: the one that the answer names, else the one
+// blame returns the IDs of the engines at fault: the one that the answer names, else the one
 // that was asked.
-func (g *run) blame(e ending, p booking.Plan) []string {
+func (g *run) blame(e attemptResult, p booking.Plan) []string {
 	for _, part := range p.Parts {
-		if e.at != "" && part.Address == e.at {
+		if e.faultyAddress != "" && part.Address == e.faultyAddress {
 			return []string{part.Upstream}
 		}
 	}
 	return []string{p.Parts[0].Upstream}
 }
 
-func (g *run) firstLimit(p booking.Plan) time.Duration {
+// firstEventTimeout returns how long the engine may be silent before the first event.
+func (g *run) firstEventTimeout(p booking.Plan) time.Duration {
 	expected := p.First - p.Wait
-	return time.Duration(firstSilence*float64(expected)) + max(g.req.Route.Objective, leastFirstSilent)
+	return time.Duration(firstSilenceFactor*float64(expected)) + max(g.req.Route.Objective, minFirstSilence)
 }
 
-func (g *run) gapLimit() time.Duration {
-	return max(time.Duration(gapSilence*float64(g.req.Route.GapObjective)), leastGapSilent)
+// gapTimeout returns how long the engine may be silent between two events.
+func (g *run) gapTimeout() time.Duration {
+	return max(time.Duration(gapSilenceFactor*float64(g.req.Route.GapObjective)), minGapSilence)
 }
 
-// leaseName names the memory of a part. It must not contain what separates entries
-// of a list of helpers on a wire.
+// leaseName names the lease of a part. It must not contain the characters that separate the
+// entries of a list of helpers on the wire.
 func leaseName(attempt string, part int) string {
 	return strings.NewReplacer("/", "-", ",", "-").Replace(attempt) + "-" + strconv.Itoa(part)
 }
 
-// lease reserves the memory that a plan spreads over engines.
-func (g *run) lease(ctx context.Context, id string, parts []booking.Part) (*leases, *ending) {
+// reserveMemory reserves the memory that a plan needs on its engines. The result is nil if
+// all granted it.
+func (g *run) reserveMemory(ctx context.Context, id string, parts []booking.Part) (*leases, *attemptResult) {
 	l := &leases{
-		sender: g.relay.opts.Sender,
-		log:    g.relay.log.WithField("request", g.req.ID),
-		first:  parts[0],
-		over:   g.relay.over,
+		sender:           g.relay.opts.Sender,
+		log:              g.relay.log.WithField("request", g.req.ID),
+		runner:           parts[0],
+		incarnationEnded: g.relay.incarnationEnded,
 	}
 	for i := range parts {
 		if parts[i].Reserve == 0 {
@@ -265,8 +274,8 @@
 	if len(l.held) == 0 {
 		return l, nil
 	}
-	if failed := l.take(ctx); failed != "" {
-		return l, &ending{end: retry.NotWritten, blamed: []string{failed}, err: errNoMemory}
+	if failed := l.reserveAll(ctx); failed != "" {
+		return l, &attemptResult{end: retry.NotWritten, blamed: []string{failed}, err: errNoMemory}
 	}
 	return l, nil
 }
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -8,11 +8,11 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// mostEventBytes bounds one event of a stream.
-const mostEventBytes = 1 << 20
+// maxEventBytes bounds the size of one event of a stream.
+const maxEventBytes = 1 << 20
 
-// eventBuffer holds a usual event with room to spare.
-const eventBuffer = 2 << 10
+// eventBufferBytes is larger than a typical event.
+const eventBufferBytes = 2 << 10
 
 var (
 	errEventTooLong = merry.Sentinel("an event of the stream is too long")
@@ -21,31 +21,32 @@
 
 // event is one event of a text/event-stream.
 type event struct {
-	id  string // empty when it has none
-	raw []byte // with the blank line at its end; valid until the next one is read
+	id  string // empty if it has none
+	raw []byte // including the blank line at its end; valid until the next call of next
 }
 
-// eventReader splits a stream into events. Only whole events are returned, so that a
-// stream that stops inside one can go on elsewhere.
+// eventReader splits a stream into events. It returns only complete events, so that a stream
+// that stops inside one can be continued by another upstream.
 type eventReader struct {
 	br  *bufio.Reader
 	buf bytes.Buffer
 }
 
 func newEventReader(r io.Reader) *eventReader {
-	return &eventReader{br: bufio.NewReaderSize(r, eventBuffer)}
+	return &eventReader{br: bufio.NewReaderSize(r, eventBufferBytes)}
 }
 
 var idField = []byte("id:")
 
-// next returns the next event; io.EOF after the last whole one.
+// next returns the next event. The error is io.EOF after the last event, if that is
+// complete.
 func (r *eventReader) next() (event, error) {
 	r.buf.Reset()
 	var ev event
 	for {
 		line, err := r.br.ReadSlice('\n')
 		r.buf.Write(line)
-		if r.buf.Len() > mostEventBytes {
+		if r.buf.Len() > maxEventBytes {
 			return event{}, errEventTooLong
 		}
 		if err == bufio.ErrBufferFull {
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -22,20 +22,20 @@
 	"github.com/buckthorndock/buckthorndock/internal/suspects"
 )
 
-// script answers the attempts of a test in turn.
+// script is a Sender that answers the attempts of a test with its steps in turn.
 type script struct {
-	mu     sync.Mutex
-	steps  []func(ctx context.Context, a Attempt) (*Answer, error)
-	sent   []Attempt
-	leases map[string]bool
-	orders int
-
-	unused      bool // no lease is used
-	looks       int  // at reports
-	unreachable int  // looks that fail, the first ones
-	gone        bool // the engines list no lease
+	mu           sync.Mutex
+	steps        []func(ctx context.Context, a Attempt) (*Answer, error)
+	sent         []Attempt
+	leases       map[string]bool
+	reserveCalls int
+
+	unused      bool // the reports show no lease in use
+	reports     int  // calls of Report
+	unreachable int  // number of initial Report calls that fail
+	noLeases    bool // the reports list no lease
 	born        int64
-	noRenewals  bool // orders fail after the first reservations
+	noRenewals  bool // reservations after the first fail
 }
 
 func (s *script) Send(ctx context.Context, a Attempt) (*Answer, error) {
@@ -44,7 +44,7 @@
 	s.sent = append(s.sent, a)
 	s.mu.Unlock()
 	if n >= len(s.steps) {
-		return nil, &Failure{End: retry.NotWritten, Err: merry.New("the script is over")}
+		return nil, &Failure{End: retry.NotWritten, Err: merry.New("the script has no more steps")}
 	}
 	return s.steps[n](ctx, a)
 }
@@ -52,7 +52,7 @@
 func (s *script) Reserve(_ context.Context, on booking.Part, _ time.Duration) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.orders++
+	s.reserveCalls++
 	if s.noRenewals && s.leases[on.Lease] {
 		return merry.New("scripted")
 	}
@@ -70,12 +70,12 @@
 func (s *script) Report(_ context.Context, on booking.Part) (Report, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.looks++
-	if s.unreachable >= s.looks {
+	s.reports++
+	if s.unreachable >= s.reports {
 		return Report{}, merry.New("scripted")
 	}
 	r := Report{Born: s.born, Leases: map[string]bool{}}
-	if !s.gone {
+	if !s.noLeases {
 		r.Leases[on.Lease] = !s.unused
 	}
 	return r, nil
@@ -93,7 +93,7 @@
 	}
 }
 
-// hang says nothing until the attempt is given up.
+// hang does not answer until the attempt is cancelled.
 func hang(ctx context.Context, _ Attempt) (*Answer, error) {
 	<-ctx.Done()
 	return nil, &Failure{End: retry.Broken, Err: ctx.Err()}
@@ -113,12 +113,12 @@
 	}
 }
 
-// broken is a body that ends with an error after some text.
-type broken struct{ io.Reader }
+// brokenReader is a body that ends with an error after some text.
+type brokenReader struct{ io.Reader }
 
-func brokenBody(text string) io.Reader { return broken{strings.NewReader(text)} }
+func brokenBody(text string) io.Reader { return brokenReader{strings.NewReader(text)} }
 
-func (b broken) Read(p []byte) (int, error) {
+func (b brokenReader) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
@@ -126,35 +126,35 @@
 	return n, err
 }
 
-// record is a Sink that keeps what it is given.
-type record struct {
+// recordingSink is a Sink that records the answer.
+type recordingSink struct {
 	status int
 	body   strings.Builder
 	heads  int
 }
 
-func (r *record) Head(h Head) error {
+func (r *recordingSink) Head(h Head) error {
 	r.status = h.Status
 	r.heads++
 	return nil
 }
 
-func (r *record) Body(p []byte, _ bool) error {
+func (r *recordingSink) Body(p []byte, _ bool) error {
 	r.body.Write(p)
 	return nil
 }
 
-// fakePlanner returns the plans of a test in turn, the last one again and again.
+// fakePlanner returns the plans of a test in turn, and then the last one repeatedly.
 type fakePlanner struct {
-	mu    sync.Mutex
-	plans []booking.Plan
-	asks  []booking.Request
-	open  map[string]bool
-	onAsk func(n int)
-	turns map[string]time.Duration // the waits for turns at upstreams; without one, at once
-	gave  []string                 // upstreams at which turns were given
-	asked int                      // for turns
-	// onAdmit is called when a turn at an upstream is asked for.
+	mu           sync.Mutex
+	plans        []booking.Plan
+	asks         []booking.Request
+	open         map[string]bool
+	onAsk        func(n int)
+	turns        map[string]time.Duration // waits for turns at upstreams; zero if missing
+	grantedTurns []string                 // upstreams at which turns were granted
+	turnRequests int
+	// onAdmit is called when a turn at an upstream is requested.
 	onAdmit func(upstream string)
 }
 
@@ -168,7 +168,7 @@
 	}
 	p := f.plans[min(n, len(f.plans)-1)]
 	if p.Verdict == booking.Booked {
-		f.open[a.ID] = true // as the book enters no other
+		f.open[a.ID] = true // the book contains booked attempts only
 	}
 	return p
 }
@@ -181,12 +181,12 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked++
+	f.turnRequests++
 	wait := f.turns[l.Upstream]
 	if wait > within {
 		return wait, false
 	}
-	f.gave = append(f.gave, l.Upstream)
+	f.grantedTurns = append(f.grantedTurns, l.Upstream)
 	return wait, true
 }
 
@@ -196,10 +196,10 @@
 	delete(f.open, id)
 }
 
-// fakePlain hands out servers in order, leaving the excluded out.
-type fakePlain struct{ servers []string }
+// fakeBalancer returns the first server that is not excluded.
+type fakeBalancer struct{ servers []string }
 
-func (f fakePlain) Pick(service string, exclude []string) (fleet.Upstream, func(), bool) {
+func (f fakeBalancer) Pick(service string, exclude []string) (fleet.Upstream, func(), bool) {
 	for _, id := range f.servers {
 		excluded := false
 		for _, x := range exclude {
@@ -243,7 +243,7 @@
 			}
 			return nil
 		},
-		Balancer:  fakePlain{servers: []string{"s1", "s2", "s3"}},
+		Balancer:  fakeBalancer{servers: []string{"s1", "s2", "s3"}},
 		Upstreams: func() *fleet.Snapshot { return f.list.Snapshot() },
 		Budget: func() BudgetOptions {
 			return BudgetOptions{Ratio: 1, Window: 10 * time.Second, Slack: 100, Hosts: 1}
@@ -290,7 +290,7 @@
 
 func entry(u fleet.Upstream) fleet.Change { return fleet.Change{Name: u.Name, Upstream: &u} }
 
-func (f *fixture) live(ids ...string) {
+func (f *fixture) listEngines(ids ...string) {
 	var all []fleet.Change
 	for _, id := range ids {
 		all = append(all, entry(fleet.Upstream{Incarnation: fleet.Incarnation{Name: id}, Service: "llm", Address: id + ":1"}))
--- a/internal/relay/leases.go
+++ b/internal/relay/leases.go
@@ -12,74 +12,79 @@
 	"github.com/buckthorndock/buckthorndock/internal/wait"
 )
 
-// Times of the leases of engine memory. Memory must be free soon after the last request
-// that used it has ended, within leaseFreeBy. Most runs end here, and their
-// leases are released at once: after leaseOrder, and one order more where a renewal is
-// under way. A run that ends with its engine is not heard of here, and its leases on the
-// other engines have to lapse: an order sent just before is carried out leaseOrder later
-// at the most and holds the memory for leaseLife, 3.7 s together. No order is sent after
-// that, for none goes out without a sign of life from the engine that runs the request.
+// Times of the leases of engine memory. Memory must be free within maxLeaseAfterEnd after
+// the last request that used it has ended. Most runs end here, and their leases are released
+// at once: after leaseCallTimeout, or twice that if a renewal is in progress. The end of a
+// run whose engine dies is not visible here, so its leases on the other engines have to
+// expire: a call sent just before is carried out at most leaseCallTimeout later and holds
+// the memory for leaseLifetime, 3.7 s together. No call is sent after that, because each
+// renewal requires that the engine that runs the request has answered.
 const (
-	leaseFreeBy = 4 * time.Second
-	leaseLife   = 3300 * time.Millisecond
-	leaseRenew  = 1200 * time.Millisecond // so that one renewal may be lost
-	leaseOrder  = 400 * time.Millisecond  // for one order, and for one look
-	// lookAgain is the pause before the second look at an engine that did not answer the
-	// first: one lost message is no death.
-	lookAgain = 100 * time.Millisecond
+	maxLeaseAfterEnd   = 4 * time.Second
+	leaseLifetime      = 3300 * time.Millisecond
+	leaseRenewInterval = 1200 * time.Millisecond // short enough that one renewal may be lost
+	leaseCallTimeout   = 400 * time.Millisecond  // for one call, and for one report
+	// reportRetryDelay is the pause before an engine that did not answer is asked again: one
+	// lost message does not mean that it died.
+	reportRetryDelay = 100 * time.Millisecond
 )
 
-// Times of the look whether memory that was set aside is used. An engine that was sent a
-// request and has not begun it leaves the memory on all others idle, and nobody else may
-// use it meanwhile; a sound engine begins at once.
+// Times of the check whether reserved memory is used. An engine that was sent a request and
+// has not started it leaves the memory on all other engines idle, and no other request may
+// use it meanwhile. A healthy engine starts at once.
 const (
-	// leaseIdleMost is how long memory may be idle.
-	leaseIdleMost = 9 * time.Second
-	leaseUseBy    = 5500 * time.Millisecond
-	leaseLookGap  = 400 * time.Millisecond // until the next look when one got no answer
-	leaseLooks    = 3
+	// maxLeaseIdle is how long reserved memory may be idle.
+	maxLeaseIdle    = 9 * time.Second
+	leaseUseTimeout = 5500 * time.Millisecond
+	leaseCheckGap   = 400 * time.Millisecond // until the next check if one got no answer
+	maxLeaseChecks  = 3
 )
 
-// errUnused ends an attempt whose memory is not used: the engine that was asked is stuck.
-var errUnused = merry.Wrap(errSilent, merry.WithMessage("the engine has not begun: the memory set aside for it is unused"))
+// errLeaseUnused ends an attempt whose memory is not used: the engine that was asked is
+// stuck.
+var errLeaseUnused = merry.Wrap(errSilent, merry.WithMessage("the engine has not begun: the memory set aside for it is unused"))
 
 var (
-	errNoMemory    = merry.Sentinel("the memory could not be reserved")
-	errLeaseGone   = merry.Sentinel("the engine knows no such lease")
-	errAnotherLife = merry.Sentinel("the engine has started anew")
+	errNoMemory        = merry.Sentinel("the memory could not be reserved")
+	errLeaseGone       = merry.Sentinel("the engine does not know the lease")
+	errEngineRestarted = merry.Sentinel("the engine has restarted")
 )
 
-// lostError ends an attempt that an engine of its plan cannot go on with.
-type lostError struct {
+// engineLostError ends an attempt because an engine of its plan is lost.
+type engineLostError struct {
 	part booking.Part
 	err  error
 }
 
 // Error implements error.
-func (e *lostError) Error() string { return "engine " + e.part.Upstream + " is lost: " + e.err.Error() }
+func (e *engineLostError) Error() string {
+	return "engine " + e.part.Upstream + " is lost: " + e.err.Error()
+}
 
-// Unwrap returns the cause.
-func (e *lostError) Unwrap() error { return e.err }
+// Unwrap returns the underlying error.
+func (e *engineLostError) Unwrap() error { return e.err }
 
-// leases are those of one attempt.
+// leases holds and renews the memory leases of one attempt.
 type leases struct {
 	sender Sender
 	log    *logrus.Entry
-	first  booking.Part // the engine that gets the request
+	runner booking.Part // the engine that gets the request
 	held   []booking.Part
-	// over reports whether the life of a part's engine is known to have ended.
-	over func(booking.Part) bool
+	// incarnationEnded reports whether the incarnation of a part's engine is known to have
+	// ended.
+	incarnationEnded func(booking.Part) bool
 
 	stop     context.CancelFunc // ends the renewal; nil without leases
-	mu       sync.Mutex         // held while orders are under way
+	mu       sync.Mutex         // held while calls are in progress
 	released bool
 }
 
-// take reserves all; it returns the ID of an engine that did not grant it.
-func (l *leases) take(ctx context.Context) (failed string) {
+// reserveAll reserves the memory of all parts. It returns the ID of an engine that did not
+// grant it, empty if all did.
+func (l *leases) reserveAll(ctx context.Context) (failed string) {
 	l.stop = func() {}
-	results := l.each(ctx, func(ctx context.Context, x booking.Part) error {
-		return l.sender.Reserve(ctx, x, leaseLife)
+	results := l.callAll(ctx, func(ctx context.Context, x booking.Part) error {
+		return l.sender.Reserve(ctx, x, leaseLifetime)
 	})
 	for i, err := range results {
 		if err != nil {
@@ -90,21 +95,23 @@
 	return failed
 }
 
-// each does an order for all leases at once.
-func (l *leases) each(ctx context.Context, order func(context.Context, booking.Part) error) []error {
-	ctx, cancel := context.WithTimeout(ctx, leaseOrder)
+// callAll runs call for all leases concurrently and returns the errors in the order of
+// l.held.
+func (l *leases) callAll(ctx context.Context, call func(context.Context, booking.Part) error) []error {
+	ctx, cancel := context.WithTimeout(ctx, leaseCallTimeout)
 	defer cancel()
 	results := make([]error, len(l.held))
 	var wg sync.WaitGroup
 	for i, x := range l.held {
-		wg.Go(func() { results[i] = order(ctx, x) })
+		wg.Go(func() { results[i] = call(ctx, x) })
 	}
 	wg.Wait()
 	return results
 }
 
-// renew keeps the leases until the context ends, or returns why they cannot be kept.
-func (l *leases) renew(ctx context.Context, every time.Duration) *lostError {
+// renew renews the leases until the context ends. It returns early with the reason if the
+// attempt cannot continue.
+func (l *leases) renew(ctx context.Context, every time.Duration) *engineLostError {
 	for wait.For(ctx, every) {
 		if lost := l.renewOnce(ctx); lost != nil {
 			return lost
@@ -113,24 +120,24 @@
 	return nil
 }
 
-// renewOnce renews all leases if the engine that runs the request lives, and looks after
-// those that could not be renewed.
-func (l *leases) renewOnce(ctx context.Context) *lostError {
+// renewOnce renews all leases if the engine that runs the request is alive, and checks those
+// that could not be renewed.
+func (l *leases) renewOnce(ctx context.Context) *engineLostError {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.lives(ctx); err != nil {
-		return &lostError{l.first, err}
+	if err := l.checkRunner(ctx); err != nil {
+		return &engineLostError{l.runner, err}
 	}
 	for _, x := range l.held {
-		if l.over(x) {
-			return &lostError{x, errAnotherLife}
+		if l.incarnationEnded(x) {
+			return &engineLostError{x, errEngineRestarted}
 		}
 	}
 	if l.released || ctx.Err() != nil {
 		return nil
 	}
-	results := l.each(context.Background(), func(ctx context.Context, x booking.Part) error {
-		return l.sender.Reserve(ctx, x, leaseLife)
+	results := l.callAll(context.Background(), func(ctx context.Context, x booking.Part) error {
+		return l.sender.Reserve(ctx, x, leaseLifetime)
 	})
 	for i, err := range results {
 		if err == nil {
@@ -138,26 +145,26 @@
 		}
 		x := l.held[i]
 		l.log.WithError(err).WithField("upstream", x.Upstream).Warn("lease_not_renewed")
-		if err := l.stands(ctx, x); err != nil {
-			return &lostError{x, err}
+		if err := l.checkLease(ctx, x); err != nil {
+			return &engineLostError{x, err}
 		}
 	}
 	return nil
 }
 
-// lives returns nil if the engine that runs the request gives a sign of life, or if the
-// context ends.
-func (l *leases) lives(ctx context.Context) error {
-	if l.over(l.first) {
-		return errAnotherLife
+// checkRunner returns nil if the engine that runs the request answers, or if the context
+// ends.
+func (l *leases) checkRunner(ctx context.Context) error {
+	if l.incarnationEnded(l.runner) {
+		return errEngineRestarted
 	}
-	_, err := l.look(ctx, l.first)
+	_, err := l.report(ctx, l.runner)
 	return err
 }
 
-// stands returns nil if an engine still holds a lease, or if the context ends.
-func (l *leases) stands(ctx context.Context, x booking.Part) error {
-	report, err := l.look(ctx, x)
+// checkLease returns nil if an engine still holds a lease, or if the context ends.
+func (l *leases) checkLease(ctx context.Context, x booking.Part) error {
+	report, err := l.report(ctx, x)
 	if err != nil || ctx.Err() != nil {
 		return err
 	}
@@ -167,12 +174,12 @@
 	return nil
 }
 
-// look asks an engine for its report, twice if it has to. The error is nil when the
-// context ends.
-func (l *leases) look(ctx context.Context, at booking.Part) (Report, error) {
-	report, err := l.lookOnce(ctx, at)
-	if err != nil && wait.For(ctx, lookAgain) {
-		report, err = l.lookOnce(ctx, at)
+// report asks an engine for its report, twice if necessary. The error is nil if the context
+// ends.
+func (l *leases) report(ctx context.Context, at booking.Part) (Report, error) {
+	report, err := l.reportOnce(ctx, at)
+	if err != nil && wait.For(ctx, reportRetryDelay) {
+		report, err = l.reportOnce(ctx, at)
 	}
 	if ctx.Err() != nil {
 		return report, nil
@@ -180,28 +187,30 @@
 	return report, err
 }
 
-func (l *leases) lookOnce(ctx context.Context, at booking.Part) (Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, leaseOrder)
+// reportOnce asks an engine for its report. It returns errEngineRestarted if the engine's
+// process is not the one that was planned for.
+func (l *leases) reportOnce(ctx context.Context, at booking.Part) (Report, error) {
+	ctx, cancel := context.WithTimeout(ctx, leaseCallTimeout)
 	defer cancel()
 	report, err := l.sender.Report(ctx, at)
 	if err == nil && report.Born != 0 && at.Life.Born != 0 && report.Born != at.Life.Born {
-		err = errAnotherLife
+		err = errEngineRestarted
 	}
 	return report, err
 }
 
-// idle reports, after a while, that a lease is not used yet, or that its engine cannot
-// tell. It returns false as soon as the context ends.
-func (l *leases) idle(ctx context.Context, after, gap time.Duration) bool {
+// unused waits for a while and then reports whether a lease is not in use yet, or whether
+// its engine does not answer. It returns false as soon as the context ends.
+func (l *leases) unused(ctx context.Context, after, gap time.Duration) bool {
 	if len(l.held) == 0 || !wait.For(ctx, after) {
 		return false
 	}
 	on := l.held[len(l.held)-1]
-	for look := range leaseLooks {
-		if look > 0 && !wait.For(ctx, gap) {
+	for i := range maxLeaseChecks {
+		if i > 0 && !wait.For(ctx, gap) {
 			return false
 		}
-		report, err := l.lookOnce(ctx, on)
+		report, err := l.reportOnce(ctx, on)
 		if err == nil {
 			used, listed := report.Leases[on.Lease]
 			l.log.WithFields(logrus.Fields{"upstream": on.Upstream, "lease": on.Lease, "listed": listed, "used": used}).Info("lease_looked_at")
@@ -212,39 +221,40 @@
 	return ctx.Err() == nil
 }
 
-// leaseTimes are those of a watch; tests shorten them.
+// leaseTimes are the intervals of leases.maintain; tests shorten them.
 type leaseTimes struct {
 	renew time.Duration // between two renewals
-	useBy time.Duration // until the look whether the memory is used
+	useBy time.Duration // until the check whether the memory is used
 }
 
-// watch keeps the leases and returns a context for the sending that ends when they cannot
-// be kept or turn out idle. read ends the look for idle ones, at the first event; end
-// frees all, at the end of the attempt.
-func (l *leases) watch(ctx context.Context, t leaseTimes) (sending context.Context, read, end func()) {
+// maintain renews the leases in the background. The context that it returns, for the
+// sending, is cancelled when they cannot be kept or turn out to be unused. stopCheck stops
+// the check for unused leases, at the first event; end cancels the returned context, at the
+// end of the attempt.
+func (l *leases) maintain(ctx context.Context, t leaseTimes) (sending context.Context, stopCheck, end func()) {
 	sending, cancel := context.WithCancelCause(ctx)
-	unread, read := context.WithCancel(sending)
+	checkCtx, stopCheck := context.WithCancel(sending)
 	if len(l.held) == 0 {
-		return sending, read, func() { cancel(nil) }
+		return sending, stopCheck, func() { cancel(nil) }
 	}
-	kept, stop := context.WithCancel(context.WithoutCancel(ctx))
+	renewing, stop := context.WithCancel(context.WithoutCancel(ctx))
 	l.stop = stop
 	go func() {
-		if lost := l.renew(kept, t.renew); lost != nil {
+		if lost := l.renew(renewing, t.renew); lost != nil {
 			l.log.WithError(lost).WithField("upstream", lost.part.Upstream).Warn("engine_of_plan_lost")
 			cancel(lost)
 		}
 	}()
 	go func() {
-		if l.idle(unread, t.useBy, leaseLookGap) {
-			cancel(errUnused)
+		if l.unused(checkCtx, t.useBy, leaseCheckGap) {
+			cancel(errLeaseUnused)
 		}
 	}()
-	return sending, read, func() { cancel(nil) }
+	return sending, stopCheck, func() { cancel(nil) }
 }
 
-// release gives the memory back. It waits for a renewal under way, which would
-// otherwise set the memory aside anew.
+// release releases the memory in the background. It waits for a renewal in progress, which
+// would otherwise reserve the memory again.
 func (l *leases) release() {
 	if l.stop == nil {
 		return
@@ -253,13 +263,14 @@
 	go l.releaseAll()
 }
 
-// releaseAll gives back what engines hold that are still in the life that granted it.
+// releaseAll releases the memory on engines whose incarnation that granted it is not known
+// to have ended.
 func (l *leases) releaseAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.released = true
-	results := l.each(context.Background(), func(ctx context.Context, x booking.Part) error {
-		if l.over(x) {
+	results := l.callAll(context.Background(), func(ctx context.Context, x booking.Part) error {
+		if l.incarnationEnded(x) {
 			return nil
 		}
 		return l.sender.Release(ctx, x)
--- a/internal/relay/leases_test.go
+++ b/internal/relay/leases_test.go
@@ -12,7 +12,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/fleet"
 )
 
-// newLeases returns taken leases on two engines beside the first of the plan.
+// newLeases returns reserved leases on two engines besides the first of the plan.
 func newLeases(t *testing.T, s *script) *leases {
 	t.Helper()
 	s.leases = map[string]bool{}
@@ -20,98 +20,98 @@
 		return booking.Part{Upstream: id, Life: fleet.Incarnation{Name: id, Born: 10}, Address: id + ":1", Lease: "l-" + id, Reserve: 5}
 	}
 	l := &leases{
-		sender: s, log: logrus.NewEntry(logrus.New()), first: part("first"),
-		held: []booking.Part{part("e1"), part("e2")},
-		over: func(booking.Part) bool { return false },
+		sender: s, log: logrus.NewEntry(logrus.New()), runner: part("first"),
+		held:             []booking.Part{part("e1"), part("e2")},
+		incarnationEnded: func(booking.Part) bool { return false },
 	}
 	l.log.Logger.SetOutput(t.Output())
-	if failed := l.take(t.Context()); failed != "" {
-		t.Fatalf("%s gave nothing", failed)
+	if failed := l.reserveAll(t.Context()); failed != "" {
+		t.Fatalf("%s granted no memory", failed)
 	}
 	return l
 }
 
-func TestLeasesAreNotRenewedForARunThatCannotGoOn(t *testing.T) {
+func TestLeasesOfFailedRunAreNotRenewed(t *testing.T) {
 	for name, c := range map[string]struct {
 		script  *script
-		over    string // engine of which the list says that its life has ended
+		over    string // engine whose incarnation has ended according to the list
 		lost    string // engine that is found lost
 		renewed bool
 	}{
-		"all live":                               {script: &script{}, renewed: true},
-		"one look without an answer":             {script: &script{unreachable: 1}, renewed: true},
-		"the engine that runs it is silent":      {script: &script{unreachable: 9}, lost: "first"},
-		"it has started anew, as it says":        {script: &script{born: 20}, lost: "first"},
-		"it has started anew, as is listed":      {script: &script{}, over: "first", lost: "first"},
-		"a holder of memory has started anew":    {script: &script{}, over: "e2", lost: "e2"},
-		"orders get no answer, the leases stand": {script: &script{noRenewals: true, born: 10}, renewed: true},
-		"an engine knows no such lease":          {script: &script{noRenewals: true, gone: true}, lost: "e1", renewed: true},
+		"all live":                                 {script: &script{}, renewed: true},
+		"one report without an answer":             {script: &script{unreachable: 1}, renewed: true},
+		"the runner does not answer":               {script: &script{unreachable: 9}, lost: "first"},
+		"the runner reports a restart":             {script: &script{born: 20}, lost: "first"},
+		"the list shows a restart of the runner":   {script: &script{}, over: "first", lost: "first"},
+		"the list shows a restart of a helper":     {script: &script{}, over: "e2", lost: "e2"},
+		"renewals fail, the leases are still held": {script: &script{noRenewals: true, born: 10}, renewed: true},
+		"an engine does not know the lease":        {script: &script{noRenewals: true, noLeases: true}, lost: "e1", renewed: true},
 	} {
 		s := c.script
 		l := newLeases(t, s)
-		l.over = func(p booking.Part) bool { return p.Upstream == c.over }
+		l.incarnationEnded = func(p booking.Part) bool { return p.Upstream == c.over }
 		lost := l.renewOnce(t.Context())
 		if (lost == nil) != (c.lost == "") || lost != nil && lost.part.Upstream != c.lost {
 			t.Errorf("%s: %v, want %q lost", name, lost, c.lost)
 		}
-		if renewed := s.orders > len(l.held); renewed != c.renewed {
-			t.Errorf("%s: %d orders", name, s.orders)
+		if renewed := s.reserveCalls > len(l.held); renewed != c.renewed {
+			t.Errorf("%s: %d reservations", name, s.reserveCalls)
 		}
 	}
 }
 
-func TestNothingIsReleasedOnAnotherLife(t *testing.T) {
+func TestNothingIsReleasedOnRestartedEngine(t *testing.T) {
 	s := &script{}
 	l := newLeases(t, s)
-	l.over = func(p booking.Part) bool { return p.Upstream == "e2" }
+	l.incarnationEnded = func(p booking.Part) bool { return p.Upstream == "e2" }
 	l.releaseAll()
 	if s.held() != 1 || !s.leases["l-e2"] {
 		t.Errorf("still held: %v", s.leases)
 	}
 }
 
-// TestPromptWhoseEngineDiesHoldsMemoryNoLonger is the pattern of an engine that goes dark
-// while it reads a prompt of which others hold a part: its connection stays open, and no
-// event comes.
-func TestPromptWhoseEngineDiesHoldsMemoryNoLonger(t *testing.T) {
+// TestEngineDeathReleasesHelperMemory covers an engine whose host loses power during the
+// prefill of a prompt of which other engines hold a part: its connection stays open and no
+// event arrives.
+func TestEngineDeathReleasesHelperMemory(t *testing.T) {
 	f := newFixture(t, hang, answer(200, firstEvents+lastEvents))
-	f.live("e1", "e2", "e3")
+	f.listEngines("e1", "e2", "e3")
 	f.script.unreachable = 9
 	dark := onEngine("e1", "e2")
 	dark.Parts[1].Reserve = 50
-	dark.First = time.Hour // silence alone would not end it
+	dark.First = time.Hour // the silence timer would not end it
 	f.planner.plans = []booking.Plan{dark, onEngine("e3")}
 	f.relay.leaseTimes = leaseTimes{renew: time.Millisecond, useBy: time.Hour}
 	req := streamRequest(true)
 	req.Route.Objective = time.Hour
-	if refusal := f.relay.Run(t.Context(), req, &record{}); refusal != nil {
+	if refusal := f.relay.Run(t.Context(), req, &recordingSink{}); refusal != nil {
 		t.Fatal(refusal)
 	}
-	for f.script.held() > 0 { // the release is an order of its own; the test's timeout bounds it
+	for f.script.held() > 0 { // the release is a separate call; the test's timeout bounds it
 		time.Sleep(time.Millisecond)
 	}
-	if second := f.script.sent[1]; second.Upstream.ID != "e3" || f.script.orders != 1 {
-		t.Errorf("moved to %s after %d orders", second.Upstream.ID, f.script.orders)
+	if second := f.script.sent[1]; second.Upstream.ID != "e3" || f.script.reserveCalls != 1 {
+		t.Errorf("moved to %s after %d reservations", second.Upstream.ID, f.script.reserveCalls)
 	}
 }
 
 func TestMemoryIsFreeSoonAfterARunEnds(t *testing.T) {
 	const margin = 250 * time.Millisecond
-	byLapse := leaseOrder + leaseLife
-	if byLapse > leaseFreeBy-margin {
+	byLapse := leaseCallTimeout + leaseLifetime
+	if byLapse > maxLeaseAfterEnd-margin {
 		t.Errorf("a run that ends with its engine holds memory for %s", byLapse)
 	}
-	byRelease := leaseOrder + leaseOrder // a renewal under way, then the release; looks end at once
-	if byRelease > leaseFreeBy-margin {
+	byRelease := leaseCallTimeout + leaseCallTimeout // a renewal in progress, then the release; checks end at once
+	if byRelease > maxLeaseAfterEnd-margin {
 		t.Errorf("a run that ends here holds memory for %s", byRelease)
 	}
-	if oneLost := 2*leaseRenew + 2*leaseOrder; oneLost > leaseLife {
-		t.Errorf("a renewal that is lost loses the memory after %s", oneLost)
+	if oneLost := 2*leaseRenewInterval + 2*leaseCallTimeout; oneLost > leaseLifetime {
+		t.Errorf("with one lost renewal the memory is renewed only after %s", oneLost)
 	}
 }
 
 func TestLostEngineIsNamed(t *testing.T) {
-	lost := &lostError{part: booking.Part{Upstream: "e1"}, err: errLeaseGone}
+	lost := &engineLostError{part: booking.Part{Upstream: "e1"}, err: errLeaseGone}
 	if !errors.Is(lost, errLeaseGone) || lost.Error() == "" {
 		t.Errorf("got %v", lost)
 	}
@@ -125,43 +125,43 @@
 		idle        bool
 		looks       int
 	}{
-		"unused":                    {unused: true, leases: 2, idle: true, looks: 1},
-		"used":                      {leases: 2, looks: 1},
-		"an answer at the last":     {unreachable: leaseLooks - 1, leases: 1, looks: leaseLooks},
-		"an engine that is away":    {unreachable: leaseLooks, leases: 1, idle: true, looks: leaseLooks},
-		"no memory was set aside":   {unused: true},
-		"unused, after a lost look": {unused: true, unreachable: 1, leases: 1, idle: true, looks: 2},
+		"unused":                      {unused: true, leases: 2, idle: true, looks: 1},
+		"used":                        {leases: 2, looks: 1},
+		"an answer at the last check": {unreachable: maxLeaseChecks - 1, leases: 1, looks: maxLeaseChecks},
+		"the engine does not answer":  {unreachable: maxLeaseChecks, leases: 1, idle: true, looks: maxLeaseChecks},
+		"no memory was reserved":      {unused: true},
+		"unused, after a lost report": {unused: true, unreachable: 1, leases: 1, idle: true, looks: 2},
 	} {
 		s := &script{unused: c.unused, unreachable: c.unreachable}
 		l := &leases{sender: s, log: logrus.NewEntry(logrus.New()), held: make([]booking.Part, c.leases)}
-		if got := l.idle(t.Context(), 0, 0); got != c.idle || s.looks != c.looks {
-			t.Errorf("%s: idle %v after %d looks", name, got, s.looks)
+		if got := l.unused(t.Context(), 0, 0); got != c.idle || s.reports != c.looks {
+			t.Errorf("%s: unused %v after %d reports", name, got, s.reports)
 		}
 	}
 }
 
-func TestFirstEventEndsTheLookAtLeases(t *testing.T) {
+func TestFirstEventEndsLeaseCheck(t *testing.T) {
 	ctx, begun := context.WithCancel(t.Context())
 	s := &script{unused: true}
 	l := &leases{sender: s, log: logrus.NewEntry(logrus.New()), held: make([]booking.Part, 1)}
 	begun()
-	if l.idle(ctx, time.Hour, 0) || s.looks != 0 {
-		t.Errorf("idle after %d looks", s.looks)
+	if l.unused(ctx, time.Hour, 0) || s.reports != 0 {
+		t.Errorf("unused after %d reports", s.reports)
 	}
 }
 
 func TestAttemptWithUnusedLeasesIsMoved(t *testing.T) {
 	f := newFixture(t, hang, answer(200, firstEvents+lastEvents))
-	f.live("e1", "e2", "e3")
+	f.listEngines("e1", "e2", "e3")
 	f.script.unused = true
 	stuck := onEngine("e1", "e2")
 	stuck.Parts[1].Reserve = 50
-	stuck.First = time.Hour // silence alone would not end it
+	stuck.First = time.Hour // the silence timer would not end it
 	f.planner.plans = []booking.Plan{stuck, onEngine("e3")}
 	f.relay.leaseTimes.useBy = time.Millisecond
 	req := streamRequest(true)
 	req.Route.Objective = time.Hour
-	if refusal := f.relay.Run(t.Context(), req, &record{}); refusal != nil {
+	if refusal := f.relay.Run(t.Context(), req, &recordingSink{}); refusal != nil {
 		t.Fatal(refusal)
 	}
 	if len(f.script.sent) != 2 || f.script.sent[1].Upstream.ID != "e3" {
@@ -169,9 +169,9 @@
 	}
 }
 
-func TestLooksEndBeforeMemoryIsIdleTooLong(t *testing.T) {
-	longest := leaseOrder + leaseUseBy + leaseLooks*leaseOrder + (leaseLooks-1)*leaseLookGap + leaseOrder
-	if longest > leaseIdleMost-500*time.Millisecond {
+func TestLeaseChecksEndBeforeMaxIdle(t *testing.T) {
+	longest := leaseCallTimeout + leaseUseTimeout + maxLeaseChecks*leaseCallTimeout + (maxLeaseChecks-1)*leaseCheckGap + leaseCallTimeout
+	if longest > maxLeaseIdle-500*time.Millisecond {
 		t.Errorf("memory may be idle for %s", longest)
 	}
 }
--- a/internal/relay/log_test.go
+++ b/internal/relay/log_test.go
@@ -11,9 +11,9 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// TestRefusalTellsTheFiguresThatDecidedIt: the last line of a request that was never sent
-// has what its plans were made of.
-func TestRefusalTellsTheFiguresThatDecidedIt(t *testing.T) {
+// TestRefusalLogsPlanFigures checks that the last log line of a request that was never sent
+// contains the figures of its last plan.
+func TestRefusalLogsPlanFigures(t *testing.T) {
 	f := newFixture(t)
 	log, hook := test.NewNullLogger()
 	f.relay.log = logrus.NewEntry(log)
@@ -21,7 +21,7 @@
 		{Verdict: booking.Yield, First: 9 * time.Second, Engines: 7},
 		{Verdict: booking.TooLate, First: 12 * time.Second, Backlog: 300 * time.Millisecond, Engines: 7},
 	}
-	refusal := f.relay.Run(t.Context(), streamRequest(true), &record{})
+	refusal := f.relay.Run(t.Context(), streamRequest(true), &recordingSink{})
 	if refusal == nil || refusal.Outcome != request.NotRun {
 		t.Fatalf("got %v", refusal)
 	}
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// observe counts a request's end and its times.
+// observe records a request's outcome and times in the metrics.
 func observe(req *Request, first, end time.Time, refusal *request.Refusal) {
 	outcome := request.Complete
 	if refusal != nil {
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -13,89 +13,95 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// NoticeFunc takes in what an answer of an upstream, to what was sent at a time, says of it.
+// NoticeFunc takes in the notice n in the answer of an upstream to a request sent at the
+// given time.
 type NoticeFunc func(upstream string, n notice.Notice, sent time.Time)
 
-// Listeners are told what upstreams say, for those who plan for all daemons.
+// Listeners are called when upstreams report limits or that they are cold, so that the
+// planner of all daemons learns of it.
 type Listeners struct {
 	OnLimit func(notice.Limit)
-	// OnCold tells for how long an upstream says that it stays cold. It may be nil.
+	// OnCold is called with the time for which an upstream says that it stays cold. It may
+	// be nil.
 	OnCold func(upstream string, left time.Duration)
 }
 
-// Notices is what upstreams have said of themselves. It is safe for concurrent use.
+// Notices holds what upstreams have reported about themselves. It is safe for concurrent
+// use.
 type Notices struct {
 	listeners Listeners
 	log       *logrus.Entry
 
-	mu      sync.Mutex
-	tracker *notice.Tracker
-	told    map[string]time.Time // when the limit of an upstream was last spread
+	mu          sync.Mutex
+	tracker     *notice.Tracker
+	limitSentAt map[string]time.Time // when the limit of an upstream was last passed to the listeners
 }
 
-// NewNotices returns Notices that have heard nothing.
+// NewNotices returns an empty Notices.
 func NewNotices(listeners Listeners, log *logrus.Entry) *Notices {
-	return &Notices{listeners: listeners, log: log, tracker: notice.New(), told: map[string]time.Time{}}
+	return &Notices{listeners: listeners, log: log, tracker: notice.New(), limitSentAt: map[string]time.Time{}}
 }
 
-// tellAgain is after how long a limit that stands is spread again, so that a wrong word of
-// its end is soon set right.
-const tellAgain = time.Second
+// limitResendInterval is the time after which an unchanged limit is passed on again, so that
+// a wrong report of its end is soon corrected.
+const limitResendInterval = time.Second
 
 var (
-	limitsNamed  = metrics.GetOrCreateCounter(`buckthorndock_upstream_limit_changes_total`)
-	leavingTold  = metrics.GetOrCreateCounter(`buckthorndock_upstreams_leaving_by_answer_total`)
-	backOffsTold = metrics.GetOrCreateCounter(`buckthorndock_upstream_back_offs_total`)
-	limitedSends = metrics.GetOrCreateCounter(`buckthorndock_sends_to_limited_total`)
-	barredSends  = metrics.GetOrCreateCounter(`buckthorndock_sends_to_barred_total`)
+	limitChanges   = metrics.GetOrCreateCounter(`buckthorndock_upstream_limit_changes_total`)
+	leavingNotices = metrics.GetOrCreateCounter(`buckthorndock_upstreams_leaving_by_answer_total`)
+	backOffNotices = metrics.GetOrCreateCounter(`buckthorndock_upstream_back_offs_total`)
+	limitedSends   = metrics.GetOrCreateCounter(`buckthorndock_sends_to_limited_total`)
+	barredSends    = metrics.GetOrCreateCounter(`buckthorndock_sends_to_barred_total`)
 )
 
-// Record implements the type Heard.
-func (n *Notices) Record(upstream string, said notice.Notice, sent time.Time) {
-	if l, tell := n.hear(upstream, said, sent); tell {
+// Record takes in a notice and calls the listeners that it concerns. It is a NoticeFunc.
+func (n *Notices) Record(upstream string, report notice.Notice, sent time.Time) {
+	if l, spread := n.update(upstream, report, sent); spread {
 		n.listeners.OnLimit(l)
 	}
-	if said.Cold > 0 && n.listeners.OnCold != nil {
-		n.listeners.OnCold(upstream, said.Cold)
+	if report.Cold > 0 && n.listeners.OnCold != nil {
+		n.listeners.OnCold(upstream, report.Cold)
 	}
 }
 
-// hear returns the limit of the upstream and whether it is to be spread.
-func (n *Notices) hear(upstream string, said notice.Notice, sent time.Time) (l notice.Limit, tell bool) {
+// update takes in a notice. It returns the limit of the upstream and whether the listeners
+// are to be called with it.
+func (n *Notices) update(upstream string, report notice.Notice, sent time.Time) (l notice.Limit, spread bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	change := n.tracker.Record(upstream, said, sent, now)
-	n.note(upstream, said, change, now.Sub(sent))
+	change := n.tracker.Record(upstream, report, sent, now)
+	n.logChange(upstream, report, change, now.Sub(sent))
 	l, limited := n.tracker.Limit(upstream)
-	tell = change.Limit || limited && now.Sub(n.told[upstream]) >= tellAgain
-	if tell {
-		n.told[upstream] = now
+	spread = change.Limit || limited && now.Sub(n.limitSentAt[upstream]) >= limitResendInterval
+	if spread {
+		n.limitSentAt[upstream] = now
 	}
-	return l, tell
+	return l, spread
 }
 
-// note counts and logs what an answer, to what was sent some time ago, has changed.
-func (n *Notices) note(upstream string, said notice.Notice, change notice.Change, age time.Duration) {
+// logChange counts and logs what a notice has changed. age is the time since the request was
+// sent.
+func (n *Notices) logChange(upstream string, report notice.Notice, change notice.Change, age time.Duration) {
 	if change == (notice.Change{}) {
 		return
 	}
 	log := n.log.WithFields(logrus.Fields{"upstream": upstream, "sent_ms_ago": age.Milliseconds()})
 	if change.Limit {
-		limitsNamed.Inc()
-		log.WithFields(logrus.Fields{"limited": said.Limited, "limit_per_s": said.Limit}).Info("upstream_limit")
+		limitChanges.Inc()
+		log.WithFields(logrus.Fields{"limited": report.Limited, "limit_per_s": report.Limit}).Info("upstream_limit")
 	}
 	if change.Leaving {
-		leavingTold.Inc()
+		leavingNotices.Inc()
 		log.Info("upstream_says_leaving")
 	}
 	if change.BackOff {
-		backOffsTold.Inc()
-		log.WithField("back_off_ms", said.BackOff.Milliseconds()).Info("upstream_backs_off")
+		backOffNotices.Inc()
+		log.WithField("back_off_ms", report.BackOff.Milliseconds()).Info("upstream_backs_off")
 	}
 }
 
-// limited returns the upstreams whose limits stand.
+// limited returns the IDs of the upstreams whose limits are in force.
 func (n *Notices) limited() []string {
 	var ids []string
 	for _, l := range n.Limits() {
@@ -106,35 +112,36 @@
 	return ids
 }
 
-// barOf returns why an upstream is to get nothing now.
+// barOf returns why an upstream must not be sent requests now, and false if it may.
 func (n *Notices) barOf(upstream string) (notice.Bar, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.tracker.Bar(upstream, time.Now())
 }
 
-// barred returns the upstreams that are to get nothing now.
+// barred returns the IDs of the upstreams that must not be sent requests now.
 func (n *Notices) barred() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.tracker.Barred(time.Now())
 }
 
-// Limits returns all limits that were heard, those that were taken back among them.
+// Limits returns all limits that were reported, including those that were withdrawn.
 func (n *Notices) Limits() []notice.Limit {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.tracker.Limits()
 }
 
-// limitOf returns the limit that an upstream has named.
+// limitOf returns the limit that an upstream has reported.
 func (n *Notices) limitOf(upstream string) (notice.Limit, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.tracker.Limit(upstream)
 }
 
-// Inherit gives the next life of an upstream what it has said before it was listed.
+// Inherit applies to the next incarnation of an upstream what it has reported before it was
+// listed.
 func (n *Notices) Inherit(next, former fleet.Upstream) {
 	n.mu.Lock()
 	n.tracker.Inherit(next.ID, former.ID, time.UnixMilli(next.Born))
@@ -145,7 +152,7 @@
 	}
 }
 
-// RetainListed forgets what upstreams have said that are not listed any more.
+// RetainListed drops the notices of upstreams that are no longer listed.
 func (n *Notices) RetainListed(list *fleet.Snapshot) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -154,14 +161,15 @@
 		return ok
 	}
 	n.tracker.RetainListed(listed, time.Now())
-	maps.DeleteFunc(n.told, func(id string, _ time.Time) bool { return !listed(id) })
+	maps.DeleteFunc(n.limitSentAt, func(id string, _ time.Time) bool { return !listed(id) })
 }
 
-// noneTakes refuses a request for which no upstream of its service takes work: those that are
-// left are evacuated, or have said that they leave or want nothing for a while.
-func (g *run) noneTakes(what string) *request.Refusal {
+// noUpstreamRefusal returns the refusal of a request for which no upstream of its service
+// takes work: those that are left are evacuated, or have reported that they leave or want no
+// requests for a while. kind is the word for the upstream in the message.
+func (g *run) noUpstreamRefusal(kind string) *request.Refusal {
 	service := g.req.Service.Name
-	comeBack, barred, evacuated := time.Duration(0), 0, 0
+	retryAfter, barred, evacuated := time.Duration(0), 0, 0
 	for _, u := range g.relay.opts.Upstreams().Upstreams {
 		if u.Service != service || u.Leaving {
 			continue
@@ -175,26 +183,26 @@
 			continue
 		}
 		barred++
-		if left := time.Until(b.Until); !b.Leaving && (comeBack == 0 || left < comeBack) {
-			comeBack = left
+		if left := time.Until(b.Until); !b.Leaving && (retryAfter == 0 || left < retryAfter) {
+			retryAfter = left
 		}
 	}
 	if barred+evacuated == 0 {
-		return request.Refuse(request.CodeNoUpstream, retryAfterNone, "no %s of %s is known to live", what, service)
+		return request.Refuse(request.CodeNoUpstream, retryAfterNoUpstream, "no live %s of %s is known", kind, service)
 	}
-	return request.Refuse(request.CodeNoUpstream, max(comeBack, retryAfterNone), "no %s of %s takes requests now: %d have said so, %d are evacuated", what, service, barred, evacuated)
+	return request.Refuse(request.CodeNoUpstream, max(retryAfter, retryAfterNoUpstream), "no %s of %s takes requests now: %d reported that, %d are evacuated", kind, service, barred, evacuated)
 }
 
-// noteSend writes a line for a request that goes to an upstream which has named a limit, or
-// wants none.
-func (g *run) noteSend(to fleet.Upstream) {
+// logRestrictedSend logs and counts a request that is sent to an upstream that has reported
+// a limit or wants no requests.
+func (g *run) logRestrictedSend(to fleet.Upstream) {
 	l, limited := g.relay.opts.Notices.limitOf(to.ID)
 	b, barred := g.relay.opts.Notices.barOf(to.ID)
 	if !limited && !barred {
 		return
 	}
 	log := g.relay.log.WithFields(logrus.Fields{
-		"request": g.req.ID, "attempt": g.attempt, "upstream": to.ID, "plan": g.plan,
+		"request": g.req.ID, "attempt": g.attempt, "upstream": to.ID, "plan": g.verdict,
 	})
 	if limited {
 		limitedSends.Inc()
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -13,53 +13,54 @@
 	"github.com/buckthorndock/buckthorndock/internal/wait"
 )
 
-// Silence after which a call that may be repeated is moved: a multiple of the
-// route's objective, by which most answers of a sound server are there.
+// Silence after which a call that may be repeated is moved: plainSilenceFactor times the
+// route's objective, by which most answers of a healthy server have arrived.
 const (
-	plainSilence     = 2.5
-	leastPlainSilent = 150 * time.Millisecond
+	plainSilenceFactor = 2.5
+	minPlainSilence    = 150 * time.Millisecond
 )
 
-// mostAsked is at how many servers a call asks for a turn before it leaves all that have
-// named limits: each question goes to one daemon for all.
-const mostAsked = 3
+// maxTurnRequests is the number of servers at which a call requests a turn before it skips
+// all that are limited: all these requests go to one daemon.
+const maxTurnRequests = 3
 
-// pick chooses a server that may be sent to now. Where all have named limits, it waits for a
-// turn at one of them, as long as the answer may be in time.
-func (g *run) pick(ctx context.Context) (fleet.Upstream, func(), *request.Refusal) {
-	soonest := retryAfterMost
-	for _, within := range []time.Duration{0, g.eventLeft()} {
-		var full []string // servers that give no turn in time
+// pickServer chooses a server that a request may be sent to now. If all have limits, it
+// waits for a turn at one of them, as long as the answer may still be in time.
+func (g *run) pickServer(ctx context.Context) (fleet.Upstream, func(), *request.Refusal) {
+	minTurn := maxRetryAfter
+	for _, within := range []time.Duration{0, g.timeToNextEvent()} {
+		var refusing []string // servers that grant no turn in time
 		for {
-			u, done, ok := g.pickBut(full)
-			if !ok && len(full) == 0 {
-				return u, nil, g.noneTakes("server")
+			u, done, ok := g.pickExcept(refusing)
+			if !ok && len(refusing) == 0 {
+				return u, nil, g.noUpstreamRefusal("server")
 			}
 			if !ok {
 				break
 			}
-			turn, ok := g.admit(ctx, u, within)
+			turn, ok := g.requestTurn(ctx, u, within)
 			asked := time.Now()
-			if ok && wait.For(ctx, turn) && !missedTurn(asked, turn) && g.takes(u) {
+			if ok && wait.For(ctx, turn) && !missedTurn(asked, turn) && g.takesWork(u) {
 				return u, done, nil
 			}
 			done()
 			if ctx.Err() != nil {
-				return u, nil, g.ended(ctx)
+				return u, nil, g.contextRefusal(ctx)
 			}
-			soonest = min(soonest, turn)
-			full = append(full, u.ID)
-			if len(full) == mostAsked {
-				full = append(full, g.limited()...)
+			minTurn = min(minTurn, turn)
+			refusing = append(refusing, u.ID)
+			if len(refusing) == maxTurnRequests {
+				refusing = append(refusing, g.limitedServers()...)
 			}
 		}
 	}
-	comeBack := max(soonest, retryAfterFailure)
-	return fleet.Upstream{}, nil, request.Refuse(request.CodeQueueFull, comeBack, "the limits of all servers of %s, named or of cold ones, are used up", g.req.Service.Name)
+	retryAfter := max(minTurn, retryAfterFailure)
+	return fleet.Upstream{}, nil, request.Refuse(request.CodeQueueFull, retryAfter, "all servers of %s are at their limits, reported or while cold", g.req.Service.Name)
 }
 
-// limited returns the servers that take a bounded number of requests a second.
-func (g *run) limited() []string {
+// limitedServers returns the IDs of the servers that accept a limited number of requests per
+// second.
+func (g *run) limitedServers() []string {
 	ids := g.relay.opts.Notices.limited()
 	now := time.Now()
 	for _, u := range g.relay.opts.Upstreams().Live(g.req.Service.Name) {
@@ -70,28 +71,29 @@
 	return ids
 }
 
-// pickBut chooses a server, one that fails only where no other is left, and none of some or
-// of those that have said that they take nothing.
-func (g *run) pickBut(none []string) (u fleet.Upstream, done func(), ok bool) {
+// pickExcept chooses a server that is not in excluded and has not reported that it takes no
+// requests. Servers to avoid are chosen only if no other is left.
+func (g *run) pickExcept(excluded []string) (u fleet.Upstream, done func(), ok bool) {
 	plain, service := g.relay.opts.Balancer, g.req.Service.Name
-	none = slices.Concat(none, g.relay.opts.Notices.barred())
-	u, done, ok = plain.Pick(service, slices.Concat(g.exclude, g.avoid(), none))
+	excluded = slices.Concat(excluded, g.relay.opts.Notices.barred())
+	u, done, ok = plain.Pick(service, slices.Concat(g.exclude, g.toAvoid(), excluded))
 	if ok {
 		return u, done, true
 	}
-	return plain.Pick(service, none)
+	return plain.Pick(service, excluded)
 }
 
-// takes reports whether a server has not come to take no new work since it was chosen, by the
-// list or by its own word.
-func (g *run) takes(u fleet.Upstream) bool {
+// takesWork reports whether a server still takes new work since it was chosen, according to
+// the list and to its own notices.
+func (g *run) takesWork(u fleet.Upstream) bool {
 	now, listed := g.relay.opts.Upstreams().Get(u.ID)
 	_, barred := g.relay.opts.Notices.barOf(u.ID)
 	return !barred && (!listed || now.TakesWork())
 }
 
-// admit takes a turn at a server if it has named a limit or is cold.
-func (g *run) admit(ctx context.Context, u fleet.Upstream, within time.Duration) (turn time.Duration, ok bool) {
+// requestTurn requests a turn at a server that has reported a limit or is cold. Other
+// servers need none.
+func (g *run) requestTurn(ctx context.Context, u fleet.Upstream, within time.Duration) (turn time.Duration, ok bool) {
 	l, limited := g.relay.opts.Notices.limitOf(u.ID)
 	coldFor := max(time.Until(u.ColdUntil), 0)
 	if !limited && coldFor == 0 {
@@ -111,39 +113,39 @@
 }
 
 // tryPlain makes one attempt at a plain service.
-func (g *run) tryPlain(ctx context.Context) ending {
-	if refusal := g.behindCuts(); refusal != nil {
-		return ending{refusal: refusal}
+func (g *run) tryPlain(ctx context.Context) attemptResult {
+	if refusal := g.cutOffRefusal(); refusal != nil {
+		return attemptResult{refusal: refusal}
 	}
-	u, done, refusal := g.pick(ctx)
+	u, done, refusal := g.pickServer(ctx)
 	if refusal != nil {
-		return ending{refusal: refusal}
+		return attemptResult{refusal: refusal}
 	}
 	defer done()
-	started, ok := g.start(u)
+	started, ok := g.noteStart(u)
 	if !ok {
-		return apart(u)
+		return suspectConflict(u)
 	}
-	g.sent = []string{u.ID}
+	g.sentTo = []string{u.ID}
 	g.trial.MarkSent()
-	limit := max(time.Duration(plainSilence*float64(g.req.Route.Objective)), leastPlainSilent)
+	limit := max(time.Duration(plainSilenceFactor*float64(g.req.Route.Objective)), minPlainSilence)
 	e := g.exchange(ctx, Attempt{
 		Request:       g.req,
 		Number:        g.attempt,
 		Upstream:      u,
-		Timeout:       g.left(),
-		LastEvent:     g.after,
+		Timeout:       g.timeLeft(),
+		LastEvent:     g.lastEvent,
 		NewConnection: !g.req.Route.Repeatable(),
 	}, limit, limit, nil)
-	g.finish(ctx, u, started, e)
-	if e.delivered || e.gone {
-		g.relay.succeeded(u.ID)
+	g.noteEnd(ctx, u, started, e)
+	if e.delivered || e.callerGone {
+		g.relay.noteSuccess(u.ID)
 		return e
 	}
 	e.blamed = []string{u.ID}
 	e.unreached = e.end == retry.NotWritten
 	if e.end != retry.Faulted {
-		g.relay.failed(e.blamed, e.end)
+		g.relay.noteFailures(e.blamed, e.end)
 	}
 	return e
 }
--- a/internal/relay/ways_test.go
+++ b/internal/relay/reach_test.go
@@ -17,8 +17,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/route"
 )
 
-// cutSite is a fixture of two failure domains with two upstreams each; the way to one of
-// them can be cut.
+// cutSite is a fixture of two failure domains with two upstreams each, one of which can be
+// cut off.
 type cutSite struct {
 	*fixture
 	mu  sync.Mutex
@@ -39,7 +39,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.cut && address[:3] == "far" {
-			return merry.New("no way")
+			return merry.New("network is unreachable")
 		}
 		return nil
 	}
@@ -52,15 +52,15 @@
 	s.cut = cut
 }
 
-// eventually waits for a belief; the test's timeout bounds it.
-func (s *cutSite) eventually(cut bool) {
+// waitForCut waits until the domain counts as cut off or not; the test's timeout bounds it.
+func (s *cutSite) waitForCut(cut bool) {
 	for s.relay.DomainCut("far") != cut {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// TestStreamsBehindACutAreMovedAtOnce is the pattern of a failure domain that is cut off
-// while streams come from it: their connections stay open and say nothing.
+// TestStreamsBehindACutAreMovedAtOnce covers a failure domain that is cut off while streams
+// come from it: their connections stay open and deliver nothing.
 func TestStreamsBehindACutAreMovedAtOnce(t *testing.T) {
 	var s *cutSite
 	r, w := io.Pipe()
@@ -76,7 +76,7 @@
 	s = newCutSite(t, first, answer(200, lastEvents))
 	go func() { _ = s.relay.MonitorDomains(t.Context()) }()
 	s.planner.plans = []booking.Plan{onEngine("far1"), onEngine("near1")}
-	sink := &record{}
+	sink := &recordingSink{}
 	if refusal := s.relay.Run(t.Context(), streamRequest(true), sink); refusal != nil {
 		t.Fatal(refusal)
 	}
@@ -84,14 +84,14 @@
 		t.Errorf("the caller got %q", got)
 	}
 	if !s.relay.DomainCut("far") || s.relay.DomainCut("near") {
-		t.Error("the belief is wrong")
+		t.Error("the wrong domains count as cut off")
 	}
 	again := slices.Compact(slices.Sorted(slices.Values(s.planner.asks[1].Avoid)))
 	if !slices.Equal(again, []string{"far1", "far2"}) {
 		t.Errorf("the second plan avoids %v", again)
 	}
 	s.setCut(false)
-	s.eventually(false)
+	s.waitForCut(false)
 	if ids := s.relay.avoided(); len(ids) != 0 {
 		t.Errorf("after the cut %v are avoided", ids)
 	}
@@ -107,7 +107,7 @@
 	plan := onEngine("near1", "far1")
 	plan.First = time.Hour
 	s.planner.plans = []booking.Plan{plan, onEngine("near2")}
-	if refusal := s.relay.Run(t.Context(), streamRequest(true), &record{}); refusal != nil {
+	if refusal := s.relay.Run(t.Context(), streamRequest(true), &recordingSink{}); refusal != nil {
 		t.Fatal(refusal)
 	}
 	if len(s.script.sent) != 2 || s.script.sent[1].Upstream.ID != "near2" {
@@ -120,18 +120,18 @@
 	s = newCutSite(t, func(ctx context.Context, a Attempt) (*Answer, error) {
 		s.setCut(true)
 		s.relay.SuspectDomain("far")
-		s.eventually(true)
+		s.waitForCut(true)
 		return answer(200, "late but whole")(ctx, a)
 	})
-	s.relay.opts.Balancer = fakePlain{servers: []string{"far1"}}
-	sink := &record{}
+	s.relay.opts.Balancer = fakeBalancer{servers: []string{"far1"}}
+	sink := &recordingSink{}
 	if refusal := s.relay.Run(t.Context(), plainRequest(route.Once, time.Minute), sink); refusal != nil || sink.body.String() != "late but whole" {
 		t.Errorf("got %v and %q", refusal, sink.body.String())
 	}
 }
 
-// TestNothingReachableIsRefusedAtOnce is the pattern of a service all of whose upstreams
-// are behind a cut: each try costs its caller time and cannot succeed.
+// TestNothingReachableIsRefusedAtOnce covers a service all of whose upstreams are cut off:
+// each attempt would cost its caller time and cannot succeed.
 func TestNothingReachableIsRefusedAtOnce(t *testing.T) {
 	s := newCutSite(t, fail(retry.NotWritten), fail(retry.NotWritten))
 	var list []fleet.Change
@@ -143,58 +143,58 @@
 	s.relay.opts.Upstreams = func() *fleet.Snapshot { return snapshot }
 	s.setCut(true)
 	s.relay.SuspectDomain("far")
-	s.eventually(true)
-	refusal := s.relay.Run(t.Context(), plainRequest(route.Idempotent, time.Minute), &record{})
+	s.waitForCut(true)
+	refusal := s.relay.Run(t.Context(), plainRequest(route.Idempotent, time.Minute), &recordingSink{})
 	if refusal == nil || refusal.Code != request.CodeNoUpstream || refusal.Outcome != request.NotRun || len(s.script.sent) != 0 {
 		t.Fatalf("got %v after %d sends", refusal, len(s.script.sent))
 	}
 	if refusal.RetryAfter < retryAfterCut/2 {
-		t.Errorf("come back after %s", refusal.RetryAfter)
+		t.Errorf("retry after %s", refusal.RetryAfter)
 	}
 }
 
-func TestLookDuringWhichTheDaemonStoodStillTellsNothing(t *testing.T) {
+func TestProbeOfStalledDaemonIsDiscarded(t *testing.T) {
 	s := newCutSite(t)
 	s.relay.opts.Probe = func(context.Context, string) error {
-		time.Sleep(wayStill + 10*time.Millisecond)
+		time.Sleep(maxProbeTime + 10*time.Millisecond)
 		return merry.New("timed out")
 	}
 	s.relay.SuspectDomain("far")
-	s.relay.look("far")
+	s.relay.probeDomain("far")
 	if s.relay.DomainCut("far") {
-		t.Error("it is believed to be cut off")
+		t.Error("the domain counts as cut off")
 	}
 }
 
-// TestLooksTrySoundUpstreamsFirst is the pattern of many upstreams of a domain that die at
-// once: a look at those alone would take their deaths for a cut.
-func TestLooksTrySoundUpstreamsFirst(t *testing.T) {
+// TestProbesTryHealthyUpstreamsFirst covers many upstreams of a domain that die at once: a
+// probe of those alone would take their deaths for a network cut.
+func TestProbesTryHealthyUpstreamsFirst(t *testing.T) {
 	f := newFixture(t)
-	f.live("a", "b", "c", "d", "e", "f", "g")
+	f.listEngines("a", "b", "c", "d", "e", "f", "g")
 	dead := []string{"a", "b", "c", "d"}
-	f.relay.failed(dead, retry.NotWritten)
+	f.relay.noteFailures(dead, retry.NotWritten)
 	for range 20 {
-		for _, u := range f.relay.lookTargets("") {
+		for _, u := range f.relay.probeTargets("") {
 			if slices.Contains(dead, u.ID) {
-				t.Fatalf("a look tries %s, which has just failed", u.ID)
+				t.Fatalf("a probe tries %s, which has just failed", u.ID)
 			}
 		}
 	}
 }
 
-// TestDaemonWithoutWorkDoesNotWatchTheWays guards against wake-ups of idle daemons, of which a
-// large site has many; the first attempt after a rest is watched again.
-func TestDaemonWithoutWorkDoesNotWatchTheWays(t *testing.T) {
+// TestIdleDaemonDoesNotMonitorDomains guards against wake-ups of idle daemons, of which a
+// large site has many; the first attempt after an idle time resumes the monitoring.
+func TestIdleDaemonDoesNotMonitorDomains(t *testing.T) {
 	f := newFixture(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- f.relay.MonitorDomains(ctx) }()
-	w := f.relay.ways
-	for end := time.Now().Add(10 * time.Second); len(w.busy) > 0 && time.Now().Before(end); {
+	w := f.relay.domains
+	for end := time.Now().Add(10 * time.Second); len(w.active) > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	w.watch() // is taken as soon as it sleeps
-	for end := time.Now().Add(10 * time.Second); len(w.busy) > 0; time.Sleep(time.Millisecond) {
+	w.wake() // is received as soon as it sleeps
+	for end := time.Now().Add(10 * time.Second); len(w.active) > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("it does not sleep")
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -14,7 +14,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/retry"
 )
 
-// Options are the parts that a Relay works with.
+// Options configures a Relay and holds the components that it uses.
 type Options struct {
 	Host     string // name of this daemon
 	Domain   string // failure domain
@@ -22,94 +22,95 @@
 	Planner  Planner
 	Balancer Balancer
 	Suspects Suspects
-	// Probe tells whether a connection to an address can be made: an error says that
-	// nobody listens there, or that it cannot be told.
+	// Probe tries to connect to an address. It returns an error if nobody listens there or
+	// if that cannot be determined.
 	Probe func(ctx context.Context, address string) error
-	// DaemonAddresses returns the peer addresses of other daemons in a failure domain; nil: none is known.
+	// DaemonAddresses returns the peer addresses of other daemons in a failure domain. If
+	// nil, none are known.
 	DaemonAddresses func(domain string) []string
-	// Upstreams returns the present list.
+	// Upstreams returns the current list of upstreams.
 	Upstreams func() *fleet.Snapshot
-	// OnIdentified tells whether an upstream that has rivals answered itself, or another
-	// one at its address.
+	// OnIdentified is called with an upstream that shares its address with others: itself
+	// tells whether it answered, or another upstream at that address did.
 	OnIdentified func(u fleet.Upstream, itself bool)
-	// OnDomainReached tells that a failure domain which was cut off can be reached again; nil: nobody
-	// is to know.
+	// OnDomainReached is called when a failure domain that was cut off can be reached again.
+	// It may be nil.
 	OnDomainReached func(domain string)
-	// Notices has what upstreams say of themselves; the Sender tells it.
+	// Notices holds what upstreams report about themselves; the Sender fills it.
 	Notices *Notices
-	// BodyMemory bounds what is held for slow callers and upstreams.
+	// BodyMemory bounds the memory held for slow callers and upstreams.
 	BodyMemory *BodyMemory
-	// Budget returns the site's bound of repeats.
+	// Budget returns the site's limit on repeats.
 	Budget func() BudgetOptions
 	Log    *logrus.Entry
 }
 
-// BudgetOptions are this site's bound of repeated sends to a service.
+// BudgetOptions is this site's limit on repeated sends to a service.
 type BudgetOptions struct {
-	Ratio  float64       // of the service's requests
-	Window time.Duration //
-	Slack  float64       // repeats a window besides, of all daemons together
-	Hosts  int           // daemons that share the slack
+	Ratio  float64 // repeats per request of the service
+	Window time.Duration
+	Slack  float64 // additional repeats per window, of all daemons together
+	Hosts  int     // daemons that share Slack
 }
 
-// Relay is safe for concurrent use.
+// Relay carries requests to their end. It is safe for concurrent use.
 type Relay struct {
-	opts       Options
-	log        *logrus.Entry
-	leaseTimes leaseTimes
-	running    running
-	ways       *ways
-	looking    sync.Map // upstreams at whose fate somebody looks, by id
-	draw       float64  // in [0, 1), another one for each daemon
+	opts         Options
+	log          *logrus.Entry
+	leaseTimes   leaseTimes
+	running      runningAttempts
+	domains      *domainReach
+	deathChecks  sync.Map // IDs of upstreams for which recheckDeath is running
+	hostFraction float64  // in [0, 1), derived from the host name, so that it differs between daemons
 
 	mu      sync.Mutex
 	avoid   *avoid.Tracker
 	budgets map[string]*budget // by service
 }
 
-// Times for which failing upstreams are left alone. A server that restarts is away
-// for some seconds, and each try costs a request its objective, while a false alarm
-// should cost little capacity.
+// Times for which failing upstreams are avoided. A server that restarts is away for some
+// seconds, and each attempt at it costs a request its objective, while a false alarm should
+// cost little capacity.
 const (
 	avoidFirst  = 400 * time.Millisecond
-	avoidMost   = 5 * time.Second
+	avoidMax    = 5 * time.Second
 	avoidForget = 15 * time.Second
 )
 
-// New returns a Relay.
+// New returns a Relay with the given options.
 func New(o Options) *Relay {
 	return &Relay{
-		opts:       o,
-		leaseTimes: leaseTimes{renew: leaseRenew, useBy: leaseUseBy},
-		log:        o.Log,
-		avoid:      avoid.New(avoid.Options{Initial: avoidFirst, Max: avoidMost, ResetAfter: avoidForget}),
-		budgets:    map[string]*budget{},
-		ways:       newWays(),
-		draw:       drawOf(o.Host),
+		opts:         o,
+		leaseTimes:   leaseTimes{renew: leaseRenewInterval, useBy: leaseUseTimeout},
+		log:          o.Log,
+		avoid:        avoid.New(avoid.Options{Initial: avoidFirst, Max: avoidMax, ResetAfter: avoidForget}),
+		budgets:      map[string]*budget{},
+		domains:      newDomainReach(),
+		hostFraction: hashFraction(o.Host),
 	}
 }
 
-// drawOf returns a number in [0, 1) that is spread evenly over the names of daemons.
-func drawOf(host string) float64 {
-	const bits = 53 // of a float64's fraction
+// hashFraction returns a number in [0, 1) that is evenly distributed over host names.
+func hashFraction(host string) float64 {
+	const bits = 53 // mantissa bits of a float64
 	return float64(xxhash.Sum64String(host)>>(64-bits)) / (1 << bits)
 }
 
-// Run takes a request to its end. It returns nil when the answer was delivered
-// whole; else what the caller is to be told, or, where part of an answer has been
+// Run carries a request to its end. It returns nil if the answer was delivered whole.
+// Otherwise the refusal is what the caller is to be told or, if part of an answer has been
 // passed on, why it was cut short.
 func (r *Relay) Run(ctx context.Context, req *Request, sink Sink) *request.Refusal {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
-	r.earn(req.Service.Name, time.Now())
-	g := &run{relay: r, req: req, sink: sink, after: req.LastEvent}
-	refusal := spread(g.loop(ctx))
+	r.countRequest(req.Service.Name, time.Now())
+	g := &run{relay: r, req: req, sink: sink, lastEvent: req.LastEvent}
+	refusal := jitterRetryAfter(g.loop(ctx))
 	g.logEnd(refusal)
 	return refusal
 }
 
-// failed notes that upstreams failed.
-func (r *Relay) failed(ids []string, end retry.End) {
+// noteFailures records that upstreams failed, so that they are avoided for a while.
+func (r *Relay) noteFailures(ids []string, end retry.End) {
 	now := time.Now()
 	list := r.opts.Upstreams()
 	r.mu.Lock()
@@ -124,25 +125,26 @@
 	}
 }
 
-// succeeded notes that an upstream has served a request.
-func (r *Relay) succeeded(id string) {
+// noteSuccess records that an upstream has served a request.
+func (r *Relay) noteSuccess(id string) {
 	r.opts.Suspects.EngineAlive(id)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.avoid.RecordSuccess(id, time.Now())
 }
 
-// failing returns the upstreams that failed lately.
-func (r *Relay) failing() []string {
+// failedRecently returns the IDs of the upstreams that are avoided because they failed.
+func (r *Relay) failedRecently() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.avoid.Avoided(time.Now())
 }
 
-// avoided returns the upstreams to leave alone now, those of domains that cannot be
-// reached among them, and those whose address another one most likely has.
+// avoided returns the IDs of all upstreams to avoid now: those that failed recently, those
+// in failure domains that cannot be reached, and those whose address most likely belongs to
+// another upstream.
 func (r *Relay) avoided() []string {
-	ids := r.failing()
+	ids := r.failedRecently()
 	for _, u := range r.opts.Upstreams().Upstreams {
 		if u.Displaced || r.DomainCut(u.Domain) {
 			ids = append(ids, u.ID)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -17,17 +17,17 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/route"
 )
 
-func TestDeadlineAfterDispatchIsNotToldAsNotRun(t *testing.T) {
+func TestDeadlineAfterDispatchIsNotReportedAsNotRun(t *testing.T) {
 	for _, kind := range []route.Kind{route.Once, route.Idempotent} {
 		f := newFixture(t, hang)
-		refusal := f.relay.Run(t.Context(), plainRequest(kind, 20*time.Millisecond), &record{})
+		refusal := f.relay.Run(t.Context(), plainRequest(kind, 20*time.Millisecond), &recordingSink{})
 		if refusal == nil || refusal.Outcome == request.NotRun {
 			t.Errorf("%s: got %v, want an outcome that admits a run", kind, refusal)
 		}
 	}
 }
 
-func TestOnceIsSentAgainOnlyAfterAPromise(t *testing.T) {
+func TestOnceRequestIsResentOnlyWhenNotRun(t *testing.T) {
 	cases := []struct {
 		end   retry.End
 		sends int
@@ -37,7 +37,7 @@
 	}
 	for _, c := range cases {
 		f := newFixture(t, fail(c.end), answer(200, "done"))
-		sink := &record{}
+		sink := &recordingSink{}
 		refusal := f.relay.Run(t.Context(), plainRequest(route.Once, time.Minute), sink)
 		if len(f.script.sent) != c.sends {
 			t.Errorf("%s: %d sends, want %d", c.end, len(f.script.sent), c.sends)
@@ -53,15 +53,15 @@
 
 func TestDeclinedByAllIsNotRun(t *testing.T) {
 	f := newFixture(t, fail(retry.Declined), fail(retry.Declined), fail(retry.Declined), fail(retry.Declined))
-	refusal := f.relay.Run(t.Context(), plainRequest(route.Once, time.Minute), &record{})
+	refusal := f.relay.Run(t.Context(), plainRequest(route.Once, time.Minute), &recordingSink{})
 	if refusal == nil || refusal.Outcome != request.NotRun || refusal.RetryAfter <= 0 {
-		t.Fatalf("got %v, want not run with a time to come back", refusal)
+		t.Fatalf("got %v, want not run with a retry time", refusal)
 	}
 }
 
 func TestUpstreamsOwnFailureIsPassedOnWhenNoOtherAnswers(t *testing.T) {
 	f := newFixture(t, answer(500, "sorry"), answer(500, "sorry too"))
-	sink := &record{}
+	sink := &recordingSink{}
 	if refusal := f.relay.Run(t.Context(), plainRequest(route.Idempotent, time.Minute), sink); refusal != nil {
 		t.Fatal(refusal)
 	}
@@ -72,7 +72,7 @@
 
 func TestFailureOfAOnceRequestIsNotRepeated(t *testing.T) {
 	f := newFixture(t, answer(500, "sorry"), answer(200, "done"))
-	sink := &record{}
+	sink := &recordingSink{}
 	if refusal := f.relay.Run(t.Context(), plainRequest(route.Once, time.Minute), sink); refusal != nil {
 		t.Fatal(refusal)
 	}
@@ -83,7 +83,7 @@
 
 func TestAnswerThatBreaksIsReplacedBeforeAnyOfItIsPassedOn(t *testing.T) {
 	f := newFixture(t, answerFrom(200, brokenBody("hal")), answer(200, "half or whole"))
-	sink := &record{}
+	sink := &recordingSink{}
 	if refusal := f.relay.Run(t.Context(), plainRequest(route.Idempotent, time.Minute), sink); refusal != nil {
 		t.Fatal(refusal)
 	}
@@ -99,9 +99,9 @@
 
 func TestStreamGoesOnAtAnotherEngine(t *testing.T) {
 	f := newFixture(t, answerFrom(200, brokenBody(firstEvents+"id: 3\nda")), answer(200, lastEvents))
-	f.live("e1", "e2")
+	f.listEngines("e1", "e2")
 	f.planner.plans = []booking.Plan{onEngine("e1"), onEngine("e2")}
-	sink := &record{}
+	sink := &recordingSink{}
 	if refusal := f.relay.Run(t.Context(), streamRequest(true), sink); refusal != nil {
 		t.Fatal(refusal)
 	}
@@ -118,9 +118,9 @@
 
 func TestStreamThatMayNotResumeIsCutVisibly(t *testing.T) {
 	f := newFixture(t, answerFrom(200, brokenBody(firstEvents)), answer(200, lastEvents))
-	f.live("e1", "e2")
+	f.listEngines("e1", "e2")
 	f.planner.plans = []booking.Plan{onEngine("e1"), onEngine("e2")}
-	refusal := f.relay.Run(t.Context(), streamRequest(false), &record{})
+	refusal := f.relay.Run(t.Context(), streamRequest(false), &recordingSink{})
 	if refusal == nil || refusal.Outcome != request.Unknown || len(f.script.sent) != 1 {
 		t.Errorf("got %v after %d sends", refusal, len(f.script.sent))
 	}
@@ -128,7 +128,7 @@
 
 func TestEngineThatBeginsToLeaveDuringTheWaitGetsNothing(t *testing.T) {
 	f := newFixture(t, answer(200, firstEvents))
-	f.live("e1", "e2")
+	f.listEngines("e1", "e2")
 	waits := onEngine("e1")
 	waits.Wait = 5 * time.Millisecond
 	f.planner.plans = []booking.Plan{waits, onEngine("e2")}
@@ -138,7 +138,7 @@
 			f.list.Apply([]fleet.Change{entry(leaving)}, time.Now())
 		}
 	}
-	if refusal := f.relay.Run(t.Context(), streamRequest(true), &record{}); refusal != nil {
+	if refusal := f.relay.Run(t.Context(), streamRequest(true), &recordingSink{}); refusal != nil {
 		t.Fatal(refusal)
 	}
 	if len(f.script.sent) != 1 || f.script.sent[0].Upstream.ID != "e2" {
@@ -154,20 +154,20 @@
 		defer close(ended)
 		return hang(ctx, a)
 	})
-	refusal := f.relay.Run(ctx, plainRequest(route.Idempotent, time.Minute), &record{})
+	refusal := f.relay.Run(ctx, plainRequest(route.Idempotent, time.Minute), &recordingSink{})
 	<-ended
 	if refusal == nil || refusal.Code != request.CodeCallerGone || len(f.script.sent) != 1 {
 		t.Errorf("got %v after %d sends", refusal, len(f.script.sent))
 	}
 }
 
-func TestLeasesAreGivenBack(t *testing.T) {
+func TestLeasesAreReleased(t *testing.T) {
 	f := newFixture(t, answer(200, firstEvents))
-	f.live("e1", "e2")
+	f.listEngines("e1", "e2")
 	plan := onEngine("e1", "e2")
 	plan.Parts[1].Reserve = 50
 	f.planner.plans = []booking.Plan{plan}
-	if refusal := f.relay.Run(t.Context(), streamRequest(true), &record{}); refusal != nil {
+	if refusal := f.relay.Run(t.Context(), streamRequest(true), &recordingSink{}); refusal != nil {
 		t.Fatal(refusal)
 	}
 	helper := f.script.sent[0].Helpers[0]
@@ -180,7 +180,7 @@
 }
 
 func TestEventsOverTheBoundAreRefused(t *testing.T) {
-	events := newEventReader(strings.NewReader("data: " + strings.Repeat("x", mostEventBytes) + "\n\n"))
+	events := newEventReader(strings.NewReader("data: " + strings.Repeat("x", maxEventBytes) + "\n\n"))
 	if _, err := events.next(); err != errEventTooLong {
 		t.Errorf("got %v", err)
 	}
@@ -191,29 +191,29 @@
 		return nil, &Failure{End: retry.Broken, Err: syscall.ECONNRESET}
 	}
 	f := newFixture(t, crash, crash, crash, crash, crash, crash)
-	f.live("e1", "e2", "e3", "sound")
+	f.listEngines("e1", "e2", "e3", "sound")
 	f.dead["e1:1"], f.dead["e2:1"], f.dead["e3:1"] = true, true, true
 	f.planner.plans = []booking.Plan{onEngine("e1"), onEngine("e2"), onEngine("e3")}
 	sends := 0
-	for range 5 { // the caller sends the same work again and again
+	for range 5 { // the caller sends the same work repeatedly
 		req := streamRequest(true)
 		req.Fingerprint = 77
-		f.relay.Run(t.Context(), req, &record{})
+		f.relay.Run(t.Context(), req, &recordingSink{})
 		sends = len(f.script.sent)
 	}
 	if sends > 2 {
 		t.Errorf("it was sent %d times", sends)
 	}
-	// Another request that ran beside it is not held up by that.
+	// Another request that ran at the same time is not affected by that.
 	f.script.steps = append(f.script.steps[:sends], answer(200, firstEvents))
 	f.dead = map[string]bool{}
 	f.planner.plans = []booking.Plan{onEngine("e3")}
-	if refusal := f.relay.Run(t.Context(), streamRequest(true), &record{}); refusal != nil {
+	if refusal := f.relay.Run(t.Context(), streamRequest(true), &recordingSink{}); refusal != nil {
 		t.Error(refusal)
 	}
 }
 
-func TestMissedConnectionPutsItsDomainAsideForTheRequest(t *testing.T) {
+func TestFailedConnectionAvoidsItsDomain(t *testing.T) {
 	f := newFixture(t, fail(retry.NotWritten), answer(200, firstEvents))
 	var list []fleet.Change
 	for name, domain := range map[string]string{"far1": "far", "far2": "far", "near": "near"} {
@@ -221,7 +221,7 @@
 	}
 	f.list.Replace(list, time.Now())
 	f.planner.plans = []booking.Plan{onEngine("far1"), onEngine("near")}
-	if refusal := f.relay.Run(t.Context(), streamRequest(true), &record{}); refusal != nil {
+	if refusal := f.relay.Run(t.Context(), streamRequest(true), &recordingSink{}); refusal != nil {
 		t.Fatal(refusal)
 	}
 	second := f.planner.asks[1]
@@ -230,7 +230,7 @@
 	}
 }
 
-func TestCutOfADomainMakesNobodySuspect(t *testing.T) {
+func TestDomainCutQuarantinesNoRequest(t *testing.T) {
 	crash := func(context.Context, Attempt) (*Answer, error) {
 		return nil, &Failure{End: retry.Broken, Err: syscall.ECONNRESET}
 	}
@@ -239,13 +239,13 @@
 		steps = append(steps, crash)
 	}
 	f := newFixture(t, steps...)
-	f.live("e1", "e2")
-	f.dead["e1:1"], f.dead["e2:1"] = true, true // the whole domain refuses
+	f.listEngines("e1", "e2")
+	f.dead["e1:1"], f.dead["e2:1"] = true, true // the whole domain refuses connections
 	f.planner.plans = []booking.Plan{onEngine("e1"), onEngine("e2"), onEngine("e1"), onEngine("e2"), onEngine("e1"), onEngine("e2")}
 	for range 3 {
 		req := streamRequest(true)
 		req.Fingerprint = 78
-		refusal := f.relay.Run(t.Context(), req, &record{})
+		refusal := f.relay.Run(t.Context(), req, &recordingSink{})
 		if refusal == nil || refusal.Code == request.CodeQuarantined {
 			t.Fatalf("got %v", refusal)
 		}
@@ -255,20 +255,20 @@
 	}
 }
 
-func TestDaemonWithoutAPartOfTheSlackRepeatsOnce(t *testing.T) {
+func TestDaemonWithoutSlackRepeatsOnce(t *testing.T) {
 	f := newFixture(t, fail(retry.Declined), fail(retry.Declined), answer(200, "done"))
 	f.relay.opts.Budget = func() BudgetOptions { return BudgetOptions{Window: 10 * time.Second, Hosts: 88} }
-	refusal := f.relay.Run(t.Context(), plainRequest(route.Once, time.Minute), &record{})
-	if refusal == nil || refusal.Outcome != request.NotRun || len(f.script.sent) != 1+leastRepeats {
+	refusal := f.relay.Run(t.Context(), plainRequest(route.Once, time.Minute), &recordingSink{})
+	if refusal == nil || refusal.Outcome != request.NotRun || len(f.script.sent) != 1+minRepeats {
 		t.Errorf("got %v after %d sends", refusal, len(f.script.sent))
 	}
 }
 
 func TestPlannerKnowsThatAnAnswerHasBegun(t *testing.T) {
 	f := newFixture(t, answerFrom(200, brokenBody(firstEvents)), answer(200, lastEvents))
-	f.live("e1", "e2")
+	f.listEngines("e1", "e2")
 	f.planner.plans = []booking.Plan{onEngine("e1"), onEngine("e2")}
-	if refusal := f.relay.Run(t.Context(), streamRequest(true), &record{}); refusal != nil {
+	if refusal := f.relay.Run(t.Context(), streamRequest(true), &recordingSink{}); refusal != nil {
 		t.Fatal(refusal)
 	}
 	if asks := f.planner.asks; len(asks) != 2 || asks[0].Begun || !asks[1].Begun {
@@ -276,7 +276,7 @@
 	}
 }
 
-// sharedAddress lists two upstreams whose entries name one address, the later one second.
+// sharedAddress lists two upstreams at one address, one after the other.
 func (f *fixture) sharedAddress(earlier, later string) {
 	for _, id := range []string{earlier, later} {
 		u := fleet.Upstream{Incarnation: fleet.Incarnation{Name: id}, Service: "llm", Address: "shared:1"}
@@ -285,7 +285,7 @@
 	f.relay.opts.OnIdentified = func(u fleet.Upstream, itself bool) { f.list.RecordResponder(u, itself) }
 }
 
-func TestAnswerTellsWhichUpstreamHasAnAddress(t *testing.T) {
+func TestAnswerIdentifiesUpstreamAtSharedAddress(t *testing.T) {
 	other := func(context.Context, Attempt) (*Answer, error) {
 		return nil, &Failure{End: retry.Declined, WrongUpstream: true, Err: merry.New("scripted")}
 	}
@@ -293,14 +293,14 @@
 		steps      []func(context.Context, Attempt) (*Answer, error)
 		superseded string
 	}{
-		"it answers itself":   {[]func(context.Context, Attempt) (*Answer, error){answer(200, firstEvents)}, "earlier"},
-		"another one answers": {[]func(context.Context, Attempt) (*Answer, error){other, answer(200, firstEvents)}, "later"},
+		"it answers":               {[]func(context.Context, Attempt) (*Answer, error){answer(200, firstEvents)}, "earlier"},
+		"another upstream answers": {[]func(context.Context, Attempt) (*Answer, error){other, answer(200, firstEvents)}, "later"},
 	} {
 		f := newFixture(t, c.steps...)
-		f.live("e1")
+		f.listEngines("e1")
 		f.sharedAddress("earlier", "later")
 		f.planner.plans = []booking.Plan{onEngine("later"), onEngine("e1")}
-		if refusal := f.relay.Run(t.Context(), streamRequest(true), &record{}); refusal != nil {
+		if refusal := f.relay.Run(t.Context(), streamRequest(true), &recordingSink{}); refusal != nil {
 			t.Fatal(name, refusal)
 		}
 		first := f.planner.asks[0]
@@ -315,32 +315,32 @@
 
 func TestSupersededUpstreamsAreNotAskedFor(t *testing.T) {
 	f := newFixture(t, answer(200, firstEvents))
-	f.live("e1")
+	f.listEngines("e1")
 	f.sharedAddress("earlier", "later")
 	later, _ := f.list.Snapshot().Get("later")
 	f.list.RecordResponder(later, true)
 	f.planner.plans = []booking.Plan{onEngine("e1")}
-	if refusal := f.relay.Run(t.Context(), streamRequest(true), &record{}); refusal != nil {
+	if refusal := f.relay.Run(t.Context(), streamRequest(true), &recordingSink{}); refusal != nil {
 		t.Fatal(refusal)
 	}
 	if got := f.planner.asks[0].Exclude; !slices.Contains(got, "earlier") {
-		t.Errorf("the planner, whose list may be older, is not told: %v", got)
+		t.Errorf("the planner, whose list may be older, gets only these exclusions: %v", got)
 	}
 }
 
-// TestCallThatFindsOutThatAnUpstreamHasEndedIsNotLost guards against a call whose own answer, a
-// refusal by another upstream at the address, ends the attempt before the answer is looked at:
-// its caller would be told that it may have run.
-func TestCallThatFindsOutThatAnUpstreamHasEndedIsNotLost(t *testing.T) {
+// TestCallDeclinedByReplacementIsRetried guards against a call whose own answer, a promise
+// by another upstream at the address that it has not run, ends the attempt before that
+// answer is evaluated: its caller would be told that it may have run.
+func TestCallDeclinedByReplacementIsRetried(t *testing.T) {
 	other := func(context.Context, Attempt) (*Answer, error) {
 		return nil, &Failure{End: retry.Declined, WrongUpstream: true, Err: merry.New("scripted")}
 	}
 	f := newFixture(t, other, answer(200, firstEvents))
-	f.live("e1")
+	f.listEngines("e1")
 	f.sharedAddress("earlier", "later")
 	f.relay.opts.OnIdentified = func(u fleet.Upstream, _ bool) { f.relay.UpstreamReplaced(u, fleet.Upstream{ID: "earlier"}) }
 	f.planner.plans = []booking.Plan{onEngine("later"), onEngine("e1")}
-	if refusal := f.relay.Run(t.Context(), streamRequest(false), &record{}); refusal != nil {
+	if refusal := f.relay.Run(t.Context(), streamRequest(false), &recordingSink{}); refusal != nil {
 		t.Fatal(refusal)
 	}
 }
--- a/internal/relay/resets_test.go
+++ b/internal/relay/resets_test.go
@@ -20,16 +20,17 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/route"
 )
 
-// The load of these tests: connections between daemons and upstreams are reset at any
-// moment of a call, as often as it is sent. Each attempt is drawn to end before its first
-// byte, by a promise, after it was sent, inside the answer, by a failure of the upstream, or
-// whole. There are more draws than any request may be sent, so that each bound is reached.
-
-// resetEvents is the number of events of a whole stream: enough for a reset before, between,
-// inside and after them.
+// In these tests, connections between daemons and upstreams are reset at any moment of a
+// call, as often as it is sent. The end of each attempt is drawn: before its first byte,
+// declined, after it was sent, inside the answer, with an error answer of the upstream, or
+// complete. There are more draws than any request may be sent, so that each bound is
+// reached.
+
+// resetEvents is the number of events of a complete stream: enough for a reset before,
+// between, inside and after them.
 const resetEvents = 4
 
-// resets answers attempts as drawn, and keeps what arrived.
+// resets answers attempts as drawn, and counts those that may have run.
 type resets struct {
 	rng    *rand.Rand
 	stream bool
@@ -64,7 +65,7 @@
 	return answerFrom(200, strings.NewReader(s.whole(a)))(ctx, a)
 }
 
-// whole is the rest of the answer after what the caller has.
+// whole returns the rest of the answer after what the caller has.
 func (s *resets) whole(a Attempt) string {
 	if !s.stream {
 		return "whole"
@@ -73,7 +74,7 @@
 	return streamEvents(after, resetEvents)
 }
 
-// cut is a part of an answer, inside an event or between two.
+// cut returns a body that breaks off inside an event or between two.
 func (s *resets) cut(a Attempt) io.Reader {
 	whole := s.whole(a)
 	return brokenBody(whole[:s.rng.IntN(len(whole)+1)])
@@ -92,8 +93,8 @@
 	return r
 }
 
-// drawPlans returns plans for the attempts in turn: most have an engine, some find that it
-// is too late by then.
+// drawPlans returns plans for the attempts in turn: most have an engine, some have the
+// verdict too late.
 func drawPlans(rng *rand.Rand) []booking.Plan {
 	plans := make([]booking.Plan, 1+rng.IntN(4))
 	for i := range plans {
@@ -106,23 +107,23 @@
 }
 
 // playResets runs one request under drawn resets.
-func playResets(t *testing.T, seed uint64) (*fixture, *resets, *Request, *record, *request.Refusal) {
+func playResets(t *testing.T, seed uint64) (*fixture, *resets, *Request, *recordingSink, *request.Refusal) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
 	r := resetRequest(rng)
 	s := &resets{rng: rng, stream: r.Service.Engine != nil}
 	f := newFixture(t)
-	for range mostAttempts + 1 {
+	for range maxSends + 1 {
 		f.script.steps = append(f.script.steps, s.step)
 	}
-	f.live("e1", "e2")
+	f.listEngines("e1", "e2")
 	f.planner.plans = drawPlans(rng)
-	sink := &record{}
+	sink := &recordingSink{}
 	return f, s, r, sink, f.relay.Run(t.Context(), r, sink)
 }
 
-// checkResets returns what is wrong with how a request ended, nil when nothing is.
-func checkResets(f *fixture, s *resets, r *Request, sink *record, refusal *request.Refusal) error {
+// checkResets returns an error if a request's end violates a guarantee of the relay.
+func checkResets(f *fixture, s *resets, r *Request, sink *recordingSink, refusal *request.Refusal) error {
 	whole := s.whole(Attempt{})
 	got := sink.body.String()
 	most := r.Route.MaxAttempts
@@ -137,15 +138,15 @@
 	case len(f.planner.open) > 0:
 		return fmt.Errorf("still in the book: %v", f.planner.open)
 	case refusal == nil && sink.status == 200 && got != whole:
-		return fmt.Errorf("told as whole: %q", got)
+		return fmt.Errorf("reported as complete: %q", got)
 	case refusal == nil && sink.status == 500 && got != "sorry":
-		return fmt.Errorf("told as the upstream's failure: %q", got)
+		return fmt.Errorf("passed on as the upstream's error: %q", got)
 	case refusal != nil && refusal.Outcome == request.NotRun && s.mayRun > 0:
-		return fmt.Errorf("told as not run after %d attempts that may have: %v", s.mayRun, refusal)
+		return fmt.Errorf("reported as not run after %d attempts that may have run: %v", s.mayRun, refusal)
 	case refusal != nil && refusal.Outcome == request.NotRun && refusal.RetryAfter <= 0:
-		return fmt.Errorf("not told when to come back: %v", refusal)
+		return fmt.Errorf("refused without a retry time: %v", refusal)
 	case refusal != nil && refusal.Outcome != request.NotRun && s.mayRun == 0:
-		return fmt.Errorf("told as perhaps run, but nothing arrived: %v", refusal)
+		return fmt.Errorf("reported as perhaps run, but nothing arrived: %v", refusal)
 	case refusal != nil && !strings.HasPrefix(whole, got):
 		return fmt.Errorf("cut short after %q", got)
 	case refusal != nil && s.stream && strings.HasSuffix(got, "\n") && !strings.HasSuffix(got, "\n\n"):
@@ -154,7 +155,7 @@
 	return nil
 }
 
-func TestResetsAtAnyMomentBreakNoPromise(t *testing.T) {
+func TestResetsAtAnyMomentKeepGuarantees(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(31)
 	params.MinSuccessfulTests = 3000
 	props := gopter.NewProperties(params)
@@ -166,9 +167,9 @@
 	props.TestingRun(t)
 }
 
-// TestStreamOutlivesResets: a stream that may be resumed is whole for its caller whatever
-// was reset before the last run that it may have.
-func TestStreamOutlivesResets(t *testing.T) {
+// TestResumableStreamSurvivesResets checks that a resumable stream is complete for its
+// caller whatever was reset before the last run allowed.
+func TestResumableStreamSurvivesResets(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 8))
 		r := streamRequest(true)
@@ -183,17 +184,18 @@
 		f.script.steps = append(f.script.steps, func(ctx context.Context, a Attempt) (*Answer, error) {
 			return answerFrom(200, strings.NewReader(s.whole(a)))(ctx, a)
 		})
-		f.live("e1", "e2")
+		f.listEngines("e1", "e2")
 		f.planner.plans = []booking.Plan{onEngine("e1"), onEngine("e2")}
-		sink := &record{}
+		sink := &recordingSink{}
 		if refusal := f.relay.Run(t.Context(), r, sink); refusal != nil || sink.body.String() != streamEvents(0, resetEvents) {
 			t.Fatalf("seed %d, %d attempts: %v, the caller got %q", seed, r.Route.MaxAttempts, refusal, sink.body.String())
 		}
 	}
 }
 
-// TestResetOfAllAtOnceKeepsToTheBudget: all connections of a daemon are reset at once, and
-// again those of the repeats. What it repeats stays within its part of the site's budget.
+// TestResetOfAllAtOnceKeepsToTheBudget covers a reset of all connections of a daemon at
+// once, and again of those of the repeats: its repeats stay within its share of the site's
+// budget.
 func TestResetOfAllAtOnceKeepsToTheBudget(t *testing.T) {
 	const (
 		requests = 400
@@ -205,11 +207,11 @@
 	f.relay.opts.Budget = func() BudgetOptions {
 		return BudgetOptions{Ratio: ratio, Window: 10 * time.Second, Slack: slack, Hosts: hosts}
 	}
-	for range requests * mostAttempts {
+	for range requests * maxSends {
 		f.script.steps = append(f.script.steps, fail(retry.Broken))
 	}
 	for range requests {
-		refusal := f.relay.Run(t.Context(), plainRequest(route.Idempotent, time.Minute), &record{})
+		refusal := f.relay.Run(t.Context(), plainRequest(route.Idempotent, time.Minute), &recordingSink{})
 		if refusal == nil || refusal.Outcome == request.NotRun {
 			t.Fatalf("got %v, want an outcome that admits a run", refusal)
 		}
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -17,47 +17,47 @@
 	"github.com/buckthorndock/buckthorndock/internal/suspects"
 )
 
-// run is one request on its way through its attempts. One goroutine owns it.
+// run is the state of one request through its attempts. It is owned by one goroutine.
 type run struct {
 	relay *Relay
 	req   *Request
 	sink  Sink
 
-	attempt int
-	paid    bool     // a move has taken the next repeat from the budget; guarded by the attempt's silence
-	runs    int      // attempts that may have run
-	wrote   bool     // some attempt may have run
-	exclude []string // upstreams that were tried
-	missed  []string // failure domains in which no connection could be made
-	sent    []string // of the last attempt, for the log
-
-	trial *suspects.Trial // under which it is sent next; nil: none is needed
-
-	after   string // id of the last event passed on
-	started bool   // the head has been passed on
-	first   time.Time
-	asked   int    // plans asked for, those that told it to wait among them
-	plan    string // how the last attempt was placed, for the log
-	planned booking.Plan
-	latest  time.Time     // of the last event passed on
-	pause   time.Duration // the longest between two events
+	attempt          int
+	repeatTaken      bool     // a move has taken the next repeat from the budget; guarded by the mutex of the attempt's silenceTimer
+	runs             int      // attempts that may have run
+	mayHaveRun       bool     // any attempt may have run
+	exclude          []string // IDs of upstreams that were tried
+	unreachedDomains []string // failure domains in which a connection could not be made
+	sentTo           []string // IDs of the upstreams of the last attempt, for the log
+
+	trial *suspects.Trial // under which it is sent next; nil if none is needed
+
+	lastEvent   string    // ID of the last event passed on
+	headSent    bool      // the head of the answer has been passed on
+	firstAt     time.Time // when the first part of an answer arrived
+	plansAsked  int       // plans requested, including those with the verdict to wait
+	verdict     string    // verdict and reason of the last plan, for the log
+	lastPlan    booking.Plan
+	lastEventAt time.Time     // when the last event passed on arrived
+	longestGap  time.Duration // between two events
 }
 
-// ending is how an attempt ended.
-type ending struct {
-	delivered bool
-	gone      bool // the caller has left
-	refusal   *request.Refusal
-	end       retry.End // unless one of the others is set
-	blamed    []string  // IDs of the upstreams at fault
-	at        string    // address of another upstream that is at fault
-	unreached bool      // no connection to it could be made
-	err       error
-	kept      *kept // the upstream's own failure, whole
+// attemptResult is how an attempt ended.
+type attemptResult struct {
+	delivered     bool
+	callerGone    bool
+	refusal       *request.Refusal
+	end           retry.End // unless one of the fields above is set
+	blamed        []string  // IDs of the upstreams at fault
+	faultyAddress string    // of another upstream that is at fault
+	unreached     bool      // no connection could be made
+	err           error
+	heldAnswer    *heldAnswer // the upstream's own error answer, complete
 }
 
-// kept is a whole answer that is held back while another attempt may do better.
-type kept struct {
+// heldAnswer is a complete answer that is held back while another attempt may do better.
+type heldAnswer struct {
 	head Head
 	body []byte
 }
@@ -65,6 +65,8 @@
 // errSilent cancels an attempt whose upstream has been silent for too long.
 var errSilent = merry.Sentinel("the upstream is silent")
 
+// loop makes attempts until one is delivered, the request is refused, or no repeat is
+// allowed.
 func (g *run) loop(ctx context.Context) *request.Refusal {
 	defer func() { g.trial.End(quarantine.TrialNotSent) }()
 	for {
@@ -73,25 +75,25 @@
 		switch {
 		case e.delivered:
 			return nil
-		case e.gone:
-			return g.goneRefusal()
+		case e.callerGone:
+			return g.callerGoneRefusal()
 		case e.refusal != nil:
-			return g.honest(e.refusal)
+			return g.correctOutcome(e.refusal)
 		}
 		refusal, again := g.next(ctx, e)
 		if again {
 			continue
 		}
-		if e.kept != nil && !g.started {
-			return g.passKept(e.kept)
+		if e.heldAnswer != nil && !g.headSent {
+			return g.passHeldAnswer(e.heldAnswer)
 		}
 		return refusal
 	}
 }
 
-func (g *run) try(ctx context.Context) ending {
-	if refusal := g.underTrial(ctx); refusal != nil {
-		return ending{refusal: refusal}
+func (g *run) try(ctx context.Context) attemptResult {
+	if refusal := g.admitTrial(ctx); refusal != nil {
+		return attemptResult{refusal: refusal}
 	}
 	if g.req.Service.Engine != nil {
 		return g.tryEngine(ctx)
@@ -100,45 +102,46 @@
 }
 
 // next decides what follows a failed attempt.
-func (g *run) next(ctx context.Context, e ending) (refusal *request.Refusal, again bool) {
-	earlier := g.wrote
+func (g *run) next(ctx context.Context, e attemptResult) (refusal *request.Refusal, again bool) {
+	earlier := g.mayHaveRun
 	if e.end.MayHaveRun() {
 		g.runs++
-		g.wrote = true
+		g.mayHaveRun = true
 	}
 	if ctx.Err() != nil {
-		return g.honest(g.ended(ctx)), false
+		return g.correctOutcome(g.contextRefusal(ctx)), false
 	}
-	decision := g.relay.next(g.req.Service.Name, retry.Attempt{
+	decision := g.relay.retryDecision(g.req.Service.Name, retry.Attempt{
 		Number:         g.attempt,
 		End:            e.end,
 		EarlierWritten: earlier,
 		Runs:           g.runs,
 		MaxRuns:        g.req.Route.MaxAttempts,
-		BudgetTaken:    g.paid,
-	}, g.coreRequest())
-	g.paid = false
+		BudgetTaken:    g.repeatTaken,
+	}, g.retryRequest())
+	g.repeatTaken = false
 	g.logAttempt(e, decision)
 	g.exclude = append(g.exclude, e.blamed...)
 	if e.unreached {
-		g.miss(e.blamed[0])
+		g.noteUnreached(e.blamed[0])
 	}
 	return decision.Refusal, decision.Action == retry.RetryElsewhere
 }
 
-// coreRequest shows the request to the retry policy. What has been passed on of a
-// plain answer cannot be taken back, so it may not be repeated.
-func (g *run) coreRequest() *request.Request {
+// retryRequest describes the request to the retry policy. The part of a plain answer that
+// has been passed on cannot be taken back, so that request must not be repeated.
+func (g *run) retryRequest() *request.Request {
 	repeatable := g.req.Route.Repeatable()
-	if g.started && g.req.Route.Kind != route.Stream {
+	if g.headSent && g.req.Route.Kind != route.Stream {
 		repeatable = false
 	}
 	return &request.Request{ID: g.req.ID, Repeatable: repeatable, Arrived: g.req.Arrived, Deadline: g.req.Deadline}
 }
 
-// honest corrects a refusal's outcome: what an earlier attempt sent may have run.
-func (g *run) honest(r *request.Refusal) *request.Refusal {
-	if !g.wrote || r.Outcome != request.NotRun {
+// correctOutcome replaces the outcome "not run" of a refusal if an earlier attempt may have
+// run.
+func (g *run) correctOutcome(r *request.Refusal) *request.Refusal {
+	if !g.mayHaveRun || r.Outcome != request.NotRun {
 		return r
 	}
 	changed := *r
@@ -149,67 +152,67 @@
 	return &changed
 }
 
-func (g *run) goneRefusal() *request.Refusal {
+func (g *run) callerGoneRefusal() *request.Refusal {
 	return &request.Refusal{Outcome: request.Failed, Code: request.CodeCallerGone, Message: "the caller has gone"}
 }
 
-// ended says why the context has ended.
-func (g *run) ended(ctx context.Context) *request.Refusal {
+// contextRefusal returns the refusal for a context that has ended.
+func (g *run) contextRefusal(ctx context.Context) *request.Refusal {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return request.Refuse(request.CodeDeadline, retryAfterFailure, "no answer within the deadline")
 	}
-	return g.goneRefusal()
+	return g.callerGoneRefusal()
 }
 
-// passKept passes an upstream's own failure on.
-func (g *run) passKept(k *kept) *request.Refusal {
+// passHeldAnswer passes on an upstream's own error answer.
+func (g *run) passHeldAnswer(k *heldAnswer) *request.Refusal {
 	k.head.Length = int64(len(k.body))
 	if err := g.sink.Head(k.head); err != nil {
-		return g.goneRefusal()
+		return g.callerGoneRefusal()
 	}
 	if err := g.sink.Body(k.body, true); err != nil {
-		return g.goneRefusal()
+		return g.callerGoneRefusal()
 	}
 	return nil
 }
 
-// left returns the time until the deadline.
-func (g *run) left() time.Duration { return time.Until(g.req.Deadline) }
+// timeLeft returns the time until the deadline.
+func (g *run) timeLeft() time.Duration { return time.Until(g.req.Deadline) }
 
-// avoid returns the upstreams that are taken only when no other is left: those that
-// failed lately, and those of domains in which this request has missed one: when the way
-// there is cut, it is cut to all.
-func (g *run) avoid() []string {
+// toAvoid returns the IDs of the upstreams that are used only as a last resort: those that
+// the relay avoids, and those in failure domains in which this request could not connect. A
+// network cut affects all upstreams of a domain.
+func (g *run) toAvoid() []string {
 	ids := g.relay.avoided()
-	if len(g.missed) == 0 {
+	if len(g.unreachedDomains) == 0 {
 		return ids
 	}
 	for _, u := range g.relay.opts.Upstreams().Upstreams {
-		if slices.Contains(g.missed, u.Domain) {
+		if slices.Contains(g.unreachedDomains, u.Domain) {
 			ids = append(ids, u.ID)
 		}
 	}
 	return ids
 }
 
-// miss notes that no connection to an upstream could be made.
-func (g *run) miss(id string) {
+// noteUnreached records that no connection to an upstream could be made.
+func (g *run) noteUnreached(id string) {
 	if u, known := g.relay.opts.Upstreams().Get(id); known {
-		g.missed = append(g.missed, u.Domain)
+		g.unreachedDomains = append(g.unreachedDomains, u.Domain)
 		g.relay.SuspectDomain(u.Domain)
 	}
 }
 
-func (g *run) logAttempt(e ending, d retry.Decision) {
+func (g *run) logAttempt(e attemptResult, d retry.Decision) {
 	entry := g.relay.log.WithFields(logrus.Fields{
 		"request":   g.req.ID,
 		"attempt":   g.attempt,
-		"upstreams": g.sent,
+		"upstreams": g.sentTo,
 		"blamed":    e.blamed,
 		"end":       e.end.String(),
 		"action":    d.Action.String(),
-		"after":     g.after,
-		"left_ms":   g.left().Milliseconds(),
+		"after":     g.lastEvent,
+		"left_ms":   g.timeLeft().Milliseconds(),
 	})
 	if e.err != nil {
 		entry = entry.WithError(e.err)
@@ -227,28 +230,28 @@
 		"version":  g.req.Version,
 		"prompt":   g.req.PromptTokens,
 		"attempts": g.attempt,
-		"sent":     g.sent,
-		"plan":     g.plan,
+		"sent":     g.sentTo,
+		"plan":     g.verdict,
 		"took_ms":  now.Sub(g.req.Arrived).Milliseconds(),
 		"outcome":  string(request.Complete),
 	}
-	if !g.first.IsZero() {
-		fields["first_ms"] = g.first.Sub(g.req.Arrived).Milliseconds()
-		fields["pause_ms"] = g.pause.Milliseconds()
+	if !g.firstAt.IsZero() {
+		fields["first_ms"] = g.firstAt.Sub(g.req.Arrived).Milliseconds()
+		fields["pause_ms"] = g.longestGap.Milliseconds()
 	}
-	if g.asked > 0 { // also where it was refused: these are the reasons
-		fields["asked"] = g.asked
-		fields["engines"] = g.planned.Engines
-		fields["expected_ms"] = g.planned.First.Milliseconds()
-		fields["waited_ms"] = g.planned.Wait.Milliseconds()
-		fields["backlog_ms"] = g.planned.Backlog.Milliseconds()
+	if g.plansAsked > 0 { // also for refused requests: these are the reasons
+		fields["asked"] = g.plansAsked
+		fields["engines"] = g.lastPlan.Engines
+		fields["expected_ms"] = g.lastPlan.First.Milliseconds()
+		fields["waited_ms"] = g.lastPlan.Wait.Milliseconds()
+		fields["backlog_ms"] = g.lastPlan.Backlog.Milliseconds()
 	}
 	if refusal != nil {
 		fields["outcome"] = string(refusal.Outcome)
 		fields["code"] = string(refusal.Code)
 		fields["why"] = refusal.Message
-		fields["cut"] = g.started
+		fields["cut"] = g.headSent
 	}
 	g.relay.log.WithFields(fields).Info("request_ended")
-	observe(g.req, g.first, now, refusal)
+	observe(g.req, g.firstAt, now, refusal)
 }
--- a/internal/relay/running.go
+++ b/internal/relay/running.go
@@ -12,70 +12,70 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/fleet"
 )
 
-// errLifeOver ends an attempt whose upstream has started anew, or whose address another
-// one has: no answer will come. Connections of one that went dark would tell it only when
-// they time out, 2 s later.
-var errLifeOver = merry.Sentinel("the upstream that ran it has ended")
+// errUpstreamEnded ends an attempt whose upstream has restarted, or whose address now
+// belongs to another upstream: no answer will come. The connections to a host that lost
+// power would show this only when they time out, 2 s later.
+var errUpstreamEnded = merry.Sentinel("the upstream that ran it has ended")
 
-// running has the attempts under way. The zero value is ready for use, by many
-// goroutines.
-type running struct {
-	mu  sync.Mutex
-	all map[*attempt]bool
+// runningAttempts is the set of attempts in progress. The zero value is ready for use. It is
+// safe for concurrent use.
+type runningAttempts struct {
+	mu       sync.Mutex
+	attempts map[*attempt]bool
 }
 
-// add notes an attempt; the function that it returns forgets it.
-func (r *running) add(a *attempt) (remove func()) {
+// add adds an attempt and returns the function that removes it.
+func (r *runningAttempts) add(a *attempt) (remove func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.all == nil {
-		r.all = map[*attempt]bool{}
+	if r.attempts == nil {
+		r.attempts = map[*attempt]bool{}
 	}
-	r.all[a] = true
+	r.attempts[a] = true
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.all, a)
+		delete(r.attempts, a)
 	}
 }
 
-// none reports whether no attempt is under way.
-func (r *running) none() bool {
+// empty reports whether no attempt is in progress.
+func (r *runningAttempts) empty() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.all) == 0
+	return len(r.attempts) == 0
 }
 
-// of returns the attempts for which ok holds.
-func (r *running) of(ok func(*attempt) bool) []*attempt {
+// filter returns the attempts for which ok returns true.
+func (r *runningAttempts) filter(ok func(*attempt) bool) []*attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var some []*attempt
-	for a := range r.all {
+	var matching []*attempt
+	for a := range r.attempts {
 		if ok(a) {
-			some = append(some, a)
+			matching = append(matching, a)
 		}
 	}
-	return some
+	return matching
 }
 
-// writing returns the failure domains from which answers come.
-func (r *running) writing() []string {
+// streamingDomains returns the failure domains of the upstreams that are sending a stream.
+func (r *runningAttempts) streamingDomains() []string {
 	var domains []string
-	for _, a := range r.of(func(a *attempt) bool { return a.begun.Load() }) {
-		if !slices.Contains(domains, a.to.Domain) {
-			domains = append(domains, a.to.Domain)
+	for _, a := range r.filter(func(a *attempt) bool { return a.streaming.Load() }) {
+		if !slices.Contains(domains, a.upstream.Domain) {
+			domains = append(domains, a.upstream.Domain)
 		}
 	}
 	return domains
 }
 
-// UpstreamReplaced tells that the life of an upstream is over, as its successor shows: what runs
-// there is broken.
+// UpstreamReplaced records that the incarnation of an upstream has ended, because its
+// successor is listed. Attempts that run there are cancelled.
 func (r *Relay) UpstreamReplaced(u, successor fleet.Upstream) {
-	broken := r.running.of(func(a *attempt) bool { return a.to.ID == u.ID })
+	broken := r.running.filter(func(a *attempt) bool { return a.upstream.ID == u.ID })
 	for _, a := range broken {
-		a.cancel(errLifeOver)
+		a.cancel(errUpstreamEnded)
 	}
 	r.UpstreamDelisted(u)
 	r.log.WithFields(logrus.Fields{
@@ -83,13 +83,14 @@
 	}).Info("upstream_ended")
 }
 
-// UpstreamDelisted tells that an upstream is not listed any more.
+// UpstreamDelisted records that an upstream is no longer listed.
 func (r *Relay) UpstreamDelisted(u fleet.Upstream) {
 	r.opts.Suspects.EngineDelisted(u.ID, u.ID, time.Now())
 }
 
-// over reports whether the life of a part's engine is known to have ended.
-func (r *Relay) over(p booking.Part) bool {
+// incarnationEnded reports whether the incarnation of a part's engine is known to have
+// ended.
+func (r *Relay) incarnationEnded(p booking.Part) bool {
 	of := fleet.Upstream{ID: p.Upstream, Incarnation: p.Life, Address: p.Address}
 	_, over := r.opts.Upstreams().Successor(of)
 	return over
--- a/internal/relay/silence.go
+++ b/internal/relay/silence.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// silence cancels an attempt whose upstream says nothing for too long, as long as
-// the request may still be moved: a silent upstream is no reason to end an answer
-// that no other can give.
-type silence struct {
+// silenceTimer cancels an attempt whose upstream has sent nothing for too long, if the
+// request may still be moved: silence alone is no reason to end an answer that no other
+// upstream can give.
+type silenceTimer struct {
 	run    *run
 	cancel context.CancelCauseFunc
 
@@ -19,22 +19,24 @@
 	stopped bool
 }
 
-func (g *run) watchSilence(limit, gap time.Duration, cancel context.CancelCauseFunc) *silence {
-	s := &silence{run: g, cancel: cancel, gap: gap}
+// newSilenceTimer starts a timer that expires after limit or, once events arrive, after gap.
+func (g *run) newSilenceTimer(limit, gap time.Duration, cancel context.CancelCauseFunc) *silenceTimer {
+	s := &silenceTimer{run: g, cancel: cancel, gap: gap}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if limit > 0 && g.req.Route.Repeatable() {
-		s.timer = time.AfterFunc(limit, s.over)
+		s.timer = time.AfterFunc(limit, s.expire)
 	}
 	return s
 }
 
-// movesLeft reports whether the request may run once more.
-func (g *run) movesLeft() bool {
-	return g.req.Route.Repeatable() && g.runs+1 < g.req.Route.MaxAttempts && g.attempt < mostAttempts
+// mayMove reports whether the request may be run once more.
+func (g *run) mayMove() bool {
+	return g.req.Route.Repeatable() && g.runs+1 < g.req.Route.MaxAttempts && g.attempt < maxSends
 }
 
-func (s *silence) over() {
+// expire moves the attempt or, if that is not allowed now, waits for another gap.
+func (s *silenceTimer) expire() {
 	if s.move(errSilent) {
 		return
 	}
@@ -45,23 +47,24 @@
 	}
 }
 
-// move cancels the attempt if the request may be moved. It returns false when it may not.
+// move cancels the attempt if the request may be moved. It returns false if it may not.
 //
-// The repeat is taken from the budget before: several attempts may be moved at once, and one
-// that is cancelled for a repeat which another took would be lost.
-func (s *silence) move(why error) bool {
+// The repeat is taken from the budget before the attempt is cancelled: several attempts may
+// be moved at the same time, and a request cancelled for a repeat that another one took
+// would be lost.
+func (s *silenceTimer) move(why error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stopped || s.run.paid || !s.run.movesLeft() || !s.run.relay.takeRepeat(s.run.req.Service.Name, why) {
+	if s.stopped || s.run.repeatTaken || !s.run.mayMove() || !s.run.relay.takeRepeat(s.run.req.Service.Name, why) {
 		return false
 	}
-	s.run.paid = true
+	s.run.repeatTaken = true
 	s.cancel(why)
 	return true
 }
 
-// heard notes an event.
-func (s *silence) heard() {
+// reset restarts the timer after an event.
+func (s *silenceTimer) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.timer != nil && !s.stopped {
@@ -69,7 +72,7 @@
 	}
 }
 
-func (s *silence) stop() {
+func (s *silenceTimer) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopped = true
--- a/internal/relay/suspect.go
+++ b/internal/relay/suspect.go
@@ -13,49 +13,50 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/retry"
 )
 
-var errApart = merry.Sentinel("one of the requests that may have crashed an upstream runs there")
+var errSuspectConflict = merry.Sentinel("another suspect request is running on the upstream")
 
-// apart ends an attempt before it is sent: suspects run apart from each other, so the
-// next upstream is tried.
-func apart(from fleet.Upstream) ending {
-	return ending{end: retry.NotWritten, blamed: []string{from.ID}, err: errApart}
+// suspectConflict ends an attempt before it is sent: suspect requests must not run on the
+// same upstream, so another upstream is tried.
+func suspectConflict(from fleet.Upstream) attemptResult {
+	return attemptResult{end: retry.NotWritten, blamed: []string{from.ID}, err: errSuspectConflict}
 }
 
-// underTrial makes sure that the request may be placed, under a trial if it needs one.
-func (g *run) underTrial(ctx context.Context) *request.Refusal {
-	trial, refusal := g.relay.opts.Suspects.Admit(ctx, g.req.Fingerprint, g.trial, g.left())
+// admitTrial checks that the request may be placed, under a trial if it needs one.
+func (g *run) admitTrial(ctx context.Context) *request.Refusal {
+	trial, refusal := g.relay.opts.Suspects.Admit(ctx, g.req.Fingerprint, g.trial, g.timeLeft())
 	g.trial = trial
 	return refusal
 }
 
-// start notes that the attempt begins on an upstream; false: it must not now.
-func (g *run) start(u fleet.Upstream) (quarantine.Run, bool) {
+// noteStart records that the attempt starts on an upstream. It returns false if it must not
+// start there now.
+func (g *run) noteStart(u fleet.Upstream) (quarantine.Run, bool) {
 	return g.relay.opts.Suspects.TryStart(u.ID, g.req.Fingerprint, g.trial, time.Now())
 }
 
-// finish notes how the attempt on an upstream ended. One that broke while its process
-// died is evidence against all that ran there.
-func (g *run) finish(ctx context.Context, u fleet.Upstream, r quarantine.Run, e ending) {
+// noteEnd records how the attempt on an upstream ended. An attempt that broke off because
+// the upstream's process died is evidence against all requests that ran there.
+func (g *run) noteEnd(ctx context.Context, u fleet.Upstream, r quarantine.Run, e attemptResult) {
 	suspects := g.relay.opts.Suspects
 	defer g.trial.End(trialOutcome(e))
-	if e.end != retry.Broken || e.delivered || e.gone {
+	if e.end != retry.Broken || e.delivered || e.callerGone {
 		suspects.End(r, e.delivered)
 		return
 	}
-	if errors.Is(e.err, errLifeOver) || g.relay.showsDead(ctx, u, reachWait) {
+	if errors.Is(e.err, errUpstreamEnded) || g.relay.isDead(ctx, u, deathCheckTimeout) {
 		suspects.EngineDied(u.ID, u.ID, time.Now())
 	} else {
 		suspects.EndBroken(r, time.Now())
-		g.relay.lookAgain(u)
+		g.relay.recheckDeath(u)
 	}
 	suspects.End(r, false)
 }
 
-func trialOutcome(e ending) quarantine.TrialOutcome {
+func trialOutcome(e attemptResult) quarantine.TrialOutcome {
 	switch {
 	case e.delivered:
 		return quarantine.TrialCompleted
-	case e.gone:
+	case e.callerGone:
 		return quarantine.TrialRan
 	case e.end == retry.NotWritten:
 		return quarantine.TrialNotSent
--- a/internal/relay/suspect_test.go
+++ b/internal/relay/suspect_test.go
@@ -16,7 +16,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/suspects"
 )
 
-// deathsOf returns how many deaths a fixture's relay knows of.
+// deathsOf returns the number of deaths that a fixture's relay has recorded.
 func deathsOf(t *testing.T, f *fixture) int {
 	t.Helper()
 	data, _, err := f.relay.opts.Suspects.(*suspects.Tracker).Digest(time.Now())
@@ -30,9 +30,10 @@
 	return len(d.Records)
 }
 
-// TestDeathIsKnownThoughTheFirstLookTellsNothing guards against evidence that is lost where a
-// machine is too slow for its look at a dead upstream, or so soon that its listener is still there.
-func TestDeathIsKnownThoughTheFirstLookTellsNothing(t *testing.T) {
+// TestDeathIsDetectedByLaterCheck guards against lost evidence where the first check of a
+// dead upstream times out on a slow machine, or comes so early that its listener still
+// exists.
+func TestDeathIsDetectedByLaterCheck(t *testing.T) {
 	t.Run("slow", func(t *testing.T) { testSecondLook(t, context.DeadlineExceeded) })
 	t.Run("still listens", func(t *testing.T) { testSecondLook(t, nil) })
 }
@@ -43,7 +44,7 @@
 			return nil, &Failure{End: retry.Broken, Err: syscall.ECONNRESET}
 		}
 		f := newFixture(t, crash, crash)
-		f.live("e1", "e2")
+		f.listEngines("e1", "e2")
 		f.planner.plans = []booking.Plan{onEngine("e1"), onEngine("e2")}
 		f.dead["e1:1"] = true
 		reach, looks := f.relay.opts.Probe, 0
@@ -55,7 +56,7 @@
 		}
 		req := streamRequest(true)
 		req.Fingerprint = 81
-		f.relay.Run(t.Context(), req, &record{})
+		f.relay.Run(t.Context(), req, &recordingSink{})
 		time.Sleep(time.Second)
 		if got := deathsOf(t, f); got != 1 {
 			t.Errorf("%d deaths are known", got)
@@ -63,28 +64,28 @@
 	})
 }
 
-// TestDeathIsKnownWhereNoNeighbourTellsItFromACut guards against a request that ends one server
-// after the other without any evidence: where each is alone in its failure domain, where its
-// neighbours have ended as well, and where only the list tells it later.
-func TestDeathIsKnownWhereNoNeighbourTellsItFromACut(t *testing.T) {
+// TestDeathIsDetectedWithoutHealthyNeighbour guards against a request that kills one server
+// after the other without evidence: where each is alone in its failure domain, where its
+// neighbours have died as well, and where only the list shows it later.
+func TestDeathIsDetectedWithoutHealthyNeighbour(t *testing.T) {
 	crash := func(context.Context, Attempt) (*Answer, error) {
 		return nil, &Failure{End: retry.Broken, Err: syscall.ECONNRESET}
 	}
 	for _, c := range []struct {
 		name    string
-		listed  []string // of the domain; all refuse
+		listed  []string // upstreams of the domain; all refuse connections
 		daemons []string // of the domain
-		refuse  bool     // the daemons too
+		refuse  bool     // the daemons refuse connections too
 		before  int      // deaths known at once
-		after   int      // when the server is not listed any more
+		after   int      // deaths known when the server is no longer listed
 	}{
 		{"alone", []string{"e1"}, nil, false, 1, 1},
-		{"neighbours ended too, a daemon is reached", []string{"e1", "e2"}, []string{"d1:1"}, false, 1, 1},
+		{"neighbours died too, a daemon answers", []string{"e1", "e2"}, []string{"d1:1"}, false, 1, 1},
 		{"all refuse", []string{"e1", "e2"}, []string{"d1:1"}, true, 0, 1},
 		{"all refuse, no daemon", []string{"e1", "e2"}, nil, false, 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := newFixture(t, crash, crash) // the second at one that still listens
+			f := newFixture(t, crash, crash) // the second upstream still listens
 			f.relay.opts.DaemonAddresses = func(string) []string { return c.daemons }
 			var list []fleet.Change
 			for _, name := range c.listed {
@@ -100,7 +101,7 @@
 			req := streamRequest(true)
 			req.Fingerprint = 80
 			gone, _ := f.relay.opts.Upstreams().Get("e1")
-			f.relay.Run(t.Context(), req, &record{})
+			f.relay.Run(t.Context(), req, &recordingSink{})
 			if got := deathsOf(t, f); got != c.before {
 				t.Errorf("%d deaths are known at once", got)
 			}
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -16,37 +16,38 @@
 	"github.com/buckthorndock/buckthorndock/internal/suspects"
 )
 
-// Request is a request as its entry binding has read it. It is immutable.
+// Request is an admitted request. It is immutable once it is served.
 type Request struct {
 	ID       string
-	Customer string // empty for an anonymous one
+	Customer string // empty for an anonymous request
 	Route    *route.Route
 	Service  *route.Service
-	Version  int64 // of the table that gave route and service
+	Version  int64 // of the routing table that Route and Service come from
 	Priority int   // 0 is the most urgent
 
 	Method string
 	URI    string // path and query as the caller sent them
 	Host   string
-	Header http.Header // those that are meant for the upstream
+	Header http.Header // headers to forward to the upstream
 	Body   []byte
 
-	PromptTokens int    // tokens; zero on plain services
-	MaxTokens    int    // tokens at the most
-	LastEvent    string // the caller has all events up to this id
+	PromptTokens int    // length of the prompt in tokens; zero for plain services
+	MaxTokens    int    // limit on the answer in tokens
+	LastEvent    string // ID of the last event that the caller has received
 
-	Fingerprint uint64 // of customer, path and body
+	Fingerprint uint64 // identifies the work; see fingerprint
 	Arrived     time.Time
-	Deadline    time.Time // earlier of the caller's and the route's
+	Deadline    time.Time // the earlier of the caller's and the route's
 }
 
-// leavingObjectives is how many objectives the first event of a stream is given where its
-// end is foreseen: late ones come within that in all but a few cases.
-const leavingObjectives = 2
+// firstEventObjectives is the time assumed until a stream's first event when its end is
+// estimated, in objectives of the route. All but a few late events come within it.
+const firstEventObjectives = 2
 
-// endsBy returns when the request will have ended: at its deadline, or, for a stream whose
-// answer takes less, when that is written at an engine whose slots are all taken.
-func (r *Request) endsBy() time.Time {
+// expectedEnd returns a conservative estimate of when the request will have ended: its
+// deadline or, for a stream, the time at which an engine whose slots are all in use has
+// decoded the answer, if that is earlier.
+func (r *Request) expectedEnd() time.Time {
 	e := r.Service.Engine
 	if e == nil {
 		return r.Deadline
@@ -56,71 +57,74 @@
 		answer = e.UsualAnswer
 	}
 	context := int64(e.Slots) * int64(e.UsualPrompt+e.UsualAnswer)
-	takes := leavingObjectives*r.Route.Objective + e.DecodeTime(answer, e.Slots, context+int64(r.PromptTokens))
+	takes := firstEventObjectives*r.Route.Objective + e.DecodeTime(answer, e.Slots, context+int64(r.PromptTokens))
 	if end := r.Arrived.Add(takes); end.Before(r.Deadline) {
 		return end
 	}
 	return r.Deadline
 }
 
-// Head is the beginning of an upstream's answer.
+// Head is the status line and the headers of an upstream's answer.
 type Head struct {
 	Status int
-	Header http.Header // those that are meant for the caller
-	Length int64       // of the body in bytes; -1: not known before
+	Header http.Header // headers to pass on to the caller
+	Length int64       // of the body in bytes; -1 if unknown
 }
 
-// Sink passes an answer on to the caller. An error of it means that the caller has
+// Sink passes an answer on to the caller. Its methods return an error if the caller has
 // gone.
 type Sink interface {
 	Head(h Head) error
-	// Body passes bytes on; flush sends them at once.
+	// Body passes on a part of the body; flush sends it at once.
 	Body(p []byte, flush bool) error
 }
 
-// Attempt is one sending of a request to an upstream.
+// Attempt is one dispatch of a request to an upstream.
 type Attempt struct {
 	Request   *Request
 	Number    int // from 1
 	Upstream  fleet.Upstream
-	Helpers   []booking.Part // read a part of the prompt
-	Timeout   time.Duration  // the upstream may work so long
-	LastEvent string         // the caller has all events up to this id
-	// NewConnection asks for a new connection, on which nothing can be left behind.
+	Helpers   []booking.Part // engines that prefill or hold a part of the prompt
+	Timeout   time.Duration  // how long the upstream may work on it
+	LastEvent string         // ID of the last event that the caller has received
+	// NewConnection asks for a new connection, on which nothing of an earlier exchange can
+	// remain.
 	NewConnection bool
 }
 
-// Answer is an upstream's answer, its body not yet read. The body's end is io.EOF
-// only when the answer is whole.
+// Answer is an upstream's answer whose body has not been read yet. Body returns io.EOF only
+// if the answer is complete.
 type Answer struct {
 	Head
 	Body  io.Reader
-	Close func() // after the last read; frees what the answer holds
+	Close func() // to be called after the last read; releases the answer's resources
 }
 
-// Sender sends attempts to upstreams. Its errors are of type *Failure.
+// Sender sends attempts to upstreams. The errors of Send are of type *Failure.
 type Sender interface {
 	Send(ctx context.Context, a Attempt) (*Answer, error)
-	// Reserve sets a part's memory aside on its engine, or renews the lease of it.
+	// Reserve reserves the memory of a part on its engine under a lease, or renews that
+	// lease, for the given lifetime.
 	Reserve(ctx context.Context, on booking.Part, life time.Duration) error
 	Release(ctx context.Context, on booking.Part) error
-	// Report asks an engine what it holds, as of some hundred milliseconds ago.
+	// Report returns which leases an engine holds, as of a few hundred milliseconds ago.
 	Report(ctx context.Context, on booking.Part) (Report, error)
 }
 
-// Report is what an engine tells of itself.
+// Report is what an engine reports about itself.
 type Report struct {
-	Born   int64           // as in fleet.Life
-	Leases map[string]bool // the leases of its memory, by name: whether a request uses it
+	Born   int64           // start of its process, as in fleet.Incarnation
+	Leases map[string]bool // by name; the value tells whether a request uses the memory
 }
 
-// Failure is an attempt that gave no answer to pass on.
+// Failure is the error of an attempt that gave no answer to pass on.
 type Failure struct {
 	End retry.End
-	// FaultyAddress is the address of the upstream at fault where the answer names another
-	// than the one that was asked.
+	// FaultyAddress is the address of the upstream at fault, if the answer names another
+	// upstream than the one that was asked.
 	FaultyAddress string
-	// WrongUpstream says that another upstream answered at the address of the one that was asked.
+	// WrongUpstream is set if another upstream answered at the address of the one that was
+	// asked.
 	WrongUpstream bool
 	Err           error
 }
@@ -128,41 +132,45 @@
 // Error implements error.
 func (f *Failure) Error() string { return f.End.String() + ": " + f.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (f *Failure) Unwrap() error { return f.Err }
 
-// Planner books engines; see package booking.
+// Planner books engines for attempts; see package booking.
 type Planner interface {
 	Place(ctx context.Context, a booking.Request) booking.Plan
-	FirstEvent(attempt string) // its first event has come
-	End(attempt string)        // it is over
-	// Admit takes a turn at an upstream that is not booked and has named a limit, if it comes
-	// within a time, and returns the wait for it.
+	FirstEvent(attempt string) // the attempt's first event has arrived
+	End(attempt string)        // the attempt is over
+	// Admit requests a turn at an upstream that is not booked and that has reported a limit or
+	// is cold. It returns how long to wait for the turn, and whether it was granted: it is
+	// not if the wait would exceed within.
 	Admit(ctx context.Context, l notice.Limit, within time.Duration) (wait time.Duration, ok bool)
 }
 
 // Balancer chooses servers of plain services.
 type Balancer interface {
-	// Pick returns a server, and the function to call when the attempt is over.
+	// Pick returns a server, and a function to be called when the attempt is over.
 	Pick(service string, exclude []string) (u fleet.Upstream, done func(), ok bool)
 }
 
-// Suspects keeps requests away that crash the upstreams which run them; see package
+// Suspects quarantines requests that crash the upstreams which run them; see package
 // quarantine.
 type Suspects interface {
-	// Admit says whether a request may be placed now, and under which trial, if any; the one that
-	// it has is kept if it has come to nothing.
+	// Admit reports whether a request may be placed now, and under which trial, if it needs
+	// one. The trial in has is kept if nothing was sent under it yet.
 	Admit(ctx context.Context, fingerprint uint64, has *suspects.Trial, life time.Duration) (*suspects.Trial, *request.Refusal)
-	// TryStart notes that a request begins on an upstream; false: not there, not now.
+	// TryStart records that a request starts on an upstream. It returns false if it must not
+	// run there now.
 	TryStart(upstream string, fingerprint uint64, trial *suspects.Trial, now time.Time) (quarantine.Run, bool)
-	// End notes that a run is over.
+	// End records that a run is over.
 	End(run quarantine.Run, completed bool)
-	// EndBroken notes that a run is over that broke, maybe because its upstream died: Lapsed or Lives
-	// tells.
+	// EndBroken records that a run broke off, perhaps because its upstream died; a later
+	// call of EngineDelisted or EngineAlive decides that.
 	EndBroken(run quarantine.Run, now time.Time)
-	// EngineDelisted notes that an upstream's life is over by the list, Lives that it has served.
+	// EngineDelisted records that an incarnation of an upstream is no longer listed.
 	EngineDelisted(upstream, incarnation string, now time.Time)
+	// EngineAlive records that an upstream has served a request.
 	EngineAlive(upstream string)
-	// EngineDied notes that an upstream's process ended while it ran requests of this daemon.
+	// EngineDied records that an upstream's process ended while it ran requests of this
+	// daemon.
 	EngineDied(upstream, incarnation string, now time.Time)
 }
