--- a/internal/router/journal.go
+++ b/internal/router/journal.go
@@ -8,31 +8,31 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// Entry is one decision as operators see it.
+// Entry is one placement decision as shown to operators.
 type Entry struct {
 	RequestID string
 	Attempt   int
 	At        time.Time
 	Request   *request.Request
 	Decision  placement.Decision
-	Members   []string // names of all upstreams chosen, of a gang too
-	Outcome   string   // of the request, empty while it runs
+	Members   []string // names of all chosen upstreams, including those of a gang
+	Outcome   string   // of the request, empty while it is in progress
 }
 
 // Journal keeps the latest decisions. It is safe for concurrent use.
 type Journal struct {
 	mu      sync.Mutex
-	entries []Entry // a ring
-	next    int
-	full    bool
+	entries []Entry // ring buffer
+	next    int     // index of the next entry to write
+	full    bool    // the ring has wrapped around
 }
 
-// NewJournal returns a Journal of so many decisions.
+// NewJournal returns a Journal that keeps up to size decisions.
 func NewJournal(size int) *Journal {
 	return &Journal{entries: make([]Entry, size)}
 }
 
-// Add notes a decision.
+// Add records a decision, replacing the oldest one if the Journal is full.
 func (j *Journal) Add(e Entry) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-// End notes how a request ended, at its decisions that are still kept.
+// End records the outcome of a request in its decisions that are still kept.
 func (j *Journal) End(requestID, outcome string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -55,8 +55,8 @@
 	}
 }
 
-// List returns the latest decisions, newest first, of one request if its id is
-// not empty.
+// List returns up to limit of the latest decisions, newest first; a limit of zero means all.
+// If requestID is not empty, it returns only the decisions of that request.
 func (j *Journal) List(requestID string, limit int) []Entry {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/router/leaving.go
+++ b/internal/router/leaving.go
@@ -5,22 +5,23 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// leaving holds what was told of leaving upstreams besides their own reports.
+// leaving holds which upstreams are leaving according to sources other than their own
+// reports.
 type leaving struct {
-	settings map[string]bool         // by name: the settings say so
-	listed   map[string]*listedLeave // by address: the platform's list says so
+	settings map[string]bool         // by name: as marked by the settings
+	listed   map[string]*listedLeave // by address: as marked by the platform's list
 }
 
-// listedLeave is one upstream that the list has as leaving. The list lags, and
-// has no word for lives of an upstream: a new life takes the mark off until the
-// list has said something else in between.
+// listedLeave is the mark of an upstream that the platform's list shows as leaving. The list
+// lags behind and does not distinguish incarnations: a new incarnation invalidates the mark
+// until the list has dropped it once.
 type listedLeave struct {
-	incarnation string // of the upstream when it was marked, empty when not known
-	over        bool
+	incarnation string // of the upstream when it was marked, empty if unknown
+	superseded  bool   // the upstream has a new incarnation
 }
 
-// SetListedLeaving takes the addresses of all upstreams that the platform's list has as
-// leaving now. An upstream that is none of them any more takes work again.
+// SetListedLeaving sets the addresses of all upstreams that the platform's list shows as
+// leaving now. An upstream that is no longer among them takes work again.
 func (r *Router) SetListedLeaving(addresses map[string]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -36,14 +37,15 @@
 	}
 	for pool := range r.pools {
 		for _, e := range r.view.Engines(pool) {
-			r.noteLife(e)
-			r.settleLeaving(e)
+			r.noteIncarnation(e)
+			r.updateLeaving(e)
 		}
 	}
 }
 
-// noteLife ends the mark of an upstream that has a new life. The caller holds mu.
-func (r *Router) noteLife(e *placement.Engine) {
+// noteIncarnation invalidates the mark of an upstream that has a new incarnation. The caller
+// holds mu.
+func (r *Router) noteIncarnation(e *placement.Engine) {
 	mark := r.leaving.listed[e.Address()]
 	report, known := e.Report()
 	switch {
@@ -51,19 +53,20 @@
 	case mark.incarnation == "":
 		mark.incarnation = report.Incarnation
 	case mark.incarnation != report.Incarnation:
-		mark.over = true
+		mark.superseded = true
 	}
 }
 
-// isLeaving reports what settings and list say. The caller holds mu.
+// isLeaving reports whether an upstream is leaving according to settings or list. The caller
+// holds mu.
 func (r *Router) isLeaving(e *placement.Engine) bool {
 	mark := r.leaving.listed[e.Address()]
-	return r.leaving.settings[e.Name()] || mark != nil && !mark.over
+	return r.leaving.settings[e.Name()] || mark != nil && !mark.superseded
 }
 
-// settleLeaving brings an upstream's state to what settings and list say; one
-// that is dead stays so. The caller holds mu.
-func (r *Router) settleLeaving(e *placement.Engine) {
+// updateLeaving brings an upstream's state in line with settings and list. A dead upstream
+// stays dead. The caller holds mu.
+func (r *Router) updateLeaving(e *placement.Engine) {
 	report, _ := e.Report()
 	switch {
 	case r.isLeaving(e):
@@ -76,10 +79,10 @@
 	}
 }
 
-// applyLeaving takes what the settings say of a pool. The caller holds mu.
+// applyLeaving applies what the settings say about a pool's upstreams. The caller holds mu.
 func (r *Router) applyLeaving(p *settings.PoolView) {
 	for _, u := range p.Upstreams {
 		r.leaving.settings[u.Name] = u.Leaving || u.Evacuated
-		r.settleLeaving(r.view.Engine(u.Name))
+		r.updateLeaving(r.view.Engine(u.Name))
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -13,14 +13,14 @@
 // Options configure a Router.
 type Options struct {
 	Domain string // failure domain of this host
-	// SpillDomains returns the other failure domains that can be reached now. Nil
-	// means none.
+	// SpillDomains returns the other failure domains that can be reached now. Nil means
+	// none.
 	SpillDomains func() []string
 	Now          func() time.Time // time.Now by default
 	Seed         uint64           // of the random choices
 }
 
-// Router is safe for concurrent use.
+// Router places requests of this front on upstreams. It is safe for concurrent use.
 type Router struct {
 	opts Options
 
@@ -50,7 +50,7 @@
 	}
 }
 
-// ApplySettings makes the upstreams those of a snapshot.
+// ApplySettings replaces the upstreams of all pools by those of a settings snapshot.
 func (r *Router) ApplySettings(snap *settings.Snapshot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,19 +88,19 @@
 	return placement.Place(r.view, ask, r.opts.Now(), r.rng)
 }
 
-// StartVerdict says whether a request may start now.
+// StartVerdict tells whether a request may start now.
 type StartVerdict uint8
 
-// Fits.
+// Verdicts of PlaceWithin.
 const (
 	MustWait      StartVerdict = iota // no engine has room for it within the wait
-	PlaceRecorded                     // its place is noted
-	MayStart                          // nothing is noted: a long prompt, or one to be refused
+	PlaceRecorded                     // it may start and its placement is recorded
+	MayStart                          // nothing is recorded: it has a long prompt, or will be refused
 )
 
-// PlaceWithin is Place for the gate. A short prompt that would wait no longer than
-// wait on its engine takes its place, noted as build describes it. A long prompt
-// takes none, for its memory has to be reserved first.
+// PlaceWithin is Place for the admission gate. A short prompt that would wait no longer than
+// wait on its engine is recorded as placed, as build describes it. A long prompt is not
+// recorded, because its memory has to be reserved first.
 func (r *Router) PlaceWithin(ask placement.Request, wait time.Duration, build func(placement.Decision) placement.Placement) (placement.Decision, StartVerdict, error) {
 	ask.Domain = r.opts.Domain
 	ask.SpillDomains = r.opts.SpillDomains()
@@ -149,21 +149,21 @@
 	return placement.PlaceService(r.view, ask, r.opts.Now(), r.rng)
 }
 
-// Placed notes that an attempt goes to an upstream.
+// Placed records that an attempt is sent to an upstream.
 func (r *Router) Placed(p placement.Placement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.view.NotePlaced(p, r.opts.Now())
 }
 
-// FirstToken notes an attempt's first token.
+// FirstToken records the arrival of an attempt's first token.
 func (r *Router) FirstToken(id placement.ID, cachedTokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.view.NoteFirstToken(id, cachedTokens, r.opts.Now())
 }
 
-// Finished notes an attempt's end and wakes those who wait for capacity.
+// Finished records the end of an attempt and wakes the requests that wait for capacity.
 func (r *Router) Finished(id placement.ID, end placement.End) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,7 +171,7 @@
 	r.signal()
 }
 
-// ApplyReport takes a load report in.
+// ApplyReport applies a load report of an upstream.
 func (r *Router) ApplyReport(upstream string, report placement.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -180,15 +180,15 @@
 	}
 }
 
-// ApplyCacheEvents takes an engine's cache events in.
+// ApplyCacheEvents applies an engine's cache events.
 func (r *Router) ApplyCacheEvents(upstream, incarnation string, events []placement.CacheEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.view.ApplyCacheEvents(upstream, incarnation, events)
 }
 
-// SetState notes what is thought of an upstream. One that settings or list have
-// leaving stays so until they say otherwise, unless it is dead.
+// SetState sets the state of an upstream as observed by this front. An upstream that
+// settings or list show as leaving stays so until they change, unless it is dead.
 func (r *Router) SetState(upstream string, s placement.State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -206,7 +206,7 @@
 	r.signal()
 }
 
-// State returns what is thought of an upstream; ok is false for an unknown one.
+// State returns the state of an upstream; ok is false if it is unknown.
 func (r *Router) State(upstream string) (s placement.State, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -217,7 +217,7 @@
 	return e.State(), true
 }
 
-// Incarnation returns that of an engine's last report, empty when none is known.
+// Incarnation returns the incarnation in an engine's last report, empty if none is known.
 func (r *Router) Incarnation(upstream string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -229,7 +229,8 @@
 	return report.Incarnation
 }
 
-// Busy reports whether any engine of the own failure domain is known to have work.
+// Busy reports whether this front has attempts in progress, or any engine of its own failure
+// domain reports work.
 func (r *Router) Busy() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -256,38 +257,39 @@
 	return names
 }
 
-// TokensPerByte returns what is known of a model's tokens.
+// TokensPerByte returns the estimated number of tokens per byte of a model's input; see
+// placement.View.TokensPerByte.
 func (r *Router) TokensPerByte(model string, prior float64) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.view.TokensPerByte(model, prior, r.opts.Now())
 }
 
-// Changed returns a channel that is closed when capacity may have grown since.
+// Changed returns a channel that is closed as soon as capacity may have grown.
 func (r *Router) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
-// signal wakes those who wait. The caller holds the lock.
+// signal wakes the requests that wait for capacity. The caller holds mu.
 func (r *Router) signal() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Expire forgets attempts whose end was never noted and returns how many.
+// Expire removes attempts whose end was never recorded and returns their number.
 func (r *Router) Expire() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.view.Expire(r.opts.Now())
 }
 
-// UpstreamStatus is what an operator is shown of an upstream.
+// UpstreamStatus is the status of an upstream as shown to operators.
 type UpstreamStatus struct {
 	Name, Pool, Domain, Address string
 	State                       placement.State
-	InFlight                    int // own attempts
+	InFlight                    int // attempts of this front
 	QueueTokens                 int64
 	MemoryUsed, MemoryTotal     int64 // tokens
 	ReportAge                   time.Duration
@@ -315,7 +317,7 @@
 	return all
 }
 
-// NewPlacementRequest fills in what a request says of itself.
+// NewPlacementRequest returns the placement request for a request to a pool.
 func NewPlacementRequest(req *request.Request, pool string, routing settings.Routing) placement.Request {
 	return placement.Request{
 		Pool:      pool,
--- a/internal/router/work.go
+++ b/internal/router/work.go
@@ -2,8 +2,8 @@
 
 import "github.com/buckthorndock/buckthorndock/internal/core/placement"
 
-// OfferedWork returns the work that this front was offered in its own failure
-// domain, by pool. Pools without any are left out.
+// OfferedWork returns the work that this front was offered in its own failure domain, by
+// pool. Pools without work are omitted.
 func (r *Router) OfferedWork() map[string]placement.Work {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -18,8 +18,8 @@
 	return all
 }
 
-// ApplyPeerWork takes in the work that another front of the failure domain was offered,
-// by pool. Unknown pools are ignored.
+// ApplyPeerWork records the work that another front of the failure domain was offered, by
+// pool. Unknown pools are ignored.
 func (r *Router) ApplyPeerWork(host string, pools map[string]placement.Work) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/work_test.go
+++ b/internal/router/work_test.go
@@ -9,7 +9,7 @@
 
 const testPool = "engines"
 
-func routerOfSix(now time.Time) *Router {
+func newSixEngineRouter(now time.Time) *Router {
 	r := New(Options{Domain: "hal-a", Now: func() time.Time { return now }, Seed: 1})
 	var specs []placement.Spec
 	for _, name := range []string{"e1", "e2", "e3", "e4", "e5", "e6"} {
@@ -20,7 +20,7 @@
 	return r
 }
 
-// offer notes prompts of one length.
+// offer places a prompt of the given length and records the placement.
 func offer(t *testing.T, r *Router, request string, tokens int) {
 	t.Helper()
 	d, err := r.Place(placement.Request{Pool: testPool, Tokens: tokens, MaxTokens: 1, LongFrom: 32_000})
@@ -30,11 +30,12 @@
 	r.Placed(placement.Placement{ID: placement.ID{Request: request, Attempt: 1}, Upstream: d.Chosen.Name, Tokens: tokens})
 }
 
-// TestFrontsDivideEnginesAlike: a front that is offered only short prompts, and
-// hears of the long ones of another, divides the engines as that one does.
+// TestFrontsDivideEnginesAlike checks that a front that is offered only short prompts, and
+// learns of the long ones of another front, reserves as many engines for long prompts as
+// that one does.
 func TestFrontsDivideEnginesAlike(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	short, mixed := routerOfSix(now), routerOfSix(now)
+	short, mixed := newSixEngineRouter(now), newSixEngineRouter(now)
 	for _, r := range []*Router{short, mixed} {
 		for _, name := range []string{"e1", "e2", "e3", "e4", "e5", "e6"} {
 			r.ApplyReport(name, placement.Report{Incarnation: "1", Seq: 1, Taken: now, PrefillRate: 1e6, MemoryTotal: 1e6})
