--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,5 +1,4 @@
-// Package wait has the waits of the shells round the cores: for a time, once or again and
-// again, or less when a context ends.
+// Package wait waits for a time, once or periodically, or until a context ends.
 package wait
 
 import (
@@ -7,7 +6,7 @@
 	"time"
 )
 
-// For waits and reports false when the context ended first.
+// For waits for d. It returns false if the context ended first.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -22,15 +21,15 @@
 	}
 }
 
-// Every calls do each d, first after d, until the context ends. Calls that a slow one
-// delays are left out.
-func Every(ctx context.Context, d time.Duration, do func(now time.Time)) {
+// Every calls fn at intervals of d, first after d, until the context ends. Ticks that pass
+// during a slow call are dropped.
+func Every(ctx context.Context, d time.Duration, fn func(now time.Time)) {
 	ticker := time.NewTicker(d)
 	defer ticker.Stop()
 	for {
 		select {
 		case now := <-ticker.C:
-			do(now)
+			fn(now)
 		case <-ctx.Done():
 			return
 		}
