--- a/internal/core/booking/bench_test.go
+++ b/internal/core/booking/bench_test.go
@@ -18,12 +18,12 @@
 			prompt = 45_000
 		}
 		id := fmt.Sprint("w", i)
-		if b.Place(ask(id, prompt), start).Verdict == Booked {
+		if b.Place(newRequest(id, prompt), start).Verdict == Booked {
 			b.RecordFirstEvent(id)
 		}
 	}
 	for i := range engines / 10 {
-		b.Place(ask(fmt.Sprint("l", i), 200_000+rng.IntN(300_000)), start.Add(time.Duration(i)*time.Millisecond))
+		b.Place(newRequest(fmt.Sprint("l", i), 200_000+rng.IntN(300_000)), start.Add(time.Duration(i)*time.Millisecond))
 	}
 	return b
 }
@@ -33,7 +33,7 @@
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			book := busyBook(engines)
 			for b.Loop() {
-				book.Place(ask("x", prompt), start.Add(time.Second))
+				book.Place(newRequest("x", prompt), start.Add(time.Second))
 				book.End("x")
 			}
 		})
@@ -49,13 +49,13 @@
 			book := newBook(78)
 			for i := range 300 {
 				id := fmt.Sprint("w", i)
-				book.Place(ask(id, 5000), start)
+				book.Place(newRequest(id, 5000), start)
 				book.RecordFirstEvent(id)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				id := fmt.Sprint(i)
-				book.Place(ask(id, prompt), start)
+				book.Place(newRequest(id, prompt), start)
 				book.End(id)
 			}
 		})
--- a/internal/core/booking/book.go
+++ b/internal/core/booking/book.go
@@ -21,7 +21,7 @@
 type Book struct {
 	services map[string]*Service
 	engines  map[string]*engine // by ID
-	ordered  []*engine          // in the order of packing
+	packOrder  []*engine          // in the order of packing
 	entries  map[string]*entry  // by attempt
 	byHost   map[string]map[string]*entry
 	pacer    *pace.Pacer
@@ -50,7 +50,7 @@
 	for _, e := range b.engines {
 		if s := b.services[e.up.Service]; s != nil {
 			e.figures = &s.Figures
-			e.changed()
+			e.invalidate()
 		}
 	}
 }
@@ -76,12 +76,12 @@
 			b.dropEngine(e)
 		}
 	}
-	b.ordered = b.ordered[:0]
+	b.packOrder = b.packOrder[:0]
 	for _, e := range b.engines {
-		b.ordered = append(b.ordered, e)
+		b.packOrder = append(b.packOrder, e)
 	}
-	slices.SortFunc(b.ordered, func(x, y *engine) int {
-		return cmp.Or(cmp.Compare(x.order, y.order), cmp.Compare(x.up.ID, y.up.ID))
+	slices.SortFunc(b.packOrder, func(x, y *engine) int {
+		return cmp.Or(cmp.Compare(x.packRank, y.packRank), cmp.Compare(x.up.ID, y.up.ID))
 	})
 }
 
@@ -98,14 +98,14 @@
 		return
 	}
 	b.End(a.ID)
-	x := &entry{ask: a, plan: p, begin: now.Add(p.Wait), until: now.Add(a.Left + lastsOver)}
-	x.long = len(p.Parts) > 1 || p.Read > b.shortRead(a.Service)
-	x.end = now.Add(p.First)
+	x := &entry{ask: a, plan: p, prefillStart: now.Add(p.Wait), expires: now.Add(a.Left + expiryGrace)}
+	x.long = len(p.Parts) > 1 || p.Read > b.maxShortPrefill(a.Service)
+	x.prefillEnd = now.Add(p.First)
 	for _, part := range p.Parts {
 		if e := b.engines[part.Upstream]; e != nil {
 			x.engines = append(x.engines, e)
 			e.entries = append(e.entries, x)
-			e.changed()
+			e.invalidate()
 		}
 	}
 	b.entries[a.ID] = x
@@ -120,12 +120,12 @@
 // RecordFirstEvent notes the first event of an attempt: its prompt is read.
 func (b *Book) RecordFirstEvent(id string) {
 	x := b.entries[id]
-	if x == nil || x.first {
+	if x == nil || x.hasFirst {
 		return
 	}
-	x.first = true
+	x.hasFirst = true
 	for _, e := range x.engines {
-		e.changed()
+		e.invalidate()
 	}
 }
 
@@ -137,7 +137,7 @@
 	}
 	for _, e := range x.engines {
 		e.entries = slices.DeleteFunc(e.entries, func(y *entry) bool { return y == x })
-		e.changed()
+		e.invalidate()
 	}
 	delete(b.entries, id)
 	hosted := b.byHost[x.ask.Host]
@@ -147,15 +147,15 @@
 	}
 }
 
-// lastsOver is how long after its deadline an attempt may still stand in the book: its
+// expiryGrace is how long after its deadline an attempt may still stand in the book: its
 // daemon ends it at the deadline and tells so within some 10 ms.
-const lastsOver = time.Second
+const expiryGrace = time.Second
 
 // Expire drops the attempts that have ended without a word, as when it was lost on the way
 // to another keeper. Each would count as a writer for good.
 func (b *Book) Expire(now time.Time) {
 	for id, x := range b.entries {
-		if now.After(x.until) {
+		if now.After(x.expires) {
 			b.End(id)
 		}
 	}
@@ -191,21 +191,21 @@
 	// pauseMargin is kept free of the pause that a writer bears, for the way to the
 	// caller and the lag of what is known.
 	pauseMargin = 20 * time.Millisecond
-	// leastShort is read on one engine whatever the gap objectives are.
-	leastShort = 30 * time.Millisecond
-	// usualWriters is the number of writers for which shortRead is worked out: most of the
+	// minShort is read on one engine whatever the gap objectives are.
+	minShort = 30 * time.Millisecond
+	// typicalDecodes is the number of writers for which shortRead is worked out: most of the
 	// slots of an engine.
-	usualWriters = 10
+	typicalDecodes = 10
 )
 
-// shortRead returns the longest reading time that disturbs no writer of the
+// maxShortPrefill returns the longest reading time that disturbs no writer of the
 // service.
-func (b *Book) shortRead(service string) time.Duration {
+func (b *Book) maxShortPrefill(service string) time.Duration {
 	s := b.services[service]
 	if s == nil || s.MinGap <= 0 {
-		return leastShort
+		return minShort
 	}
-	context := int64(usualWriters * s.Figures.UsualPrompt)
-	pass := time.Duration(s.Figures.Stride) * s.Figures.StepTime(usualWriters, context)
-	return max(s.MinGap-pass-pauseMargin, leastShort)
+	context := int64(typicalDecodes * s.Figures.UsualPrompt)
+	pass := time.Duration(s.Figures.Stride) * s.Figures.StepTime(typicalDecodes, context)
+	return max(s.MinGap-pass-pauseMargin, minShort)
 }
--- a/internal/core/booking/book_test.go
+++ b/internal/core/booking/book_test.go
@@ -40,7 +40,7 @@
 	return b
 }
 
-func ask(id string, prompt int) Request {
+func newRequest(id string, prompt int) Request {
 	a := Request{ID: id, Host: "h1", Service: "llm", Prompt: prompt, Answer: 1600, Expected: 1500, Left: 10 * time.Second}
 	switch {
 	case prompt < 24_000:
@@ -58,7 +58,7 @@
 	used := map[string]int{}
 	for i := range 12 {
 		id := fmt.Sprint(i)
-		p := b.Place(ask(id, 5000), start)
+		p := b.Place(newRequest(id, 5000), start)
 		if p.Verdict != Booked || len(p.Parts) != 1 {
 			t.Fatalf("%d: %+v", i, p)
 		}
@@ -70,7 +70,7 @@
 	}
 	for i := range 8 {
 		id := fmt.Sprint("more", i)
-		p := b.Place(ask(id, 5000), start)
+		p := b.Place(newRequest(id, 5000), start)
 		b.RecordFirstEvent(id)
 		used[p.Parts[0].Upstream]++
 	}
@@ -81,11 +81,11 @@
 
 func TestShortPromptAvoidsEnginesWithBookedParts(t *testing.T) {
 	b := newBook(10)
-	open := b.Place(ask("writes", 5000), start).Parts[0]
+	open := b.Place(newRequest("writes", 5000), start).Parts[0]
 	b.RecordFirstEvent("writes")
 	booked := Plan{Parts: []Part{open}, Wait: 500 * time.Millisecond, Read: 400 * time.Millisecond, First: time.Second}
-	b.Record(ask("long", 210_000), booked, start)
-	if p := b.Place(ask("short", 5000), start); p.Parts[0].Upstream == open.Upstream {
+	b.Record(newRequest("long", 210_000), booked, start)
+	if p := b.Place(newRequest("short", 5000), start); p.Parts[0].Upstream == open.Upstream {
 		t.Error("it is on the engine on which a long part begins soon")
 	}
 }
@@ -95,7 +95,7 @@
 // as the others are. Put behind them for what it earns a second, it was late in the end.
 func TestFailingEnginesAreTakenWhenNoOtherIsLeft(t *testing.T) {
 	b := newBook(2)
-	a := ask("a", 5000)
+	a := newRequest("a", 5000)
 	a.Avoid = []string{"e00"}
 	if p := b.Place(a, start); p.Parts[0].Upstream != "e01" {
 		t.Errorf("got %+v", p)
@@ -110,33 +110,33 @@
 	}
 }
 
-func TestFiguresThatAreMissingRefuseNothing(t *testing.T) {
+func TestMissingFiguresCauseNoRefusal(t *testing.T) {
 	b := newBook(3)
 	b.SetServices([]Service{{Name: "llm", Figures: cost.Figures{StepMs: 1, Stride: 10}}})
 	for i, prompt := range []int{1000, 45_000, 900_000} {
-		p := b.Place(ask(fmt.Sprint(i), prompt), start)
+		p := b.Place(newRequest(fmt.Sprint(i), prompt), start)
 		if p.Verdict != Booked || len(p.Parts) != 1 {
 			t.Errorf("%d tokens: %+v", prompt, p)
 		}
 	}
 }
 
-func TestWriterWithoutAGapObjectiveBearsAnyPart(t *testing.T) {
+func TestDecodeWithoutAGapObjectiveToleratesAnyPause(t *testing.T) {
 	b := newBook(1)
-	a := ask("calm", 5000)
+	a := newRequest("calm", 5000)
 	a.Gap = 0
 	b.Place(a, start)
 	b.RecordFirstEvent("calm")
-	if l := b.ordered[0].look(start, 200*time.Millisecond); !l.bearsAll(10 * time.Second) {
+	if l := b.packOrder[0].loadAt(start, 200*time.Millisecond); !l.toleratesPause(10 * time.Second) {
 		t.Error("a part of ten seconds harms it")
 	}
 }
 
-func TestRestoreReplacesWhatADaemonBooked(t *testing.T) {
+func TestRestoreReplacesTheAttemptsOfADaemon(t *testing.T) {
 	b := newBook(4)
-	p := b.Place(ask("old", 5000), start)
-	b.Restore("h1", []OpenAttempt{{Ask: ask("new", 5000), Plan: p, Age: time.Second, HasFirst: true}}, start)
-	if b.Len() != 1 || b.entries["new"] == nil || !b.entries["new"].first {
+	p := b.Place(newRequest("old", 5000), start)
+	b.Restore("h1", []OpenAttempt{{Ask: newRequest("new", 5000), Plan: p, Age: time.Second, HasFirst: true}}, start)
+	if b.Len() != 1 || b.entries["new"] == nil || !b.entries["new"].hasFirst {
 		t.Errorf("the book has %v", b.entries)
 	}
 	b.DropHost("h1")
@@ -172,7 +172,7 @@
 				default:
 					id := fmt.Sprint(i)
 					sizes := []int{1000, 5000, 45_000, 210_000, 600_000}
-					if b.Place(ask(id, sizes[rng.IntN(len(sizes))]), now).Verdict == Booked {
+					if b.Place(newRequest(id, sizes[rng.IntN(len(sizes))]), now).Verdict == Booked {
 						open = append(open, id)
 						booked++
 					}
@@ -193,7 +193,7 @@
 				return false
 			}
 		}
-		if l := e.look(now, 200*time.Millisecond); l.memory > figures.Memory {
+		if l := e.loadAt(now, 200*time.Millisecond); l.memory > figures.Memory {
 			return false
 		}
 	}
@@ -205,24 +205,24 @@
 	return true
 }
 
-func TestAttemptWhoseEndIsNeverToldExpires(t *testing.T) {
+func TestAttemptWithoutAReportedEndExpires(t *testing.T) {
 	b := newBook(2)
-	a := ask("lost", 5000)
+	a := newRequest("lost", 5000)
 	b.Place(a, start)
 	b.Expire(start.Add(a.Left))
 	if b.Len() != 1 {
 		t.Error("it expired before its deadline")
 	}
-	b.Expire(start.Add(a.Left + 2*lastsOver))
+	b.Expire(start.Add(a.Left + 2*expiryGrace))
 	if b.Len() != 0 {
 		t.Error("it is a writer for good")
 	}
 }
 
-// TestShortPromptsGatherAfterABurst is the pattern of loads that turn: many short prompts,
+// TestShortPromptsArePackedAgainAfterABurst is the pattern of loads that turn: many short prompts,
 // then few of them beside many long ones. An answer takes 1.7 s, as those of 35 events do.
 // The engines that the burst has opened have to fall clear, or each long prompt harms some.
-func TestShortPromptsGatherAfterABurst(t *testing.T) {
+func TestShortPromptsArePackedAgainAfterABurst(t *testing.T) {
 	const (
 		lasts     = 1700 * time.Millisecond
 		readAfter = 100 * time.Millisecond
@@ -251,7 +251,7 @@
 			}
 			placed++
 			id := fmt.Sprint(placed)
-			if p := b.Place(ask(id, 5000), start.Add(at)); p.Verdict != Booked {
+			if p := b.Place(newRequest(id, 5000), start.Add(at)); p.Verdict != Booked {
 				t.Fatalf("%s: %+v", id, p)
 			}
 			firsts[at+readAfter] = append(firsts[at+readAfter], id)
--- a/internal/core/booking/cold_test.go
+++ b/internal/core/booking/cold_test.go
@@ -8,10 +8,10 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/pace"
 )
 
-// evacuate marks engines of a book as those of an evacuated failure domain.
-func (b *Book) evacuate(ids ...string) {
+// markEvacuated marks engines of a book as those of an evacuated failure domain.
+func (b *Book) markEvacuated(ids ...string) {
 	list := &fleet.Snapshot{}
-	for _, e := range b.ordered {
+	for _, e := range b.packOrder {
 		u := e.up
 		for _, id := range ids {
 			u.Evacuated = u.Evacuated || u.ID == id
@@ -26,8 +26,8 @@
 func TestEvacuatedEnginesGetNothing(t *testing.T) {
 	for _, prompt := range []int{1000, 100_000, 800_000} {
 		b := newBook(4)
-		b.evacuate("e00", "e02")
-		a := ask("a", prompt)
+		b.markEvacuated("e00", "e02")
+		a := newRequest("a", prompt)
 		a.Objective, a.Left = time.Minute, time.Hour
 		a.Exclude = []string{"e01"}
 		p := b.Place(a, start)
@@ -41,22 +41,22 @@
 		}
 	}
 	b := newBook(2)
-	b.evacuate("e00", "e01")
-	if p := b.Place(ask("a", 1000), start); p.Verdict != NoEngine {
+	b.markEvacuated("e00", "e01")
+	if p := b.Place(newRequest("a", 1000), start); p.Verdict != NoEngine {
 		t.Errorf("all are evacuated: %+v", p)
 	}
 }
 
-// TestDomainThatReturnsColdGetsItsLoadInSteps: engines come back together, cold, under more
+// TestColdEnginesAreLimitedAndUsed: engines come back together, cold, under more
 // than they bear. Each gets what it bears and no more, and is used for it.
-func TestDomainThatReturnsColdGetsItsLoadInSteps(t *testing.T) {
+func TestColdEnginesAreLimitedAndUsed(t *testing.T) {
 	const perSecond, coldFor = 3, 3 * time.Second
 	b := newBook(2)
 	b.Pacer().SetShare(pace.FullShare)
 	for _, id := range []string{"e00", "e01"} {
 		b.Pacer().SetCold(pace.ColdLimit{Upstream: id, PerSecond: perSecond, Until: start.Add(coldFor)}, start)
 	}
-	for id, times := range sends(b, 1000, 3000, time.Millisecond) {
+	for id, times := range sendTimes(b, 1000, 3000, time.Millisecond) {
 		inSecond, whileCold := 0, 0
 		for i, from := range times {
 			if from.After(start.Add(coldFor)) {
--- a/internal/core/booking/limits_test.go
+++ b/internal/core/booking/limits_test.go
@@ -9,18 +9,18 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/pace"
 )
 
-func (b *Book) hearLimit(engine string, perSecond float64) {
+func (b *Book) setLimit(engine string, perSecond float64) {
 	b.Pacer().SetShare(pace.FullShare)
 	b.Pacer().SetLimit(notice.Limit{Upstream: engine, Limited: true, PerSecond: perSecond, At: start}, start)
 }
 
-// sends places a prompt every step for a while, each over after a second, and returns when
+// sendTimes places a prompt every step for a while, each over after a second, and returns when
 // requests go to each engine.
-func sends(b *Book, prompt, count int, step time.Duration) map[string][]time.Time {
+func sendTimes(b *Book, prompt, count int, step time.Duration) map[string][]time.Time {
 	at := map[string][]time.Time{}
 	for i := range count {
 		now := start.Add(time.Duration(i) * step)
-		p := b.Place(ask(fmt.Sprint(i), prompt), now)
+		p := b.Place(newRequest(fmt.Sprint(i), prompt), now)
 		if p.Verdict == Booked {
 			to := p.Parts[0].Upstream
 			at[to] = append(at[to], now.Add(p.Wait))
@@ -32,17 +32,17 @@
 	return at
 }
 
-// TestEnginesThatNameALimitGetNoMoreOfAnyKindOfPrompt: the keeper of the book plans for all
+// TestEngineLimitHoldsForShortAndLongPrompts: the keeper of the book plans for all
 // daemons, so its plans alone are what an engine gets.
-func TestEnginesThatNameALimitGetNoMoreOfAnyKindOfPrompt(t *testing.T) {
+func TestEngineLimitHoldsForShortAndLongPrompts(t *testing.T) {
 	const perSecond, window = 2, 4 * time.Second
 	for _, prompt := range []int{1000, 100_000} {
 		for _, limited := range []int{1, 3} { // of three
 			b := newBook(3)
 			for i := range limited {
-				b.hearLimit(fmt.Sprintf("e%02d", i), perSecond)
+				b.setLimit(fmt.Sprintf("e%02d", i), perSecond)
 			}
-			for id, times := range sends(b, prompt, 1000, 10*time.Millisecond) {
+			for id, times := range sendTimes(b, prompt, 1000, 10*time.Millisecond) {
 				if id >= fmt.Sprintf("e%02d", limited) {
 					continue
 				}
@@ -60,27 +60,27 @@
 	}
 }
 
-func TestEngineAtItsLimitIsUsedWhereItsTurnIsInTime(t *testing.T) {
+func TestEngineAtItsLimitIsUsedIfItsTurnIsInTime(t *testing.T) {
 	b := newBook(1)
-	b.hearLimit("e00", 10)
-	p := b.Place(ask("a", 1000), start)
+	b.setLimit("e00", 10)
+	p := b.Place(newRequest("a", 1000), start)
 	if p.Verdict != Booked || p.Wait <= 0 || p.First <= p.Wait {
 		t.Errorf("got %+v", p)
 	}
-	if next := b.Place(ask("b", 1000), start); next.Wait <= p.Wait {
+	if next := b.Place(newRequest("b", 1000), start); next.Wait <= p.Wait {
 		t.Errorf("turns after %s and %s", p.Wait, next.Wait)
 	}
 }
 
-// TestPromptThatWouldBeLateForItsTurnIsRefusedAtOnce: where all engines have limits and more
+// TestPromptWhoseTurnIsTooLateIsRefusedAtOnce: where all engines have limits and more
 // comes than they take, a queue of late prompts would make all of them late.
-func TestPromptThatWouldBeLateForItsTurnIsRefusedAtOnce(t *testing.T) {
+func TestPromptWhoseTurnIsTooLateIsRefusedAtOnce(t *testing.T) {
 	b := newBook(2)
-	b.hearLimit("e00", 2)
-	b.hearLimit("e01", 2)
+	b.setLimit("e00", 2)
+	b.setLimit("e01", 2)
 	served := 0
 	for i := range 400 {
-		p := b.Place(ask(fmt.Sprint(i), 1000), start.Add(time.Duration(i)*50*time.Millisecond))
+		p := b.Place(newRequest(fmt.Sprint(i), 1000), start.Add(time.Duration(i)*50*time.Millisecond))
 		b.End(fmt.Sprint(i - 40))
 		switch {
 		case p.Verdict == Booked && p.Wait <= 300*time.Millisecond:
@@ -94,43 +94,43 @@
 	if served < 75 { // of 80 that they take in 20 s
 		t.Errorf("%d served", served)
 	}
-	begun := ask("begun", 1000)
+	begun := newRequest("begun", 1000)
 	begun.Begun = true
 	if p := b.Place(begun, start.Add(20*time.Second)); p.Verdict != Booked {
 		t.Errorf("one whose answer has begun: %+v", p)
 	}
 }
 
-// TestBookThatPlansAloneLeavesEnginesWithLimitsToOthers: it does not know what they send.
-func TestBookThatPlansAloneLeavesEnginesWithLimitsToOthers(t *testing.T) {
+// TestUncoordinatedPlansLeaveOutLimitedEngines: it does not know what they send.
+func TestUncoordinatedPlansLeaveOutLimitedEngines(t *testing.T) {
 	b := newBook(2)
-	b.hearLimit("e00", 4)
+	b.setLimit("e00", 4)
 	for i := range 20 {
-		if p := b.PlaceUncoordinated(ask(fmt.Sprint(i), 1000), start.Add(time.Minute)); p.Verdict != Booked || p.Parts[0].Upstream != "e01" {
+		if p := b.PlaceUncoordinated(newRequest(fmt.Sprint(i), 1000), start.Add(time.Minute)); p.Verdict != Booked || p.Parts[0].Upstream != "e01" {
 			t.Fatalf("got %+v", p)
 		}
 	}
-	b.hearLimit("e01", 4)
-	if p := b.PlaceUncoordinated(ask("last", 1000), start.Add(time.Minute)); p.Verdict != AtLimit {
+	b.setLimit("e01", 4)
+	if p := b.PlaceUncoordinated(newRequest("last", 1000), start.Add(time.Minute)); p.Verdict != AtLimit {
 		t.Errorf("got %+v", p)
 	}
 }
 
-// TestEngineThatTakesNothingIsNoLastResort guards against plans on engines that have said to
+// TestBarredEngineIsNotTakenAsLastResort guards against plans on engines that have said to
 // the daemon that they leave, or want nothing for a while, when all others fail or are gone.
-func TestEngineThatTakesNothingIsNoLastResort(t *testing.T) {
+func TestBarredEngineIsNotTakenAsLastResort(t *testing.T) {
 	b := newBook(2)
-	a := ask("a", 1000)
+	a := newRequest("a", 1000)
 	a.Barred, a.Avoid = []string{"e00"}, []string{"e01"}
 	if p := b.Place(a, start); p.Verdict != Booked || p.Parts[0].Upstream != "e01" {
 		t.Errorf("beside one that fails: %+v", p)
 	}
-	a = ask("b", 1000)
+	a = newRequest("b", 1000)
 	a.Barred = []string{"e00", "e01"}
 	if p := b.Place(a, start); p.Verdict != NoEngine {
 		t.Errorf("without another: %+v", p)
 	}
-	long := ask("c", 200_000)
+	long := newRequest("c", 200_000)
 	long.Barred = []string{"e00"}
 	if p := newBook(2).Place(long, start); p.Verdict != Booked || len(p.Parts) != 1 {
 		t.Errorf("as a helper: %+v", p)
--- a/internal/core/booking/load_test.go
+++ b/internal/core/booking/load_test.go
@@ -8,18 +8,18 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/cost"
 )
 
-// largeFigures are those that a fleet of some two hundred engines publishes.
-var largeFigures = cost.Figures{
+// largeSiteFigures are those that a fleet of some two hundred engines publishes.
+var largeSiteFigures = cost.Figures{
 	Slots: 10, Memory: 450_000, Stride: 73, Chunk: 2048, StepMs: 0.925, PerSeqMs: 0.00483,
 	ContextPerK: 0.00254, ReadPerMs: 256, PairsMsPerM: 0.0917, UsualPrompt: 15_000, UsualAnswer: 1700, MaxHelpers: 16,
 }
 
-// turns is a load that turns every ten seconds from many long prompts to many short ones
+// alternatingLoad is a load that turns every ten seconds from many long prompts to many short ones
 // and back, as when the audits of a night run beside the fridges that wake on the hour. The
 // rates are those that 195 engines were bought for, times x; the factors of its spans keep
 // the work of the long spans at two thirds of what the engines can read, as on the days that
 // their users fear.
-func turns(x float64) []phase {
+func alternatingLoad(x float64) []phase {
 	usual := []float64{282 * x, 30 * x, 6.9 * x}
 	long := []float64{0.33 * 282 * x, 1.3 * 30 * x, 2.75 * 6.9 * x}
 	short := []float64{2.5 * 282 * x, 0.5 * 30 * x, 0.05 * 6.9 * x}
@@ -34,23 +34,23 @@
 	}
 }
 
-// shrinking is a load that turns while engines are taken away and, as it turns back to short
+// shrinkingLoad is a load that turns while engines are taken away and, as it turns back to short
 // prompts, a failure domain of five is cut off.
-func shrinking() []phase {
-	load := turns(1)
+func shrinkingLoad() []phase {
+	load := alternatingLoad(1)
 	load[5].away = 23
 	load[6].away = 62
 	return load
 }
 
-// steadyLong is a load without turns whose long prompts alone take four fifths of the
+// steadyLongLoad is a load without turns whose long prompts alone take four fifths of the
 // engines.
-func steadyLong() []phase {
+func steadyLongLoad() []phase {
 	return []phase{{until: 30 * time.Second, rates: []float64{0.4 * 282, 30, 1.6 * 6.9}}}
 }
 
-// steady is a load without turns of a small site.
-func steady() []phase {
+// steadySmallLoad is a load without turns of a small site.
+func steadySmallLoad() []phase {
 	return []phase{{until: 30 * time.Second, rates: []float64{35, 2.6, 1.07}}}
 }
 
@@ -64,19 +64,19 @@
 }
 
 func modelLoads() []modelLoad {
-	slow := largeFigures
+	slow := largeSiteFigures
 	slow.ReadPerMs /= 2
 	slow.PairsMsPerM *= 2
 	return []modelLoad{
-		{"large", 195, largeFigures, turns(1), 0},
-		{"an eighth of the engines away", 172, largeFigures, turns(1), 0},
-		{"engines go away", 195, largeFigures, shrinking(), 0},
-		{"small", 26, largeFigures, turns(23.0 / 195), 0},
-		{"middle", 78, largeFigures, turns(0.95 * 78 / 195), 0},
-		{"engines half as fast", 195, slow, turns(0.55), 0},
-		{"many long prompts all the time", 100, largeFigures, steadyLong(), 0},
-		{"limits over the load", 23, largeFigures, steady(), 2.1},
-		{"limits under the load", 23, largeFigures, steady(), 1.5},
+		{"large", 195, largeSiteFigures, alternatingLoad(1), 0},
+		{"an eighth of the engines away", 172, largeSiteFigures, alternatingLoad(1), 0},
+		{"engines go away", 195, largeSiteFigures, shrinkingLoad(), 0},
+		{"small", 26, largeSiteFigures, alternatingLoad(23.0 / 195), 0},
+		{"middle", 78, largeSiteFigures, alternatingLoad(0.95 * 78 / 195), 0},
+		{"engines half as fast", 195, slow, alternatingLoad(0.55), 0},
+		{"many long prompts all the time", 100, largeSiteFigures, steadyLongLoad(), 0},
+		{"limits over the load", 23, largeSiteFigures, steadySmallLoad(), 2.1},
+		{"limits under the load", 23, largeSiteFigures, steadySmallLoad(), 1.5},
 	}
 }
 
@@ -96,10 +96,10 @@
 	return results
 }
 
-// TestTurnFromShortToLongPrompts is the pattern of the first second of a long span: writers
+// TestChangeFromShortToLongPrompts is the pattern of the first second of a long span: writers
 // of short answers on nearly all engines, and long prompts with seconds to spare. Those that
 // can wait do, and the largest tenth, which needs most engines at once, does not pay for it.
-func TestTurnFromShortToLongPrompts(t *testing.T) {
+func TestChangeFromShortToLongPrompts(t *testing.T) {
 	paused, largest := 0, 0.0
 	results := modelLoads()[0].play(3)
 	for _, r := range results {
--- a/internal/core/booking/long.go
+++ b/internal/core/booking/long.go
@@ -23,93 +23,93 @@
 	// slowCost prefers the earlier of two ways in time, as a share of the worth for
 	// the whole of the time left.
 	slowCost = 0.2
-	// yieldLeast is how much longer than expected a late prompt may still take when
+	// yieldFactor is how much longer than expected a late prompt may still take when
 	// it stops yielding to those in time.
-	yieldLeast = 1.5
-	// farCostLong is the worth that a part in another failure domain may cost: a cut between
+	yieldFactor = 1.5
+	// otherDomainCostLong is the worth that a part in another failure domain may cost: a cut between
 	// them ends the reading.
-	farCostLong = 1.0
-	// postpone is how much later a prompt that makes others late may be read instead: two of
+	otherDomainCostLong = 1.0
+	// postponeBy is how much later a prompt that makes others late may be read instead: two of
 	// the pauses after which its daemon asks again.
-	postpone = 200 * time.Millisecond
+	postponeBy = 200 * time.Millisecond
 )
 
 // choice is one way to read a long prompt.
 type choice struct {
 	loads []load // the engines, the first receives the request
-	begin time.Time
-	read  time.Duration // of a part
+	start time.Time
+	prefill  time.Duration // of a part
 	cost  float64
-	harm  float64 // of the cost, what others lose
+	delayCost  float64 // of the cost, what others lose
 	late  bool
-	harms bool // makes others late
+	delaysOthers bool // makes others late
 }
 
-func (c *choice) end() time.Time { return c.begin.Add(c.read) }
+func (c *choice) end() time.Time { return c.start.Add(c.prefill) }
 
 // planLong takes the way that costs the least worth, its own and that of those who
 // write on the engines. A prompt that is late in any case yields to those in time: it
 // is read as soon as engines are free, and books none ahead until it has to. One that is
 // in time but makes others late yields as well, as long as it stays in time.
-func (t *task) planLong(read time.Duration) Plan {
+func (t *placement) planLong(read time.Duration) Plan {
 	best := t.cheapest(read)
 	if best == nil {
-		return Plan{Verdict: t.noRoom(read)}
+		return Plan{Verdict: t.noCapacity(read)}
 	}
-	first := best.end().Sub(t.now) + t.pass(&best.loads[0])
-	whole := first + t.write(best)
+	first := best.end().Sub(t.now) + t.passTime(&best.loads[0])
+	whole := first + t.decodeTime(best)
 	switch {
 	case t.ask.Begun: // goes on in any case
 	case first > t.ask.Left:
 		return Plan{Verdict: TooLate, First: first}
 	case t.shouldYield(best, whole), t.canPostpone(best, first):
 		return Plan{Verdict: Yield, First: first}
-	case best.late && best.harm > (1-lateShare)*t.ask.value():
+	case best.late && best.delayCost > (1-lateLossShare)*t.ask.value():
 		return Plan{Verdict: TooLate, First: first}
 	}
 	return Plan{
 		Reason: best.reason(),
 		Parts:  t.parts(best),
-		Wait:   max(best.begin.Sub(t.now)-sendLead, 0),
+		Wait:   max(best.start.Sub(t.now)-sendLead, 0),
 		First:  first,
-		Read:   best.read,
+		Read:   best.prefill,
 	}
 }
 
 // shouldYield reports whether the prompt should wait for engines to be free: it is
 // late in any case, and there is time.
-func (t *task) shouldYield(c *choice, whole time.Duration) bool {
-	busy := c.begin.Sub(t.now) > sendLead
-	if !c.late || !busy && !c.harms {
+func (t *placement) shouldYield(c *choice, whole time.Duration) bool {
+	busy := c.start.Sub(t.now) > sendLead
+	if !c.late || !busy && !c.delaysOthers {
 		return false
 	}
-	return t.ask.Left >= time.Duration(yieldLeast*float64(whole))
+	return t.ask.Left >= time.Duration(yieldFactor*float64(whole))
 }
 
 // canPostpone reports whether the prompt makes writers late whom it need not: most of them
 // will have ended soon, for an answer to a short prompt takes two seconds, and the prompt
 // itself would still be in time a little later. It protects the answers under way when a load
 // turns from short prompts to long ones.
-func (t *task) canPostpone(c *choice, first time.Duration) bool {
-	return !c.late && c.harms && float64(first+postpone) < onTimeShare*float64(t.ask.Objective)
+func (t *placement) canPostpone(c *choice, first time.Duration) bool {
+	return !c.late && c.delaysOthers && float64(first+postponeBy) < onTimeShare*float64(t.ask.Objective)
 }
 
-// write returns the time to write the answer. Where the memory of a prompt is spread, each
+// decodeTime returns the time to write the answer. Where the memory of a prompt is spread, each
 // step reads the largest part only.
-func (t *task) write(c *choice) time.Duration {
+func (t *placement) decodeTime(c *choice) time.Duration {
 	own := t.ask.need()
-	if t.spread() {
-		own = t.share(len(c.loads))
+	if t.spreadsMemory() {
+		own = t.tokensPerEngine(len(c.loads))
 	}
 	on := &c.loads[0]
-	return t.service.Figures.DecodeTime(t.ask.Expected, len(on.writers)+1, on.context+own)
+	return t.service.Figures.DecodeTime(t.ask.Expected, len(on.decodes)+1, on.context+own)
 }
 
 func (c *choice) reason() Reason {
 	switch {
 	case c.late:
 		return ReasonLate
-	case c.harms:
+	case c.delaysOthers:
 		return ReasonDelaysOthers
 	case len(c.loads) == 1:
 		return ReasonAlone
@@ -117,18 +117,18 @@
 	return ReasonSplit
 }
 
-// mostEngines returns how many engines may read one prompt.
-func (t *task) mostEngines() int {
+// maxEngines returns how many engines may read one prompt.
+func (t *placement) maxEngines() int {
 	return min(len(t.loads), t.service.Figures.MaxHelpers+1)
 }
 
 // cheapest compares all numbers of engines.
-func (t *task) cheapest(read time.Duration) *choice {
+func (t *placement) cheapest(read time.Duration) *choice {
 	var best *choice
-	most := t.mostEngines()
-	r := ranking{loads: t.loads, far: t.far, best: make([]candidate, 0, most)}
+	most := t.maxEngines()
+	r := ranking{loads: t.loads, inOtherDomain: t.inOtherDomain, best: make([]candidate, 0, most)}
 	for n := 1; n <= most; n++ {
-		if c := t.choose(r.first(n, read/time.Duration(n), t.now), read); c != nil && (best == nil || c.cost < best.cost) {
+		if c := t.newChoice(r.cheapest(n, read/time.Duration(n), t.now), read); c != nil && (best == nil || c.cost < best.cost) {
 			best = c
 		}
 	}
@@ -140,7 +140,7 @@
 // takes the keeper twice the processor time.
 type ranking struct {
 	loads []load
-	far   func(*load) bool
+	inOtherDomain   func(*load) bool
 	best  []candidate // of the present call of first, in order
 	out   []load      // their loads
 }
@@ -151,19 +151,19 @@
 	cost float64
 }
 
-// first returns the n loads that cost the least, in order.
-func (r *ranking) first(n int, part time.Duration, now time.Time) []load {
+// cheapest returns the n loads that cost the least, in order.
+func (r *ranking) cheapest(n int, part time.Duration, now time.Time) []load {
 	r.best = r.best[:0]
 	for i := range r.loads {
 		l := &r.loads[i]
-		c := candidate{l, l.harm(part) + waitCost*l.free.Sub(now).Seconds()}
-		if r.far(l) {
-			c.cost += farCostLong
+		c := candidate{l, l.delayCost(part) + waitCost*l.freeAt.Sub(now).Seconds()}
+		if r.inOtherDomain(l) {
+			c.cost += otherDomainCostLong
 		}
-		if l.helping >= l.engine.slots() {
-			c.cost += overCost
+		if l.helperParts >= l.engine.slots() {
+			c.cost += noSlotCost
 		}
-		r.offer(c, n)
+		r.insert(c, n)
 	}
 	r.out = r.out[:0]
 	for _, c := range r.best {
@@ -172,8 +172,8 @@
 	return r.out
 }
 
-// offer takes a candidate in if it is among the n best so far.
-func (r *ranking) offer(c candidate, n int) {
+// insert takes a candidate in if it is among the n best so far.
+func (r *ranking) insert(c candidate, n int) {
 	if len(r.best) == n {
 		if !c.before(r.best[n-1]) {
 			return
@@ -192,19 +192,19 @@
 func (c candidate) before(d candidate) bool {
 	return cmp.Or(
 		cmp.Compare(c.cost, d.cost),
-		cmp.Compare(len(c.load.writers), len(d.load.writers)),
-		cmp.Compare(d.load.engine.order, c.load.engine.order),
+		cmp.Compare(len(c.load.decodes), len(d.load.decodes)),
+		cmp.Compare(d.load.engine.packRank, c.load.engine.packRank),
 	) < 0
 }
 
-// choose returns the choice of just these engines, nil when their memory does not
+// newChoice returns the choice of just these engines, nil when their memory does not
 // hold the prompt. The engine with the fewest writers receives it.
-func (t *task) choose(from []load, read time.Duration) *choice {
+func (t *placement) newChoice(from []load, read time.Duration) *choice {
 	loads := slices.Clone(from)
-	c := &choice{loads: loads, begin: t.now, read: read / time.Duration(len(loads))}
+	c := &choice{loads: loads, start: t.now, prefill: read / time.Duration(len(loads))}
 	for i := range loads {
-		if loads[i].free.After(c.begin) {
-			c.begin = loads[i].free
+		if loads[i].freeAt.After(c.start) {
+			c.start = loads[i].freeAt
 		}
 	}
 	first := t.receiver(loads)
@@ -212,48 +212,48 @@
 		return nil
 	}
 	loads[0], loads[first] = loads[first], loads[0]
-	t.weigh(c)
+	t.computeCost(c)
 	return c
 }
 
 // receiver returns the engine that receives the request, -1 when none can.
-func (t *task) receiver(loads []load) int {
+func (t *placement) receiver(loads []load) int {
 	first := -1
 	for i := range loads {
 		l := &loads[i]
-		if len(l.writers) >= l.engine.slots() || !t.holds(l, len(loads)) {
+		if len(l.decodes) >= l.engine.slots() || !t.canReceive(l, len(loads)) {
 			continue
 		}
-		if first < 0 || t.better(l, &loads[first]) {
+		if first < 0 || t.betterReceiver(l, &loads[first]) {
 			first = i
 		}
 	}
 	return first
 }
 
-// better reports whether one engine is a better receiver than another: the answer comes from
+// betterReceiver reports whether one engine is a better receiver than another: the answer comes from
 // there, so the own failure domain goes first.
-func (t *task) better(l, than *load) bool {
-	if far := t.far(l); far != t.far(than) {
+func (t *placement) betterReceiver(l, than *load) bool {
+	if far := t.inOtherDomain(l); far != t.inOtherDomain(than) {
 		return !far
 	}
-	return len(l.writers) < len(than.writers)
+	return len(l.decodes) < len(than.decodes)
 }
 
-// weigh works out the cost of a choice.
-func (t *task) weigh(c *choice) {
+// computeCost works out the cost of a choice.
+func (t *placement) computeCost(c *choice) {
 	for i := range c.loads {
 		l := &c.loads[i]
-		c.harms = c.harms || !l.bearsAll(c.read)
-		c.harm += l.harm(c.read)
-		c.cost += idleCost * c.begin.Sub(l.free).Seconds()
+		c.delaysOthers = c.delaysOthers || !l.toleratesPause(c.prefill)
+		c.delayCost += l.delayCost(c.prefill)
+		c.cost += idleCost * c.start.Sub(l.freeAt).Seconds()
 	}
-	c.cost += c.harm
+	c.cost += c.delayCost
 	value := t.ask.value()
-	first := c.end().Sub(t.now) + t.pass(&c.loads[0])
+	first := c.end().Sub(t.now) + t.passTime(&c.loads[0])
 	c.late = float64(first) > onTimeShare*float64(t.ask.Objective)
 	if c.late {
-		c.cost += lateShare * value
+		c.cost += lateLossShare * value
 	}
 	if first > t.ask.Left {
 		c.cost += value
@@ -261,54 +261,54 @@
 	c.cost += slowCost * value * first.Seconds() / max(t.ask.Left.Seconds(), 1e-3)
 }
 
-// spread reports whether the prompt needs the memory of several engines.
-func (t *task) spread() bool {
+// spreadsMemory reports whether the prompt needs the memory of several engines.
+func (t *placement) spreadsMemory() bool {
 	memory := t.service.Figures.Memory
 	return memory > 0 && t.ask.need() > int64(memoryShare*float64(memory))
 }
 
-// share returns the tokens of each engine when the memory is spread over n.
-func (t *task) share(n int) int64 {
+// tokensPerEngine returns the tokens of each engine when the memory is spread over n.
+func (t *placement) tokensPerEngine(n int) int64 {
 	return (t.ask.need() + int64(n) - 1) / int64(n)
 }
 
-// holds reports whether an engine has the memory to be the first of n.
-func (t *task) holds(l *load, n int) bool {
-	if t.spread() {
-		return l.room() >= t.share(n)
+// canReceive reports whether an engine has the memory to be the first of n.
+func (t *placement) canReceive(l *load, n int) bool {
+	if t.spreadsMemory() {
+		return l.freeMemory() >= t.tokensPerEngine(n)
 	}
-	return l.room() >= t.ask.need()
+	return l.freeMemory() >= t.ask.need()
 }
 
-func (t *task) sharesFit(loads []load) bool {
-	if !t.spread() {
+func (t *placement) sharesFit(loads []load) bool {
+	if !t.spreadsMemory() {
 		return true
 	}
-	share := t.share(len(loads))
+	share := t.tokensPerEngine(len(loads))
 	for i := range loads {
-		if loads[i].room() < share {
+		if loads[i].freeMemory() < share {
 			return false
 		}
 	}
 	return true
 }
 
-func (t *task) parts(c *choice) []Part {
+func (t *placement) parts(c *choice) []Part {
 	parts := make([]Part, len(c.loads))
 	for i := range c.loads {
 		var reserve int64
-		if t.spread() && i > 0 {
-			reserve = t.share(len(c.loads))
+		if t.spreadsMemory() && i > 0 {
+			reserve = t.tokensPerEngine(len(c.loads))
 		}
-		parts[i] = part(&c.loads[i], reserve)
+		parts[i] = newPart(&c.loads[i], reserve)
 	}
 	return parts
 }
 
-// noRoom tells a prompt that no engines ever hold, and one that has no time left, from
+// noCapacity tells a prompt that no engines ever hold, and one that has no time left, from
 // one that has to wait for memory or slots.
-func (t *task) noRoom(read time.Duration) Verdict {
-	most := t.mostEngines()
+func (t *placement) noCapacity(read time.Duration) Verdict {
+	most := t.maxEngines()
 	held := int64(most) * int64(memoryShare*float64(t.service.Figures.Memory))
 	switch {
 	case t.service.Figures.Memory > 0 && t.ask.need() > held:
--- a/internal/core/booking/long_test.go
+++ b/internal/core/booking/long_test.go
@@ -8,17 +8,17 @@
 
 func TestLongPromptIsSplitToBeInTime(t *testing.T) {
 	b := newBook(8)
-	p := b.Place(ask("long", 365_000), start) // 7.5 s on one engine
+	p := b.Place(newRequest("long", 365_000), start) // 7.5 s on one engine
 	if p.Verdict != Booked || len(p.Parts) < 3 || p.First > 3*time.Second {
 		t.Errorf("got %+v", p)
 	}
 }
 
-func TestLongPartsStayOffEnginesThatWriteForShortPrompts(t *testing.T) {
+func TestLongPartsAvoidEnginesThatDecodeShortPrompts(t *testing.T) {
 	b := newBook(8)
-	short := b.Place(ask("short", 5000), start)
+	short := b.Place(newRequest("short", 5000), start)
 	b.RecordFirstEvent("short")
-	long := b.Place(ask("long", 210_000), start)
+	long := b.Place(newRequest("long", 210_000), start)
 	for _, part := range long.Parts {
 		if part.Upstream == short.Parts[0].Upstream {
 			t.Errorf("the short prompt's engine reads a part of %v", long.Read)
@@ -29,12 +29,12 @@
 	}
 }
 
-func TestPromptThatIsLateInAnyCaseYields(t *testing.T) {
+func TestPromptThatCannotBeInTimeYields(t *testing.T) {
 	b := newBook(2)
-	if p := b.Place(ask("first", 250_000), start); p.Verdict != Booked {
+	if p := b.Place(newRequest("first", 250_000), start); p.Verdict != Booked {
 		t.Fatalf("got %+v", p)
 	}
-	a := ask("late", 250_000)
+	a := newRequest("late", 250_000)
 	a.Objective = 100 * time.Millisecond
 	if p := b.Place(a, start); p.Verdict != Yield {
 		t.Errorf("got %s", p.Verdict)
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestAnswerThatHasBegunIsNeitherRefusedNorYields(t *testing.T) {
+func TestStartedAnswerIsNeitherRefusedNorYields(t *testing.T) {
 	for name, change := range map[string]func(*Request){
 		"late in any case":     func(a *Request) { a.Objective = time.Millisecond },
 		"no time for its read": func(a *Request) { a.Left = time.Millisecond },
@@ -61,9 +61,9 @@
 		for _, begun := range []bool{false, true} {
 			b := newBook(2)
 			for i := range 2 {
-				b.Place(ask(fmt.Sprint("busy", i), 150_000), start)
+				b.Place(newRequest(fmt.Sprint("busy", i), 150_000), start)
 			}
-			a := ask("a", 150_000)
+			a := newRequest("a", 150_000)
 			change(&a)
 			a.Begun = begun
 			if p := b.Place(a, start); (p.Verdict == Booked) != begun {
@@ -73,12 +73,12 @@
 	}
 }
 
-func TestTheLargestAreNotPutBehindWhileTheyAreInTime(t *testing.T) {
+func TestLargestPromptsAreNotDeferredWhileInTime(t *testing.T) {
 	b := newBook(4)
 	for i := range 4 {
-		b.Place(ask(fmt.Sprint("busy", i), 210_000), start)
+		b.Place(newRequest(fmt.Sprint("busy", i), 210_000), start)
 	}
-	a := ask("huge", 800_000) // 32 s on one engine
+	a := newRequest("huge", 800_000) // 32 s on one engine
 	a.Objective, a.Left = time.Minute, 2*time.Minute
 	p := b.Place(a, start)
 	if p.Verdict != Booked || p.First > time.Duration(onTimeShare*float64(a.Objective)) {
@@ -91,16 +91,16 @@
 	}
 }
 
-func TestMemoryIsSpreadOnlyWhenOneEngineDoesNotHoldIt(t *testing.T) {
+func TestMemoryIsSpreadOnlyIfOneEngineDoesNotHoldIt(t *testing.T) {
 	b := newBook(6)
-	whole := b.Place(ask("fits", 300_000), start)
+	whole := b.Place(newRequest("fits", 300_000), start)
 	for _, part := range whole.Parts {
 		if part.Reserve != 0 {
 			t.Errorf("reserves %d", part.Reserve)
 		}
 	}
 	b.End("fits")
-	spread := b.Place(ask("huge", 900_000), start)
+	spread := b.Place(newRequest("huge", 900_000), start)
 	sum := spread.Parts[0].Reserve
 	for _, part := range spread.Parts[1:] {
 		sum += part.Reserve
@@ -108,21 +108,21 @@
 	if spread.Parts[0].Reserve != 0 || sum < 900_000-450_000 {
 		t.Errorf("reserves %d with %+v", sum, spread.Parts)
 	}
-	if p := b.Place(ask("never", 9_000_000), start); p.Verdict != TooLarge {
+	if p := b.Place(newRequest("never", 9_000_000), start); p.Verdict != TooLarge {
 		t.Errorf("got %s", p.Verdict)
 	}
 }
 
-func TestPromptThatMakesOthersLateWaitsWhileItCan(t *testing.T) {
+func TestPromptThatMakesOthersLateYieldsWhileInTime(t *testing.T) {
 	b := newBook(4)
 	var taken []string
 	for i := range 4 { // a writer on each engine
-		short := ask(fmt.Sprint("short", i), 5000)
+		short := newRequest(fmt.Sprint("short", i), 5000)
 		short.Exclude = taken
 		taken = append(taken, b.Place(short, start).Parts[0].Upstream)
 		b.RecordFirstEvent(short.ID)
 	}
-	a := ask("long", 200_000) // 2.6 s on one engine, 0.65 s on all
+	a := newRequest("long", 200_000) // 2.6 s on one engine, 0.65 s on all
 	if p := b.Place(a, start); p.Verdict != Yield {
 		t.Errorf("with %s left: %s %s", a.Objective, p.Verdict, p.Reason)
 	}
@@ -140,11 +140,11 @@
 	}
 }
 
-func TestAnswerOfASpreadPromptIsWrittenInTime(t *testing.T) {
+func TestDecodeTimeOfASpreadPromptUsesTheLargestPart(t *testing.T) {
 	b := newBook(17)
-	a := ask("largest", 1_000_000) // 2.9 s on all engines; on one, its steps would take 3.5 ms
+	a := newRequest("largest", 1_000_000) // 2.9 s on all engines; on one, its steps would take 3.5 ms
 	a.Objective, a.Left = time.Second, 8*time.Second
-	other := ask("other", 100_000)
+	other := newRequest("other", 100_000)
 	b.Place(other, start)
 	if p := b.Place(a, start); p.Verdict != Yield {
 		t.Errorf("got %s, first after %s: there is time to wait and to write", p.Verdict, p.First)
--- a/internal/core/booking/model_engine_test.go
+++ b/internal/core/booking/model_engine_test.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// share is a part of a prompt on an engine.
-type share struct {
+// modelPart is a part of a prompt on an engine.
+type modelPart struct {
 	call *call
 	left time.Duration // reading time
 	help bool
 }
 
-// unit is one engine.
-type unit struct {
+// modelEngine is one engine.
+type modelEngine struct {
 	id      string
-	waiting []*share
-	writers []*call
-	reading []*share      // of the pass
-	busy    time.Duration // until when the pass lasts; zero: none is under way
-	writing bool          // the pass has writers
+	waiting []*modelPart
+	decodes []*call
+	prefilling []*modelPart      // of the pass
+	passEnd    time.Duration // until when the pass lasts; zero: none is under way
+	decoding bool          // the pass has writers
 	joiners []*call       // write from the next pass on
 }
 
 // runPass begins a pass if an engine has work and none is under way.
-func (m *model) runPass(e *unit) {
-	if e.busy > m.now || len(e.writers)+len(e.waiting)+len(e.joiners) == 0 {
+func (m *model) runPass(e *modelEngine) {
+	if e.passEnd > m.now || len(e.decodes)+len(e.waiting)+len(e.joiners) == 0 {
 		return
 	}
-	e.writers = append(e.writers, e.joiners...)
+	e.decodes = append(e.decodes, e.joiners...)
 	e.joiners = nil
-	took := e.read(m.figures.Slots)
-	e.writing = len(e.writers) > 0
-	if e.writing {
-		took += m.writingTime(e)
+	took := e.prefill(m.figures.Slots)
+	e.decoding = len(e.decodes) > 0
+	if e.decoding {
+		took += m.decodeTime(e)
 	}
-	e.busy = m.now + took
+	e.passEnd = m.now + took
 }
 
-// read chooses what the pass reads and returns how long that takes. What helps others is read
+// prefill chooses what the pass reads and returns how long that takes. What helps others is read
 // first; prompts of the engine's own need a slot, and those that are read whole here write in
 // the same pass.
-func (e *unit) read(slots int) time.Duration {
-	slices.SortStableFunc(e.waiting, func(a, b *share) int {
+func (e *modelEngine) prefill(slots int) time.Duration {
+	slices.SortStableFunc(e.waiting, func(a, b *modelPart) int {
 		switch {
 		case a.help == b.help:
 			return 0
@@ -51,12 +51,12 @@
 		}
 		return 1
 	})
-	bound := quantum
-	if len(e.writers) > 0 {
+	bound := prefillQuantum
+	if len(e.decodes) > 0 {
 		bound = time.Hour // a pass with writers has steps enough for all that waits
 	}
 	var took time.Duration
-	slots -= len(e.writers)
+	slots -= len(e.decodes)
 	for _, s := range e.waiting {
 		if took >= bound {
 			break
@@ -71,53 +71,53 @@
 		s.left -= part
 		took += part
 		if s.left <= 0 {
-			e.reading = append(e.reading, s)
+			e.prefilling = append(e.prefilling, s)
 		}
 	}
-	for _, s := range e.reading {
+	for _, s := range e.prefilling {
 		if !s.help && len(s.call.plan.Parts) == 1 {
-			e.writers = append(e.writers, s.call)
+			e.decodes = append(e.decodes, s.call)
 		}
 	}
 	return took
 }
 
-// writingTime returns how long the steps of a pass take. The context of a prompt that several
+// decodeTime returns how long the steps of a pass take. The context of a prompt that several
 // engines have read is spread over them.
-func (m *model) writingTime(e *unit) time.Duration {
+func (m *model) decodeTime(e *modelEngine) time.Duration {
 	context := 0
-	for _, c := range e.writers {
+	for _, c := range e.decodes {
 		context += (c.prompt + c.got*m.figures.Stride) / len(c.plan.Parts)
 	}
-	return time.Duration(m.figures.Stride) * m.figures.StepTime(len(e.writers), int64(context))
+	return time.Duration(m.figures.Stride) * m.figures.StepTime(len(e.decodes), int64(context))
 }
 
 // endPass emits events and takes parts out that are read.
-func (m *model) endPass(e *unit) {
-	if e.busy == 0 || e.busy > m.now {
+func (m *model) endPass(e *modelEngine) {
+	if e.passEnd == 0 || e.passEnd > m.now {
 		return
 	}
-	e.busy = 0
-	for _, s := range e.reading {
-		e.waiting = slices.DeleteFunc(e.waiting, func(x *share) bool { return x == s })
+	e.passEnd = 0
+	for _, s := range e.prefilling {
+		e.waiting = slices.DeleteFunc(e.waiting, func(x *modelPart) bool { return x == s })
 		if len(s.call.plan.Parts) > 1 {
-			m.partRead(s.call)
+			m.partPrefilled(s.call)
 		}
 	}
-	e.reading = e.reading[:0]
-	if !e.writing {
+	e.prefilling = e.prefilling[:0]
+	if !e.decoding {
 		return
 	}
-	e.writers = slices.DeleteFunc(e.writers, func(c *call) bool {
+	e.decodes = slices.DeleteFunc(e.decodes, func(c *call) bool {
 		m.event(c)
 		return c.state == ended
 	})
 }
 
-func (m *model) partRead(c *call) {
+func (m *model) partPrefilled(c *call) {
 	c.unread--
 	if c.unread == 0 && c.state != ended {
-		e := m.units[c.plan.Parts[0].Upstream]
+		e := m.engines[c.plan.Parts[0].Upstream]
 		e.joiners = append(e.joiners, c)
 	}
 }
--- a/internal/core/booking/model_result_test.go
+++ b/internal/core/booking/model_result_test.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// tally is what some calls earned.
-type tally struct {
+// outcomes is what some calls earned.
+type outcomes struct {
 	n, inTime, late, refused, lost int
 	owed, earned                   float64
 }
 
-func (t *tally) add(c *call) {
+func (t *outcomes) add(c *call) {
 	t.n++
 	t.owed += c.worth * c.kind.worth
 	switch {
@@ -28,17 +28,17 @@
 	}
 }
 
-func (t *tally) share() float64 { return t.earned / math.Max(t.owed, 1e-9) }
+func (t *outcomes) share() float64 { return t.earned / math.Max(t.owed, 1e-9) }
 
 // result tells how a played load was served.
 type result struct {
-	all, largest tally // largest: the longest tenth of the longest kind
-	kinds        []tally
+	all, largest outcomes // largest: the longest tenth of the longest kind
+	kinds        []outcomes
 	paused       int // in time by their first event, late by a pause
 }
 
 func (m *model) result() result {
-	r := result{kinds: make([]tally, len(kinds))}
+	r := result{kinds: make([]outcomes, len(kinds))}
 	longest := &kinds[len(kinds)-1]
 	var prompts []int
 	for _, c := range m.all {
--- a/internal/core/booking/model_test.go
+++ b/internal/core/booking/model_test.go
@@ -17,26 +17,26 @@
 
 const (
 	modelStep = 5 * time.Millisecond
-	// modelYield and modelFull are the pauses of daemons between two tries to place.
-	modelYield = 100 * time.Millisecond
-	modelFull  = 50 * time.Millisecond
-	// leastBack and mostBack bound the time after which a refused caller is told to come back.
-	leastBack = 200 * time.Millisecond
-	mostBack  = 2 * time.Second
+	// yieldPause and modelFull are the pauses of daemons between two tries to place.
+	yieldPause = 100 * time.Millisecond
+	fullPause  = 50 * time.Millisecond
+	// minReturn and mostBack bound the time after which a refused caller is told to come back.
+	minReturn = 200 * time.Millisecond
+	maxReturn  = 2 * time.Second
 	// modelMoves is how often a stream that pauses is moved.
 	modelMoves = 1
-	// quantum bounds what an engine without writers reads before it looks for new work.
-	quantum = 10 * time.Millisecond
+	// prefillQuantum bounds what an engine without writers reads before it looks for new work.
+	prefillQuantum = 10 * time.Millisecond
 )
 
 // kind is one kind of request, with the figures that its users publish.
 type kind struct {
 	name      string
 	prompt    float64 // tokens, mean
-	spread    float64 // of a lognormal distribution
-	most      float64
+	sigma    float64 // of a lognormal distribution
+	maxPrompt      float64
 	events    float64 // of an answer, mean
-	spreadOut float64
+	eventsSigma float64
 	objective time.Duration
 	gap       time.Duration
 	deadline  time.Duration
@@ -87,7 +87,7 @@
 	latest  time.Duration // its last event
 	pause   time.Duration
 	moves   int
-	back    bool // came back after a refusal
+	returned    bool // came back after a refusal
 	refused bool
 	worth   float64 // owed
 }
@@ -96,24 +96,24 @@
 	book    *Book
 	rng     *rand.Rand
 	figures cost.Figures
-	units   map[string]*unit
-	order   []*unit
+	engines   map[string]*modelEngine
+	order   []*modelEngine
 	list    *fleet.Snapshot
 	away    int
 	calls   []*call // not ended
 	all     []*call
 	now     time.Duration
-	n       int
+	nextID       int
 }
 
 func newModel(seed uint64, engines int, f cost.Figures) *model {
-	m := &model{book: New(), rng: rand.New(rand.NewPCG(seed, 3)), figures: f, units: map[string]*unit{}}
+	m := &model{book: New(), rng: rand.New(rand.NewPCG(seed, 3)), figures: f, engines: map[string]*modelEngine{}}
 	m.book.SetServices([]Service{{Name: "llm", Figures: f, MinGap: kinds[0].gap}})
 	m.list = upstreams(engines)
 	m.book.SetUpstreams(m.list)
 	for _, u := range m.list.Upstreams {
-		e := &unit{id: u.ID}
-		m.units[u.ID] = e
+		e := &modelEngine{id: u.ID}
+		m.engines[u.ID] = e
 		m.order = append(m.order, e)
 	}
 	return m
@@ -123,7 +123,7 @@
 func (m *model) limit(perSecond float64) {
 	for _, u := range m.list.Upstreams {
 		if perSecond > 0 {
-			m.book.hearLimit(u.ID, perSecond)
+			m.book.setLimit(u.ID, perSecond)
 		}
 	}
 }
@@ -144,18 +144,18 @@
 }
 
 func (m *model) enter(k *kind) {
-	m.n++
+	m.nextID++
 	c := &call{
 		kind:    k,
-		prompt:  int(m.lognormal(k.prompt, k.spread, k.most)),
-		events:  max(int(m.lognormal(k.events, k.spreadOut, 2.5*k.events)), 1),
+		prompt:  int(m.lognormal(k.prompt, k.sigma, k.maxPrompt)),
+		events:  max(int(m.lognormal(k.events, k.eventsSigma, 2.5*k.events)), 1),
 		arrived: m.now,
 		askAt:   m.now,
 	}
 	out := float64(c.events * m.figures.Stride)
 	size := (float64(c.prompt) + 10*out) / (k.prompt + 10*k.events*float64(m.figures.Stride))
 	c.worth = math.Min(0.3+0.7*size, 4)
-	c.ask.ID = fmt.Sprint(m.n)
+	c.ask.ID = fmt.Sprint(m.nextID)
 	m.calls = append(m.calls, c)
 	m.all = append(m.all, c)
 }
@@ -183,9 +183,9 @@
 	case Booked:
 		c.plan, c.state, c.sendAt = p, booked, m.now+p.Wait
 	case Yield:
-		c.askAt = m.now + modelYield
+		c.askAt = m.now + yieldPause
 	case Full:
-		c.askAt = m.now + modelFull
+		c.askAt = m.now + fullPause
 	default:
 		m.refuse(c, p)
 	}
@@ -193,12 +193,12 @@
 
 // refuse lets a caller come back once, after the time that it is told.
 func (m *model) refuse(c *call, p Plan) {
-	if c.back {
+	if c.returned {
 		c.state, c.refused = ended, true
 		return
 	}
-	c.back = true
-	c.askAt = m.now + min(max(p.Backlog, leastBack), mostBack)
+	c.returned = true
+	c.askAt = m.now + min(max(p.Backlog, minReturn), maxReturn)
 }
 
 // send puts the parts of a call on their engines.
@@ -210,8 +210,8 @@
 	}
 	read := m.figures.PrefillTime(c.prompt) / time.Duration(len(c.plan.Parts))
 	for i, p := range c.plan.Parts {
-		s := &share{call: c, left: read, help: i > 0}
-		e := m.units[p.Upstream]
+		s := &modelPart{call: c, left: read, help: i > 0}
+		e := m.engines[p.Upstream]
 		e.waiting = append(e.waiting, s)
 	}
 	m.displace(c)
@@ -238,18 +238,18 @@
 func (m *model) drop(c *call) {
 	m.book.End(c.ask.ID)
 	for _, p := range c.plan.Parts {
-		e := m.units[p.Upstream]
-		gone := func(s *share) bool { return s.call == c }
+		e := m.engines[p.Upstream]
+		gone := func(s *modelPart) bool { return s.call == c }
 		e.waiting = slices.DeleteFunc(e.waiting, gone)
-		e.reading = slices.DeleteFunc(e.reading, gone)
+		e.prefilling = slices.DeleteFunc(e.prefilling, gone)
 		isC := func(x *call) bool { return x == c }
-		e.writers = slices.DeleteFunc(e.writers, isC)
+		e.decodes = slices.DeleteFunc(e.decodes, isC)
 		e.joiners = slices.DeleteFunc(e.joiners, isC)
 	}
 }
 
-// watch moves streams that pause for long and ends those whose callers have left.
-func (m *model) watch(c *call) {
+// checkStall moves streams that pause for long and ends those whose callers have left.
+func (m *model) checkStall(c *call) {
 	silent := m.now - c.latest
 	k := c.kind
 	if m.now > c.arrived+k.deadline || silent > max(2*time.Second, 4*k.objective, 8*k.gap) {
@@ -257,7 +257,7 @@
 		c.state = ended
 		return
 	}
-	limit := max(staysGaps*k.gap, staysLeast)
+	limit := max(stallGaps*k.gap, minStall)
 	if c.got > 0 && c.moves < modelMoves && silent > limit {
 		m.move(c)
 	}
@@ -308,6 +308,6 @@
 		m.send(c)
 	}
 	if c.state == sent {
-		m.watch(c)
+		m.checkStall(c)
 	}
 }
--- a/internal/core/booking/near_test.go
+++ b/internal/core/booking/near_test.go
@@ -19,21 +19,21 @@
 
 func (b *Book) domainOf(p Part) string { return b.engines[p.Upstream].up.Domain }
 
-func near(id, domain string, prompt int) Request {
-	a := ask(id, prompt)
+func requestFrom(id, domain string, prompt int) Request {
+	a := newRequest(id, prompt)
 	a.Domain = domain
 	return a
 }
 
-// TestAnswersComeFromTheOwnDomain is the pattern of a failure domain that is cut off: answers
+// TestAnswersComeFromTheDomainOfTheRequest is the pattern of a failure domain that is cut off: answers
 // that come from within it go on, and those of the others too.
-func TestAnswersComeFromTheOwnDomain(t *testing.T) {
+func TestAnswersComeFromTheDomainOfTheRequest(t *testing.T) {
 	b := threeDomains(6)
 	for i := range 30 {
 		domain := fmt.Sprint("d", i%3)
 		for _, prompt := range []int{5000, 45_000, 190_000} {
 			id := fmt.Sprint(i, "/", prompt)
-			p := b.Place(near(id, domain, prompt), start)
+			p := b.Place(requestFrom(id, domain, prompt), start)
 			if p.Verdict != Booked {
 				t.Fatalf("%s: %+v", id, p)
 			}
@@ -48,31 +48,31 @@
 	}
 }
 
-// TestFarEnginesHelpWhereTheOwnAreLate: a prompt that its own domain would answer late goes to
+// TestOtherDomainsServeWhatTheOwnWouldServeLate: a prompt that its own domain would answer late goes to
 // another one.
-func TestFarEnginesHelpWhereTheOwnAreLate(t *testing.T) {
+func TestOtherDomainsServeWhatTheOwnWouldServeLate(t *testing.T) {
 	b := threeDomains(2)
-	for _, e := range b.ordered {
+	for _, e := range b.packOrder {
 		if e.up.Domain == "d0" {
 			p := Plan{Parts: []Part{{Upstream: e.up.ID}}, Read: 2 * time.Second, First: 2 * time.Second}
-			b.Record(ask("long on "+e.up.ID, 210_000), p, start)
+			b.Record(newRequest("long on "+e.up.ID, 210_000), p, start)
 		}
 	}
 	for _, prompt := range []int{5000, 45_000} {
-		p := b.Place(near(fmt.Sprint(prompt), "d0", prompt), start)
+		p := b.Place(requestFrom(fmt.Sprint(prompt), "d0", prompt), start)
 		if p.Verdict != Booked || b.domainOf(p.Parts[0]) == "d0" {
 			t.Errorf("%d tokens: %+v", prompt, p)
 		}
 	}
 }
 
-// TestUnknownDomainPacksAsOne: daemons that do not tell their failure domain share engines.
-func TestUnknownDomainPacksAsOne(t *testing.T) {
+// TestRequestsWithoutADomainArePackedTogether: daemons that do not tell their failure domain share engines.
+func TestRequestsWithoutADomainArePackedTogether(t *testing.T) {
 	b := threeDomains(6)
 	used := map[string]bool{}
 	for i := range 12 {
 		id := fmt.Sprint(i)
-		used[b.Place(near(id, "", 5000), start).Parts[0].Upstream] = true
+		used[b.Place(requestFrom(id, "", 5000), start).Parts[0].Upstream] = true
 		b.RecordFirstEvent(id)
 	}
 	if len(used) != 1 {
--- a/internal/core/booking/place.go
+++ b/internal/core/booking/place.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// task is one ask under way.
-type task struct {
+// placement is one ask under way.
+type placement struct {
 	book    *Book
-	alone   bool // what others send is not known
-	limited bool // for this, engines with limits were left out
+	uncoordinated   bool // what others send is not known
+	skippedLimited bool // for this, engines with limits were left out
 	ask     *Request
 	service *Service
 	now     time.Time
@@ -28,7 +28,7 @@
 	if s == nil {
 		return Plan{Verdict: NoEngine}
 	}
-	t := &task{book: b, alone: alone, ask: &a, service: s, now: now}
+	t := &placement{book: b, uncoordinated: alone, ask: &a, service: s, now: now}
 	p := t.plan()
 	b.Record(a, p, now)
 	if p.Verdict == Booked {
@@ -37,18 +37,18 @@
 	return p
 }
 
-func (t *task) plan() Plan {
-	onlyFailing := t.look(false)
+func (t *placement) plan() Plan {
+	onlyFailing := t.collectLoads(false)
 	switch {
 	case len(t.loads) > 0:
-	case t.limited:
+	case t.skippedLimited:
 		return Plan{Verdict: AtLimit}
 	default:
 		return Plan{Verdict: NoEngine}
 	}
 	read := t.service.Figures.PrefillTime(t.ask.Prompt)
 	var p Plan
-	if read <= t.book.shortRead(t.ask.Service) && t.fitsOne() {
+	if read <= t.book.maxShortPrefill(t.ask.Service) && t.fitsOneEngine() {
 		p = t.planShort(read)
 	} else {
 		p = t.planLong(read)
@@ -61,11 +61,11 @@
 	return p
 }
 
-// look fills in the loads of the engines that may be taken. Those that fail are
+// collectLoads fills in the loads of the engines that may be taken. Those that fail are
 // taken when no other is left, those that were tried before after them.
-func (t *task) look(all bool) (onlyFailing bool) {
+func (t *placement) collectLoads(all bool) (onlyFailing bool) {
 	t.loads = t.loads[:0]
-	for _, e := range t.book.ordered {
+	for _, e := range t.book.packOrder {
 		if e.up.Service != t.ask.Service || !e.up.TakesWork() || slices.Contains(t.ask.Barred, e.up.ID) {
 			continue
 		}
@@ -73,25 +73,25 @@
 			continue
 		}
 		turn, limited := t.book.pacer.NextTurn(e.up.ID, t.now)
-		if limited && t.alone {
-			t.limited = true
+		if limited && t.uncoordinated {
+			t.skippedLimited = true
 			continue
 		}
-		t.loads = append(t.loads, e.look(t.now, t.service.MinGap))
+		t.loads = append(t.loads, e.loadAt(t.now, t.service.MinGap))
 		if limited {
-			t.loads[len(t.loads)-1].await(turn, t.now)
+			t.loads[len(t.loads)-1].delayUntil(turn, t.now)
 		}
 	}
 	if len(t.loads) > 0 || all {
 		return all
 	}
-	return t.look(true)
+	return t.collectLoads(true)
 }
 
-func (t *task) backlog() time.Duration {
+func (t *placement) backlog() time.Duration {
 	least := time.Duration(-1)
 	for i := range t.loads {
-		wait := max(t.loads[i].free.Sub(t.now), 0)
+		wait := max(t.loads[i].freeAt.Sub(t.now), 0)
 		if least < 0 || wait < least {
 			least = wait
 		}
@@ -104,19 +104,19 @@
 // request and reads its prompt anew.
 const memoryShare = 0.95
 
-// room returns the tokens for which the engine has memory; one whose memory is not
+// freeMemory returns the tokens for which the engine has memory; one whose memory is not
 // known holds any prompt.
-func (l *load) room() int64 {
+func (l *load) freeMemory() int64 {
 	if l.engine.figures.Memory <= 0 {
 		return math.MaxInt64
 	}
 	return int64(memoryShare*float64(l.engine.figures.Memory)) - l.memory
 }
 
-// fitsOne reports whether some engine has the memory for the whole prompt now.
-func (t *task) fitsOne() bool {
+// fitsOneEngine reports whether some engine has the memory for the whole prompt now.
+func (t *placement) fitsOneEngine() bool {
 	for i := range t.loads {
-		if t.loads[i].room() >= t.ask.need() {
+		if t.loads[i].freeMemory() >= t.ask.need() {
 			return true
 		}
 	}
@@ -126,51 +126,51 @@
 // Weights of the choice of an engine for a short prompt. They only order engines;
 // one unit is the harm of a millisecond's wait.
 const (
-	// openCost keeps short prompts together: an engine is opened for them when the
+	// openEngineCost keeps short prompts together: an engine is opened for them when the
 	// open ones would make them wait this much longer.
-	openCost = 40.0
+	openEngineCost = 40.0
 	// orderCost opens the engines in the same order everywhere.
 	orderCost = 2.0
-	// gatherGain is what each writer of an open engine counts for it: short prompts gather
+	// packingGain is what each writer of an open engine counts for it: short prompts gather
 	// on the fullest engines, so that the others fall clear as their answers end and can
 	// read long prompts without harm.
-	gatherGain = 3.0
-	// longWriterCost keeps them from engines that write long prompts' answers, whose
+	packingGain = 3.0
+	// longDecodeCost keeps them from engines that write long prompts' answers, whose
 	// context slows each step.
-	longWriterCost = 10.0
+	longDecodeCost = 10.0
 	// lateCost is that of an engine on which the answer will be late, by its first
 	// event or by the pause of a long part that is booked there.
 	lateCost = 600.0
-	// farCost is that of an engine in another failure domain than the daemon, whose answers
+	// otherDomainCost is that of an engine in another failure domain than the daemon, whose answers
 	// a cut between them would end. It is more than a full engine there gains over one to be
 	// opened here, and less than being late.
-	farCost = 100.0
-	// fullCost is that of an engine whose slots are nearly taken.
-	fullCost = 400.0
-	// overCost is that of an engine without a free slot.
-	overCost = 4000.0
+	otherDomainCost = 100.0
+	// nearlyFullCost is that of an engine whose slots are nearly taken.
+	nearlyFullCost = 400.0
+	// noSlotCost is that of an engine without a free slot.
+	noSlotCost = 4000.0
 )
 
 const (
 	// spareSlots are left free of the slots of an engine, for a prompt that comes before
 	// the end of another is known.
 	spareSlots = 1
-	// queueMost is how many requests may wait at an engine whose slots are taken.
-	queueMost = 8
+	// maxQueued is how many requests may wait at an engine whose slots are taken.
+	maxQueued = 8
 )
 
-// leastPatience is the longest wait for a turn of a prompt that is late already. Whoever
+// minTurnPatience is the longest wait for a turn of a prompt that is late already. Whoever
 // would be late for its turn is refused at once: a queue of late ones would make all late.
-const leastPatience = 200 * time.Millisecond
+const minTurnPatience = 200 * time.Millisecond
 
-func (t *task) planShort(read time.Duration) Plan {
+func (t *placement) planShort(read time.Duration) Plan {
 	best, bestScore, rank := -1, 0.0, 0
 	for i := range t.loads {
 		l := &t.loads[i]
-		if l.tight == 0 {
+		if l.minGapDecodes == 0 {
 			rank++
 		}
-		if l.room() < t.ask.need() {
+		if l.freeMemory() < t.ask.need() {
 			continue
 		}
 		if score := t.shortScore(l, read, rank); best < 0 || score < bestScore {
@@ -178,66 +178,66 @@
 		}
 	}
 	l := &t.loads[best]
-	wait := l.turn
+	wait := l.turnWait
 	switch {
-	case len(l.writers) >= l.engine.slots()+queueMost:
+	case len(l.decodes) >= l.engine.slots()+maxQueued:
 		return Plan{Verdict: Full}
-	case !t.ask.Begun && wait > max(t.ask.Objective, leastPatience):
+	case !t.ask.Begun && wait > max(t.ask.Objective, minTurnPatience):
 		return Plan{Verdict: TooLate, Reason: ReasonLimit, First: t.shortFirst(l, read)}
 	}
 	reason := ReasonPacked
-	if l.tight == 0 {
+	if l.minGapDecodes == 0 {
 		reason = ReasonOpened
 	}
-	return Plan{Reason: reason, Parts: []Part{part(l, 0)}, Wait: wait, Read: read, First: t.shortFirst(l, read)}
+	return Plan{Reason: reason, Parts: []Part{newPart(l, 0)}, Wait: wait, Read: read, First: t.shortFirst(l, read)}
 }
 
 // shortFirst returns the expected time to the first event.
-func (t *task) shortFirst(l *load, read time.Duration) time.Duration {
-	return t.shortWait(l) + read + t.pass(l)
+func (t *placement) shortFirst(l *load, read time.Duration) time.Duration {
+	return t.shortWait(l) + read + t.passTime(l)
 }
 
 // shortWait returns the expected time until a short prompt is read.
-func (t *task) shortWait(l *load) time.Duration {
-	return max(l.turn, l.current+l.unread)
+func (t *placement) shortWait(l *load) time.Duration {
+	return max(l.turnWait, l.runningLong+l.shortPrefill)
 }
 
-func (t *task) shortScore(l *load, read time.Duration, rank int) float64 {
-	score := millis(t.shortWait(l)) - gatherGain*float64(len(l.writers)) + longWriterCost*float64(l.long)
+func (t *placement) shortScore(l *load, read time.Duration, rank int) float64 {
+	score := millis(t.shortWait(l)) - packingGain*float64(len(l.decodes)) + longDecodeCost*float64(l.longDecodes)
 	if float64(t.shortFirst(l, read)) > onTimeShare*float64(t.ask.Objective) {
 		score += lateCost
 	}
-	if l.coming > t.ask.Gap-t.pass(l)-pauseMargin {
+	if l.bookedLong > t.ask.Gap-t.passTime(l)-pauseMargin {
 		score += lateCost
 	}
-	if l.tight == 0 {
-		score += openCost + orderCost*float64(rank)
+	if l.minGapDecodes == 0 {
+		score += openEngineCost + orderCost*float64(rank)
 	}
-	if t.far(l) {
-		score += farCost
+	if t.inOtherDomain(l) {
+		score += otherDomainCost
 	}
 	slots := l.engine.slots()
 	switch {
-	case len(l.writers) >= slots:
-		score += overCost * float64(len(l.writers)-slots+1)
-	case len(l.writers) >= slots-spareSlots:
-		score += fullCost
+	case len(l.decodes) >= slots:
+		score += noSlotCost * float64(len(l.decodes)-slots+1)
+	case len(l.decodes) >= slots-spareSlots:
+		score += nearlyFullCost
 	}
 	return score
 }
 
-// far reports whether an engine is in another failure domain than the daemon that asks.
-func (t *task) far(l *load) bool { return t.ask.Domain != "" && l.engine.up.Domain != t.ask.Domain }
+// inOtherDomain reports whether an engine is in another failure domain than the daemon that asks.
+func (t *placement) inOtherDomain(l *load) bool { return t.ask.Domain != "" && l.engine.up.Domain != t.ask.Domain }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// pass returns the time of one pass of an engine, after which events are sent.
-func (t *task) pass(l *load) time.Duration {
+// passTime returns the time of one pass of an engine, after which events are sent.
+func (t *placement) passTime(l *load) time.Duration {
 	f := l.engine.figures
-	return time.Duration(f.Stride) * f.StepTime(len(l.writers)+1, l.context+t.ask.need())
+	return time.Duration(f.Stride) * f.StepTime(len(l.decodes)+1, l.context+t.ask.need())
 }
 
-func part(l *load, reserve int64) Part {
+func newPart(l *load, reserve int64) Part {
 	u := &l.engine.up
 	return Part{Upstream: u.ID, Life: u.Incarnation, Address: u.Address, Reserve: reserve}
 }
--- a/internal/core/booking/tally_test.go
+++ b/internal/core/booking/tally_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestKeptLoadsAreThoseWorkedOutAnew draws what may happen to a book, and compares after
+// TestCachedLoadsEqualRecomputedLoads draws what may happen to a book, and compares after
 // each step the load that is kept of each engine with the one worked out from its entries.
-func TestKeptLoadsAreThoseWorkedOutAnew(t *testing.T) {
+func TestCachedLoadsEqualRecomputedLoads(t *testing.T) {
 	const engines, steps = 6, 400
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 5))
@@ -20,7 +20,7 @@
 			now = now.Add(time.Duration(rng.IntN(50)) * time.Millisecond)
 			switch rng.IntN(12) {
 			case 0, 1, 2, 3, 4:
-				b.Place(ask(id(), []int{3000, 45_000, 300_000}[rng.IntN(3)]), now)
+				b.Place(newRequest(id(), []int{3000, 45_000, 300_000}[rng.IntN(3)]), now)
 			case 5, 6:
 				b.RecordFirstEvent(id())
 			case 7, 8:
@@ -34,10 +34,10 @@
 			case 11:
 				b.SetUpstreams(upstreams(engines - rng.IntN(2)))
 			}
-			for _, e := range b.ordered {
-				kept := e.look(now, 200*time.Millisecond)
-				e.changed()
-				if anew := e.look(now, 200*time.Millisecond); !reflect.DeepEqual(kept, anew) {
+			for _, e := range b.packOrder {
+				kept := e.loadAt(now, 200*time.Millisecond)
+				e.invalidate()
+				if anew := e.loadAt(now, 200*time.Millisecond); !reflect.DeepEqual(kept, anew) {
 					t.Fatalf("seed %d, step %d, %s: kept %+v, worked out %+v", seed, step, e.up.ID, kept, anew)
 				}
 			}
