--- a/internal/core/pace/cold_test.go
+++ b/internal/core/pace/cold_test.go
@@ -34,12 +34,12 @@
 				whileCold = append(whileCold, turn)
 			}
 		}
-		return float64(most(whileCold, time.Second)) <= allowedCold(perSecond)
+		return float64(maxInPeriod(whileCold, time.Second)) <= allowedCold(perSecond)
 	}, gen.Float64Range(0, 40), gen.IntRange(0, 3000), gen.IntRange(0, 2000)))
 	properties.TestingRun(t)
 }
 
-func TestColdEndsByItself(t *testing.T) {
+func TestColdLimitEndsByItself(t *testing.T) {
 	p := New()
 	p.SetShare(FullShare)
 	p.SetCold(cold("a", 1, 0, 500), at(0))
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestColdAgainIsBoundedAnew: an upstream may become cold at any moment of its life.
-func TestColdAgainIsBoundedAnew(t *testing.T) {
+// TestUpstreamThatIsColdAgainIsLimitedAgain: an upstream may become cold at any moment of its life.
+func TestUpstreamThatIsColdAgainIsLimitedAgain(t *testing.T) {
 	p := New()
 	p.SetShare(FullShare)
 	p.SetCold(cold("a", 2, 0, 1000), at(0))
@@ -73,13 +73,13 @@
 		p.SetShare(FullShare)
 		p.SetLimit(limit("a", c.named, 0), at(0))
 		p.SetCold(cold("a", c.cold, 0, 10_000), at(0))
-		if got := most(admitted(p, 0, 9000, 5, time.Second), window); float64(got) > 2*window.Seconds()+burst {
+		if got := maxInPeriod(admitted(p, 0, 9000, 5, time.Second), window); float64(got) > 2*window.Seconds()+burst {
 			t.Errorf("named %g, cold %g: %d turns in %s", c.named, c.cold, got, window)
 		}
 	}
 }
 
-func TestColdOfAnUpstreamThatHasGoneIsForgotten(t *testing.T) {
+func TestExpiredColdLimitIsDropped(t *testing.T) {
 	p := New()
 	p.SetCold(cold("a", 2, 0, 1000), at(0))
 	p.RetainListed(func(string) bool { return true }, at(70_000))
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestWhatAWarmUpstreamGotDoesNotCount: its turns were given as for one without a limit, some of
+// TestTurnsTakenWhileWarmDoNotCount: its turns were given as for one without a limit, some of
 // them ahead.
-func TestWhatAWarmUpstreamGotDoesNotCount(t *testing.T) {
+func TestTurnsTakenWhileWarmDoNotCount(t *testing.T) {
 	p := New()
 	p.SetShare(FullShare)
 	p.SetCold(cold("a", 2, 0, 100), at(0))
--- a/internal/core/pace/pacer.go
+++ b/internal/core/pace/pacer.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// leastPerSecond is given out whatever the limit is: only an answer tells that it has
+	// minPerSecond is given out whatever the limit is: only an answer tells that it has
 	// ended.
-	leastPerSecond = 0.1
+	minPerSecond = 0.1
 	// burst is how many turns may be given at once after a quiet time.
 	burst = 2
 )
@@ -114,7 +114,7 @@
 	case at.Before(u.cold.Until):
 		perSecond = min(perSecond, u.cold.PerSecond)
 	}
-	rate := p.share * max(perSecond, leastPerSecond)
+	rate := p.share * max(perSecond, minPerSecond)
 	return time.Duration(float64(time.Second) / rate)
 }
 
@@ -157,14 +157,14 @@
 	return wait, true
 }
 
-// keptFor is how long a limit of an upstream that is not listed is kept after it was heard:
+// retention is how long a limit of an upstream that is not listed is kept after it was heard:
 // the upstream may come back.
-const keptFor = time.Minute
+const retention = time.Minute
 
 // RetainListed forgets the limits of upstreams that are not listed, after a while.
 func (p *Pacer) RetainListed(listed func(id string) bool, now time.Time) {
 	maps.DeleteFunc(p.upstreams, func(id string, u *upstream) bool {
 		over := !u.limited(now) || !listed(id)
-		return over && now.Sub(u.limit.At) > keptFor && now.Sub(u.cold.Until) > keptFor
+		return over && now.Sub(u.limit.At) > retention && now.Sub(u.cold.Until) > retention
 	})
 }
--- a/internal/core/pace/pacer_test.go
+++ b/internal/core/pace/pacer_test.go
@@ -31,8 +31,8 @@
 	return turns
 }
 
-// most returns the most turns in some span of time.
-func most(turns []time.Time, span time.Duration) int {
+// maxInPeriod returns the most turns in some span of time.
+func maxInPeriod(turns []time.Time, span time.Duration) int {
 	slices.SortFunc(turns, time.Time.Compare)
 	best := 0
 	for i := range turns {
@@ -50,7 +50,7 @@
 
 func allowed(perSecond float64) float64 { return 1.5*perSecond*window.Seconds() + 5 }
 
-func TestTurnsStayWithinTheLimitHoweverOftenIsAskedAndHeard(t *testing.T) {
+func TestTurnsStayWithinTheLimitUnderRepeatedReports(t *testing.T) {
 	p := New()
 	p.SetShare(FullShare)
 	var turns []time.Time
@@ -58,7 +58,7 @@
 		p.SetLimit(limit("a", 2, ms), at(ms))
 		turns = append(turns, admitted(p, ms, ms+100, 1, time.Second)...)
 	}
-	if got := most(turns, window); float64(got) > 2*window.Seconds()+burst {
+	if got := maxInPeriod(turns, window); float64(got) > 2*window.Seconds()+burst {
 		t.Errorf("%d turns in %s", got, window)
 	}
 	if len(turns) < 35 {
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestDeputyBesideTheOneThatGivesTurnsStaysWithinTheBound: while hosts disagree on who gives
+// TestFallbackBesideTheFullShareStaysWithinTheBound: while hosts disagree on who gives
 // them.
-func TestDeputyBesideTheOneThatGivesTurnsStaysWithinTheBound(t *testing.T) {
+func TestFallbackBesideTheFullShareStaysWithinTheBound(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(7))
 	properties.Property("a deputy beside it", prop.ForAll(func(perSecond float64, laterMs, withinMs int) bool {
 		one, other := New(), New()
@@ -81,12 +81,12 @@
 		within := time.Duration(withinMs) * time.Millisecond
 		turns := admitted(one, 0, 15_000, 10, within)
 		turns = append(turns, admitted(other, laterMs, 15_000, 10, within)...)
-		return float64(most(turns, window)) <= allowed(perSecond)
+		return float64(maxInPeriod(turns, window)) <= allowed(perSecond)
 	}, gen.Float64Range(0, 20), gen.IntRange(0, 9000), gen.IntRange(0, 2000)))
 	properties.TestingRun(t)
 }
 
-func TestLaterWordHolds(t *testing.T) {
+func TestLaterReportHolds(t *testing.T) {
 	p := New()
 	p.SetLimit(limit("a", 2, 100), at(100))
 	p.SetLimit(notice.Limit{Upstream: "a", At: at(50)}, at(120)) // an older word
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestTurnsThatWereNotTakenAreLeftInPart(t *testing.T) {
+func TestUnusedTurnsAllowOneBurst(t *testing.T) {
 	p := New()
 	p.SetShare(FullShare)
 	p.SetLimit(limit("a", 2, 0), at(0))
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestLimitOutlivesAGapInTheEntryOfItsUpstream(t *testing.T) {
+func TestLimitOutlivesAShortAbsenceOfItsUpstream(t *testing.T) {
 	p := New()
 	p.SetLimit(limit("a", 2, 0), at(0))
 	none := func(string) bool { return false }
