--- a/internal/core/cost/cost_test.go
+++ b/internal/core/cost/cost_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// today are the figures of the engines of today's sites.
-var today = Figures{
+// sampleFigures are the figures of the engines of today's sites.
+var sampleFigures = Figures{
 	Slots: 16, Memory: 450_000, Stride: 46, Chunk: 2048, StepMs: 0.925, PerSeqMs: 0.00483,
 	ContextPerK: 0.00254, ReadPerMs: 256, PairsMsPerM: 0.0917,
 }
 
-func TestReadGrowsWithThePairs(t *testing.T) {
+func TestPrefillTimeGrowsWithThePairs(t *testing.T) {
 	cases := []struct {
 		tokens   int
 		from, to time.Duration
@@ -22,17 +22,17 @@
 		{1_000_000, 49 * time.Second, 51 * time.Second},
 	}
 	for _, c := range cases {
-		if got := today.PrefillTime(c.tokens); got < c.from || got > c.to {
+		if got := sampleFigures.PrefillTime(c.tokens); got < c.from || got > c.to {
 			t.Errorf("%d tokens: %v, want %v to %v", c.tokens, got, c.from, c.to)
 		}
 	}
 }
 
-func TestStepGrowsWithWritersAndContext(t *testing.T) {
-	if today.StepTime(10, 50_000) <= today.StepTime(1, 5_000) {
+func TestStepTimeGrowsWithDecodesAndContext(t *testing.T) {
+	if sampleFigures.StepTime(10, 50_000) <= sampleFigures.StepTime(1, 5_000) {
 		t.Error("a step beside others is not longer")
 	}
-	if got, want := today.DecodeTime(100, 1, 0), 100*today.StepTime(1, 0); got != want {
+	if got, want := sampleFigures.DecodeTime(100, 1, 0), 100*sampleFigures.StepTime(1, 0); got != want {
 		t.Errorf("writing took %v, want %v", got, want)
 	}
 }
