--- a/internal/core/avoid/avoid_test.go
+++ b/internal/core/avoid/avoid_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestFailuresAtOnceCountAsOne(t *testing.T) {
+func TestConcurrentFailuresCountAsOne(t *testing.T) {
 	tr := newTracker()
 	tr.RecordFailure("a", start)
 	tr.RecordFailure("a", start.Add(50*time.Millisecond))
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestOldFailuresAreForgotten(t *testing.T) {
+func TestOldFailuresAreDropped(t *testing.T) {
 	tr := newTracker()
 	tr.RecordFailure("a", start)
 	if got := tr.Avoided(start.Add(time.Minute)); len(got) != 0 || len(tr.byID) != 0 {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestForgivenFailuresAreNoStreak(t *testing.T) {
+func TestClearedFailuresAreNotPartOfAStreak(t *testing.T) {
 	tr := newTracker()
 	tr.RecordFailure("a", start)
 	tr.RecordFailure("b", start.Add(-time.Second))
