--- a/internal/core/reach/reach.go
+++ b/internal/core/reach/reach.go
@@ -28,12 +28,12 @@
 	BecameReachable
 )
 
-// way is what is known of the way to a domain.
-type way struct {
-	heard   time.Time // last sign of life
-	looked  time.Time // when the last look began
-	looking bool
-	cut     time.Time // since when it is cut; zero: it is not
+// path is what is known of the way to a domain.
+type path struct {
+	lastActivity   time.Time // last sign of life
+	lastProbe  time.Time // when the last look began
+	probing bool
+	cutSince     time.Time // since when it is cut; zero: it is not
 }
 
 // Tracker has the beliefs of one daemon. It is not safe for concurrent use.
@@ -41,32 +41,32 @@
 // Invariant: at most one look at a domain is under way, and a belief changes only by one.
 type Tracker struct {
 	opts Options
-	ways map[string]*way
+	paths map[string]*path
 }
 
 // New returns a Tracker that believes all ways open.
-func New(o Options) *Tracker { return &Tracker{opts: o, ways: map[string]*way{}} }
+func New(o Options) *Tracker { return &Tracker{opts: o, paths: map[string]*path{}} }
 
-func (t *Tracker) way(domain string) *way {
-	w := t.ways[domain]
+func (t *Tracker) path(domain string) *path {
+	w := t.paths[domain]
 	if w == nil {
-		w = &way{}
-		t.ways[domain] = w
+		w = &path{}
+		t.paths[domain] = w
 	}
 	return w
 }
 
 // RecordActivity notes a sign of life from a domain.
-func (t *Tracker) RecordActivity(domain string, now time.Time) { t.way(domain).heard = now }
+func (t *Tracker) RecordActivity(domain string, now time.Time) { t.path(domain).lastActivity = now }
 
 // BeginProbe notes a reason to look at a domain. It returns true when a look is to begin now;
 // Looked must follow.
 func (t *Tracker) BeginProbe(domain string, now time.Time) bool {
-	w := t.way(domain)
-	if w.looking || now.Sub(w.looked) < t.opts.ProbeInterval {
+	w := t.path(domain)
+	if w.probing || now.Sub(w.lastProbe) < t.opts.ProbeInterval {
 		return false
 	}
-	w.looking, w.looked = true, now
+	w.probing, w.lastProbe = true, now
 	return true
 }
 
@@ -74,56 +74,56 @@
 // which answers are written, that are quiet. Looked must follow for each.
 func (t *Tracker) DueProbes(writing []string, now time.Time) []string {
 	var due []string
-	for domain, w := range t.ways {
-		if !w.cut.IsZero() && t.BeginProbe(domain, now) {
+	for domain, w := range t.paths {
+		if !w.cutSince.IsZero() && t.BeginProbe(domain, now) {
 			due = append(due, domain)
 		}
 	}
 	for _, domain := range writing {
-		w := t.way(domain)
-		if now.Sub(w.heard) >= t.opts.QuietAfter && t.BeginProbe(domain, now) {
+		w := t.path(domain)
+		if now.Sub(w.lastActivity) >= t.opts.QuietAfter && t.BeginProbe(domain, now) {
 			due = append(due, domain)
 		}
 	}
 	return due
 }
 
-// leastTried is how many connections have to fail in a look: one upstream may be dead.
-const leastTried = 2
+// minTried is how many connections have to fail in a look: one upstream may be dead.
+const minTried = 2
 
 // EndProbe notes the result of a look. One without enough connections changes nothing, for
 // where a domain has a single upstream, its death and a cut are not told apart; neither does
 // one during which the domain gave a sign of life: those that were tried are dead.
 func (t *Tracker) EndProbe(domain string, l ProbeResult, now time.Time) Change {
-	w := t.way(domain)
-	w.looking = false
+	w := t.path(domain)
+	w.probing = false
 	switch {
 	case l.Reached > 0:
-		w.heard = now
-		if w.cut.IsZero() {
+		w.lastActivity = now
+		if w.cutSince.IsZero() {
 			return None
 		}
-		w.cut = time.Time{}
+		w.cutSince = time.Time{}
 		return BecameReachable
-	case l.Tried < leastTried || !w.cut.IsZero() || w.heard.After(l.Started):
+	case l.Tried < minTried || !w.cutSince.IsZero() || w.lastActivity.After(l.Started):
 		return None
 	}
-	w.cut = l.Started
+	w.cutSince = l.Started
 	return BecameCut
 }
 
 // DiscardProbe notes that a look has told nothing, as one during which the daemon stood still.
-func (t *Tracker) DiscardProbe(domain string) { t.way(domain).looking = false }
+func (t *Tracker) DiscardProbe(domain string) { t.path(domain).probing = false }
 
 // Cut reports whether the way to a domain is believed cut.
 func (t *Tracker) Cut(domain string) bool {
-	w := t.ways[domain]
-	return w != nil && !w.cut.IsZero()
+	w := t.paths[domain]
+	return w != nil && !w.cutSince.IsZero()
 }
 
 // AnyCut reports whether some way is believed cut.
 func (t *Tracker) AnyCut() bool {
-	for domain := range t.ways {
+	for domain := range t.paths {
 		if t.Cut(domain) {
 			return true
 		}
@@ -136,5 +136,5 @@
 	if !t.Cut(domain) {
 		return 0
 	}
-	return now.Sub(t.ways[domain].cut)
+	return now.Sub(t.paths[domain].cutSince)
 }
