--- a/internal/core/notice/notice.go
+++ b/internal/core/notice/notice.go
@@ -51,7 +51,7 @@
 	limits  map[string]Limit
 	leaving map[string]time.Time // when it was heard
 	backOff map[string]Bar
-	gone    map[string]time.Time // since when what is known is of no listed upstream
+	unlistedSince    map[string]time.Time // since when what is known is of no listed upstream
 }
 
 // New returns a Tracker that has heard nothing.
@@ -60,7 +60,7 @@
 		limits:  map[string]Limit{},
 		leaving: map[string]time.Time{},
 		backOff: map[string]Bar{},
-		gone:    map[string]time.Time{},
+		unlistedSince:    map[string]time.Time{},
 	}
 }
 
@@ -70,13 +70,13 @@
 // Record takes in what an answer says that came now to what was sent at a time.
 func (t *Tracker) Record(id string, n Notice, sent, now time.Time) Change {
 	return Change{
-		Limit:   t.hearLimit(id, n, sent, now),
-		Leaving: n.Leaving && t.hearLeaving(id, now),
-		BackOff: n.BackOff > 0 && t.hearBackOff(id, n.BackOff, now),
+		Limit:   t.recordLimit(id, n, sent, now),
+		Leaving: n.Leaving && t.recordLeaving(id, now),
+		BackOff: n.BackOff > 0 && t.recordBackOff(id, n.BackOff, now),
 	}
 }
 
-func (t *Tracker) hearLimit(id string, n Notice, sent, now time.Time) (changed bool) {
+func (t *Tracker) recordLimit(id string, n Notice, sent, now time.Time) (changed bool) {
 	before, known := t.limits[id]
 	if !n.Limited && (!known || !n.Ran || sent.Before(before.At)) {
 		return false
@@ -85,7 +85,7 @@
 	return !known || before.Limited != n.Limited || before.PerSecond != n.Limit
 }
 
-func (t *Tracker) hearLeaving(id string, now time.Time) (changed bool) {
+func (t *Tracker) recordLeaving(id string, now time.Time) (changed bool) {
 	if _, known := t.leaving[id]; known {
 		return false
 	}
@@ -93,7 +93,7 @@
 	return true
 }
 
-func (t *Tracker) hearBackOff(id string, span time.Duration, now time.Time) (changed bool) {
+func (t *Tracker) recordBackOff(id string, span time.Duration, now time.Time) (changed bool) {
 	until := now.Add(span)
 	if !until.After(t.backOff[id].Until) {
 		return false
@@ -143,24 +143,24 @@
 	return ids
 }
 
-// keptFor is how long what an upstream has said is kept after its entry has gone: it may come
+// retention is how long what an upstream has said is kept after its entry has gone: it may come
 // back.
-const keptFor = time.Minute
+const retention = time.Minute
 
 // RetainListed forgets what upstreams have said that are not listed, after a while.
 func (t *Tracker) RetainListed(listed func(id string) bool, now time.Time) {
 	for _, id := range t.known() {
 		if listed(id) {
-			delete(t.gone, id)
+			delete(t.unlistedSince, id)
 			continue
 		}
-		if _, noted := t.gone[id]; !noted {
-			t.gone[id] = now
+		if _, noted := t.unlistedSince[id]; !noted {
+			t.unlistedSince[id] = now
 		}
 	}
-	for id, since := range t.gone {
-		if now.Sub(since) > keptFor {
-			delete(t.gone, id)
+	for id, since := range t.unlistedSince {
+		if now.Sub(since) > retention {
+			delete(t.unlistedSince, id)
 			delete(t.limits, id)
 			delete(t.leaving, id)
 			delete(t.backOff, id)
--- a/internal/core/notice/notice_test.go
+++ b/internal/core/notice/notice_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestAnswerToAnEarlierRequestEndsNoLimit has an answer that was written before the limit
+// TestAnswerToAnEarlierRequestDoesNotEndALimit has an answer that was written before the limit
 // come after it, on another connection.
-func TestAnswerToAnEarlierRequestEndsNoLimit(t *testing.T) {
+func TestAnswerToAnEarlierRequestDoesNotEndALimit(t *testing.T) {
 	tr := New()
 	tr.Record("a", limit(2), at(0), at(10))
 	if tr.Record("a", Notice{Ran: true}, at(9), at(12)).Limit {
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestAnswerThatMayLeaveItOutEndsNoLimit: the answers to orders, and refusals, are not those
+// TestAnswerToARequestThatDidNotRunDoesNotEndALimit: the answers to orders, and refusals, are not those
 // of a request that ran.
-func TestAnswerThatMayLeaveItOutEndsNoLimit(t *testing.T) {
+func TestAnswerToARequestThatDidNotRunDoesNotEndALimit(t *testing.T) {
 	tr := New()
 	tr.Record("a", limit(2), at(0), at(10))
 	if tr.Record("a", Notice{}, at(20), at(30)).Limit {
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestWordOfAnUpstreamOutlivesAGapInItsEntry: entries lapse while the store is away.
-func TestWordOfAnUpstreamOutlivesAGapInItsEntry(t *testing.T) {
+// TestNoticesOutliveAShortAbsenceOfTheirUpstream: entries lapse while the store is away.
+func TestNoticesOutliveAShortAbsenceOfTheirUpstream(t *testing.T) {
 	tr := New()
 	tr.Record("a", Notice{Leaving: true, Limited: true, Limit: 2}, at(0), at(1))
 	none := func(string) bool { return false }
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestUpstreamThatLeavesIsBarredForItsLife(t *testing.T) {
+func TestLeavingUpstreamStaysBarred(t *testing.T) {
 	tr := New()
 	if c := tr.Record("a", Notice{Leaving: true}, at(0), at(1)); !c.Leaving {
 		t.Error("it is no news")
@@ -109,10 +109,10 @@
 	}
 }
 
-// TestNextLifeInheritsWhatItSaidBeforeItWasListed guards against requests to a server in its
+// TestNextIncarnationInheritsNoticesFromBeforeItWasListed guards against requests to a server in its
 // back-off, or above its limit, that has started again under its id: its first answers are
 // heard under the ID of its former life.
-func TestNextLifeInheritsWhatItSaidBeforeItWasListed(t *testing.T) {
+func TestNextIncarnationInheritsNoticesFromBeforeItWasListed(t *testing.T) {
 	tr := New()
 	tr.Record("a@1", Notice{Leaving: true}, at(0), at(500)) // by the former life
 	tr.Record("a@1", Notice{BackOff: 5 * time.Second, Limited: true, Limit: 2}, at(1500), at(1500))
--- a/internal/core/notice/seconds.go
+++ b/internal/core/notice/seconds.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// longestBackOff bounds what an answer may ask for.
-const longestBackOff = time.Hour
+// maxBackOff bounds what an answer may ask for.
+const maxBackOff = time.Hour
 
 // ParseBackOff reads a number of seconds, fractions among them, for which an upstream wants
 // nothing; what is none is zero.
@@ -16,5 +16,5 @@
 	if err != nil || !(seconds > 0) {
 		return 0
 	}
-	return time.Duration(math.Min(seconds, longestBackOff.Seconds()) * float64(time.Second))
+	return time.Duration(math.Min(seconds, maxBackOff.Seconds()) * float64(time.Second))
 }
