--- a/internal/schedule/displace.go
+++ b/internal/schedule/displace.go
@@ -9,8 +9,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/booking"
 )
 
-// displaceAt moves the writers that a booked attempt makes late, when its reading begins.
-func (s *Service) displaceAt(attempt string, p booking.Plan) {
+// scheduleDisplace moves the writers that a booked attempt makes late, when its reading begins.
+func (s *Service) scheduleDisplace(attempt string, p booking.Plan) {
 	if p.Verdict == booking.Booked && !p.Short() {
 		time.AfterFunc(p.Wait, func() { s.displace(attempt) })
 	}
@@ -29,7 +29,7 @@
 			s.move(attempts)
 			continue
 		}
-		go s.tellMove(host, attempts)
+		go s.requestMove(host, attempts)
 	}
 }
 
@@ -40,14 +40,14 @@
 	return s.opts.Move(attempts)
 }
 
-// tellMove tells another daemon to move attempts. One that is not reached keeps them where
+// requestMove tells another daemon to move attempts. One that is not reached keeps them where
 // they are, which costs their callers a pause and nothing else.
-func (s *Service) tellMove(host string, attempts []string) {
+func (s *Service) requestMove(host string, attempts []string) {
 	for _, m := range s.opts.Peers.Rank(keeperKey, allMembers) {
 		if m.Host != host {
 			continue
 		}
-		err := s.call(context.Background(), m, "Move", placeWait, &MoveRequest{Attempts: attempts}, &MoveReply{})
+		err := s.call(context.Background(), m, "Move", placeTimeout, &MoveRequest{Attempts: attempts}, &MoveReply{})
 		if err != nil {
 			s.log.WithError(err).WithFields(logrus.Fields{"to": host, "attempts": attempts}).Info("move_not_told")
 		}
--- a/internal/schedule/displace_test.go
+++ b/internal/schedule/displace_test.go
@@ -10,14 +10,14 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/booking"
 )
 
-// TestWritersAreMovedByTheirDaemons is the pattern of a long prompt of one daemon that is read
+// TestDecodesAreMovedByTheirDaemons is the pattern of a long prompt of one daemon that is read
 // where others write: each of these is told to move its own, and only those.
-func TestWritersAreMovedByTheirDaemons(t *testing.T) {
+func TestDecodesAreMovedByTheirDaemons(t *testing.T) {
 	g := newGroup("k", "a", "b")
-	g.apply(16) // room for all writers on one engine
+	g.setEngines(16) // room for all writers on one engine
 	var mu sync.Mutex
 	moved := map[string][]string{}
-	for host, s := range g.by {
+	for host, s := range g.services {
 		s.opts.Move = func(attempts []string) int {
 			mu.Lock()
 			defer mu.Unlock()
@@ -28,10 +28,10 @@
 	var on booking.Part
 	for _, host := range g.hosts {
 		on = g.place(t, host, "of-"+host).Parts[0]
-		g.by[host].FirstEvent("of-" + host)
-		g.by[host].flush(t.Context(), false)
+		g.services[host].FirstEvent("of-" + host)
+		g.services[host].flush(t.Context(), false)
 	}
-	keeper := g.by["k"]
+	keeper := g.services["k"]
 	keeper.mu.Lock()
 	for i := range len(g.hosts) + 2 { // those that leave go where more write
 		a := booking.Request{ID: fmt.Sprint("x", i), Host: "x", Service: "llm", Gap: 200 * time.Millisecond, Left: time.Minute}
--- a/internal/schedule/growth_test.go
+++ b/internal/schedule/growth_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestDaemonsWithoutWorkTellTheKeeperNothing guards against messages to the one keeper that
+// TestDaemonsWithoutWorkSendTheKeeperNothing guards against messages to the one keeper that
 // grow with the daemons and not with their work.
-func TestDaemonsWithoutWorkTellTheKeeperNothing(t *testing.T) {
+func TestDaemonsWithoutWorkSendTheKeeperNothing(t *testing.T) {
 	for _, daemons := range []int{10, 20, 40} {
 		var hosts []string
 		for i := range daemons {
@@ -18,11 +18,11 @@
 		const busy = 5
 		for _, host := range hosts[1 : 1+busy] {
 			g.place(t, host, host+"/1")
-			g.by[host].flush(t.Context(), false)
+			g.services[host].flush(t.Context(), false)
 		}
 		clear(g.calls)
 		for _, host := range hosts {
-			g.by[host].flush(t.Context(), true)
+			g.services[host].flush(t.Context(), true)
 		}
 		if got := g.calls[ServiceName+".Notify"]; got != busy {
 			t.Errorf("%d daemons, %d with work: %d messages", daemons, busy, got)
@@ -30,36 +30,36 @@
 	}
 }
 
-// TestDaemonThatHadNoWorkForAWhileIsNotAskedForAll: the keeper keeps a daemon's life while it
+// TestDaemonThatWasIdleNeedsNoRestore: the keeper keeps a daemon's life while it
 // has nothing to tell.
-func TestDaemonThatHadNoWorkForAWhileIsNotAskedForAll(t *testing.T) {
+func TestDaemonThatWasIdleNeedsNoRestore(t *testing.T) {
 	g := newGroup("k", "a")
 	g.place(t, "a", "1")
-	g.by["a"].flush(t.Context(), true) // tells all, once
-	g.by["a"].End("1")
-	g.by["a"].flush(t.Context(), false)
-	g.by["k"].forgetSilent(time.Now().Add(2 * forgetAfter))
+	g.services["a"].flush(t.Context(), true) // tells all, once
+	g.services["a"].End("1")
+	g.services["a"].flush(t.Context(), false)
+	g.services["k"].dropSilent(time.Now().Add(2 * dropAttemptsAfter))
 	clear(g.calls)
 	g.place(t, "a", "2")
-	g.by["a"].flush(t.Context(), true)
+	g.services["a"].flush(t.Context(), true)
 	if n := g.calls[ServiceName+".Restore"]; n > 0 {
 		t.Errorf("it has told all %d times", n)
 	}
-	g.by["k"].forgetSilent(time.Now().Add(2 * lifeKept))
-	if n := len(g.by["k"].heard); n > 0 {
+	g.services["k"].dropSilent(time.Now().Add(2 * dropClientAfter))
+	if n := len(g.services["k"].clients); n > 0 {
 		t.Errorf("the keeper keeps %d lives for good", n)
 	}
 }
 
-// TestRequestsDoNotPayForASilentKeeper guards against a keeper that is gone for long, and that
+// TestRequestsDoNotWaitForASilentKeeper guards against a keeper that is gone for long, and that
 // each daemon tries again and again with a request of its own.
-func TestRequestsDoNotPayForASilentKeeper(t *testing.T) {
+func TestRequestsDoNotWaitForASilentKeeper(t *testing.T) {
 	g := newGroup("k", "next", "a")
-	a := g.by["a"]
+	a := g.services["a"]
 	g.place(t, "a", "1")
 	g.setCut("k", true)
 	g.place(t, "a", "2")                           // finds out
-	a.down.tracker.ClearFailures("k", time.Time{}) // as after a while
+	a.silent.backoff.ClearFailures("k", time.Time{}) // as after a while
 	g.place(t, "a", "3")
 	if a.keeper != "next" {
 		t.Fatalf("a request asked %q", a.keeper)
@@ -69,7 +69,7 @@
 	if a.keeper != "next" {
 		t.Fatalf("a request asked %q before it was known to answer", a.keeper)
 	}
-	a.askSilent(t.Context())
+	a.probeSilent(t.Context())
 	for end := time.Now().Add(10 * time.Second); a.isSilent("k") && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
@@ -82,5 +82,5 @@
 func (s *Service) isSilent(host string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.down.hosts[host]
+	return s.silent.hosts[host]
 }
--- a/internal/schedule/limits.go
+++ b/internal/schedule/limits.go
@@ -18,28 +18,28 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.book.Pacer().SetLimit(l, now)
-	told := limitAt(l, now)
-	s.tell(Event{Limit: &told})
+	told := limitMessage(l, now)
+	s.enqueue(Event{Limit: &told})
 }
 
-func limitAt(l notice.Limit, now time.Time) Limit {
+func limitMessage(l notice.Limit, now time.Time) Limit {
 	return Limit{Upstream: l.Upstream, Limited: l.Limited, PerSecond: l.PerSecond, Age: now.Sub(l.At)}
 }
 
-// limitsNow returns all limits that this daemon has heard.
-func (s *Service) limitsNow(now time.Time) []Limit {
+// limitMessages returns all limits that this daemon has heard.
+func (s *Service) limitMessages(now time.Time) []Limit {
 	if s.opts.Limits == nil {
 		return nil
 	}
 	var all []Limit
 	for _, l := range s.opts.Limits() {
-		all = append(all, limitAt(l, now))
+		all = append(all, limitMessage(l, now))
 	}
 	return all
 }
 
-// hearLimit takes in what another daemon has heard of a limit. The caller holds the lock.
-func (s *Service) hearLimit(l *Limit, now time.Time) {
+// recordLimit takes in what another daemon has heard of a limit. The caller holds the lock.
+func (s *Service) recordLimit(l *Limit, now time.Time) {
 	s.book.Pacer().SetLimit(notice.Limit{Upstream: l.Upstream, Limited: l.Limited, PerSecond: l.PerSecond, At: now.Add(-l.Age)}, now)
 }
 
@@ -49,16 +49,16 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.book.Pacer().SetCold(c, now)
-	s.tell(Event{Cold: coldAt(c, now)})
+	s.enqueue(Event{Cold: coldMessage(c, now)})
 }
 
-func coldAt(c pace.ColdLimit, now time.Time) *Cold {
+func coldMessage(c pace.ColdLimit, now time.Time) *Cold {
 	return &Cold{Upstream: c.Upstream, PerSecond: c.PerSecond, Left: c.Until.Sub(now)}
 }
 
-// hearCold takes in what another daemon knows of a cold upstream: of two words on how long it
+// recordCold takes in what another daemon knows of a cold upstream: of two words on how long it
 // stays so, the longer one holds. The caller holds the lock.
-func (s *Service) hearCold(c *Cold, now time.Time) {
+func (s *Service) recordCold(c *Cold, now time.Time) {
 	until := now.Add(c.Left)
 	if known, ok := s.book.Pacer().ColdLimit(c.Upstream, now); ok && known.Until.After(until) {
 		return
@@ -66,35 +66,35 @@
 	s.book.Pacer().SetCold(pace.ColdLimit{Upstream: c.Upstream, PerSecond: c.PerSecond, Until: until}, now)
 }
 
-// noTurn is when to ask again for a turn that nobody gives.
-const noTurn = 200 * time.Millisecond
+// noTurnDelay is when to ask again for a turn that nobody gives.
+const noTurnDelay = 200 * time.Millisecond
 
 // Admit takes a turn at an upstream with a limit, or a cold one, if it comes within a time, and
 // returns the wait for it.
 func (s *Service) Admit(ctx context.Context, l notice.Limit, within time.Duration) (wait time.Duration, ok bool) {
 	s.mu.Lock()
 	now := time.Now()
-	keeper, remote := s.choose(now)
+	keeper, remote := s.chooseKeeper(now)
 	if !remote {
 		defer s.mu.Unlock()
-		if s.alone {
-			return noTurn, false
+		if s.uncoordinated {
+			return noTurnDelay, false
 		}
 		s.book.Pacer().SetLimit(l, now)
 		return s.book.Pacer().Admit(l.Upstream, within, now)
 	}
-	req := &AdmitRequest{From: s.self(), Limit: limitAt(l, now), Within: within}
+	req := &AdmitRequest{From: s.self(), Limit: limitMessage(l, now), Within: within}
 	if c, cold := s.book.Pacer().ColdLimit(l.Upstream, now); cold {
-		req.Cold = coldAt(c, now)
+		req.Cold = coldMessage(c, now)
 	}
 	s.mu.Unlock()
 	var reply AdmitReply
-	err := s.call(ctx, keeper, "Admit", placeWait, req, &reply)
+	err := s.call(ctx, keeper, "Admit", placeTimeout, req, &reply)
 	if err == nil {
 		return reply.Wait, reply.OK
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lost(ctx, keeper, err, time.Now())
-	return noTurn, false
+	s.recordNoAnswer(ctx, keeper, err, time.Now())
+	return noTurnDelay, false
 }
--- a/internal/schedule/limits_test.go
+++ b/internal/schedule/limits_test.go
@@ -10,80 +10,80 @@
 )
 
 // A limit that gives one turn in hours, so that no test depends on its own time.
-const rare = 0.0001
+const rareRate = 0.0001
 
-func limitOf(upstream string) notice.Limit {
-	return notice.Limit{Upstream: upstream, Limited: true, PerSecond: rare, At: time.Now()}
+func rareLimit(upstream string) notice.Limit {
+	return notice.Limit{Upstream: upstream, Limited: true, PerSecond: rareRate, At: time.Now()}
 }
 
-// limitAll has a daemon hear limits of all engines.
-func limitAll(s *Service) {
+// limitAllEngines has a daemon hear limits of all engines.
+func limitAllEngines(s *Service) {
 	for i := range 4 {
-		s.ReportLimit(limitOf(fmt.Sprint("e", i)))
+		s.ReportLimit(rareLimit(fmt.Sprint("e", i)))
 	}
 }
 
-func shortAsk(host string, n int) booking.Request {
+func shortRequest(host string, n int) booking.Request {
 	return booking.Request{
 		ID: fmt.Sprintf("%s/%d", host, n), Host: host, Service: "llm", Prompt: 1000, Answer: 100, Expected: 100,
 		Objective: 300 * time.Millisecond, Gap: 200 * time.Millisecond, Left: 5 * time.Second,
 	}
 }
 
-// TestLimitThatOneDaemonHasHeardBindsAll guards against daemons that each keep to a limit of
+// TestLimitKnownToOneDaemonAppliesToAll guards against daemons that each keep to a limit of
 // their own: the keeper plans for those that have not heard of it too.
-func TestLimitThatOneDaemonHasHeardBindsAll(t *testing.T) {
+func TestLimitKnownToOneDaemonAppliesToAll(t *testing.T) {
 	g := newGroup("a", "b", "c")
-	g.by["b"].Place(t.Context(), shortAsk("b", 1)) // tells it its keeper
-	g.by["b"].flush(t.Context(), true)
-	limitAll(g.by["b"])
-	g.by["b"].flush(t.Context(), true)
+	g.services["b"].Place(t.Context(), shortRequest("b", 1)) // tells it its keeper
+	g.services["b"].flush(t.Context(), true)
+	limitAllEngines(g.services["b"])
+	g.services["b"].flush(t.Context(), true)
 	for i, host := range []string{"a", "b", "c"} {
-		if p := g.by[host].Place(t.Context(), shortAsk(host, 10+i)); p.Verdict != booking.TooLate {
+		if p := g.services[host].Place(t.Context(), shortRequest(host, 10+i)); p.Verdict != booking.TooLate {
 			t.Errorf("%s: got %+v", host, p)
 		}
 	}
 }
 
-func TestNextKeeperIsToldTheLimits(t *testing.T) {
+func TestNextKeeperGetsTheLimits(t *testing.T) {
 	g := newGroup("a", "b", "c")
-	limits := []notice.Limit{limitOf("e0"), limitOf("e1"), limitOf("e2"), limitOf("e3")}
-	g.by["c"].opts.Limits = func() []notice.Limit { return limits }
+	limits := []notice.Limit{rareLimit("e0"), rareLimit("e1"), rareLimit("e2"), rareLimit("e3")}
+	g.services["c"].opts.Limits = func() []notice.Limit { return limits }
 	g.setCut("a", true)
-	g.by["c"].Place(t.Context(), shortAsk("c", 1)) // finds the first keeper dead
-	g.by["c"].flush(t.Context(), true)             // tells the next one all
-	if p := g.by["c"].Place(t.Context(), shortAsk("c", 2)); p.Verdict != booking.TooLate {
+	g.services["c"].Place(t.Context(), shortRequest("c", 1)) // finds the first keeper dead
+	g.services["c"].flush(t.Context(), true)             // tells the next one all
+	if p := g.services["c"].Place(t.Context(), shortRequest("c", 2)); p.Verdict != booking.TooLate {
 		t.Errorf("got %+v", p)
 	}
 }
 
-func TestDaemonWhoseKeeperIsSilentLeavesUpstreamsWithLimitsAlone(t *testing.T) {
+func TestDaemonWithoutAKeeperSendsNothingToLimitedUpstreams(t *testing.T) {
 	g := newGroup("a", "b")
-	b := g.by["b"]
-	limitAll(b)
+	b := g.services["b"]
+	limitAllEngines(b)
 	g.setCut("a", true)
 	for i := range 2 { // the question in vain, and after it
-		if p := b.Place(t.Context(), shortAsk("b", i)); p.Verdict != booking.AtLimit {
+		if p := b.Place(t.Context(), shortRequest("b", i)); p.Verdict != booking.AtLimit {
 			t.Errorf("got %+v", p)
 		}
 	}
-	if _, ok := b.Admit(t.Context(), limitOf("s0"), time.Hour); ok {
+	if _, ok := b.Admit(t.Context(), rareLimit("s0"), time.Hour); ok {
 		t.Error("it takes turns that nobody gives")
 	}
-	if p := g.by["a"].Place(t.Context(), shortAsk("a", 1)); p.Verdict != booking.Booked {
+	if p := g.services["a"].Place(t.Context(), shortRequest("a", 1)); p.Verdict != booking.Booked {
 		t.Errorf("the first of all: %+v", p)
 	}
 }
 
-// TestTurnsAtPlainServersAreGivenByTheKeeper: their limits bind all daemons together too.
-func TestTurnsAtPlainServersAreGivenByTheKeeper(t *testing.T) {
+// TestKeeperGivesOutTheTurnsAtPlainServers: their limits bind all daemons together too.
+func TestKeeperGivesOutTheTurnsAtPlainServers(t *testing.T) {
 	g := newGroup("a", "b", "c")
-	l := limitOf("s0")
+	l := rareLimit("s0")
 	l.PerSecond = 1
 	taken := 0
 	for i := range 300 {
 		host := g.hosts[i%3]
-		if _, ok := g.by[host].Admit(t.Context(), l, 4*time.Second); ok {
+		if _, ok := g.services[host].Admit(t.Context(), l, 4*time.Second); ok {
 			taken++
 		}
 	}
--- a/internal/schedule/rpc.go
+++ b/internal/schedule/rpc.go
@@ -14,10 +14,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	reply.Unknown = !s.hear(req.From, now)
+	reply.Unknown = !s.recordSender(req.From, now)
 	s.applyEvents(req.Events, now)
 	reply.Plan = s.book.Place(req.Ask, now)
-	s.displaceAt(req.Ask.ID, reply.Plan)
+	s.scheduleDisplace(req.Ask.ID, reply.Plan)
 	return nil
 }
 
@@ -27,7 +27,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	reply.Unknown = !s.hear(req.From, now)
+	reply.Unknown = !s.recordSender(req.From, now)
 	s.applyEvents(req.Events, now)
 	return nil
 }
@@ -38,34 +38,34 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.heard[req.From.Host] = life{incarnation: req.From.Incarnation, at: now, told: true}
+	s.clients[req.From.Host] = client{incarnation: req.From.Incarnation, lastMessage: now, restored: true}
 	s.book.Restore(req.From.Host, req.Open, now)
 	for i := range req.Limits {
-		s.hearLimit(&req.Limits[i], now)
+		s.recordLimit(&req.Limits[i], now)
 	}
 	reply.Taken = len(req.Open)
 	return nil
 }
 
-// hear notes a message. It returns false for a daemon that has not told its open
+// recordSender notes a message. It returns false for a daemon that has not told its open
 // attempts in this life. The caller holds the lock.
-func (s *Service) hear(from sender, now time.Time) bool {
-	l, known := s.heard[from.Host]
+func (s *Service) recordSender(from sender, now time.Time) bool {
+	l, known := s.clients[from.Host]
 	if known && l.incarnation != from.Incarnation {
 		s.book.DropHost(from.Host)
-		l = life{}
+		l = client{}
 	}
-	s.heard[from.Host] = life{incarnation: from.Incarnation, at: now, told: l.told}
-	return l.told
+	s.clients[from.Host] = client{incarnation: from.Incarnation, lastMessage: now, restored: l.restored}
+	return l.restored
 }
 
 func (s *Service) applyEvents(events []Event, now time.Time) {
 	for _, e := range events {
 		switch {
 		case e.Limit != nil:
-			s.hearLimit(e.Limit, now)
+			s.recordLimit(e.Limit, now)
 		case e.Cold != nil:
-			s.hearCold(e.Cold, now)
+			s.recordCold(e.Cold, now)
 		case e.Ended:
 			s.book.End(e.Attempt)
 		default:
@@ -80,10 +80,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.hear(req.From, now)
-	s.hearLimit(&req.Limit, now)
+	s.recordSender(req.From, now)
+	s.recordLimit(&req.Limit, now)
 	if req.Cold != nil {
-		s.hearCold(req.Cold, now)
+		s.recordCold(req.Cold, now)
 	}
 	reply.Wait, reply.OK = s.book.Pacer().Admit(req.Limit.Upstream, req.Within, now)
 	return nil
--- a/internal/schedule/service.go
+++ b/internal/schedule/service.go
@@ -44,24 +44,24 @@
 
 // Times between daemons.
 const (
-	// placeWait bounds a question to the keeper. A round trip between failure
+	// placeTimeout bounds a question to the keeper. A round trip between failure
 	// domains takes 1 to 2 ms; the bound is a fifth of the shortest objective, so
 	// that a plan of the daemon's own is still in time.
-	placeWait = 60 * time.Millisecond
-	// notifyWait bounds a message without a caller behind it.
-	notifyWait = 500 * time.Millisecond
-	// flushEvery is how long news waits for more of it. Engines are read in parts
+	placeTimeout = 60 * time.Millisecond
+	// notifyTimeout bounds a message without a caller behind it.
+	notifyTimeout = 500 * time.Millisecond
+	// flushDelay is how long news waits for more of it. Engines are read in parts
 	// of tens of milliseconds, so that this is soon enough.
-	flushEvery = 10 * time.Millisecond
-	// aliveEvery is the time between two messages to the keeper without news.
-	aliveEvery = 500 * time.Millisecond
-	// forgetAfter is the silence after which a daemon's attempts are dropped.
-	forgetAfter = 2500 * time.Millisecond
-	// lifeKept is the silence after which a daemon without open attempts is forgotten: it tells
+	flushDelay = 10 * time.Millisecond
+	// heartbeatInterval is the time between two messages to the keeper without news.
+	heartbeatInterval = 500 * time.Millisecond
+	// dropAttemptsAfter is the silence after which a daemon's attempts are dropped.
+	dropAttemptsAfter = 2500 * time.Millisecond
+	// dropClientAfter is the silence after which a daemon without open attempts is forgotten: it tells
 	// nothing while it has none.
-	lifeKept = time.Minute
-	// askedLately is how long after a question this daemon counts as one that others ask.
-	askedLately = 10 * time.Second
+	dropClientAfter = time.Minute
+	// calledWithin is how long after a question this daemon counts as one that others ask.
+	calledWithin = 10 * time.Second
 )
 
 // allMembers asks for the ranking of all daemons.
@@ -74,7 +74,7 @@
 // own failure domain, for all of the former may be behind one cut.
 const (
 	keeperCandidates     = 6
-	nearKeeperCandidates = 3
+	sameDomainCandidates = 3
 )
 
 // Service is one daemon's part in the schedule. It is safe for concurrent use.
@@ -85,24 +85,24 @@
 	mu      sync.Mutex
 	book    *booking.Book
 	open    map[string]*booking.OpenAttempt // own attempts, without their age
-	began   map[string]time.Time            // of own attempts
-	news    []Event
-	heard   map[string]life      // daemons that ask this one
-	cold    map[string]time.Time // until when upstreams are cold by the list, where it has said so
-	down    *silence
+	bookedAt   map[string]time.Time            // of own attempts
+	events    []Event
+	clients   map[string]client      // daemons that ask this one
+	listedCold    map[string]time.Time // until when upstreams are cold by the list, where it has said so
+	silent    *silentHosts
 	keeper  string // host that was asked last; empty: this one
-	alone   bool   // those that come before this one are silent, and nobody asks it
-	restore bool   // the keeper lacks some of the own attempts
+	uncoordinated   bool   // those that come before this one are silent, and nobody asks it
+	needsRestore bool   // the keeper lacks some of the own attempts
 	// restoring: the own attempts are on their way to the keeper.
 	restoring bool
 	wake      chan struct{}
 }
 
-// life is what the keeper knows of another daemon.
-type life struct {
+// client is what the keeper knows of another daemon.
+type client struct {
 	incarnation uint64
-	at          time.Time // of its last message
-	told        bool      // it has told its open attempts
+	lastMessage          time.Time // of its last message
+	restored        bool      // it has told its open attempts
 }
 
 // New returns a Service with an empty book.
@@ -112,10 +112,10 @@
 		log:   o.Log,
 		book:  booking.New(),
 		open:  map[string]*booking.OpenAttempt{},
-		began: map[string]time.Time{},
-		heard: map[string]life{},
-		cold:  map[string]time.Time{},
-		down:  newSilence(),
+		bookedAt: map[string]time.Time{},
+		clients: map[string]client{},
+		listedCold:  map[string]time.Time{},
+		silent:  newSilentHosts(),
 		wake:  make(chan struct{}, 1),
 	}
 }
@@ -128,16 +128,16 @@
 	s.book.SetUpstreams(list)
 	now := time.Now()
 	for _, c := range cold {
-		if !c.Until.Equal(s.cold[c.Upstream]) {
+		if !c.Until.Equal(s.listedCold[c.Upstream]) {
 			s.book.Pacer().SetCold(c, now)
 		}
-		s.cold[c.Upstream] = c.Until
+		s.listedCold[c.Upstream] = c.Until
 	}
 	listed := func(id string) bool {
 		_, ok := list.Get(id)
 		return ok
 	}
-	maps.DeleteFunc(s.cold, func(id string, _ time.Time) bool { return !listed(id) })
+	maps.DeleteFunc(s.listedCold, func(id string, _ time.Time) bool { return !listed(id) })
 	s.book.Pacer().RetainListed(listed, now)
 }
 
@@ -148,29 +148,29 @@
 // candidates returns the daemons that may keep the book, in order.
 func (s *Service) candidates() []membership.Member {
 	ranked := s.opts.Peers.Rank(keeperKey, allMembers)
-	return membership.TopAndNearby(ranked, keeperCandidates, nearKeeperCandidates, s.opts.Peers.SameDomain)
+	return membership.TopAndNearby(ranked, keeperCandidates, sameDomainCandidates, s.opts.Peers.SameDomain)
 }
 
-func (s *Service) behind(host string) bool { return s.opts.BehindCut != nil && s.opts.BehindCut(host) }
+func (s *Service) behindCut(host string) bool { return s.opts.BehindCut != nil && s.opts.BehindCut(host) }
 
-// isAsked reports whether others have asked this daemon of late. The caller holds the lock.
-func (s *Service) isAsked(now time.Time) bool {
-	for _, l := range s.heard {
-		if now.Sub(l.at) < askedLately {
+// recentlyCalled reports whether others have asked this daemon of late. The caller holds the lock.
+func (s *Service) recentlyCalled(now time.Time) bool {
+	for _, l := range s.clients {
+		if now.Sub(l.lastMessage) < calledWithin {
 			return true
 		}
 	}
 	return false
 }
 
-// keeperNow returns the daemon to ask; ok is false when it is this one. skipped says that
+// findKeeper returns the daemon to ask; ok is false when it is this one. skipped says that
 // others come before it and do not answer.
-func (s *Service) keeperNow() (m membership.Member, ok, skipped bool) {
+func (s *Service) findKeeper() (m membership.Member, ok, skipped bool) {
 	for _, m := range s.candidates() {
 		if m.Host == s.opts.Host {
 			return m, false, skipped
 		}
-		if s.down.hosts[m.Host] || s.behind(m.Host) {
+		if s.silent.hosts[m.Host] || s.behindCut(m.Host) {
 			skipped = true
 			continue
 		}
@@ -179,10 +179,10 @@
 	return membership.Member{}, false, skipped
 }
 
-// choose returns the keeper and notes a change of it. The caller holds the lock.
-func (s *Service) choose(now time.Time) (m membership.Member, remote bool) {
-	m, remote, skipped := s.keeperNow()
-	s.alone = !remote && skipped && !s.isAsked(now)
+// chooseKeeper returns the keeper and notes a change of it. The caller holds the lock.
+func (s *Service) chooseKeeper(now time.Time) (m membership.Member, remote bool) {
+	m, remote, skipped := s.findKeeper()
+	s.uncoordinated = !remote && skipped && !s.recentlyCalled(now)
 	share := pace.FallbackShare
 	if !remote && !skipped {
 		share = pace.FullShare
@@ -195,7 +195,7 @@
 	if host != s.keeper {
 		s.log.WithFields(logrus.Fields{"keeper": host, "former": s.keeper, "open": len(s.open)}).Info("book_keeper_changed")
 		s.keeper = host
-		s.restore = remote && len(s.open)+len(s.limitsNow(now)) > 0
+		s.needsRestore = remote && len(s.open)+len(s.limitMessages(now)) > 0
 		s.signal() // the new one is to know at once what is under way
 	}
 	return m, remote
@@ -205,64 +205,64 @@
 func (s *Service) Place(ctx context.Context, a booking.Request) booking.Plan {
 	s.mu.Lock()
 	now := time.Now()
-	keeper, remote := s.choose(now)
+	keeper, remote := s.chooseKeeper(now)
 	if !remote {
 		defer s.mu.Unlock()
-		return s.placeHere(a, s.alone, now)
+		return s.placeLocally(a, s.uncoordinated, now)
 	}
-	news := s.takeNews()
+	news := s.takeEvents()
 	s.mu.Unlock()
 
 	var reply PlaceReply
-	err := s.call(ctx, keeper, "Place", placeWait, &PlaceRequest{From: s.self(), Ask: a, Events: news}, &reply)
+	err := s.call(ctx, keeper, "Place", placeTimeout, &PlaceRequest{From: s.self(), Ask: a, Events: news}, &reply)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now = time.Now()
 	if err == nil {
-		s.down.answered(keeper.Host, now)
+		s.silent.recordAnswer(keeper.Host, now)
 	}
 	if err != nil {
-		s.lost(ctx, keeper, err, now)
-		return s.placeHere(a, true, now)
+		s.recordNoAnswer(ctx, keeper, err, now)
+		return s.placeLocally(a, true, now)
 	}
 	if reply.Unknown || s.restoring {
 		// What is on its way does not have this attempt and replaces what the keeper knows.
-		s.restore = true
+		s.needsRestore = true
 		s.signal()
 	}
 	if reply.Plan.Verdict == booking.NoEngine {
 		// A keeper that has just started may not have the list yet.
-		p := s.placeHere(a, true, now)
-		s.restore = s.restore || p.Verdict == booking.Booked
+		p := s.placeLocally(a, true, now)
+		s.needsRestore = s.needsRestore || p.Verdict == booking.Booked
 		return p
 	}
 	s.book.Record(a, reply.Plan, now)
-	s.noteOwn(a, reply.Plan, now)
+	s.recordOwn(a, reply.Plan, now)
 	return reply.Plan
 }
 
-// placeHere plans by what is known here; alone says that another daemon may plan for others
+// placeLocally plans by what is known here; alone says that another daemon may plan for others
 // meanwhile. The caller holds the lock.
-func (s *Service) placeHere(a booking.Request, alone bool, now time.Time) booking.Plan {
+func (s *Service) placeLocally(a booking.Request, alone bool, now time.Time) booking.Plan {
 	place := s.book.Place
 	if alone {
 		place = s.book.PlaceUncoordinated
 	}
 	p := place(a, now)
-	s.noteOwn(a, p, now)
-	s.displaceAt(a.ID, p)
+	s.recordOwn(a, p, now)
+	s.scheduleDisplace(a.ID, p)
 	return p
 }
 
-// takeNews returns what a question to the keeper takes with it: nothing while the keeper is
+// takeEvents returns what a question to the keeper takes with it: nothing while the keeper is
 // to be told all open attempts, for news that overtakes these would be undone by them. The
 // caller holds the lock.
-func (s *Service) takeNews() []Event {
-	if s.restore || s.restoring {
+func (s *Service) takeEvents() []Event {
+	if s.needsRestore || s.restoring {
 		return nil
 	}
-	news := s.news
-	s.news = nil
+	news := s.events
+	s.events = nil
 	return news
 }
 
@@ -272,25 +272,25 @@
 	return s.opts.Peers.Call(ctx, to.Address, ServiceName+"."+method, args, reply)
 }
 
-// lost notes that a daemon did not answer. The caller holds the lock.
-func (s *Service) lost(ctx context.Context, m membership.Member, err error, now time.Time) {
-	s.restore = true // news may be lost with the message
+// recordNoAnswer notes that a daemon did not answer. The caller holds the lock.
+func (s *Service) recordNoAnswer(ctx context.Context, m membership.Member, err error, now time.Time) {
+	s.needsRestore = true // news may be lost with the message
 	if ctx.Err() != nil {
 		return // the request has ended; that says nothing of the daemon
 	}
 	if s.opts.OnNoAnswer != nil {
 		s.opts.OnNoAnswer(m.Host)
 	}
-	span := s.down.failed(m.Host, now)
+	span := s.silent.recordFailure(m.Host, now)
 	s.log.WithError(err).WithFields(logrus.Fields{"keeper": m.Host, "avoid_ms": span.Milliseconds()}).Warn("book_keeper_silent")
 }
 
-func (s *Service) noteOwn(a booking.Request, p booking.Plan, now time.Time) {
+func (s *Service) recordOwn(a booking.Request, p booking.Plan, now time.Time) {
 	if p.Verdict != booking.Booked {
 		return
 	}
 	s.open[a.ID] = &booking.OpenAttempt{Ask: a, Plan: p}
-	s.began[a.ID] = now
+	s.bookedAt[a.ID] = now
 }
 
 // FirstEvent notes the first event of an own attempt.
@@ -300,7 +300,7 @@
 	s.book.RecordFirstEvent(attempt)
 	if o := s.open[attempt]; o != nil {
 		o.HasFirst = true
-		s.tell(Event{Attempt: attempt})
+		s.enqueue(Event{Attempt: attempt})
 	}
 }
 
@@ -313,15 +313,15 @@
 		return
 	}
 	delete(s.open, attempt)
-	delete(s.began, attempt)
-	s.tell(Event{Attempt: attempt, Ended: true})
+	delete(s.bookedAt, attempt)
+	s.enqueue(Event{Attempt: attempt, Ended: true})
 }
 
-func (s *Service) tell(e Event) {
+func (s *Service) enqueue(e Event) {
 	if s.keeper == "" {
 		return
 	}
-	s.news = append(s.news, e)
+	s.events = append(s.events, e)
 	s.signal()
 }
 
--- a/internal/schedule/service_test.go
+++ b/internal/schedule/service_test.go
@@ -22,7 +22,7 @@
 type group struct {
 	hosts []string // in rank
 	mu    sync.Mutex
-	by    map[string]*Service
+	services    map[string]*Service
 	cut   map[string]bool // hosts that nobody reaches
 	calls map[string]int  // that reached a daemon, by method
 	// cutDomain is cut off from all others; empty: none is.
@@ -31,13 +31,13 @@
 	onRestore func()
 }
 
-// end is one daemon's view of the group.
-type end struct {
+// view is one daemon's view of the group.
+type view struct {
 	*group
 	host string
 }
 
-func (e end) Rank(_ string, n int) []membership.Member {
+func (e view) Rank(_ string, n int) []membership.Member {
 	var list []membership.Member
 	for _, h := range e.hosts[:min(n, len(e.hosts))] {
 		list = append(list, membership.Member{Identity: membership.Identity{Host: h, Address: h}})
@@ -46,16 +46,16 @@
 }
 
 // SameDomain goes by the letters before the first dash of a host's name, its failure domain.
-func (e end) SameDomain(host string) bool { return domainOf(host) == domainOf(e.host) }
+func (e view) SameDomain(host string) bool { return domainOf(host) == domainOf(e.host) }
 
 func domainOf(host string) string {
 	domain, _, _ := strings.Cut(host, "-")
 	return domain
 }
 
-func (e end) Call(_ context.Context, address, method string, args, reply any) error {
+func (e view) Call(_ context.Context, address, method string, args, reply any) error {
 	e.mu.Lock()
-	s, cut := e.by[address], e.cut[address] || e.cut[e.host]
+	s, cut := e.services[address], e.cut[address] || e.cut[e.host]
 	cut = cut || e.cutDomain != "" && (domainOf(e.host) == e.cutDomain) != (domainOf(address) == e.cutDomain)
 	e.mu.Unlock()
 	if cut {
@@ -90,7 +90,7 @@
 }
 
 func newGroup(hosts ...string) *group {
-	g := &group{hosts: hosts, by: map[string]*Service{}, cut: map[string]bool{}, calls: map[string]int{}}
+	g := &group{hosts: hosts, services: map[string]*Service{}, cut: map[string]bool{}, calls: map[string]int{}}
 	g.startAll(1)
 	return g
 }
@@ -100,17 +100,17 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	for i, h := range g.hosts {
-		s := New(Options{Host: h, Incarnation: first + uint64(i), Peers: end{g, h}, Log: logrus.NewEntry(log)})
-		g.by[h] = s
+		s := New(Options{Host: h, Incarnation: first + uint64(i), Peers: view{g, h}, Log: logrus.NewEntry(log)})
+		g.services[h] = s
 	}
-	g.apply(usualSlots)
+	g.setEngines(defaultTestSlots)
 }
 
-// usualSlots is how many requests an engine of the tests runs at once.
-const usualSlots = 4
+// defaultTestSlots is how many requests an engine of the tests runs at once.
+const defaultTestSlots = 4
 
-// apply tells all daemons of engines with a number of slots.
-func (g *group) apply(slots int) {
+// setEngines tells all daemons of engines with a number of slots.
+func (g *group) setEngines(slots int) {
 	l := fleet.New(fleet.Options{OutageAfter: time.Hour})
 	var all []fleet.Change
 	for i := range 4 {
@@ -122,14 +122,14 @@
 	services := []booking.Service{{Name: "llm", MinGap: 200 * time.Millisecond, Figures: cost.Figures{
 		Slots: slots, Memory: 100_000, Stride: 10, StepMs: 1, ReadPerMs: 256, MaxHelpers: 3,
 	}}}
-	for _, s := range g.by {
+	for _, s := range g.services {
 		s.Apply(services, l.Snapshot(), nil)
 	}
 }
 
 func (g *group) place(t *testing.T, host, id string) booking.Plan {
 	t.Helper()
-	p := g.by[host].Place(t.Context(), booking.Request{
+	p := g.services[host].Place(t.Context(), booking.Request{
 		ID: id, Host: host, Service: "llm", Prompt: 1000, Answer: 100,
 		Objective: time.Second, Gap: 200 * time.Millisecond, Left: time.Minute,
 	})
@@ -145,120 +145,120 @@
 	return s.book.Len()
 }
 
-func TestKeeperKnowsWhatAllHaveBooked(t *testing.T) {
+func TestKeeperHasTheBookingsOfAllDaemons(t *testing.T) {
 	g := newGroup("k", "a", "b")
 	g.place(t, "k", "1")
 	g.place(t, "a", "2")
 	g.place(t, "b", "3")
-	if n := g.by["k"].booked(); n != 3 {
+	if n := g.services["k"].booked(); n != 3 {
 		t.Errorf("the keeper knows %d attempts", n)
 	}
-	if n := g.by["a"].booked(); n != 1 {
+	if n := g.services["a"].booked(); n != 1 {
 		t.Errorf("another daemon knows %d attempts", n)
 	}
-	g.by["a"].FirstEvent("2")
-	g.by["a"].End("2")
-	g.by["a"].flush(t.Context(), false)
-	if n := g.by["k"].booked(); n != 2 {
+	g.services["a"].FirstEvent("2")
+	g.services["a"].End("2")
+	g.services["a"].flush(t.Context(), false)
+	if n := g.services["k"].booked(); n != 2 {
 		t.Errorf("after an end the keeper knows %d attempts", n)
 	}
 }
 
-func TestWithoutItsKeeperADaemonAsksTheNextAndTellsItAll(t *testing.T) {
+func TestDaemonRestoresItsAttemptsAtTheNextKeeper(t *testing.T) {
 	g := newGroup("k", "next", "a")
 	g.place(t, "a", "1")
 	g.setCut("k", true)
 	g.place(t, "a", "2") // by itself: the keeper does not answer
-	if n := g.by["a"].booked(); n != 2 {
+	if n := g.services["a"].booked(); n != 2 {
 		t.Errorf("the daemon itself knows %d attempts", n)
 	}
-	g.by["a"].flush(t.Context(), true)
-	if n := g.by["next"].booked(); n != 2 {
+	g.services["a"].flush(t.Context(), true)
+	if n := g.services["next"].booked(); n != 2 {
 		t.Errorf("the next keeper was told of %d attempts", n)
 	}
 	g.place(t, "a", "3")
-	if n := g.by["next"].booked(); n != 3 {
+	if n := g.services["next"].booked(); n != 3 {
 		t.Errorf("the next keeper knows %d attempts", n)
 	}
 }
 
-func TestKeeperThatStartsAnewIsToldAll(t *testing.T) {
+func TestRestartedKeeperGetsAllAttempts(t *testing.T) {
 	g := newGroup("k", "a")
 	g.place(t, "a", "1")
 	fresh := newGroup("k", "a")
-	g.by["k"] = fresh.by["k"]
+	g.services["k"] = fresh.services["k"]
 	g.place(t, "a", "2")
-	g.by["a"].flush(t.Context(), true)
-	if n := g.by["k"].booked(); n != 2 {
+	g.services["a"].flush(t.Context(), true)
+	if n := g.services["k"].booked(); n != 2 {
 		t.Errorf("the new keeper knows %d attempts", n)
 	}
 }
 
-func TestDaemonThatStartsAnewLeavesNothingBehind(t *testing.T) {
+func TestAttemptsOfARestartedDaemonAreDropped(t *testing.T) {
 	g := newGroup("k", "a")
 	g.place(t, "a", "1")
-	g.by["a"].flush(t.Context(), true)
+	g.services["a"].flush(t.Context(), true)
 	other := newGroup("k", "a")
-	again := other.by["a"]
-	again.opts.Incarnation, again.opts.Peers = 99, end{g, "a"}
+	again := other.services["a"]
+	again.opts.Incarnation, again.opts.Peers = 99, view{g, "a"}
 	g.mu.Lock()
-	g.by["a"] = again
+	g.services["a"] = again
 	g.mu.Unlock()
 	g.place(t, "a", "2")
-	if n := g.by["k"].booked(); n != 1 {
+	if n := g.services["k"].booked(); n != 1 {
 		t.Errorf("the keeper knows %d attempts", n)
 	}
 }
 
-// TestNewsDoNotOvertakeWhatIsOpen has an attempt end while the keeper is being told that it
+// TestEventsDoNotOvertakeARestore has an attempt end while the keeper is being told that it
 // is open: the end must reach the keeper after that, or the attempt stays in its book.
-func TestNewsDoNotOvertakeWhatIsOpen(t *testing.T) {
+func TestEventsDoNotOvertakeARestore(t *testing.T) {
 	g := newGroup("k", "a")
 	g.place(t, "a", "1")
-	g.by["a"].flush(t.Context(), true)
+	g.services["a"].flush(t.Context(), true)
 	g.setCut("k", true)
-	g.by["a"].flush(t.Context(), true) // is lost, so that all is to be told again
+	g.services["a"].flush(t.Context(), true) // is lost, so that all is to be told again
 	g.setCut("k", false)
-	g.by["a"].down = newSilence()
+	g.services["a"].silent = newSilentHosts()
 	g.onRestore = func() {
-		g.by["a"].End("1")
+		g.services["a"].End("1")
 		g.place(t, "a", "2")
 	}
-	g.by["a"].flush(t.Context(), true)
+	g.services["a"].flush(t.Context(), true)
 	g.onRestore = nil
-	g.by["a"].flush(t.Context(), true)
-	if n := g.by["k"].booked(); n != 1 {
+	g.services["a"].flush(t.Context(), true)
+	if n := g.services["k"].booked(); n != 1 {
 		t.Errorf("the keeper knows %d attempts", n)
 	}
-	g.by["a"].End("2")
-	g.by["a"].flush(t.Context(), true)
-	if n := g.by["k"].booked(); n != 0 {
+	g.services["a"].End("2")
+	g.services["a"].flush(t.Context(), true)
+	if n := g.services["k"].booked(); n != 0 {
 		t.Errorf("after all have ended the keeper knows %d attempts", n)
 	}
 }
 
-func TestSilentDaemonsAreForgotten(t *testing.T) {
+func TestAttemptsOfSilentDaemonsAreDropped(t *testing.T) {
 	g := newGroup("k", "a")
 	g.place(t, "a", "1")
-	g.by["k"].forgetSilent(time.Now().Add(forgetAfter / 2))
-	if g.by["k"].booked() != 1 {
+	g.services["k"].dropSilent(time.Now().Add(dropAttemptsAfter / 2))
+	if g.services["k"].booked() != 1 {
 		t.Error("forgotten too early")
 	}
-	g.by["k"].forgetSilent(time.Now().Add(2 * forgetAfter))
-	if n := g.by["k"].booked(); n != 0 {
+	g.services["k"].dropSilent(time.Now().Add(2 * dropAttemptsAfter))
+	if n := g.services["k"].booked(); n != 0 {
 		t.Errorf("the keeper still knows %d attempts", n)
 	}
 }
 
-func TestKeeperWithoutAListDoesNotRefuse(t *testing.T) {
+func TestKeeperWithoutAListDoesNotCauseARefusal(t *testing.T) {
 	g := newGroup("k", "a")
-	g.by["k"].Apply(nil, &fleet.Snapshot{}, nil)
+	g.services["k"].Apply(nil, &fleet.Snapshot{}, nil)
 	g.place(t, "a", "1")
 }
 
-// TestCutDomainSharesABook is the pattern of many daemons of which the strongest, which come
+// TestDaemonsOfACutDomainShareABook is the pattern of many daemons of which the strongest, which come
 // first, are in other failure domains than the one that is cut off.
-func TestCutDomainSharesABook(t *testing.T) {
+func TestDaemonsOfACutDomainShareABook(t *testing.T) {
 	var hosts []string
 	for _, domain := range []string{"a", "c", "d"} {
 		for i := range 3 {
@@ -277,19 +277,19 @@
 		g.place(t, host, host+"/together")
 	}
 	for _, host := range near[1:] {
-		if keeper := g.by[host].keeper; keeper != near[0] {
+		if keeper := g.services[host].keeper; keeper != near[0] {
 			t.Errorf("%s asks %q, want %s", host, keeper, near[0])
 		}
 	}
-	if keeper := g.by[near[0]].keeper; keeper != "" {
+	if keeper := g.services[near[0]].keeper; keeper != "" {
 		t.Errorf("%s asks %q, want to keep the book itself", near[0], keeper)
 	}
 }
 
-// TestAllDaemonsThatStartAtOnceShareABook is the pattern of the death of all daemons: they
+// TestDaemonsThatRestartTogetherShareABook is the pattern of the death of all daemons: they
 // start at once and their callers come back together. Each prompt is one question to the one
 // keeper, and each daemon tells it what it has open once at the most.
-func TestAllDaemonsThatStartAtOnceShareABook(t *testing.T) {
+func TestDaemonsThatRestartTogetherShareABook(t *testing.T) {
 	const daemons, prompts = 8, 2 // as many as the engines of the group take
 	var hosts []string
 	for i := range daemons {
@@ -304,14 +304,14 @@
 	for n := range prompts {
 		for _, host := range hosts {
 			g.place(t, host, fmt.Sprintf("%s/%d", host, n))
-			g.by[host].flush(t.Context(), false)
+			g.services[host].flush(t.Context(), false)
 		}
 	}
-	if got := g.by[hosts[0]].booked(); got != daemons*prompts {
+	if got := g.services[hosts[0]].booked(); got != daemons*prompts {
 		t.Errorf("the keeper's book has %d attempts, want %d", got, daemons*prompts)
 	}
 	for _, host := range hosts[1:] {
-		if keeper := g.by[host].keeper; keeper != hosts[0] {
+		if keeper := g.services[host].keeper; keeper != hosts[0] {
 			t.Errorf("%s asks %q", host, keeper)
 		}
 	}
--- a/internal/schedule/silence.go
+++ b/internal/schedule/silence.go
@@ -12,40 +12,40 @@
 // Daemons that did not answer are asked again in the background, ever more rarely while they
 // stay silent.
 const (
-	downFirst  = time.Second
-	downMost   = 4 * time.Second
-	downForget = 10 * time.Second
+	retryInitial  = time.Second
+	retryMax   = 4 * time.Second
+	retryResetAfter = 10 * time.Second
 )
 
-// silence is the daemons that did not answer. Each counts as silent until it has answered a
+// silentHosts is the daemons that did not answer. Each counts as silent until it has answered a
 // question that no request waits for: in vain, such a question costs a caller its time.
-type silence struct {
-	tracker *avoid.Tracker // when to ask again
+type silentHosts struct {
+	backoff *avoid.Tracker // when to ask again
 	hosts   map[string]bool
 }
 
-func newSilence() *silence {
-	return &silence{
-		tracker: avoid.New(avoid.Options{Initial: downFirst, Max: downMost, ResetAfter: downForget}),
+func newSilentHosts() *silentHosts {
+	return &silentHosts{
+		backoff: avoid.New(avoid.Options{Initial: retryInitial, Max: retryMax, ResetAfter: retryResetAfter}),
 		hosts:   map[string]bool{},
 	}
 }
 
-// failed notes that a daemon did not answer, and returns for how long it is not asked.
-func (s *silence) failed(host string, now time.Time) time.Duration {
+// recordFailure notes that a daemon did not answer, and returns for how long it is not asked.
+func (s *silentHosts) recordFailure(host string, now time.Time) time.Duration {
 	s.hosts[host] = true
-	return s.tracker.RecordFailure(host, now)
+	return s.backoff.RecordFailure(host, now)
 }
 
-func (s *silence) answered(host string, now time.Time) {
+func (s *silentHosts) recordAnswer(host string, now time.Time) {
 	delete(s.hosts, host)
-	s.tracker.RecordSuccess(host, now)
+	s.backoff.RecordSuccess(host, now)
 }
 
-// due returns the daemons to ask again now, and forgets those that are not to be asked at all.
-func (s *silence) due(candidates []string, now time.Time) []string {
+// dueForRetry returns the daemons to ask again now, and forgets those that are not to be asked at all.
+func (s *silentHosts) dueForRetry(candidates []string, now time.Time) []string {
 	maps.DeleteFunc(s.hosts, func(host string, _ bool) bool { return !slices.Contains(candidates, host) })
-	avoided := s.tracker.Avoided(now)
+	avoided := s.backoff.Avoided(now)
 	var due []string
 	for host := range s.hosts {
 		if !slices.Contains(avoided, host) {
@@ -55,9 +55,9 @@
 	return due
 }
 
-// askSilent asks daemons that did not answer, and come before the one that is asked in their
+// probeSilent asks daemons that did not answer, and come before the one that is asked in their
 // place, whether they do now.
-func (s *Service) askSilent(ctx context.Context) {
+func (s *Service) probeSilent(ctx context.Context) {
 	s.mu.Lock()
 	now := time.Now()
 	candidates := s.candidates()
@@ -65,20 +65,20 @@
 	for _, m := range candidates {
 		hosts = append(hosts, m.Host)
 	}
-	due := s.down.due(hosts, now)
+	due := s.silent.dueForRetry(hosts, now)
 	s.mu.Unlock()
 	for _, m := range candidates {
-		if !slices.Contains(due, m.Host) || s.behind(m.Host) {
+		if !slices.Contains(due, m.Host) || s.behindCut(m.Host) {
 			continue
 		}
 		go func() {
-			err := s.call(ctx, m, "Notify", notifyWait, &NotifyRequest{From: s.self()}, &NotifyReply{})
+			err := s.call(ctx, m, "Notify", notifyTimeout, &NotifyRequest{From: s.self()}, &NotifyReply{})
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if err == nil {
-				s.down.answered(m.Host, time.Now())
+				s.silent.recordAnswer(m.Host, time.Now())
 			} else if ctx.Err() == nil {
-				s.down.failed(m.Host, time.Now())
+				s.silent.recordFailure(m.Host, time.Now())
 			}
 		}()
 	}
