--- a/internal/core/booking/bench_test.go
+++ b/internal/core/booking/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// busyBook is a book of many engines under high load: two thirds of the slots write, and
-// long parts are read on every third engine.
+// busyBook returns a book of many engines under high load: two thirds of the slots decode, and
+// long parts are prefilled on about every third engine.
 func busyBook(engines int) *Book {
 	b := newBook(engines)
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/internal/core/booking/book.go
+++ b/internal/core/booking/book.go
@@ -10,21 +10,21 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/pace"
 )
 
-// Service is what the book knows of a service of engines.
+// Service has the settings of a service of engines.
 type Service struct {
 	Name    string
 	Figures cost.Figures
 	MinGap  time.Duration // the shortest gap objective of its routes
 }
 
-// Book is the state machine. It is not safe for concurrent use.
+// Book is the state machine that plans attempts. It is not safe for concurrent use.
 type Book struct {
-	services map[string]*Service
-	engines  map[string]*engine // by ID
-	packOrder  []*engine          // in the order of packing
-	entries  map[string]*entry  // by attempt
-	byHost   map[string]map[string]*entry
-	pacer    *pace.Pacer
+	services  map[string]*Service
+	engines   map[string]*engine // by ID
+	packOrder []*engine          // sorted by packRank
+	entries   map[string]*entry  // by attempt
+	byHost    map[string]map[string]*entry
+	pacer     *pace.Pacer
 }
 
 // New returns an empty book.
@@ -38,10 +38,11 @@
 	}
 }
 
-// Pacer returns the turns at upstreams with limits, engines or others, that the book gives.
+// Pacer returns the pacer of the book, which gives out the turns at upstreams with limits, engines
+// or others.
 func (b *Book) Pacer() *pace.Pacer { return b.pacer }
 
-// SetServices replaces what is known of the services.
+// SetServices replaces the settings of the services.
 func (b *Book) SetServices(services []Service) {
 	clear(b.services)
 	for i := range services {
@@ -55,8 +56,8 @@
 	}
 }
 
-// SetUpstreams takes in the list of upstreams. An engine that has gone leaves with
-// its part of what is booked.
+// SetUpstreams replaces the list of upstreams. An engine that is no longer listed is
+// dropped with the parts booked on it.
 func (b *Book) SetUpstreams(list *fleet.Snapshot) {
 	seen := make(map[string]bool, len(list.Upstreams))
 	for _, u := range list.Upstreams {
@@ -92,13 +93,13 @@
 	delete(b.engines, e.up.ID)
 }
 
-// Record enters a plan that was made here or elsewhere.
+// Record enters a plan that this book or another one made. Plans other than Booked are ignored.
 func (b *Book) Record(a Request, p Plan, now time.Time) {
 	if p.Verdict != Booked {
 		return
 	}
 	b.End(a.ID)
-	x := &entry{ask: a, plan: p, prefillStart: now.Add(p.Wait), expires: now.Add(a.Left + expiryGrace)}
+	x := &entry{req: a, plan: p, prefillStart: now.Add(p.Wait), expires: now.Add(a.Left + expiryGrace)}
 	x.long = len(p.Parts) > 1 || p.Read > b.maxShortPrefill(a.Service)
 	x.prefillEnd = now.Add(p.First)
 	for _, part := range p.Parts {
@@ -117,7 +118,7 @@
 	hosted[a.ID] = x
 }
 
-// RecordFirstEvent notes the first event of an attempt: its prompt is read.
+// RecordFirstEvent records the first event of an attempt: its prefill is done.
 func (b *Book) RecordFirstEvent(id string) {
 	x := b.entries[id]
 	if x == nil || x.hasFirst {
@@ -129,7 +130,7 @@
 	}
 }
 
-// End notes that an attempt is over.
+// End removes an attempt that has ended.
 func (b *Book) End(id string) {
 	x := b.entries[id]
 	if x == nil {
@@ -140,19 +141,19 @@
 		e.invalidate()
 	}
 	delete(b.entries, id)
-	hosted := b.byHost[x.ask.Host]
+	hosted := b.byHost[x.req.Host]
 	delete(hosted, id)
 	if len(hosted) == 0 {
-		delete(b.byHost, x.ask.Host)
+		delete(b.byHost, x.req.Host)
 	}
 }
 
-// expiryGrace is how long after its deadline an attempt may still stand in the book: its
-// daemon ends it at the deadline and tells so within some 10 ms.
+// expiryGrace is how long an attempt stays in the book after its deadline: its daemon ends it at
+// the deadline and reports that within about 10 ms.
 const expiryGrace = time.Second
 
-// Expire drops the attempts that have ended without a word, as when it was lost on the way
-// to another keeper. Each would count as a writer for good.
+// Expire drops attempts whose end was not reported, for example because the message was lost at
+// a change of the keeper. Otherwise each would count as a decode forever.
 func (b *Book) Expire(now time.Time) {
 	for id, x := range b.entries {
 		if now.After(x.expires) {
@@ -164,14 +165,14 @@
 // Has reports whether a daemon has attempts in the book.
 func (b *Book) Has(host string) bool { return len(b.byHost[host]) > 0 }
 
-// DropHost drops what a daemon has booked, for it has gone or tells it anew.
+// DropHost drops all attempts of a daemon.
 func (b *Book) DropHost(host string) {
 	for id := range b.byHost[host] {
 		b.End(id)
 	}
 }
 
-// Restore replaces what is known of a daemon's attempts by what it tells.
+// Restore replaces the attempts of a daemon by the open ones that it reports.
 func (b *Book) Restore(host string, open []OpenAttempt, now time.Time) {
 	b.DropHost(host)
 	for _, o := range open {
@@ -186,26 +187,25 @@
 // Len returns the number of attempts in the book.
 func (b *Book) Len() int { return len(b.entries) }
 
-// Bounds of the choice.
+// Bounds of what counts as a short prompt.
 const (
-	// pauseMargin is kept free of the pause that a writer bears, for the way to the
-	// caller and the lag of what is known.
+	// pauseMargin is kept free of the pause that a decode tolerates, for the network
+	// latency to the caller and the lag of the book.
 	pauseMargin = 20 * time.Millisecond
-	// minShort is read on one engine whatever the gap objectives are.
-	minShort = 30 * time.Millisecond
-	// typicalDecodes is the number of writers for which shortRead is worked out: most of the
-	// slots of an engine.
+	// minShortPrefill is a prefill time that is short whatever the gap objectives are.
+	minShortPrefill = 30 * time.Millisecond
+	// typicalDecodes is the number of decodes for which maxShortPrefill is computed: most of
+	// the slots of an engine.
 	typicalDecodes = 10
 )
 
-// maxShortPrefill returns the longest reading time that disturbs no writer of the
-// service.
+// maxShortPrefill returns the longest prefill time that makes no decode of the service late.
 func (b *Book) maxShortPrefill(service string) time.Duration {
 	s := b.services[service]
 	if s == nil || s.MinGap <= 0 {
-		return minShort
+		return minShortPrefill
 	}
 	context := int64(typicalDecodes * s.Figures.UsualPrompt)
 	pass := time.Duration(s.Figures.Stride) * s.Figures.StepTime(typicalDecodes, context)
-	return max(s.MinGap-pass-pauseMargin, minShort)
+	return max(s.MinGap-pass-pauseMargin, minShortPrefill)
 }
--- a/internal/core/booking/book_test.go
+++ b/internal/core/booking/book_test.go
@@ -86,13 +86,10 @@
 	booked := Plan{Parts: []Part{open}, Wait: 500 * time.Millisecond, Read: 400 * time.Millisecond, First: time.Second}
 	b.Record(newRequest("long", 210_000), booked, start)
 	if p := b.Place(newRequest("short", 5000), start); p.Parts[0].Upstream == open.Upstream {
-		t.Error("it is on the engine on which a long part begins soon")
+		t.Error("it is on the engine on which the prefill of a long part starts soon")
 	}
 }
 
-// TestTheLargestAreNotPutBehindWhileTheyAreInTime is the pattern of many long prompts on
-// engines that are all busy: one of the largest that can still be read in time is planned
-// as the others are. Put behind them for what it earns a second, it was late in the end.
 func TestFailingEnginesAreTakenWhenNoOtherIsLeft(t *testing.T) {
 	b := newBook(2)
 	a := newRequest("a", 5000)
@@ -128,7 +125,7 @@
 	b.Place(a, start)
 	b.RecordFirstEvent("calm")
 	if l := b.packOrder[0].loadAt(start, 200*time.Millisecond); !l.toleratesPause(10 * time.Second) {
-		t.Error("a part of ten seconds harms it")
+		t.Error("a pause of ten seconds makes it late")
 	}
 }
 
@@ -149,7 +146,7 @@
 	params := gopter.DefaultTestParametersWithSeed(31)
 	params.MinSuccessfulTests = 60
 	props := gopter.NewProperties(params)
-	props.Property("entries stand on their engines and nowhere else, and memory is never overbooked", prop.ForAll(
+	props.Property("entries are on their engines and nowhere else, and memory is never overbooked", prop.ForAll(
 		func(seed uint64) bool {
 			rng := rand.New(rand.NewPCG(seed, 7))
 			b, now, booked := newBook(5), start, 0
@@ -189,7 +186,7 @@
 func consistent(b *Book, now time.Time) bool {
 	for _, e := range b.engines {
 		for _, x := range e.entries {
-			if b.entries[x.ask.ID] != x {
+			if b.entries[x.req.ID] != x {
 				return false
 			}
 		}
@@ -198,7 +195,7 @@
 		}
 	}
 	for id, x := range b.entries {
-		if b.byHost[x.ask.Host][id] != x {
+		if b.byHost[x.req.Host][id] != x {
 			return false
 		}
 	}
@@ -215,18 +212,18 @@
 	}
 	b.Expire(start.Add(a.Left + 2*expiryGrace))
 	if b.Len() != 0 {
-		t.Error("it is a writer for good")
+		t.Error("it did not expire")
 	}
 }
 
-// TestShortPromptsArePackedAgainAfterABurst is the pattern of loads that turn: many short prompts,
-// then few of them beside many long ones. An answer takes 1.7 s, as those of 35 events do.
-// The engines that the burst has opened have to fall clear, or each long prompt harms some.
+// TestShortPromptsArePackedAgainAfterABurst has a load that changes from many short prompts to
+// few of them beside many long ones. An answer takes 1.7 s, as one of 35 events does. The engines
+// that the burst has opened must run empty, or each long prompt makes some decodes late.
 func TestShortPromptsArePackedAgainAfterABurst(t *testing.T) {
 	const (
-		lasts     = 1700 * time.Millisecond
-		readAfter = 100 * time.Millisecond
-		step      = 10 * time.Millisecond
+		answerTime  = 1700 * time.Millisecond
+		prefillTime = 100 * time.Millisecond
+		step        = 10 * time.Millisecond
 	)
 	b := newBook(18)
 	ends, firsts := map[time.Duration][]string{}, map[time.Duration][]string{}
@@ -254,16 +251,16 @@
 			if p := b.Place(newRequest(id, 5000), start.Add(at)); p.Verdict != Booked {
 				t.Fatalf("%s: %+v", id, p)
 			}
-			firsts[at+readAfter] = append(firsts[at+readAfter], id)
-			ends[at+lasts] = append(ends[at+lasts], id)
+			firsts[at+prefillTime] = append(firsts[at+prefillTime], id)
+			ends[at+answerTime] = append(ends[at+answerTime], id)
 		}
 	}
 	play(0, 5*time.Second, step) // 170 at a time
 	if n := open(); n < 11 {
-		t.Fatalf("the burst is on %d engines only", n)
+		t.Fatalf("the burst uses %d engines only", n)
 	}
 	play(5*time.Second, 10*time.Second, 8*step) // 21 at a time, for which two engines have room
 	if n := open(); n > 3 {
-		t.Errorf("%d short prompts hold %d engines", b.Len(), n)
+		t.Errorf("%d short prompts use %d engines", b.Len(), n)
 	}
 }
--- a/internal/core/booking/cold_test.go
+++ b/internal/core/booking/cold_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestColdEnginesAreLimitedAndUsed: engines come back together, cold, under more
-// than they bear. Each gets what it bears and no more, and is used for it.
+// TestColdEnginesAreLimitedAndUsed has engines return together, cold, under more load than
+// they can take. Each gets its limit and no more, and its limit is used.
 func TestColdEnginesAreLimitedAndUsed(t *testing.T) {
 	const perSecond, coldFor = 3, 3 * time.Second
 	b := newBook(2)
--- a/internal/core/booking/displace_test.go
+++ b/internal/core/booking/displace_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// packShort books short prompts until their engine writes for n of them, and returns it.
+// packShort books n short prompts that decode on one engine, and returns it.
 func packShort(t *testing.T, b *Book, n int) Part {
 	t.Helper()
 	var on Part
@@ -22,7 +22,7 @@
 	return on
 }
 
-// fillOther has another engine than one write for n short prompts.
+// fillOther books n decodes of short prompts on another engine than one.
 func fillOther(b *Book, than Part, n int) {
 	for _, e := range b.packOrder {
 		if e.up.ID == than.Upstream {
@@ -37,13 +37,13 @@
 	}
 }
 
-// recordLong enters a long prompt of which the engine reads a part of the length.
-func recordLong(b *Book, on Part, read time.Duration) {
-	p := Plan{Parts: []Part{on}, Read: read, First: read}
+// recordLong enters a long prompt with a part of the length on the engine.
+func recordLong(b *Book, on Part, prefill time.Duration) {
+	p := Plan{Parts: []Part{on}, Read: prefill, First: prefill}
 	b.Record(newRequest("long", 210_000), p, start)
 }
 
-// expectNoneDisplaced fails when the long part displaces a writer.
+// expectNoneDisplaced fails when the long part displaces a decode.
 func expectNoneDisplaced(t *testing.T, b *Book) {
 	t.Helper()
 	if list := b.Displace("long", start); len(list) != 0 {
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestLongPartDisplacesDecodes is the pattern of a long prompt that is read beside the
-// writers of short answers, for no engines are clear for all of it: these would pause for
-// longer than they bear, while engines that read nothing would send their next events in time.
+// TestLongPartDisplacesDecodes has a long prompt prefilled on an engine that decodes short
+// answers, for too few engines are empty: these answers would pause for longer than they
+// tolerate, while engines without prefill would send their next events in time.
 func TestLongPartDisplacesDecodes(t *testing.T) {
 	b := newBook(8)
 	on := packShort(t, b, 3)
@@ -69,7 +69,7 @@
 	}
 	b.RecordFirstEvent("long")
 	if list := b.Displace("long", start); len(list) != 0 {
-		t.Errorf("displaced after the part was read: %+v", list)
+		t.Errorf("displaced after the prefill of the part: %+v", list)
 	}
 }
 
@@ -81,8 +81,8 @@
 	expectNoneDisplaced(t, b)
 }
 
-// TestDecodesStayIfNoEngineIsInTime: a move costs a repeat of a small budget, so none is
-// made to an engine on which the answer pauses as well.
+// TestDecodesStayIfNoEngineIsInTime: a move takes a retry from a small budget, so none is
+// made to an engine on which the answer would pause as well.
 func TestDecodesStayIfNoEngineIsInTime(t *testing.T) {
 	b := newBook(2)
 	on := packShort(t, b, 3)
@@ -97,8 +97,8 @@
 	expectNoneDisplaced(t, b)
 }
 
-// TestDecodesDoNotMoveToEmptierEngines: these are the next that long prompts are read on,
-// and most requests may be moved only once.
+// TestDecodesDoNotMoveToEmptierEngines: those are the next to prefill long prompts, and
+// most requests may be moved only once.
 func TestDecodesDoNotMoveToEmptierEngines(t *testing.T) {
 	b := newBook(8)
 	on := packShort(t, b, 5)
@@ -107,7 +107,7 @@
 	expectNoneDisplaced(t, b)
 }
 
-// TestDisplacedDecodesCountForEachOther: the other engine takes only so many more in time.
+// TestDisplacedDecodesCountForEachOther: the other engine has only so many free slots.
 func TestDisplacedDecodesCountForEachOther(t *testing.T) {
 	const left = 3
 	b := newBook(2)
@@ -119,18 +119,17 @@
 	}
 }
 
-// TestDisplacedDecodesMakeNoOthersLate is the pattern of a middle prompt, which bears a longer
-// pause, that leaves for an engine of short ones: what is read there in one pass is a pause for
-// all of them.
+// TestDisplacedDecodesMakeNoOthersLate has a middle prompt, which tolerates a longer pause, move
+// to an engine of short ones: all prefill of one pass there is a pause for all of them.
 func TestDisplacedDecodesMakeNoOthersLate(t *testing.T) {
-	for _, reads := range []bool{false, true} {
+	for _, prefills := range []bool{false, true} {
 		b := newBook(2)
 		a := newRequest("middle", 24_000)
 		a.Gap = 500 * time.Millisecond
 		on := b.Place(a, start).Parts[0]
 		b.RecordFirstEvent("middle")
 		fillOther(b, on, 5)
-		if reads {
+		if prefills {
 			other := b.packOrder[0].up.ID
 			if other == on.Upstream {
 				other = b.packOrder[1].up.ID
@@ -138,8 +137,8 @@
 			b.Record(newRequest("reads", 20_000), Plan{Parts: []Part{{Upstream: other}}, Read: figures.PrefillTime(20_000)}, start)
 		}
 		recordLong(b, on, 700*time.Millisecond)
-		if displaced := len(b.Displace("long", start)) > 0; displaced == reads {
-			t.Errorf("another prompt is read there: %v, displaced: %v", reads, displaced)
+		if displaced := len(b.Displace("long", start)) > 0; displaced == prefills {
+			t.Errorf("another prompt is prefilled there: %v, displaced: %v", prefills, displaced)
 		}
 	}
 }
--- a/internal/core/booking/doc.go
+++ b/internal/core/booking/doc.go
@@ -1,15 +1,16 @@
-// Package booking decides which engines read a prompt, and when. It keeps a book
-// of what is being read and written on each engine and of what is booked next, so
-// that prompts of very unlike lengths share the engines without holding each other
-// up. It is pure: no I/O, goroutines or clocks; time is an argument.
+// Package booking decides which engines prefill a prompt, and when. It keeps a book of
+// the prefills and decodes on each engine and of those booked next, so that prompts of
+// very different lengths share the engines without delaying each other. It is pure: no
+// I/O, goroutines or clocks; time is an argument.
 //
-// What is read on an engine is a pause for all who write there. So
-//   - a prompt that is read fast enough to disturb nobody goes to one engine, and
-//     such prompts are packed on few engines, so that the others stay clear;
-//   - a longer one is read in even parts by several engines, clear ones first, in
-//     parts no longer than the writers beside it bear, and it waits for its turn
-//     instead of starting together with others.
+// Prefill on an engine pauses all requests that decode there, in short its decodes. So
+//   - a short prompt, whose prefill is fast enough to make no decode late, goes to one
+//     engine, and short prompts are packed on few engines, so that the others stay free
+//     for long ones;
+//   - a long prompt is prefilled in even parts by several engines, those without decodes
+//     first, in parts no longer than the decodes there tolerate, and it waits until the
+//     engines are free instead of sharing them with other long prompts.
 //
-// One daemon keeps the book for all. The book is soft state: one that is wrong,
-// doubled or lost costs speed and never a promise.
+// One daemon keeps the book for all. The book is soft state: a wrong, duplicate or lost
+// one costs speed but never correctness.
 package booking
--- a/internal/core/booking/near_test.go
+++ b/internal/core/booking/domain_test.go
@@ -25,8 +25,8 @@
 	return a
 }
 
-// TestAnswersComeFromTheDomainOfTheRequest is the pattern of a failure domain that is cut off: answers
-// that come from within it go on, and those of the others too.
+// TestAnswersComeFromTheDomainOfTheRequest guards against answers that end when a failure domain
+// is cut off: those from the domain of the request's own daemon go on, on both sides of the cut.
 func TestAnswersComeFromTheDomainOfTheRequest(t *testing.T) {
 	b := threeDomains(6)
 	for i := range 30 {
@@ -66,7 +66,8 @@
 	}
 }
 
-// TestRequestsWithoutADomainArePackedTogether: daemons that do not tell their failure domain share engines.
+// TestRequestsWithoutADomainArePackedTogether: daemons whose failure domain is not known share
+// engines.
 func TestRequestsWithoutADomainArePackedTogether(t *testing.T) {
 	b := threeDomains(6)
 	used := map[string]bool{}
--- a/internal/core/booking/engine.go
+++ b/internal/core/booking/engine.go
@@ -12,23 +12,23 @@
 
 // engine is one engine of the book.
 type engine struct {
-	up      fleet.Upstream
-	figures *cost.Figures
-	packRank   uint64 // fixed and the same on all daemons: the order of packing
+	up       fleet.Upstream
+	figures  *cost.Figures
+	packRank uint64 // packing order, the same on all daemons
 
-	// entries are the attempts that have a part here, in the order of booking.
+	// entries are the attempts with a part here, in the order of booking.
 	entries []*entry
 
-	// cachedLoad is the part of the load that changes with the entries only, and reading are
-	// the entries that change it with time; both hold while tallied. To work them out for
-	// each prompt would take the keeper most of a core on a large site.
-	cachedLoad  load
-	prefilling []*entry
-	cachedMinGap   time.Duration // for which steady was worked out
-	cacheValid bool
+	// cachedLoad is the part of the load that depends on the entries only, and prefilling are
+	// the entries whose part depends on the time; both are valid while cacheValid. Computing
+	// them for each prompt would take the keeper most of a core on a large site.
+	cachedLoad   load
+	prefilling   []*entry
+	cachedMinGap time.Duration // MinGap for which cachedLoad was computed
+	cacheValid   bool
 }
 
-// invalidate says that the entries or the figures have changed.
+// invalidate drops the cached load after a change of the entries or the figures.
 func (e *engine) invalidate() { e.cacheValid = false }
 
 func newEngine(u fleet.Upstream, f *cost.Figures) *engine {
@@ -37,24 +37,24 @@
 
 // entry is one booked attempt.
 //
-// Invariant: it stands in entries of each of its engines and in the book's table,
-// or in neither.
+// Invariant: it is in entries of each of its engines and in entries of the book, or in
+// neither.
 type entry struct {
-	ask     Request
-	plan    Plan
-	engines []*engine // of the plan's parts, those that are known
-	expires   time.Time // when it has ended in any case
-	prefillStart   time.Time // of reading, as booked
-	prefillEnd     time.Time // of reading, as booked
-	hasFirst   bool      // its first event has come, so its prompt is read
-	long    bool      // longer than what disturbs nobody
+	req          Request
+	plan         Plan
+	engines      []*engine // the known engines of the plan's parts
+	expires      time.Time // when it is dropped even if its end was not reported
+	prefillStart time.Time // as booked
+	prefillEnd   time.Time // as booked
+	hasFirst     bool      // its first event has come, so its prefill is done
+	long         bool      // in several parts, or longer than maxShortPrefill
 }
 
-// overdueShare is how much longer than so far a part that is overdue is expected
-// to take, as a share of its time so far. It only has to grow with the delay.
+// overdueShare is the expected remaining time of a part that is overdue, as a share of
+// its time so far. It only has to grow with the delay.
 const overdueShare = 0.25
 
-// expectedPrefillEnd returns when the attempt's part will have been read.
+// expectedPrefillEnd returns when the prefill of the attempt's parts is expected to end.
 func (e *entry) expectedPrefillEnd(now time.Time) time.Time {
 	if e.hasFirst {
 		return now
@@ -65,69 +65,69 @@
 	return now.Add(time.Duration(overdueShare * float64(now.Sub(e.prefillStart))))
 }
 
-// decodesOn reports whether the attempt writes on an engine, or will, in place of
-// only helping there.
+// decodesOn reports whether the attempt decodes on an engine, or will, rather than only
+// prefilling a part there.
 func (e *entry) decodesOn(on *engine) bool { return e.plan.Parts[0].Upstream == on.up.ID }
 
-// valueExponent is the exponent with which the worth of an answer in time grows with its
-// prompt: callers rate a long prompt higher than a short one, and less than in proportion.
+// valueExponent is the exponent with which the value of an answer in time grows with its
+// prompt: callers rate a long prompt higher than a short one, but less than in proportion.
 const valueExponent = 0.7
 
-// lateLossShare is the part of an answer's worth that is lost when it is late.
+// lateLossShare is the share of an answer's value that is lost when it is late.
 const lateLossShare = 0.75
 
-// value returns the worth of an answer in time, 1 for a prompt of a thousand tokens.
+// value returns the value of an answer in time, 1 for a prompt of up to a thousand tokens.
 func (a *Request) value() float64 {
 	return math.Pow(max(float64(a.Prompt)/1000, 1), valueExponent)
 }
 
-// decodeRequest is one request that writes on an engine, or will.
+// decodeRequest is one request that decodes on an engine, or will.
 type decodeRequest struct {
-	maxPause time.Duration // the longest part that does not make it late
-	maxStall time.Duration // the longest part that it waits for before it moves or is left
-	value float64
+	maxPause time.Duration // the longest prefill that does not make it late
+	maxStall time.Duration // the longest prefill after which it is neither moved nor abandoned
+	value    float64
 }
 
-// Waits of a writer for its next event, in its gap objective and at the least: those
-// after which a stream is moved to another engine, where its prompt is read anew.
+// A stream that waits longer for its next event than stallGaps times its gap objective, and
+// than minStall, is moved to another engine, where its prompt is prefilled again.
 const (
-	stallGaps  = 4
-	minStall = 1500 * time.Millisecond
+	stallGaps = 4
+	minStall  = 1500 * time.Millisecond
 )
 
-// slotValue is the worth that a writer's place earns in a second: a short prompt's
-// answer holds one for about two.
+// slotValue is the value that a slot earns in a second: the answer to a short prompt takes a
+// slot for about two seconds.
 const slotValue = 1.5
 
 // load is the state of an engine at one moment.
 type load struct {
-	engine  *engine
-	turnWait    time.Duration // until a request may be sent here
-	freeAt    time.Time     // when it may be sent to and all long parts booked here are read
-	runningLong time.Duration // left of the long part that is being read
-	bookedLong  time.Duration // the longest long part that is booked and not begun
-	shortPrefill  time.Duration // reading time of short prompts not yet read
-	decodes []decodeRequest
-	minGapDecodes   int   // of the writers, those that bear the shortest pauses
-	longDecodes    int   // of the writers, those with a long prompt
-	helperParts int   // parts of others that are read or held here
-	context int64 // tokens of the writers
-	memory  int64 // tokens held or booked
+	engine        *engine
+	turnWait      time.Duration // until a request may be sent here
+	freeAt        time.Time     // when it may be sent to and all long parts booked here are prefilled
+	runningLong   time.Duration // left of the long part that is being prefilled
+	bookedLong    time.Duration // the longest long part that is booked and not started
+	shortPrefill  time.Duration // prefill time of the short prompts without a first event
+	decodes       []decodeRequest
+	minGapDecodes int   // number of decodes with the shortest gap objectives
+	longDecodes   int   // number of decodes with a long prompt
+	helperParts   int   // number of parts of prompts that decode elsewhere
+	context       int64 // tokens of the decodes
+	memory        int64 // tokens held or booked
 }
 
-// unlimitedPause is what a writer bears that has no objective for pauses.
+// unlimitedPause is the pause that a decode without a gap objective tolerates.
 const unlimitedPause = time.Hour
 
 func (e *entry) decode() decodeRequest {
-	gap := e.ask.Gap
+	gap := e.req.Gap
 	if gap <= 0 {
 		gap = unlimitedPause
 	}
-	return decodeRequest{maxPause: gap, maxStall: max(stallGaps*gap, minStall), value: e.ask.value()}
+	return decodeRequest{maxPause: gap, maxStall: max(stallGaps*gap, minStall), value: e.req.value()}
 }
 
-// defaultSlots is assumed where neither the service nor the upstream says how many
-// requests run at once: few enough for any engine that batches.
+// defaultSlots is assumed if neither the service nor the upstream says how many requests run
+// at once: few enough for any engine that batches.
 const defaultSlots = 8
 
 // slots returns how many requests run at once.
@@ -141,11 +141,11 @@
 	return defaultSlots
 }
 
-// loadAt works out the load. tight is the shortest gap objective of the service. The
-// writers are shared by all loads of the engine and must not be changed.
-func (e *engine) loadAt(now time.Time, tight time.Duration) load {
-	if !e.cacheValid || e.cachedMinGap != tight {
-		e.recomputeCache(tight)
+// loadAt returns the load at a time. minGap is the shortest gap objective of the service. The
+// decodes are shared by all loads of the engine and must not be changed.
+func (e *engine) loadAt(now time.Time, minGap time.Duration) load {
+	if !e.cacheValid || e.cachedMinGap != minGap {
+		e.recomputeCache(minGap)
 	}
 	l := e.cachedLoad
 	l.freeAt = now
@@ -155,7 +155,7 @@
 	return l
 }
 
-// delayUntil has nothing sent before a turn.
+// delayUntil records that nothing may be sent to the engine before a turn.
 func (l *load) delayUntil(turn, now time.Time) {
 	l.turnWait = turn.Sub(now)
 	if turn.After(l.freeAt) {
@@ -163,13 +163,13 @@
 	}
 }
 
-// recomputeCache works out steady and reading.
-func (e *engine) recomputeCache(tight time.Duration) {
+// recomputeCache computes cachedLoad and prefilling.
+func (e *engine) recomputeCache(minGap time.Duration) {
 	e.cachedLoad, e.prefilling = load{engine: e}, e.prefilling[:0]
-	e.cachedMinGap, e.cacheValid = tight, true
+	e.cachedMinGap, e.cacheValid = minGap, true
 	l := &e.cachedLoad
 	for _, x := range e.entries {
-		e.addEntry(l, x, tight)
+		e.addEntry(l, x, minGap)
 		if !x.hasFirst {
 			e.prefilling = append(e.prefilling, x)
 		}
@@ -180,25 +180,25 @@
 	}
 }
 
-func (e *engine) addEntry(l *load, x *entry, tight time.Duration) {
+func (e *engine) addEntry(l *load, x *entry, minGap time.Duration) {
 	l.memory += x.memoryOn(e)
 	if !x.decodesOn(e) {
 		l.helperParts++
 		return
 	}
-	l.context += x.ask.need()
+	l.context += x.req.need()
 	if x.long {
 		l.longDecodes++
 	}
 	l.decodes = append(l.decodes, x.decode())
-	if x.ask.Gap > 0 && x.ask.Gap <= tight {
+	if x.req.Gap > 0 && x.req.Gap <= minGap {
 		l.minGapDecodes++
 	}
 }
 
 func (e *engine) addPrefill(l *load, x *entry, now time.Time) {
 	if !x.long {
-		l.shortPrefill += e.figures.PrefillTime(x.ask.Prompt)
+		l.shortPrefill += e.figures.PrefillTime(x.req.Prompt)
 		return
 	}
 	end := x.expectedPrefillEnd(now)
@@ -212,14 +212,14 @@
 	l.runningLong = max(l.runningLong, end.Sub(now))
 }
 
-// passTime returns the time of a pass with the present writers.
+// passTime returns the time of a pass with the present decodes.
 func (l *load) passTime() time.Duration {
 	f := l.engine.figures
 	return time.Duration(f.Stride) * f.StepTime(len(l.decodes), l.context)
 }
 
-// delayCost returns the worth that is lost on the engine when a part of the length is
-// read there: that of the writers who do not bear it, and of their places meanwhile.
+// delayCost returns the value that is lost on the engine by a prefill of the length: that of
+// the decodes that do not tolerate it, and of their slots meanwhile.
 func (l *load) delayCost(part time.Duration) float64 {
 	sum := slotValue * part.Seconds() * float64(len(l.decodes))
 	for _, w := range l.decodes {
@@ -233,7 +233,7 @@
 	return sum
 }
 
-// toleratesPause reports whether no writer is made late by a part of the length.
+// toleratesPause reports whether a pause of the length makes no decode late.
 func (l *load) toleratesPause(part time.Duration) bool {
 	for _, w := range l.decodes {
 		if part > w.maxPause {
@@ -253,7 +253,7 @@
 		reserved += p.Reserve
 	}
 	if e.decodesOn(on) && own == 0 {
-		return max(e.ask.need()-reserved, 0)
+		return max(e.req.need()-reserved, 0)
 	}
 	return own
 }
--- a/internal/core/booking/limits_test.go
+++ b/internal/core/booking/limits_test.go
@@ -14,8 +14,8 @@
 	b.Pacer().SetLimit(notice.Limit{Upstream: engine, Limited: true, PerSecond: perSecond, At: start}, start)
 }
 
-// sendTimes places a prompt every step for a while, each over after a second, and returns when
-// requests go to each engine.
+// sendTimes places count prompts, one every step, each of which ends after a second, and returns
+// when requests are sent to each engine.
 func sendTimes(b *Book, prompt, count int, step time.Duration) map[string][]time.Time {
 	at := map[string][]time.Time{}
 	for i := range count {
@@ -32,8 +32,8 @@
 	return at
 }
 
-// TestEngineLimitHoldsForShortAndLongPrompts: the keeper of the book plans for all
-// daemons, so its plans alone are what an engine gets.
+// TestEngineLimitHoldsForShortAndLongPrompts: the keeper of the book plans for all daemons, so
+// an engine gets only what it plans.
 func TestEngineLimitHoldsForShortAndLongPrompts(t *testing.T) {
 	const perSecond, window = 2, 4 * time.Second
 	for _, prompt := range []int{1000, 100_000} {
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestPromptWhoseTurnIsTooLateIsRefusedAtOnce: where all engines have limits and more
-// comes than they take, a queue of late prompts would make all of them late.
+// TestPromptWhoseTurnIsTooLateIsRefusedAtOnce: if all engines have limits and the load is
+// above them, a queue of late prompts would make all of them late.
 func TestPromptWhoseTurnIsTooLateIsRefusedAtOnce(t *testing.T) {
 	b := newBook(2)
 	b.setLimit("e00", 2)
@@ -101,7 +101,8 @@
 	}
 }
 
-// TestUncoordinatedPlansLeaveOutLimitedEngines: it does not know what they send.
+// TestUncoordinatedPlansLeaveOutLimitedEngines: it is not known what other daemons
+// send to them.
 func TestUncoordinatedPlansLeaveOutLimitedEngines(t *testing.T) {
 	b := newBook(2)
 	b.setLimit("e00", 4)
@@ -116,8 +117,8 @@
 	}
 }
 
-// TestBarredEngineIsNotTakenAsLastResort guards against plans on engines that have said to
-// the daemon that they leave, or want nothing for a while, when all others fail or are gone.
+// TestBarredEngineIsNotTakenAsLastResort guards against plans on engines that have told the daemon
+// that they are leaving or in a back-off, when all others fail or are gone.
 func TestBarredEngineIsNotTakenAsLastResort(t *testing.T) {
 	b := newBook(2)
 	a := newRequest("a", 1000)
--- a/internal/core/booking/tally_test.go
+++ b/internal/core/booking/load_cache_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestCachedLoadsEqualRecomputedLoads draws what may happen to a book, and compares after
-// each step the load that is kept of each engine with the one worked out from its entries.
+// TestCachedLoadsEqualRecomputedLoads applies random changes to a book, and compares after each
+// one the cached load of each engine with the one recomputed from its entries.
 func TestCachedLoadsEqualRecomputedLoads(t *testing.T) {
 	const engines, steps = 6, 400
 	for seed := range uint64(10) {
@@ -35,10 +35,10 @@
 				b.SetUpstreams(upstreams(engines - rng.IntN(2)))
 			}
 			for _, e := range b.packOrder {
-				kept := e.loadAt(now, 200*time.Millisecond)
+				cached := e.loadAt(now, 200*time.Millisecond)
 				e.invalidate()
-				if anew := e.loadAt(now, 200*time.Millisecond); !reflect.DeepEqual(kept, anew) {
-					t.Fatalf("seed %d, step %d, %s: kept %+v, worked out %+v", seed, step, e.up.ID, kept, anew)
+				if recomputed := e.loadAt(now, 200*time.Millisecond); !reflect.DeepEqual(cached, recomputed) {
+					t.Fatalf("seed %d, step %d, %s: cached %+v, recomputed %+v", seed, step, e.up.ID, cached, recomputed)
 				}
 			}
 		}
--- a/internal/core/booking/load_test.go
+++ b/internal/core/booking/load_test.go
@@ -8,17 +8,16 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/cost"
 )
 
-// largeSiteFigures are those that a fleet of some two hundred engines publishes.
+// largeSiteFigures are the figures of a site of about two hundred engines.
 var largeSiteFigures = cost.Figures{
 	Slots: 10, Memory: 450_000, Stride: 73, Chunk: 2048, StepMs: 0.925, PerSeqMs: 0.00483,
 	ContextPerK: 0.00254, ReadPerMs: 256, PairsMsPerM: 0.0917, UsualPrompt: 15_000, UsualAnswer: 1700, MaxHelpers: 16,
 }
 
-// alternatingLoad is a load that turns every ten seconds from many long prompts to many short ones
-// and back, as when the audits of a night run beside the fridges that wake on the hour. The
-// rates are those that 195 engines were bought for, times x; the factors of its spans keep
-// the work of the long spans at two thirds of what the engines can read, as on the days that
-// their users fear.
+// alternatingLoad is a load that changes every ten seconds from many long prompts to many
+// short ones and back, as when nightly audits run beside fridges that send requests on the hour.
+// The rates are the design load of 195 engines, times x; the factors of the phases keep the work
+// of the long ones at two thirds of the prefill capacity, as on the busiest days.
 func alternatingLoad(x float64) []phase {
 	usual := []float64{282 * x, 30 * x, 6.9 * x}
 	long := []float64{0.33 * 282 * x, 1.3 * 30 * x, 2.75 * 6.9 * x}
@@ -34,33 +33,32 @@
 	}
 }
 
-// shrinkingLoad is a load that turns while engines are taken away and, as it turns back to short
-// prompts, a failure domain of five is cut off.
+// shrinkingLoad is a load that changes while engines are removed and, as it changes back to
+// short prompts, one of five failure domains is cut off.
 func shrinkingLoad() []phase {
 	load := alternatingLoad(1)
-	load[5].away = 23
-	load[6].away = 62
+	load[5].leaving = 23
+	load[6].leaving = 62
 	return load
 }
 
-// steadyLongLoad is a load without turns whose long prompts alone take four fifths of the
-// engines.
+// steadyLongLoad is a constant load whose long prompts alone take four fifths of the engines.
 func steadyLongLoad() []phase {
 	return []phase{{until: 30 * time.Second, rates: []float64{0.4 * 282, 30, 1.6 * 6.9}}}
 }
 
-// steadySmallLoad is a load without turns of a small site.
+// steadySmallLoad is a constant load of a small site.
 func steadySmallLoad() []phase {
 	return []phase{{until: 30 * time.Second, rates: []float64{35, 2.6, 1.07}}}
 }
 
-// modelLoad is a load with the engines that bear it.
+// modelLoad is a load with the engines that serve it.
 type modelLoad struct {
 	name    string
 	engines int
 	figures cost.Figures
 	phases  []phase
-	limit   float64 // requests a second that each engine takes; zero: it names none
+	limit   float64 // requests per second that each engine accepts; zero: no limit
 }
 
 func modelLoads() []modelLoad {
@@ -80,7 +78,7 @@
 	}
 }
 
-// play plays the load with some seeds.
+// play runs the model with the load, once for each of the first seeds.
 func (l modelLoad) play(seeds int) []result {
 	results := make([]result, seeds)
 	var wg sync.WaitGroup
@@ -96,42 +94,42 @@
 	return results
 }
 
-// TestChangeFromShortToLongPrompts is the pattern of the first second of a long span: writers
-// of short answers on nearly all engines, and long prompts with seconds to spare. Those that
-// can wait do, and the largest tenth, which needs most engines at once, does not pay for it.
+// TestChangeFromShortToLongPrompts is about the first second of a phase of long prompts:
+// nearly all engines decode short answers, and the long prompts have seconds to spare. Those that
+// can wait do so, and the largest tenth, which needs the most engines at once, is not worse off.
 func TestChangeFromShortToLongPrompts(t *testing.T) {
 	paused, largest := 0, 0.0
 	results := modelLoads()[0].play(3)
 	for _, r := range results {
 		paused += r.paused
 		largest += r.largest.share() / float64(len(results))
-		t.Logf("worth %.3f, largest %.3f, paused %d", r.all.share(), r.largest.share(), r.paused)
+		t.Logf("value %.3f, largest %.3f, paused %d", r.all.share(), r.largest.share(), r.paused)
 	}
 	if paused > 150 {
 		t.Errorf("%d answers paused too long", paused)
 	}
 	if largest < 0.80 {
-		t.Errorf("the largest prompts earned %.2f of their worth", largest)
+		t.Errorf("the largest prompts earned %.2f of their value", largest)
 	}
 }
 
-// BenchmarkTurningLoad tells how well the book serves loads that turn, and one that does
-// not, in shares of the worth that callers could earn; eight plays each.
-func BenchmarkTurningLoad(b *testing.B) {
+// BenchmarkChangingLoad measures how well the book serves loads that change, and constant ones,
+// in shares of the value that callers could earn; the mean of eight runs each.
+func BenchmarkChangingLoad(b *testing.B) {
 	for _, l := range modelLoads() {
 		b.Run(l.name, func(b *testing.B) {
 			for b.Loop() {
 				results := l.play(8)
 				n := float64(len(results))
-				var worth, largest, paused, refused, lost float64
+				var value, largest, paused, refused, lost float64
 				for _, r := range results {
-					worth += r.all.share() / n
+					value += r.all.share() / n
 					largest += r.largest.share() / n
 					paused += float64(r.paused) / n
 					refused += float64(r.all.refused) / n
 					lost += float64(r.all.lost) / n
 				}
-				b.ReportMetric(worth, "worth")
+				b.ReportMetric(value, "worth")
 				b.ReportMetric(largest, "worth-of-largest")
 				b.ReportMetric(paused, "paused")
 				b.ReportMetric(refused, "refused")
--- a/internal/core/booking/long.go
+++ b/internal/core/booking/long.go
@@ -6,65 +6,65 @@
 	"time"
 )
 
-// Bounds and weights of the choice of engines for a long prompt. Worth is in units of
-// Ask.value.
+// Bounds and weights of the choice of engines for a long prompt. Costs are in units of
+// Request.value.
 const (
-	// onTimeShare of the time left is aimed at, for engines may be slower than
-	// their figures.
+	// onTimeShare is the share of the time left that is planned with, for engines may be
+	// slower than their figures.
 	onTimeShare = 0.85
-	// sendLead is how much before the engines are free the request is sent, for the
-	// way there.
+	// sendLead is how long before the engines are free the request is sent, for the
+	// network latency.
 	sendLead = 5 * time.Millisecond
-	// idleCost is the worth that a second of an engine earns elsewhere, with prompts of
+	// idleCost is the value that an engine earns in a second otherwise, with prompts of
 	// about 200,000 tokens.
 	idleCost = 13.0
-	// waitCost orders engines by when they are free, per second.
+	// waitCost ranks engines by when they are free, per second.
 	waitCost = 30.0
-	// slowCost prefers the earlier of two ways in time, as a share of the worth for
-	// the whole of the time left.
+	// slowCost prefers the earlier of two choices that are in time; it is the share of the
+	// value that using all of the time left costs.
 	slowCost = 0.2
-	// yieldFactor is how much longer than expected a late prompt may still take when
-	// it stops yielding to those in time.
+	// yieldFactor is how many times the expected time must be left for a late prompt to yield
+	// to those in time.
 	yieldFactor = 1.5
-	// otherDomainCostLong is the worth that a part in another failure domain may cost: a cut between
-	// them ends the reading.
+	// otherDomainCostLong is the cost of a part in another failure domain: a cut between the
+	// domains ends its prefill.
 	otherDomainCostLong = 1.0
-	// postponeBy is how much later a prompt that makes others late may be read instead: two of
-	// the pauses after which its daemon asks again.
+	// postponeBy is how much later a prompt that makes others late must still be in time
+	// for it to yield: two of the pauses after which its daemon asks again.
 	postponeBy = 200 * time.Millisecond
 )
 
-// choice is one way to read a long prompt.
+// choice is one set of engines for the prefill of a long prompt.
 type choice struct {
-	loads []load // the engines, the first receives the request
-	start time.Time
-	prefill  time.Duration // of a part
-	cost  float64
-	delayCost  float64 // of the cost, what others lose
-	late  bool
-	delaysOthers bool // makes others late
+	loads        []load // the engines, the first receives the request
+	start        time.Time
+	prefill      time.Duration // time of a part
+	cost         float64
+	delayCost    float64 // share of the cost that others bear
+	late         bool
+	delaysOthers bool // makes other requests late
 }
 
 func (c *choice) end() time.Time { return c.start.Add(c.prefill) }
 
-// planLong takes the way that costs the least worth, its own and that of those who
-// write on the engines. A prompt that is late in any case yields to those in time: it
-// is read as soon as engines are free, and books none ahead until it has to. One that is
-// in time but makes others late yields as well, as long as it stays in time.
-func (t *placement) planLong(read time.Duration) Plan {
-	best := t.cheapest(read)
+// planLong takes the choice with the lowest cost, for the prompt itself and for the
+// decodes on the engines. A prompt that will be late anyway yields to those in time: it is
+// prefilled as soon as engines are free, and books none ahead until it must. One that is in
+// time but makes others late yields as well, as long as it stays in time.
+func (t *placement) planLong(prefill time.Duration) Plan {
+	best := t.cheapest(prefill)
 	if best == nil {
-		return Plan{Verdict: t.noCapacity(read)}
+		return Plan{Verdict: t.noCapacity(prefill)}
 	}
 	first := best.end().Sub(t.now) + t.passTime(&best.loads[0])
 	whole := first + t.decodeTime(best)
 	switch {
-	case t.ask.Begun: // goes on in any case
-	case first > t.ask.Left:
+	case t.req.Begun: // is neither refused nor made to yield
+	case first > t.req.Left:
 		return Plan{Verdict: TooLate, First: first}
 	case t.shouldYield(best, whole), t.canPostpone(best, first):
 		return Plan{Verdict: Yield, First: first}
-	case best.late && best.delayCost > (1-lateLossShare)*t.ask.value():
+	case best.late && best.delayCost > (1-lateLossShare)*t.req.value():
 		return Plan{Verdict: TooLate, First: first}
 	}
 	return Plan{
@@ -76,33 +76,33 @@
 	}
 }
 
-// shouldYield reports whether the prompt should wait for engines to be free: it is
-// late in any case, and there is time.
+// shouldYield reports whether the prompt should wait for free engines: it will be late
+// anyway, and there is time left before its deadline.
 func (t *placement) shouldYield(c *choice, whole time.Duration) bool {
 	busy := c.start.Sub(t.now) > sendLead
 	if !c.late || !busy && !c.delaysOthers {
 		return false
 	}
-	return t.ask.Left >= time.Duration(yieldFactor*float64(whole))
+	return t.req.Left >= time.Duration(yieldFactor*float64(whole))
 }
 
-// canPostpone reports whether the prompt makes writers late whom it need not: most of them
-// will have ended soon, for an answer to a short prompt takes two seconds, and the prompt
-// itself would still be in time a little later. It protects the answers under way when a load
-// turns from short prompts to long ones.
+// canPostpone reports whether the prompt makes decodes late unnecessarily: most of them will
+// end soon, for an answer to a short prompt takes two seconds, and the prompt itself would still
+// be in time a little later. This protects running answers when the load changes from short
+// prompts to long ones.
 func (t *placement) canPostpone(c *choice, first time.Duration) bool {
-	return !c.late && c.delaysOthers && float64(first+postponeBy) < onTimeShare*float64(t.ask.Objective)
+	return !c.late && c.delaysOthers && float64(first+postponeBy) < onTimeShare*float64(t.req.Objective)
 }
 
-// decodeTime returns the time to write the answer. Where the memory of a prompt is spread, each
-// step reads the largest part only.
+// decodeTime returns the time to decode the answer. If the memory of a prompt is spread over
+// engines, each step takes the time of the largest part only.
 func (t *placement) decodeTime(c *choice) time.Duration {
-	own := t.ask.need()
+	own := t.req.need()
 	if t.spreadsMemory() {
 		own = t.tokensPerEngine(len(c.loads))
 	}
 	on := &c.loads[0]
-	return t.service.Figures.DecodeTime(t.ask.Expected, len(on.decodes)+1, on.context+own)
+	return t.service.Figures.DecodeTime(t.req.Expected, len(on.decodes)+1, on.context+own)
 }
 
 func (c *choice) reason() Reason {
@@ -117,32 +117,33 @@
 	return ReasonSplit
 }
 
-// maxEngines returns how many engines may read one prompt.
+// maxEngines returns how many engines may prefill one prompt.
 func (t *placement) maxEngines() int {
 	return min(len(t.loads), t.service.Figures.MaxHelpers+1)
 }
 
-// cheapest compares all numbers of engines.
-func (t *placement) cheapest(read time.Duration) *choice {
+// cheapest returns the choice with the lowest cost over all numbers of engines, nil when none
+// holds the prompt.
+func (t *placement) cheapest(prefill time.Duration) *choice {
 	var best *choice
-	most := t.maxEngines()
-	r := ranking{loads: t.loads, inOtherDomain: t.inOtherDomain, best: make([]candidate, 0, most)}
-	for n := 1; n <= most; n++ {
-		if c := t.newChoice(r.cheapest(n, read/time.Duration(n), t.now), read); c != nil && (best == nil || c.cost < best.cost) {
+	maxEngines := t.maxEngines()
+	r := ranking{loads: t.loads, inOtherDomain: t.inOtherDomain, best: make([]candidate, 0, maxEngines)}
+	for n := 1; n <= maxEngines; n++ {
+		if c := t.newChoice(r.cheapest(n, prefill/time.Duration(n), t.now), prefill); c != nil && (best == nil || c.cost < best.cost) {
 			best = c
 		}
 	}
 	return best
 }
 
-// ranking finds the engines on which a part of a length costs the least. It keeps the few
-// best while it goes through all loads once, for sorting all of them for each number of parts
-// takes the keeper twice the processor time.
+// ranking finds the engines on which a part of a length costs the least. It keeps the best few
+// in one pass over all loads, for sorting all of them for each number of parts takes the keeper
+// twice the processor time.
 type ranking struct {
-	loads []load
-	inOtherDomain   func(*load) bool
-	best  []candidate // of the present call of first, in order
-	out   []load      // their loads
+	loads         []load
+	inOtherDomain func(*load) bool
+	best          []candidate // of the present call of cheapest, in order
+	out           []load      // loads of best
 }
 
 // candidate is a load with the cost of a part there.
@@ -172,7 +173,7 @@
 	return r.out
 }
 
-// insert takes a candidate in if it is among the n best so far.
+// insert adds a candidate to best if it is among the n best so far.
 func (r *ranking) insert(c candidate, n int) {
 	if len(r.best) == n {
 		if !c.before(r.best[n-1]) {
@@ -187,8 +188,8 @@
 	r.best = slices.Insert(r.best, at, c)
 }
 
-// before orders candidates by cost, then by writers; the last engine in the order of
-// packing is opened last.
+// before reports whether c is better than d: by cost, then by fewer decodes, then by the later
+// place in the packing order.
 func (c candidate) before(d candidate) bool {
 	return cmp.Or(
 		cmp.Compare(c.cost, d.cost),
@@ -197,11 +198,11 @@
 	) < 0
 }
 
-// newChoice returns the choice of just these engines, nil when their memory does not
-// hold the prompt. The engine with the fewest writers receives it.
-func (t *placement) newChoice(from []load, read time.Duration) *choice {
+// newChoice returns the choice of exactly these engines, nil when none of them can receive the
+// prompt or their memory does not hold it. The engine with the fewest decodes receives it.
+func (t *placement) newChoice(from []load, prefill time.Duration) *choice {
 	loads := slices.Clone(from)
-	c := &choice{loads: loads, start: t.now, prefill: read / time.Duration(len(loads))}
+	c := &choice{loads: loads, start: t.now, prefill: prefill / time.Duration(len(loads))}
 	for i := range loads {
 		if loads[i].freeAt.After(c.start) {
 			c.start = loads[i].freeAt
@@ -216,7 +217,7 @@
 	return c
 }
 
-// receiver returns the engine that receives the request, -1 when none can.
+// receiver returns the index of the engine that receives the request, -1 when none can.
 func (t *placement) receiver(loads []load) int {
 	first := -1
 	for i := range loads {
@@ -231,8 +232,8 @@
 	return first
 }
 
-// betterReceiver reports whether one engine is a better receiver than another: the answer comes from
-// there, so the own failure domain goes first.
+// betterReceiver reports whether one engine is a better receiver than another: the answer comes
+// from there, so engines of the daemon's own failure domain go first.
 func (t *placement) betterReceiver(l, than *load) bool {
 	if far := t.inOtherDomain(l); far != t.inOtherDomain(than) {
 		return !far
@@ -240,7 +241,7 @@
 	return len(l.decodes) < len(than.decodes)
 }
 
-// computeCost works out the cost of a choice.
+// computeCost sets the cost of a choice and whether it or others are late.
 func (t *placement) computeCost(c *choice) {
 	for i := range c.loads {
 		l := &c.loads[i]
@@ -249,35 +250,35 @@
 		c.cost += idleCost * c.start.Sub(l.freeAt).Seconds()
 	}
 	c.cost += c.delayCost
-	value := t.ask.value()
+	value := t.req.value()
 	first := c.end().Sub(t.now) + t.passTime(&c.loads[0])
-	c.late = float64(first) > onTimeShare*float64(t.ask.Objective)
+	c.late = float64(first) > onTimeShare*float64(t.req.Objective)
 	if c.late {
 		c.cost += lateLossShare * value
 	}
-	if first > t.ask.Left {
+	if first > t.req.Left {
 		c.cost += value
 	}
-	c.cost += slowCost * value * first.Seconds() / max(t.ask.Left.Seconds(), 1e-3)
+	c.cost += slowCost * value * first.Seconds() / max(t.req.Left.Seconds(), 1e-3)
 }
 
 // spreadsMemory reports whether the prompt needs the memory of several engines.
 func (t *placement) spreadsMemory() bool {
 	memory := t.service.Figures.Memory
-	return memory > 0 && t.ask.need() > int64(memoryShare*float64(memory))
+	return memory > 0 && t.req.need() > int64(memoryShare*float64(memory))
 }
 
 // tokensPerEngine returns the tokens of each engine when the memory is spread over n.
 func (t *placement) tokensPerEngine(n int) int64 {
-	return (t.ask.need() + int64(n) - 1) / int64(n)
+	return (t.req.need() + int64(n) - 1) / int64(n)
 }
 
-// canReceive reports whether an engine has the memory to be the first of n.
+// canReceive reports whether an engine has the memory to be the receiver among n engines.
 func (t *placement) canReceive(l *load, n int) bool {
 	if t.spreadsMemory() {
 		return l.freeMemory() >= t.tokensPerEngine(n)
 	}
-	return l.freeMemory() >= t.ask.need()
+	return l.freeMemory() >= t.req.need()
 }
 
 func (t *placement) sharesFit(loads []load) bool {
@@ -305,15 +306,15 @@
 	return parts
 }
 
-// noCapacity tells a prompt that no engines ever hold, and one that has no time left, from
-// one that has to wait for memory or slots.
-func (t *placement) noCapacity(read time.Duration) Verdict {
-	most := t.maxEngines()
-	held := int64(most) * int64(memoryShare*float64(t.service.Figures.Memory))
+// noCapacity returns the verdict for a prompt without a choice: TooLarge if the engines can never
+// hold it, TooLate if it has no time left, and Full if it has to wait for memory or slots.
+func (t *placement) noCapacity(prefill time.Duration) Verdict {
+	maxEngines := t.maxEngines()
+	held := int64(maxEngines) * int64(memoryShare*float64(t.service.Figures.Memory))
 	switch {
-	case t.service.Figures.Memory > 0 && t.ask.need() > held:
+	case t.service.Figures.Memory > 0 && t.req.need() > held:
 		return TooLarge
-	case read/time.Duration(most) > t.ask.Left && !t.ask.Begun:
+	case prefill/time.Duration(maxEngines) > t.req.Left && !t.req.Begun:
 		return TooLate
 	}
 	return Full
--- a/internal/core/booking/long_test.go
+++ b/internal/core/booking/long_test.go
@@ -21,7 +21,7 @@
 	long := b.Place(newRequest("long", 210_000), start)
 	for _, part := range long.Parts {
 		if part.Upstream == short.Parts[0].Upstream {
-			t.Errorf("the short prompt's engine reads a part of %v", long.Read)
+			t.Errorf("the short prompt's engine prefills a part of %v", long.Read)
 		}
 	}
 	if long.Reason == ReasonDelaysOthers || long.Reason == ReasonLate {
@@ -39,11 +39,11 @@
 	if p := b.Place(a, start); p.Verdict != Yield {
 		t.Errorf("got %s", p.Verdict)
 	}
-	a.Left = 4 * time.Second // no time to yield, and the first one's answer would be late
+	a.Left = 4 * time.Second // no time to yield, and it would make the first one's answer late
 	if p := b.Place(a, start); p.Verdict != TooLate {
 		t.Errorf("got %s %s", p.Verdict, p.Reason)
 	}
-	b.End("first") // now it harms nobody
+	b.End("first") // now it makes no other late
 	if p := b.Place(a, start); p.Verdict != Booked || p.Reason != ReasonLate {
 		t.Errorf("got %s %s", p.Verdict, p.Reason)
 	}
@@ -55,8 +55,8 @@
 
 func TestStartedAnswerIsNeitherRefusedNorYields(t *testing.T) {
 	for name, change := range map[string]func(*Request){
-		"late in any case":     func(a *Request) { a.Objective = time.Millisecond },
-		"no time for its read": func(a *Request) { a.Left = time.Millisecond },
+		"late anyway":             func(a *Request) { a.Objective = time.Millisecond },
+		"no time for its prefill": func(a *Request) { a.Left = time.Millisecond },
 	} {
 		for _, begun := range []bool{false, true} {
 			b := newBook(2)
@@ -73,6 +73,9 @@
 	}
 }
 
+// TestLargestPromptsAreNotDeferredWhileInTime has many long prompts on engines that are all busy:
+// one of the largest that can still be prefilled in time is planned like the others. Deferred for
+// its low value per second, it ended up late.
 func TestLargestPromptsAreNotDeferredWhileInTime(t *testing.T) {
 	b := newBook(4)
 	for i := range 4 {
@@ -85,9 +88,9 @@
 		t.Errorf("got %s %s, first after %s", p.Verdict, p.Reason, p.First)
 	}
 	b.End("huge")
-	a.Objective = time.Second // late in any case: those in time go first
+	a.Objective = time.Second // late anyway: those in time go first
 	if p := b.Place(a, start); p.Verdict != Yield {
-		t.Errorf("late in any case: %s %s", p.Verdict, p.Reason)
+		t.Errorf("late anyway: %s %s", p.Verdict, p.Reason)
 	}
 }
 
@@ -116,7 +119,7 @@
 func TestPromptThatMakesOthersLateYieldsWhileInTime(t *testing.T) {
 	b := newBook(4)
 	var taken []string
-	for i := range 4 { // a writer on each engine
+	for i := range 4 { // a decode on each engine
 		short := newRequest(fmt.Sprint("short", i), 5000)
 		short.Exclude = taken
 		taken = append(taken, b.Place(short, start).Parts[0].Upstream)
@@ -126,7 +129,7 @@
 	if p := b.Place(a, start); p.Verdict != Yield {
 		t.Errorf("with %s left: %s %s", a.Objective, p.Verdict, p.Reason)
 	}
-	a.Objective = time.Second // 0.85 s of it are aimed at: now or late
+	a.Objective = time.Second // 0.85 s of it are planned with: now or late
 	if p := b.Place(a, start); p.Verdict != Booked || p.Reason != ReasonDelaysOthers {
 		t.Errorf("with %s left: %s %s", a.Objective, p.Verdict, p.Reason)
 	}
@@ -147,6 +150,6 @@
 	other := newRequest("other", 100_000)
 	b.Place(other, start)
 	if p := b.Place(a, start); p.Verdict != Yield {
-		t.Errorf("got %s, first after %s: there is time to wait and to write", p.Verdict, p.First)
+		t.Errorf("got %s, first after %s: there is time to wait and to decode", p.Verdict, p.First)
 	}
 }
--- a/internal/core/booking/model_engine_test.go
+++ b/internal/core/booking/model_engine_test.go
@@ -8,22 +8,22 @@
 // modelPart is a part of a prompt on an engine.
 type modelPart struct {
 	call *call
-	left time.Duration // reading time
+	left time.Duration // prefill time
 	help bool
 }
 
 // modelEngine is one engine.
 type modelEngine struct {
-	id      string
-	waiting []*modelPart
-	decodes []*call
-	prefilling []*modelPart      // of the pass
-	passEnd    time.Duration // until when the pass lasts; zero: none is under way
-	decoding bool          // the pass has writers
-	joiners []*call       // write from the next pass on
+	id         string
+	waiting    []*modelPart
+	decodes    []*call
+	prefilling []*modelPart  // parts whose prefill ends in this pass
+	passEnd    time.Duration // end of the pass; zero: none is running
+	decoding   bool          // the pass has decodes
+	joiners    []*call       // decode from the next pass on
 }
 
-// runPass begins a pass if an engine has work and none is under way.
+// runPass starts a pass if an engine has work and none is running.
 func (m *model) runPass(e *modelEngine) {
 	if e.passEnd > m.now || len(e.decodes)+len(e.waiting)+len(e.joiners) == 0 {
 		return
@@ -38,8 +38,8 @@
 	e.passEnd = m.now + took
 }
 
-// prefill chooses what the pass reads and returns how long that takes. What helps others is read
-// first; prompts of the engine's own need a slot, and those that are read whole here write in
+// prefill chooses the prefills of the pass and returns how long they take. Parts for other engines
+// go first; prompts that decode here need a slot, and those whose whole prefill is here decode in
 // the same pass.
 func (e *modelEngine) prefill(slots int) time.Duration {
 	slices.SortStableFunc(e.waiting, func(a, b *modelPart) int {
@@ -53,7 +53,7 @@
 	})
 	bound := prefillQuantum
 	if len(e.decodes) > 0 {
-		bound = time.Hour // a pass with writers has steps enough for all that waits
+		bound = time.Hour // a pass with decodes has enough steps for all that waits
 	}
 	var took time.Duration
 	slots -= len(e.decodes)
@@ -82,8 +82,8 @@
 	return took
 }
 
-// decodeTime returns how long the steps of a pass take. The context of a prompt that several
-// engines have read is spread over them.
+// decodeTime returns how long the steps of a pass take. The context of a prompt that several engines
+// have prefilled is spread over them.
 func (m *model) decodeTime(e *modelEngine) time.Duration {
 	context := 0
 	for _, c := range e.decodes {
@@ -92,7 +92,7 @@
 	return time.Duration(m.figures.Stride) * m.figures.StepTime(len(e.decodes), int64(context))
 }
 
-// endPass emits events and takes parts out that are read.
+// endPass emits the events of a pass that has ended, and removes the parts whose prefill is done.
 func (m *model) endPass(e *modelEngine) {
 	if e.passEnd == 0 || e.passEnd > m.now {
 		return
@@ -115,8 +115,8 @@
 }
 
 func (m *model) partPrefilled(c *call) {
-	c.unread--
-	if c.unread == 0 && c.state != ended {
+	c.pendingParts--
+	if c.pendingParts == 0 && c.state != ended {
 		e := m.engines[c.plan.Parts[0].Upstream]
 		e.joiners = append(e.joiners, c)
 	}
@@ -128,17 +128,17 @@
 	}
 	if c.got == 0 {
 		c.first = m.now
-		m.book.RecordFirstEvent(c.ask.ID)
+		m.book.RecordFirstEvent(c.req.ID)
 	} else {
 		c.pause = max(c.pause, m.now-c.latest)
 		if c.moves > 0 {
-			m.book.RecordFirstEvent(c.ask.ID)
+			m.book.RecordFirstEvent(c.req.ID)
 		}
 	}
 	c.got++
 	c.latest = m.now
 	if c.got >= c.events {
 		c.state = ended
-		m.book.End(c.ask.ID)
+		m.book.End(c.req.ID)
 	}
 }
--- a/internal/core/booking/model_result_test.go
+++ b/internal/core/booking/model_result_test.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// outcomes is what some calls earned.
+// outcomes counts how some calls ended, and the value that they earned.
 type outcomes struct {
 	n, inTime, late, refused, lost int
 	owed, earned                   float64
@@ -13,7 +13,7 @@
 
 func (t *outcomes) add(c *call) {
 	t.n++
-	t.owed += c.worth * c.kind.worth
+	t.owed += c.weight * c.kind.value
 	switch {
 	case c.refused:
 		t.refused++
@@ -21,20 +21,20 @@
 		t.lost++
 	case c.first-c.arrived <= c.kind.objective && c.pause <= c.kind.gap:
 		t.inTime++
-		t.earned += c.worth * c.kind.worth
+		t.earned += c.weight * c.kind.value
 	default:
 		t.late++
-		t.earned += c.worth * c.kind.late
+		t.earned += c.weight * c.kind.lateValue
 	}
 }
 
 func (t *outcomes) share() float64 { return t.earned / math.Max(t.owed, 1e-9) }
 
-// result tells how a played load was served.
+// result says how a load was served.
 type result struct {
-	all, largest outcomes // largest: the longest tenth of the longest kind
+	all, largest outcomes // largest: the tenth of the longest kind with the longest prompts
 	kinds        []outcomes
-	paused       int // in time by their first event, late by a pause
+	paused       int // first event in time, but a later pause too long
 }
 
 func (m *model) result() result {
--- a/internal/core/booking/model_test.go
+++ b/internal/core/booking/model_test.go
@@ -11,40 +11,40 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/fleet"
 )
 
-// A model of engines and callers around one book, without network: time is stepped, all
-// draws come from a seed. Engines work in passes as package cost tells. Left out are the
-// ways between daemons (2 ms), daemons that know less than the book, and memory.
+// A model of engines and callers around one book, without network: time is stepped, and all
+// random draws come from a seed. Engines work in passes as package cost describes. The model
+// leaves out the latency between daemons (2 ms), daemons that know less than the book, and memory.
 
 const (
 	modelStep = 5 * time.Millisecond
-	// yieldPause and modelFull are the pauses of daemons between two tries to place.
+	// yieldPause and fullPause are the pauses of daemons between two tries to place a request.
 	yieldPause = 100 * time.Millisecond
 	fullPause  = 50 * time.Millisecond
-	// minReturn and mostBack bound the time after which a refused caller is told to come back.
+	// minReturn and maxReturn bound the time after which a refused caller is told to retry.
 	minReturn = 200 * time.Millisecond
-	maxReturn  = 2 * time.Second
-	// modelMoves is how often a stream that pauses is moved.
+	maxReturn = 2 * time.Second
+	// modelMoves is the maximum number of moves of a stream.
 	modelMoves = 1
-	// prefillQuantum bounds what an engine without writers reads before it looks for new work.
+	// prefillQuantum bounds the prefill of an engine without decodes before it checks for new work.
 	prefillQuantum = 10 * time.Millisecond
 )
 
 // kind is one kind of request, with the figures that its users publish.
 type kind struct {
-	name      string
-	prompt    float64 // tokens, mean
-	sigma    float64 // of a lognormal distribution
-	maxPrompt      float64
-	events    float64 // of an answer, mean
+	name        string
+	prompt      float64 // mean tokens
+	sigma       float64 // of the lognormal distribution of the prompt
+	maxPrompt   float64
+	events      float64 // mean events of an answer
 	eventsSigma float64
-	objective time.Duration
-	gap       time.Duration
-	deadline  time.Duration
-	worth     float64 // in time
-	late      float64 // worth
+	objective   time.Duration
+	gap         time.Duration
+	deadline    time.Duration
+	value       float64 // value of an answer in time
+	lateValue   float64 // value of a late answer
 }
 
-// The kinds of a fleet of fridges: many short drafts, some weekly plans, few audits of a
+// kinds are those of a fleet of fridges: many short drafts, some weekly plans, few audits of a
 // whole supermarket.
 var kinds = []kind{
 	{"draft", 5_000, 0.9, 23_800, 24, 0.7, 300 * time.Millisecond, 250 * time.Millisecond, 10 * time.Second, 1.4, 0.34},
@@ -52,58 +52,58 @@
 	{"audit", 300_000, 0.55, 1_000_000, 12, 0.5, 4 * time.Second, time.Second, 15 * time.Second, 26, 6.6},
 }
 
-// phase is a span of time with requests a second of each kind, and with engines that take no
-// new work in it.
+// phase is a period up to a time, with the requests per second of each kind and the number of
+// engines that accept no new work.
 type phase struct {
-	until time.Duration
-	rates []float64
-	away  int
+	until   time.Duration
+	rates   []float64
+	leaving int
 }
 
-// callState says where a call is.
+// callState is the state of a call.
 type callState uint8
 
 const (
-	asking callState = iota // for a plan, at askAt
-	booked                  // and sent at sendAt
+	asking callState = iota // asks for a plan at askAt
+	booked                  // will be sent at sendAt
 	sent
 	ended
 )
 
-// call is one request on its way.
+// call is one request of a caller.
 type call struct {
-	state   callState
-	kind    *kind
-	ask     Request
-	prompt  int
-	events  int // of its answer
-	got     int // events so far
-	arrived time.Duration
-	askAt   time.Duration
-	sendAt  time.Duration
-	plan    Plan
-	unread  int // parts
-	first   time.Duration
-	latest  time.Duration // its last event
-	pause   time.Duration
-	moves   int
-	returned    bool // came back after a refusal
-	refused bool
-	worth   float64 // owed
+	state        callState
+	kind         *kind
+	req          Request
+	prompt       int
+	events       int // of its answer
+	got          int // events so far
+	arrived      time.Duration
+	askAt        time.Duration
+	sendAt       time.Duration
+	plan         Plan
+	pendingParts int // parts whose prefill is not done
+	first        time.Duration
+	latest       time.Duration // time of its last event
+	pause        time.Duration
+	moves        int
+	returned     bool // has retried after a refusal
+	refused      bool
+	weight       float64 // relative to that of its kind
 }
 
 type model struct {
 	book    *Book
 	rng     *rand.Rand
 	figures cost.Figures
-	engines   map[string]*modelEngine
+	engines map[string]*modelEngine
 	order   []*modelEngine
 	list    *fleet.Snapshot
-	away    int
+	leaving int
 	calls   []*call // not ended
 	all     []*call
 	now     time.Duration
-	nextID       int
+	nextID  int
 }
 
 func newModel(seed uint64, engines int, f cost.Figures) *model {
@@ -119,7 +119,7 @@
 	return m
 }
 
-// limit has all engines name a limit, if it is over zero.
+// limit sets a limit of all engines, if it is over zero.
 func (m *model) limit(perSecond float64) {
 	for _, u := range m.list.Upstreams {
 		if perSecond > 0 {
@@ -128,11 +128,11 @@
 	}
 }
 
-func (m *model) lognormal(mean, sigma, most float64) float64 {
-	return math.Min(mean*math.Exp(sigma*m.rng.NormFloat64()-sigma*sigma/2), most)
+func (m *model) lognormal(mean, sigma, limit float64) float64 {
+	return math.Min(mean*math.Exp(sigma*m.rng.NormFloat64()-sigma*sigma/2), limit)
 }
 
-// arrive draws the requests of one step.
+// arrive draws the requests that arrive in one step.
 func (m *model) arrive(rates []float64) {
 	for i, rate := range rates {
 		for p := rate * modelStep.Seconds(); p > 0; p-- {
@@ -154,13 +154,13 @@
 	}
 	out := float64(c.events * m.figures.Stride)
 	size := (float64(c.prompt) + 10*out) / (k.prompt + 10*k.events*float64(m.figures.Stride))
-	c.worth = math.Min(0.3+0.7*size, 4)
-	c.ask.ID = fmt.Sprint(m.nextID)
+	c.weight = math.Min(0.3+0.7*size, 4)
+	c.req.ID = fmt.Sprint(m.nextID)
 	m.calls = append(m.calls, c)
 	m.all = append(m.all, c)
 }
 
-// place asks the book for a call.
+// place asks the book for a plan of a call.
 func (m *model) place(c *call) {
 	k := c.kind
 	left := c.arrived + k.deadline - m.now
@@ -168,9 +168,9 @@
 		c.state = ended
 		return
 	}
-	answer := c.events * m.figures.Stride * 2 // callers name a bound, not the length
+	answer := c.events * m.figures.Stride * 2 // callers give a bound, not the length
 	a := Request{
-		ID: fmt.Sprintf("%s/%d/%d", c.ask.ID, c.moves, m.now), Host: "h", Service: "llm", Prompt: c.prompt,
+		ID: fmt.Sprintf("%s/%d/%d", c.req.ID, c.moves, m.now), Host: "h", Service: "llm", Prompt: c.prompt,
 		Answer: answer, Expected: min(answer, m.figures.UsualAnswer),
 		Objective: k.objective - (m.now - c.arrived), Gap: k.gap, Left: left, Begun: c.got > 0,
 	}
@@ -178,7 +178,7 @@
 		a.Objective = k.gap - (m.now - c.latest)
 	}
 	p := m.book.Place(a, start.Add(m.now))
-	c.ask = a
+	c.req = a
 	switch p.Verdict {
 	case Booked:
 		c.plan, c.state, c.sendAt = p, booked, m.now+p.Wait
@@ -191,7 +191,7 @@
 	}
 }
 
-// refuse lets a caller come back once, after the time that it is told.
+// refuse lets a caller retry once, after the time that it is told.
 func (m *model) refuse(c *call, p Plan) {
 	if c.returned {
 		c.state, c.refused = ended, true
@@ -204,24 +204,24 @@
 // send puts the parts of a call on their engines.
 func (m *model) send(c *call) {
 	c.state = sent
-	c.unread = len(c.plan.Parts)
+	c.pendingParts = len(c.plan.Parts)
 	if c.got == 0 {
 		c.latest = m.now
 	}
-	read := m.figures.PrefillTime(c.prompt) / time.Duration(len(c.plan.Parts))
+	prefill := m.figures.PrefillTime(c.prompt) / time.Duration(len(c.plan.Parts))
 	for i, p := range c.plan.Parts {
-		s := &modelPart{call: c, left: read, help: i > 0}
+		s := &modelPart{call: c, left: prefill, help: i > 0}
 		e := m.engines[p.Upstream]
 		e.waiting = append(e.waiting, s)
 	}
 	m.displace(c)
 }
 
-// displace moves the writers that a call makes late, as their daemons do.
+// displace moves the decodes that a call makes late, as their daemons do.
 func (m *model) displace(c *call) {
-	for _, d := range m.book.Displace(c.ask.ID, start.Add(m.now)) {
+	for _, d := range m.book.Displace(c.req.ID, start.Add(m.now)) {
 		for _, w := range m.calls {
-			if w.ask.ID == d.Attempt && w.moves < modelMoves {
+			if w.req.ID == d.Attempt && w.moves < modelMoves {
 				m.move(w)
 			}
 		}
@@ -234,9 +234,9 @@
 	c.state, c.askAt = asking, m.now
 }
 
-// drop takes a call off its engines.
+// drop removes a call from its engines.
 func (m *model) drop(c *call) {
-	m.book.End(c.ask.ID)
+	m.book.End(c.req.ID)
 	for _, p := range c.plan.Parts {
 		e := m.engines[p.Upstream]
 		gone := func(s *modelPart) bool { return s.call == c }
@@ -248,7 +248,7 @@
 	}
 }
 
-// checkStall moves streams that pause for long and ends those whose callers have left.
+// checkStall moves streams that pause for too long and ends those whose callers have left.
 func (m *model) checkStall(c *call) {
 	silent := m.now - c.latest
 	k := c.kind
@@ -263,12 +263,12 @@
 	}
 }
 
-// setAway lets the first engines of the list take no new work.
-func (m *model) setAway(n int) {
-	if n == m.away {
+// setLeaving marks the first n engines of the list as leaving, so that they accept no new work.
+func (m *model) setLeaving(n int) {
+	if n == m.leaving {
 		return
 	}
-	m.away = n
+	m.leaving = n
 	for i := range m.list.Upstreams {
 		m.list.Upstreams[i].Leaving = i < n
 	}
@@ -280,7 +280,7 @@
 	for m.now = 0; m.now < last; m.now += modelStep {
 		for _, p := range phases {
 			if m.now < p.until {
-				m.setAway(p.away)
+				m.setLeaving(p.leaving)
 				m.arrive(p.rates)
 				break
 			}
--- a/internal/core/booking/place.go
+++ b/internal/core/booking/place.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// placement is one ask under way.
+// placement is one call of Place.
 type placement struct {
-	book    *Book
-	uncoordinated   bool // what others send is not known
-	skippedLimited bool // for this, engines with limits were left out
-	ask     *Request
-	service *Service
-	now     time.Time
-	loads   []load
+	book           *Book
+	uncoordinated  bool // other books may plan too, so what they send is not known
+	skippedLimited bool // engines with limits were left out because of uncoordinated
+	req            *Request
+	service        *Service
+	now            time.Time
+	loads          []load
 }
 
-// Place plans an attempt and enters the plan, as the only book that plans for all.
+// Place plans an attempt and enters the plan; this book plans for all daemons.
 func (b *Book) Place(a Request, now time.Time) Plan { return b.place(a, false, now) }
 
-// PlaceUncoordinated is Place where other books may plan too. It leaves engines with limits to them.
+// PlaceUncoordinated is Place while other books may plan too. It leaves engines with limits to
+// them.
 func (b *Book) PlaceUncoordinated(a Request, now time.Time) Plan { return b.place(a, true, now) }
 
-func (b *Book) place(a Request, alone bool, now time.Time) Plan {
+func (b *Book) place(a Request, uncoordinated bool, now time.Time) Plan {
 	s := b.services[a.Service]
 	if s == nil {
 		return Plan{Verdict: NoEngine}
 	}
-	t := &placement{book: b, uncoordinated: alone, ask: &a, service: s, now: now}
+	t := &placement{book: b, uncoordinated: uncoordinated, req: &a, service: s, now: now}
 	p := t.plan()
 	b.Record(a, p, now)
 	if p.Verdict == Booked {
@@ -46,12 +47,12 @@
 	default:
 		return Plan{Verdict: NoEngine}
 	}
-	read := t.service.Figures.PrefillTime(t.ask.Prompt)
+	prefill := t.service.Figures.PrefillTime(t.req.Prompt)
 	var p Plan
-	if read <= t.book.maxShortPrefill(t.ask.Service) && t.fitsOneEngine() {
-		p = t.planShort(read)
+	if prefill <= t.book.maxShortPrefill(t.req.Service) && t.fitsOneEngine() {
+		p = t.planShort(prefill)
 	} else {
-		p = t.planLong(read)
+		p = t.planLong(prefill)
 	}
 	p.Engines = len(t.loads)
 	p.Backlog = t.backlog()
@@ -61,15 +62,16 @@
 	return p
 }
 
-// collectLoads fills in the loads of the engines that may be taken. Those that fail are
-// taken when no other is left, those that were tried before after them.
+// collectLoads fills in the loads of the usable engines. With all, which is the second try when
+// no other engine is left, it includes engines that fail or were tried before; onlyFailing
+// reports that.
 func (t *placement) collectLoads(all bool) (onlyFailing bool) {
 	t.loads = t.loads[:0]
 	for _, e := range t.book.packOrder {
-		if e.up.Service != t.ask.Service || !e.up.TakesWork() || slices.Contains(t.ask.Barred, e.up.ID) {
+		if e.up.Service != t.req.Service || !e.up.TakesWork() || slices.Contains(t.req.Barred, e.up.ID) {
 			continue
 		}
-		if !all && (slices.Contains(t.ask.Exclude, e.up.ID) || slices.Contains(t.ask.Avoid, e.up.ID)) {
+		if !all && (slices.Contains(t.req.Exclude, e.up.ID) || slices.Contains(t.req.Avoid, e.up.ID)) {
 			continue
 		}
 		turn, limited := t.book.pacer.NextTurn(e.up.ID, t.now)
@@ -89,23 +91,23 @@
 }
 
 func (t *placement) backlog() time.Duration {
-	least := time.Duration(-1)
+	minWait := time.Duration(-1)
 	for i := range t.loads {
 		wait := max(t.loads[i].freeAt.Sub(t.now), 0)
-		if least < 0 || wait < least {
-			least = wait
+		if minWait < 0 || wait < minWait {
+			minWait = wait
 		}
 	}
-	return max(least, 0)
+	return max(minWait, 0)
 }
 
-// memoryShare is the part of an engine's memory that is booked: answers may grow
-// beyond what is expected, and an engine without memory interrupts its newest
-// request and reads its prompt anew.
+// memoryShare is the share of an engine's memory that is booked: answers may grow
+// beyond what is expected, and an engine without memory preempts its newest request
+// and prefills its prompt again.
 const memoryShare = 0.95
 
-// freeMemory returns the tokens for which the engine has memory; one whose memory is not
-// known holds any prompt.
+// freeMemory returns the tokens for which the engine has memory left; an engine whose memory
+// is not known holds any prompt.
 func (l *load) freeMemory() int64 {
 	if l.engine.figures.Memory <= 0 {
 		return math.MaxInt64
@@ -116,64 +118,64 @@
 // fitsOneEngine reports whether some engine has the memory for the whole prompt now.
 func (t *placement) fitsOneEngine() bool {
 	for i := range t.loads {
-		if t.loads[i].freeMemory() >= t.ask.need() {
+		if t.loads[i].freeMemory() >= t.req.need() {
 			return true
 		}
 	}
 	return false
 }
 
-// Weights of the choice of an engine for a short prompt. They only order engines;
-// one unit is the harm of a millisecond's wait.
+// Weights of the choice of an engine for a short prompt. They only rank engines; one
+// unit is the cost of a wait of one millisecond.
 const (
-	// openEngineCost keeps short prompts together: an engine is opened for them when the
-	// open ones would make them wait this much longer.
+	// openEngineCost keeps short prompts together: an engine without short prompts is opened
+	// for them when the wait on the open ones would be this much longer.
 	openEngineCost = 40.0
-	// orderCost opens the engines in the same order everywhere.
+	// orderCost makes all daemons open the engines in the same order.
 	orderCost = 2.0
-	// packingGain is what each writer of an open engine counts for it: short prompts gather
-	// on the fullest engines, so that the others fall clear as their answers end and can
-	// read long prompts without harm.
+	// packingGain is the credit of an open engine for each of its decodes: short prompts are
+	// packed on the fullest engines, so that the others run empty as their answers end and
+	// can prefill long prompts without making others late.
 	packingGain = 3.0
-	// longDecodeCost keeps them from engines that write long prompts' answers, whose
-	// context slows each step.
+	// longDecodeCost keeps short prompts off engines that decode long prompts, whose context
+	// slows each step.
 	longDecodeCost = 10.0
-	// lateCost is that of an engine on which the answer will be late, by its first
-	// event or by the pause of a long part that is booked there.
+	// lateCost is the cost of an engine on which the answer will be late, by its first event
+	// or by the pause for a long part that is booked there.
 	lateCost = 600.0
-	// otherDomainCost is that of an engine in another failure domain than the daemon, whose answers
-	// a cut between them would end. It is more than a full engine there gains over one to be
-	// opened here, and less than being late.
+	// otherDomainCost is the cost of an engine in another failure domain than the daemon's, whose
+	// answers a cut between the domains would end. It is more than the advantage of a full
+	// engine there over one to be opened here, and less than being late.
 	otherDomainCost = 100.0
-	// nearlyFullCost is that of an engine whose slots are nearly taken.
+	// nearlyFullCost is the cost of an engine whose slots are nearly all taken.
 	nearlyFullCost = 400.0
-	// noSlotCost is that of an engine without a free slot.
+	// noSlotCost is the cost of an engine without a free slot.
 	noSlotCost = 4000.0
 )
 
 const (
-	// spareSlots are left free of the slots of an engine, for a prompt that comes before
-	// the end of another is known.
+	// spareSlots are the slots of an engine that are left free, for a prompt that comes
+	// before the end of another one is known.
 	spareSlots = 1
-	// maxQueued is how many requests may wait at an engine whose slots are taken.
+	// maxQueued is how many requests may queue at an engine whose slots are taken.
 	maxQueued = 8
 )
 
-// minTurnPatience is the longest wait for a turn of a prompt that is late already. Whoever
-// would be late for its turn is refused at once: a queue of late ones would make all late.
+// minTurnPatience is the longest wait for a turn of a prompt that is late already. A prompt
+// that would be late for its turn is refused at once: a queue of late ones would make all late.
 const minTurnPatience = 200 * time.Millisecond
 
-func (t *placement) planShort(read time.Duration) Plan {
+func (t *placement) planShort(prefill time.Duration) Plan {
 	best, bestScore, rank := -1, 0.0, 0
 	for i := range t.loads {
 		l := &t.loads[i]
 		if l.minGapDecodes == 0 {
 			rank++
 		}
-		if l.freeMemory() < t.ask.need() {
+		if l.freeMemory() < t.req.need() {
 			continue
 		}
-		if score := t.shortScore(l, read, rank); best < 0 || score < bestScore {
+		if score := t.shortScore(l, prefill, rank); best < 0 || score < bestScore {
 			best, bestScore = i, score
 		}
 	}
@@ -182,32 +184,32 @@
 	switch {
 	case len(l.decodes) >= l.engine.slots()+maxQueued:
 		return Plan{Verdict: Full}
-	case !t.ask.Begun && wait > max(t.ask.Objective, minTurnPatience):
-		return Plan{Verdict: TooLate, Reason: ReasonLimit, First: t.shortFirst(l, read)}
+	case !t.req.Begun && wait > max(t.req.Objective, minTurnPatience):
+		return Plan{Verdict: TooLate, Reason: ReasonLimit, First: t.shortFirst(l, prefill)}
 	}
 	reason := ReasonPacked
 	if l.minGapDecodes == 0 {
 		reason = ReasonOpened
 	}
-	return Plan{Reason: reason, Parts: []Part{newPart(l, 0)}, Wait: wait, Read: read, First: t.shortFirst(l, read)}
+	return Plan{Reason: reason, Parts: []Part{newPart(l, 0)}, Wait: wait, Read: prefill, First: t.shortFirst(l, prefill)}
 }
 
 // shortFirst returns the expected time to the first event.
-func (t *placement) shortFirst(l *load, read time.Duration) time.Duration {
-	return t.shortWait(l) + read + t.passTime(l)
+func (t *placement) shortFirst(l *load, prefill time.Duration) time.Duration {
+	return t.shortWait(l) + prefill + t.passTime(l)
 }
 
-// shortWait returns the expected time until a short prompt is read.
+// shortWait returns the expected time until the prefill of a short prompt starts.
 func (t *placement) shortWait(l *load) time.Duration {
 	return max(l.turnWait, l.runningLong+l.shortPrefill)
 }
 
-func (t *placement) shortScore(l *load, read time.Duration, rank int) float64 {
+func (t *placement) shortScore(l *load, prefill time.Duration, rank int) float64 {
 	score := millis(t.shortWait(l)) - packingGain*float64(len(l.decodes)) + longDecodeCost*float64(l.longDecodes)
-	if float64(t.shortFirst(l, read)) > onTimeShare*float64(t.ask.Objective) {
+	if float64(t.shortFirst(l, prefill)) > onTimeShare*float64(t.req.Objective) {
 		score += lateCost
 	}
-	if l.bookedLong > t.ask.Gap-t.passTime(l)-pauseMargin {
+	if l.bookedLong > t.req.Gap-t.passTime(l)-pauseMargin {
 		score += lateCost
 	}
 	if l.minGapDecodes == 0 {
@@ -226,15 +228,19 @@
 	return score
 }
 
-// inOtherDomain reports whether an engine is in another failure domain than the daemon that asks.
-func (t *placement) inOtherDomain(l *load) bool { return t.ask.Domain != "" && l.engine.up.Domain != t.ask.Domain }
+// inOtherDomain reports whether an engine is in another failure domain than the daemon that sends
+// the request.
+func (t *placement) inOtherDomain(l *load) bool {
+	return t.req.Domain != "" && l.engine.up.Domain != t.req.Domain
+}
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// passTime returns the time of one pass of an engine, after which events are sent.
+// passTime returns the time of one pass of an engine with the request, after which events are
+// sent.
 func (t *placement) passTime(l *load) time.Duration {
 	f := l.engine.figures
-	return time.Duration(f.Stride) * f.StepTime(len(l.decodes)+1, l.context+t.ask.need())
+	return time.Duration(f.Stride) * f.StepTime(len(l.decodes)+1, l.context+t.req.need())
 }
 
 func newPart(l *load, reserve int64) Part {
--- a/internal/core/booking/types.go
+++ b/internal/core/booking/types.go
@@ -9,35 +9,35 @@
 // Request is one attempt of a request that needs an engine.
 type Request struct {
 	ID        string // of the attempt, unique in the site
-	Host      string // daemon that sends it
+	Host      string // daemon that sends the attempt
 	Domain    string // failure domain of the daemon, empty if it is not known
 	Service   string
 	Prompt    int           // tokens
-	Answer    int           // tokens, at the most
-	Expected  int           // tokens of the answer that are likely
-	Objective time.Duration // left until the next event is late
-	Gap       time.Duration // longest pause that it bears between two events
+	Answer    int           // maximum tokens of the answer
+	Expected  int           // expected tokens of the answer
+	Objective time.Duration // until the next event is late
+	Gap       time.Duration // maximum pause between two events; zero: no objective
 	Left      time.Duration // until the deadline
 	Exclude   []string      // engines that earlier attempts have ruled out
 	Avoid     []string      // engines that the daemon has found failing
-	Barred    []string      // engines that take nothing from the daemon, by their own word
-	// Begun: its caller has a part of the answer. It is not refused and does not yield:
-	// that would cut the answer.
+	Barred    []string      // engines that told the daemon to send them nothing
+	// Begun says that the caller has a part of the answer. The attempt is neither refused nor
+	// made to yield: that would cut the answer off.
 	Begun bool
 }
 
-// need returns the memory in tokens that the request holds at its end.
+// need returns the memory in tokens that the request may hold at its end.
 func (a *Request) need() int64 { return int64(a.Prompt) + int64(a.Answer) }
 
 // Part is one engine of a plan.
 type Part struct {
-	Upstream string            // ID of the life
-	Life     fleet.Incarnation // by which the engine itself is addressed
+	Upstream string            // ID of the incarnation
+	Life     fleet.Incarnation // identifies the incarnation to the engine
 	Address  string            // IP:port
-	// Reserve is the memory in tokens to reserve there for its part of the prompt;
-	// zero: the first engine holds it.
+	// Reserve is the memory in tokens to reserve there for a part of the prompt;
+	// zero: the first engine holds that part.
 	Reserve int64
-	Lease   string // names the reservation, empty without one
+	Lease   string // name of the reservation, empty without one
 }
 
 // Verdict is the kind of a Plan.
@@ -49,17 +49,17 @@
 	Booked Verdict = iota
 	// TooLate: it cannot be answered within its time.
 	TooLate
-	// NoEngine: no engine of the service is known to live.
+	// NoEngine: no live engine of the service is known.
 	NoEngine
-	// TooLarge: the memory of all engines together does not hold it.
+	// TooLarge: the memory of the engines that may share a prompt does not hold it.
 	TooLarge
-	// Full: every engine has as many requests as it queues.
+	// Full: the queues of all engines are full.
 	Full
-	// AtLimit: each engine that may be taken has named a limit, and whoever plans does not
-	// know what others send there.
+	// AtLimit: every usable engine has a limit, and the planner does not know what other
+	// daemons send there.
 	AtLimit
-	// Yield: it is late in any case and lets those in time go first, or it has time to wait
-	// for engines on which it makes nobody late; ask again.
+	// Yield: it will be late anyway and lets others that are in time go first, or it can still
+	// wait for engines on which it makes no other request late; ask again.
 	Yield
 )
 
@@ -73,38 +73,37 @@
 	return verdictNames[v]
 }
 
-// Reason says in a constant word why a plan is as it is.
+// Reason is a constant word that says how a plan came about.
 type Reason string
 
 // Reasons of a plan.
 const (
-	ReasonPacked       Reason = "packed"    // on an engine that writes for others of its kind
-	ReasonOpened       Reason = "opened"    // on an engine that wrote for none of its kind
-	ReasonAlone        Reason = "alone"     // read whole by one engine
-	ReasonSplit        Reason = "split"     // in parts that all who write there bear
-	ReasonDelaysOthers Reason = "harm"      // in parts that make some late, which costs less than being late
+	ReasonPacked       Reason = "packed"    // on an engine that decodes other short prompts
+	ReasonOpened       Reason = "opened"    // on an engine that decoded no short prompt
+	ReasonAlone        Reason = "alone"     // prefilled whole by one engine
+	ReasonSplit        Reason = "split"     // in parts that all decodes there tolerate
+	ReasonDelaysOthers Reason = "harm"      // in parts that make some decodes late, which costs less than being late
 	ReasonLate         Reason = "late"      // it will be late
 	ReasonOnlyFail     Reason = "only_fail" // only failing engines are left
 	ReasonLimit        Reason = "limit"     // its turn at an engine with a limit comes too late
 )
 
-// Plan is the answer to an Ask. It has all that a log line needs.
+// Plan is the answer to a Request. It has all fields that a log line needs.
 type Plan struct {
 	Verdict Verdict
 	Reason  Reason
 	Parts   []Part
-	Wait    time.Duration // before it is sent
-	First   time.Duration // expected until the first event, Wait included
-	Read    time.Duration // that each part takes
-	Backlog time.Duration // until the engine that is free first is free
-	Engines int           // that were candidates
+	Wait    time.Duration // until it is sent
+	First   time.Duration // expected time to the first event, including Wait
+	Read    time.Duration // prefill time of each part
+	Backlog time.Duration // until the first engine is free
+	Engines int           // number of candidates
 }
 
-// Short reports whether the prompt is read so fast that it disturbs nobody.
+// Short reports whether the prompt is prefilled so fast that it makes no decode late.
 func (p *Plan) Short() bool { return p.Reason == ReasonPacked || p.Reason == ReasonOpened }
 
-// OpenAttempt is a booked attempt, as a daemon tells it to one that has begun to keep the
-// book.
+// OpenAttempt is a booked attempt, as a daemon reports it to a new keeper of the book.
 type OpenAttempt struct {
 	Ask      Request
 	Plan     Plan
