--- a/internal/core/pace/cold_test.go
+++ b/internal/core/pace/cold_test.go
@@ -13,14 +13,14 @@
 	return ColdLimit{Upstream: id, PerSecond: perSecond, Until: at(fromMs + forMs)}
 }
 
-// allowedCold is what a platform lets a cold upstream have in any second.
+// allowedCold is the number of requests that a platform allows a cold upstream in any second.
 func allowedCold(perSecond float64) float64 { return 1.5*perSecond + 5 }
 
-// TestColdUpstreamGetsFewRequestsUnderABurst guards against a server that comes back and is
-// killed by the load that waited for it, also while two hosts give turns for a time.
+// TestColdUpstreamGetsFewRequestsUnderABurst guards against a server that restarts and is
+// overloaded at once by the requests that waited for it, also while two hosts give out turns.
 func TestColdUpstreamGetsFewRequestsUnderABurst(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(11))
-	properties.Property("two keepers for a time", prop.ForAll(func(perSecond float64, laterMs, withinMs int) bool {
+	properties.Property("two hosts give out turns", prop.ForAll(func(perSecond float64, laterMs, withinMs int) bool {
 		one, other := New(), New()
 		one.SetShare(FullShare)
 		one.SetCold(cold("a", perSecond, 0, 4000), at(0))
@@ -44,14 +44,14 @@
 	p.SetShare(FullShare)
 	p.SetCold(cold("a", 1, 0, 500), at(0))
 	if _, limited := p.NextTurn("a", at(499)); !limited {
-		t.Error("it is taken for warm")
+		t.Error("the cold limit ended too early")
 	}
 	if turn, limited := p.NextTurn("a", at(500)); limited || !turn.Equal(at(500)) {
 		t.Errorf("warm, and the next turn is at %s", turn.Sub(start))
 	}
 }
 
-// TestUpstreamThatIsColdAgainIsLimitedAgain: an upstream may become cold at any moment of its life.
+// TestUpstreamThatIsColdAgainIsLimitedAgain: an upstream may become cold at any time.
 func TestUpstreamThatIsColdAgainIsLimitedAgain(t *testing.T) {
 	p := New()
 	p.SetShare(FullShare)
@@ -60,13 +60,13 @@
 	if turn, limited := p.NextTurn("a", at(5001)); !limited || turn.Before(at(5500)) {
 		t.Errorf("the next turn is at %s, limited %t", turn.Sub(start), limited)
 	}
-	p.SetCold(ColdLimit{Upstream: "a", PerSecond: 2, Until: at(5100)}, at(5200)) // it is warm, it says
+	p.SetCold(ColdLimit{Upstream: "a", PerSecond: 2, Until: at(5100)}, at(5200)) // it reports that it is warm
 	if _, limited := p.NextTurn("a", at(5201)); limited {
-		t.Error("its word that it is warm is not taken")
+		t.Error("its report that it is warm was ignored")
 	}
 }
 
-// TestLowerOfTwoLimitsHolds: a cold upstream that has named a limit keeps both.
+// TestLowerOfTwoLimitsHolds: both limits of a cold upstream that has named a limit apply.
 func TestLowerOfTwoLimitsHolds(t *testing.T) {
 	for _, c := range []struct{ named, cold float64 }{{10, 2}, {2, 10}} {
 		p := New()
@@ -84,12 +84,12 @@
 	p.SetCold(cold("a", 2, 0, 1000), at(0))
 	p.RetainListed(func(string) bool { return true }, at(70_000))
 	if len(p.upstreams) > 0 {
-		t.Error("it is kept for good")
+		t.Error("the expired limit was not dropped")
 	}
 }
 
-// TestTurnsTakenWhileWarmDoNotCount: its turns were given as for one without a limit, some of
-// them ahead.
+// TestTurnsTakenWhileWarmDoNotCount: they were given out as for an upstream without a
+// limit, some of them for later times.
 func TestTurnsTakenWhileWarmDoNotCount(t *testing.T) {
 	p := New()
 	p.SetShare(FullShare)
--- a/internal/core/pace/pacer.go
+++ b/internal/core/pace/pacer.go
@@ -9,26 +9,26 @@
 
 // Shares of a limit that one host gives out.
 const (
-	// FullShare is for the host that gives the turns to all.
+	// FullShare is for the host that gives out the turns for all.
 	FullShare = 1.0
-	// FallbackShare is for one that is asked in its place, perhaps only by some while it still
-	// gives turns to others.
+	// FallbackShare is for a host that is asked instead, perhaps by some hosts only while the first
+	// one still gives out turns to others.
 	FallbackShare = 0.25
 )
 
 const (
-	// minPerSecond is given out whatever the limit is: only an answer tells that it has
-	// ended.
+	// minPerSecond is given out however low the limit is: only an answer to a request shows
+	// that the limit has ended.
 	minPerSecond = 0.1
-	// burst is how many turns may be given at once after a quiet time.
+	// burst is how many turns may be given out at once after an idle time.
 	burst = 2
 )
 
-// Pacer gives turns. It is not safe for concurrent use.
+// Pacer gives out turns. It is not safe for concurrent use.
 //
-// Invariant: while the limit of an upstream stands, or it is cold, at most burst turns more are
-// given there in any time than the share of the limit allows in it, and none within an interval
-// of the first word of it, for another host may have given some.
+// Invariant: while an upstream has a limit or is cold, the turns given out for it in any period
+// exceed what the share of the limit allows in that period by at most burst, and none falls
+// within one interval of the first report, for another host may have given out some.
 type Pacer struct {
 	share     float64
 	upstreams map[string]*upstream
@@ -37,23 +37,23 @@
 type upstream struct {
 	limit notice.Limit
 	cold  ColdLimit
-	next  time.Time // the earliest turn; in the past where turns are left
+	next  time.Time // the earliest turn; in the past while unused turns remain
 }
 
-// ColdLimit is the limit of an upstream that is cold: it ends by itself.
+// ColdLimit is the limit of a cold upstream; it ends by itself.
 type ColdLimit struct {
-	Upstream  string  // ID of the life
+	Upstream  string  // ID of the incarnation
 	PerSecond float64 // requests from all hosts together
 	Until     time.Time
 }
 
-// New returns a Pacer that knows no limits and gives a deputy's share of those it hears.
+// New returns a Pacer without limits that gives out FallbackShare of those reported to it.
 func New() *Pacer { return &Pacer{share: FallbackShare, upstreams: map[string]*upstream{}} }
 
-// SetShare changes the share of the limits that is given out.
+// SetShare sets the share of the limits that is given out.
 func (p *Pacer) SetShare(share float64) { p.share = share }
 
-// SetLimit takes in what some host has heard of a limit. Of two words the later one holds.
+// SetLimit takes in a limit that a host reports. Of two reports the one with the later time holds.
 func (p *Pacer) SetLimit(l notice.Limit, now time.Time) {
 	u := p.upstreams[l.Upstream]
 	switch {
@@ -67,15 +67,15 @@
 	}
 	began, raised := l.Limited && !u.limit.Limited, l.PerSecond > u.limit.PerSecond
 	u.limit = l
-	soonest := now.Add(p.interval(u, now))
-	if began || raised && u.next.After(soonest) {
-		u.next = soonest
+	earliest := now.Add(p.interval(u, now))
+	if began || raised && u.next.After(earliest) {
+		u.next = earliest
 	}
 }
 
-// SetCold takes in that an upstream is cold, and until when; a time that has passed says that it
-// is warm. Turns that it was given while it was taken for warm are not known, so the next one
-// is after an interval.
+// SetCold takes in that an upstream is cold, and until when; a time in the past says that it is
+// warm. The turns that it got while it was taken for warm are not known, so the next one is an
+// interval from now.
 func (p *Pacer) SetCold(c ColdLimit, now time.Time) {
 	u := p.upstreams[c.Upstream]
 	if u == nil {
@@ -87,13 +87,13 @@
 	}
 	began := c.Until.After(now) && !u.cold.Until.After(now)
 	u.cold = c
-	soonest := now.Add(p.interval(u, now))
-	if began && (!u.limit.Limited || u.next.Before(soonest)) {
-		u.next = soonest
+	earliest := now.Add(p.interval(u, now))
+	if began && (!u.limit.Limited || u.next.Before(earliest)) {
+		u.next = earliest
 	}
 }
 
-// ColdLimit returns until when an upstream is cold; ok is false when it is not.
+// ColdLimit returns the limit of a cold upstream; ok is false when the upstream is not cold.
 func (p *Pacer) ColdLimit(id string, now time.Time) (c ColdLimit, ok bool) {
 	u := p.upstreams[id]
 	if u == nil || !now.Before(u.cold.Until) {
@@ -102,14 +102,14 @@
 	return u.cold, true
 }
 
-// limited reports whether an upstream takes a bounded number of requests at a time.
+// limited reports whether an upstream has a limit or is cold at a time.
 func (u *upstream) limited(at time.Time) bool { return u.limit.Limited || at.Before(u.cold.Until) }
 
 // interval returns the time between two turns.
 func (p *Pacer) interval(u *upstream, at time.Time) time.Duration {
 	perSecond := u.limit.PerSecond
 	switch {
-	case !u.limit.Limited: // turns that were given while it is cold may be after it
+	case !u.limit.Limited: // a turn given out while it is cold may lie after the end of the cold limit
 		perSecond = u.cold.PerSecond
 	case at.Before(u.cold.Until):
 		perSecond = min(perSecond, u.cold.PerSecond)
@@ -118,8 +118,8 @@
 	return time.Duration(float64(time.Second) / rate)
 }
 
-// NextTurn returns the earliest turn at an upstream; limited is false when it may be sent to at
-// any time.
+// NextTurn returns the earliest turn at an upstream; limited is false when requests may be sent
+// to it at any time.
 func (p *Pacer) NextTurn(id string, now time.Time) (turn time.Time, limited bool) {
 	u := p.upstreams[id]
 	if u == nil || !u.limited(now) {
@@ -131,7 +131,7 @@
 	return u.next, true
 }
 
-// TakeTurn takes a turn that is not before the next one.
+// TakeTurn takes a turn, which must not be before the next one.
 func (p *Pacer) TakeTurn(id string, turn time.Time) {
 	u := p.upstreams[id]
 	if u == nil {
@@ -144,7 +144,8 @@
 	u.next = u.next.Add(interval)
 }
 
-// Admit takes the next turn if it is within a time, and returns the wait for it.
+// Admit takes the next turn if the wait for it is at most within, and returns the wait; ok is
+// false when it is longer.
 func (p *Pacer) Admit(id string, within time.Duration, now time.Time) (wait time.Duration, ok bool) {
 	turn, limited := p.NextTurn(id, now)
 	wait = turn.Sub(now)
@@ -157,11 +158,12 @@
 	return wait, true
 }
 
-// retention is how long a limit of an upstream that is not listed is kept after it was heard:
-// the upstream may come back.
+// retention is how long the limit of an upstream that is not listed is kept after the last
+// report: the upstream may be listed again.
 const retention = time.Minute
 
-// RetainListed forgets the limits of upstreams that are not listed, after a while.
+// RetainListed drops upstreams that are not listed, or have no limit any more, retention after
+// the last report.
 func (p *Pacer) RetainListed(listed func(id string) bool, now time.Time) {
 	maps.DeleteFunc(p.upstreams, func(id string, u *upstream) bool {
 		over := !u.limited(now) || !listed(id)
--- a/internal/core/pace/pacer_test.go
+++ b/internal/core/pace/pacer_test.go
@@ -20,7 +20,7 @@
 	return notice.Limit{Upstream: id, Limited: true, PerSecond: perSecond, At: at(ms)}
 }
 
-// admitted returns the turns that are given to all who ask every stepMs for a while.
+// admitted returns the turns given out when one is asked for every stepMs.
 func admitted(p *Pacer, fromMs, toMs, stepMs int, within time.Duration) []time.Time {
 	var turns []time.Time
 	for ms := fromMs; ms < toMs; ms += stepMs {
@@ -31,7 +31,7 @@
 	return turns
 }
 
-// maxInPeriod returns the most turns in some span of time.
+// maxInPeriod returns the largest number of turns in any period of the length span.
 func maxInPeriod(turns []time.Time, span time.Duration) int {
 	slices.SortFunc(turns, time.Time.Compare)
 	best := 0
@@ -45,7 +45,7 @@
 	return best
 }
 
-// The bound of a platform that counts what its upstreams get.
+// window is the period over which a platform counts the requests that its upstreams get.
 const window = 4 * time.Second
 
 func allowed(perSecond float64) float64 { return 1.5*perSecond*window.Seconds() + 5 }
@@ -69,11 +69,11 @@
 	}
 }
 
-// TestFallbackBesideTheFullShareStaysWithinTheBound: while hosts disagree on who gives
-// them.
+// TestFallbackBesideTheFullShareStaysWithinTheBound guards against too many turns while
+// hosts disagree on which of them gives out the turns.
 func TestFallbackBesideTheFullShareStaysWithinTheBound(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(7))
-	properties.Property("a deputy beside it", prop.ForAll(func(perSecond float64, laterMs, withinMs int) bool {
+	properties.Property("a fallback beside it", prop.ForAll(func(perSecond float64, laterMs, withinMs int) bool {
 		one, other := New(), New()
 		one.SetShare(FullShare)
 		one.SetLimit(limit("a", perSecond, 0), at(0))
@@ -89,17 +89,17 @@
 func TestLaterReportHolds(t *testing.T) {
 	p := New()
 	p.SetLimit(limit("a", 2, 100), at(100))
-	p.SetLimit(notice.Limit{Upstream: "a", At: at(50)}, at(120)) // an older word
+	p.SetLimit(notice.Limit{Upstream: "a", At: at(50)}, at(120)) // an older report
 	if _, limited := p.NextTurn("a", at(130)); !limited {
-		t.Error("an older word ended the limit")
+		t.Error("an older report ended the limit")
 	}
 	p.SetLimit(notice.Limit{Upstream: "a", At: at(200)}, at(200))
 	if turn, limited := p.NextTurn("a", at(210)); limited || !turn.Equal(at(210)) {
-		t.Errorf("the limit stands, next turn %s", turn.Sub(start))
+		t.Errorf("the limit did not end: next turn %s", turn.Sub(start))
 	}
 	p.SetLimit(limit("a", 2, 300), at(300))
 	if turn, limited := p.NextTurn("a", at(310)); !limited || !turn.After(at(310)) {
-		t.Error("a turn was given with the first word")
+		t.Error("a turn was given out at the first report")
 	}
 }
 
@@ -118,7 +118,7 @@
 func TestHigherLimitShortensTheWait(t *testing.T) {
 	p := New()
 	p.SetShare(FullShare)
-	p.SetLimit(limit("a", 0, 0), at(0)) // takes next to nothing
+	p.SetLimit(limit("a", 0, 0), at(0)) // takes almost no requests
 	p.SetLimit(limit("a", 10, 100), at(100))
 	if turn, _ := p.NextTurn("a", at(100)); turn.Sub(at(100)) > 200*time.Millisecond {
 		t.Errorf("the next turn is after %s", turn.Sub(at(100)))
@@ -131,10 +131,10 @@
 	none := func(string) bool { return false }
 	p.RetainListed(none, at(30_000))
 	if _, limited := p.NextTurn("a", at(30_001)); !limited {
-		t.Error("forgotten too early")
+		t.Error("dropped too early")
 	}
 	p.RetainListed(none, at(61_000))
 	if _, limited := p.NextTurn("a", at(61_001)); limited {
-		t.Error("kept for good")
+		t.Error("not dropped")
 	}
 }
