--- a/internal/core/cost/cost_test.go
+++ b/internal/core/cost/cost_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sampleFigures are the figures of the engines of today's sites.
+// sampleFigures are the figures of a typical site's engines.
 var sampleFigures = Figures{
 	Slots: 16, Memory: 450_000, Stride: 46, Chunk: 2048, StepMs: 0.925, PerSeqMs: 0.00483,
 	ContextPerK: 0.00254, ReadPerMs: 256, PairsMsPerM: 0.0917,
@@ -30,9 +30,9 @@
 
 func TestStepTimeGrowsWithDecodesAndContext(t *testing.T) {
 	if sampleFigures.StepTime(10, 50_000) <= sampleFigures.StepTime(1, 5_000) {
-		t.Error("a step beside others is not longer")
+		t.Error("a step with more decodes and context is not longer")
 	}
 	if got, want := sampleFigures.DecodeTime(100, 1, 0), 100*sampleFigures.StepTime(1, 0); got != want {
-		t.Errorf("writing took %v, want %v", got, want)
+		t.Errorf("decode took %v, want %v", got, want)
 	}
 }
