--- a/internal/core/avoid/avoid.go
+++ b/internal/core/avoid/avoid.go
@@ -1,6 +1,6 @@
-// Package avoid remembers which upstreams failed a daemon lately, so that they are
-// left alone for a while and let back in slowly. It goes by the outcomes of
-// requests, for health answers may be wrong either way. It is pure: no I/O, goroutines or
+// Package avoid tracks the upstreams whose requests failed recently, so that they get no
+// requests for a time that doubles with each failure in a row. It goes by the outcomes of
+// requests, for health checks may be wrong either way. It is pure: no I/O, goroutines or
 // clocks.
 package avoid
 
@@ -9,8 +9,8 @@
 // Options configure a Tracker.
 type Options struct {
 	Initial time.Duration // how long an upstream is avoided after one failure
-	Max     time.Duration // the longest; each failure in a row doubles the time
-	// ResetAfter is how long after the last failure they count as in a row.
+	Max     time.Duration // the longest time; each failure in a row doubles the time
+	// ResetAfter is how long after the last failure the next one still counts as in a row.
 	ResetAfter time.Duration
 }
 
@@ -20,7 +20,7 @@
 	until  time.Time
 }
 
-// Tracker is the memory of one daemon. It is not safe for concurrent use.
+// Tracker tracks the failures that one daemon has seen. It is not safe for concurrent use.
 type Tracker struct {
 	opts Options
 	byID map[string]*record
@@ -31,8 +31,8 @@
 	return &Tracker{opts: o, byID: map[string]*record{}}
 }
 
-// RecordFailure notes a failure and returns for how long the upstream is avoided. Failures
-// of attempts that began before it was avoided count as one.
+// RecordFailure records a failure and returns for how long the upstream is avoided. Failures
+// while it is avoided, of attempts that began before, count as one.
 func (t *Tracker) RecordFailure(id string, now time.Time) time.Duration {
 	r := t.byID[id]
 	if r == nil {
@@ -52,22 +52,22 @@
 	return span
 }
 
-// ClearFailures forgets the failures of an upstream since a time: what was at fault was not the
-// upstream.
+// ClearFailures drops the failures of an upstream if the last one is not before since: the
+// fault was not the upstream's.
 func (t *Tracker) ClearFailures(id string, since time.Time) {
 	if r := t.byID[id]; r != nil && !r.last.Before(since) {
 		delete(t.byID, id)
 	}
 }
 
-// RecordSuccess ends a streak of failures.
+// RecordSuccess ends a streak of failures; a success while the upstream is avoided does not.
 func (t *Tracker) RecordSuccess(id string, now time.Time) {
 	if r := t.byID[id]; r != nil && !now.Before(r.until) {
 		delete(t.byID, id)
 	}
 }
 
-// Avoided returns the upstreams to leave alone now, and forgets old failures.
+// Avoided returns the upstreams to avoid now, and drops old failures.
 func (t *Tracker) Avoided(now time.Time) []string {
 	var ids []string
 	for id, r := range t.byID {
--- a/internal/core/avoid/avoid_test.go
+++ b/internal/core/avoid/avoid_test.go
@@ -34,9 +34,9 @@
 func TestSuccessEndsAStreak(t *testing.T) {
 	tr := newTracker()
 	tr.RecordFailure("a", start)
-	tr.RecordSuccess("a", start.Add(50*time.Millisecond)) // of an attempt from before
+	tr.RecordSuccess("a", start.Add(50*time.Millisecond)) // of an attempt that began before the failure
 	if len(tr.Avoided(start.Add(60*time.Millisecond))) != 1 {
-		t.Error("an old success has ended the time")
+		t.Error("a success of an earlier attempt ended the avoidance")
 	}
 	tr.RecordSuccess("a", start.Add(150*time.Millisecond))
 	if got := tr.RecordFailure("a", start.Add(200*time.Millisecond)); got != 100*time.Millisecond {
@@ -48,7 +48,7 @@
 	tr := newTracker()
 	tr.RecordFailure("a", start)
 	if got := tr.Avoided(start.Add(time.Minute)); len(got) != 0 || len(tr.byID) != 0 {
-		t.Errorf("still known: %v, %d", got, len(tr.byID))
+		t.Errorf("still tracked: %v, %d", got, len(tr.byID))
 	}
 }
 
@@ -58,14 +58,14 @@
 	tr.RecordFailure("b", start.Add(-time.Second))
 	tr.ClearFailures("a", start)
 	tr.ClearFailures("b", start)
-	tr.ClearFailures("unheard", start)
+	tr.ClearFailures("unknown", start)
 	if got := tr.Avoided(start.Add(time.Millisecond)); len(got) != 0 {
 		t.Errorf("avoided: %v", got)
 	}
 	if got := tr.RecordFailure("a", start.Add(time.Millisecond)); got != 100*time.Millisecond {
-		t.Errorf("after it was forgiven avoided for %v", got)
+		t.Errorf("after its failures were cleared, avoided for %v", got)
 	}
 	if got := tr.RecordFailure("b", start.Add(time.Millisecond)); got != 200*time.Millisecond {
-		t.Errorf("an earlier failure is forgiven: avoided for %v", got)
+		t.Errorf("an earlier failure was cleared: avoided for %v", got)
 	}
 }
