--- a/internal/core/reach/doc.go
+++ b/internal/core/reach/doc.go
@@ -1,7 +1,7 @@
-// Package reach keeps what a daemon believes of the ways to the failure domains. A way is
-// cut when several upstreams at its end give no connection at the same moment; one that
-// fails alone is that upstream's matter. Doubt (a connection that is not made, answers that
-// fall silent together) leads to a look, a few connections at once; only a look changes the
-// belief, so one lost message or one dead upstream does not, and one message that passes a
-// way cut in one direction does not either. It is pure: no I/O, goroutines or clocks.
+// Package reach tracks which failure domains a daemon can reach. The path to a domain is cut
+// when several of its upstreams accept no connection at the same moment; a single one that
+// does not has failed itself. Signs of a cut (a connection that fails, answers that all stop
+// at once) start a probe: a few connections at once. Only a probe changes the state of a path,
+// so neither one lost message, nor one dead upstream, nor a message that arrives over a path
+// cut in one direction does. It is pure: no I/O, goroutines or clocks.
 package reach
--- a/internal/core/reach/reach.go
+++ b/internal/core/reach/reach.go
@@ -4,47 +4,46 @@
 
 // Options configure a Tracker. All must be positive.
 type Options struct {
-	// QuietAfter is how long a domain in which answers are written may give no sign of life.
+	// QuietAfter is the silence after which a domain that is sending answers is probed.
 	QuietAfter time.Duration
-	// ProbeInterval is the time from one look at a domain to the next, while it stays doubtful or
-	// cut.
+	// ProbeInterval is the least time from the start of one probe of a domain to the next.
 	ProbeInterval time.Duration
 }
 
-// ProbeResult is the result of a look at a domain.
+// ProbeResult is the result of a probe of a domain.
 type ProbeResult struct {
 	Started time.Time
-	Tried   int // connections
-	Reached int // of them made
+	Tried   int // connections tried
+	Reached int // of them established
 }
 
-// Change is what a look changes.
+// Change is the change of a path's state by a probe.
 type Change uint8
 
-// Changes of a belief.
+// Changes of a path's state.
 const (
 	None Change = iota
 	BecameCut
 	BecameReachable
 )
 
-// path is what is known of the way to a domain.
+// path is the state of the path to a domain.
 type path struct {
-	lastActivity   time.Time // last sign of life
-	lastProbe  time.Time // when the last look began
-	probing bool
-	cutSince     time.Time // since when it is cut; zero: it is not
+	lastActivity time.Time // last message or connection from the domain
+	lastProbe    time.Time // start of the last probe
+	probing      bool
+	cutSince     time.Time // start of the cut; zero: the path is not cut
 }
 
-// Tracker has the beliefs of one daemon. It is not safe for concurrent use.
+// Tracker has the state of all paths from one daemon. It is not safe for concurrent use.
 //
-// Invariant: at most one look at a domain is under way, and a belief changes only by one.
+// Invariant: at most one probe of a domain runs at a time, and only a probe changes the state.
 type Tracker struct {
-	opts Options
+	opts  Options
 	paths map[string]*path
 }
 
-// New returns a Tracker that believes all ways open.
+// New returns a Tracker with no path cut.
 func New(o Options) *Tracker { return &Tracker{opts: o, paths: map[string]*path{}} }
 
 func (t *Tracker) path(domain string) *path {
@@ -56,11 +55,11 @@
 	return w
 }
 
-// RecordActivity notes a sign of life from a domain.
+// RecordActivity records that a message or connection came from a domain.
 func (t *Tracker) RecordActivity(domain string, now time.Time) { t.path(domain).lastActivity = now }
 
-// BeginProbe notes a reason to look at a domain. It returns true when a look is to begin now;
-// Looked must follow.
+// BeginProbe asks for a probe of a domain. It returns true when the probe is to start now;
+// EndProbe or DiscardProbe must follow.
 func (t *Tracker) BeginProbe(domain string, now time.Time) bool {
 	w := t.path(domain)
 	if w.probing || now.Sub(w.lastProbe) < t.opts.ProbeInterval {
@@ -70,16 +69,17 @@
 	return true
 }
 
-// DueProbes returns the domains to look at now: those that are cut, and those of writing, in
-// which answers are written, that are quiet. Looked must follow for each.
-func (t *Tracker) DueProbes(writing []string, now time.Time) []string {
+// DueProbes returns the domains to probe now: those that are cut, and those of streaming, the
+// domains that are sending answers, that are silent. EndProbe or DiscardProbe must follow for
+// each.
+func (t *Tracker) DueProbes(streaming []string, now time.Time) []string {
 	var due []string
 	for domain, w := range t.paths {
 		if !w.cutSince.IsZero() && t.BeginProbe(domain, now) {
 			due = append(due, domain)
 		}
 	}
-	for _, domain := range writing {
+	for _, domain := range streaming {
 		w := t.path(domain)
 		if now.Sub(w.lastActivity) >= t.opts.QuietAfter && t.BeginProbe(domain, now) {
 			due = append(due, domain)
@@ -88,40 +88,42 @@
 	return due
 }
 
-// minTried is how many connections have to fail in a look: one upstream may be dead.
+// minTried is the least number of connections tried, all of them in vain, by which a probe
+// finds a cut: one upstream may be dead.
 const minTried = 2
 
-// EndProbe notes the result of a look. One without enough connections changes nothing, for
-// where a domain has a single upstream, its death and a cut are not told apart; neither does
-// one during which the domain gave a sign of life: those that were tried are dead.
-func (t *Tracker) EndProbe(domain string, l ProbeResult, now time.Time) Change {
+// EndProbe takes in the result of a probe. A probe with too few connections changes nothing, for
+// in a domain with a single upstream its failure and a cut look the same; neither does one
+// during which the domain was active: the upstreams that were tried are dead.
+func (t *Tracker) EndProbe(domain string, r ProbeResult, now time.Time) Change {
 	w := t.path(domain)
 	w.probing = false
 	switch {
-	case l.Reached > 0:
+	case r.Reached > 0:
 		w.lastActivity = now
 		if w.cutSince.IsZero() {
 			return None
 		}
 		w.cutSince = time.Time{}
 		return BecameReachable
-	case l.Tried < minTried || !w.cutSince.IsZero() || w.lastActivity.After(l.Started):
+	case r.Tried < minTried || !w.cutSince.IsZero() || w.lastActivity.After(r.Started):
 		return None
 	}
-	w.cutSince = l.Started
+	w.cutSince = r.Started
 	return BecameCut
 }
 
-// DiscardProbe notes that a look has told nothing, as one during which the daemon stood still.
+// DiscardProbe ends a probe that has no valid result, such as one during which the daemon itself
+// was stalled.
 func (t *Tracker) DiscardProbe(domain string) { t.path(domain).probing = false }
 
-// Cut reports whether the way to a domain is believed cut.
+// Cut reports whether the path to a domain is taken as cut.
 func (t *Tracker) Cut(domain string) bool {
 	w := t.paths[domain]
 	return w != nil && !w.cutSince.IsZero()
 }
 
-// AnyCut reports whether some way is believed cut.
+// AnyCut reports whether some path is taken as cut.
 func (t *Tracker) AnyCut() bool {
 	for domain := range t.paths {
 		if t.Cut(domain) {
@@ -131,7 +133,7 @@
 	return false
 }
 
-// CutFor returns how long the way to a domain has been cut, zero when it is not.
+// CutFor returns how long the path to a domain has been cut, zero when it is not.
 func (t *Tracker) CutFor(domain string, now time.Time) time.Duration {
 	if !t.Cut(domain) {
 		return 0
