--- a/internal/core/notice/notice.go
+++ b/internal/core/notice/notice.go
@@ -6,68 +6,69 @@
 	"time"
 )
 
-// Notice is what one answer of an upstream says of the upstream itself.
+// Notice is what one answer of an upstream reports about the upstream itself.
 type Notice struct {
-	Limited bool    // it names a limit
-	Limit   float64 // requests a second that it takes from all hosts together
-	// Ran says that the upstream ran what it answers. Only such an answer takes a limit back:
-	// others may leave out what it has to say.
+	Limited bool    // the answer names a limit
+	Limit   float64 // requests per second that it accepts from all hosts together
+	// Ran says that the upstream executed the request that it answers. Only such an answer
+	// withdraws a limit: others may leave the notice out.
 	Ran     bool
-	Leaving bool // it takes no new work
-	// BackOff is for how long it wants nothing from the host that it answers; zero: it does
-	// not say.
+	Leaving bool // the upstream accepts no new work
+	// BackOff is how long the upstream wants no requests from the host that it answers; zero:
+	// not given.
 	BackOff time.Duration
-	Cold    time.Duration // for which it bears few requests a second; zero: it does not say
+	Cold    time.Duration // how long it can take only few requests per second; zero: not given
 }
 
-// Limit is the limit of one upstream as a host has heard it.
+// Limit is the rate limit of one upstream as reported to a host.
 type Limit struct {
-	Upstream  string  // ID of the life
-	Limited   bool    // false: it has taken its limit back
-	PerSecond float64 // requests from all hosts together
-	At        time.Time
+	Upstream  string    // ID of the incarnation
+	Limited   bool      // false: the upstream has withdrawn its limit
+	PerSecond float64   // requests from all hosts together
+	At        time.Time // of the report
 }
 
-// Bar says that an upstream is to get nothing from this host.
+// Bar says that an upstream is to get no requests from this host.
 type Bar struct {
-	Leaving bool // for good; else until a time
-	Until   time.Time
-	At      time.Time // when it was heard
+	Leaving bool      // barred for good
+	Until   time.Time // end of the bar, if not Leaving
+	At      time.Time // of the report
 }
 
-// Change is what an answer changes of what is known of its upstream.
+// Change says which of the facts known about an upstream an answer has changed.
 type Change struct {
 	Limit   bool
-	Leaving bool // it was not known to leave
-	BackOff bool // it wants nothing for longer than was known
+	Leaving bool // it was not known to be leaving
+	BackOff bool // the back-off is longer than was known
 }
 
-// Tracker has what one host has heard. It is not safe for concurrent use.
+// Tracker has the notices that one host has received. It is not safe for concurrent use.
 //
-// Invariants: a limit stands until an answer to what was sent after it was heard, and ran, names
-// none, for answers on different connections may overtake each other. An upstream that leaves never
-// comes back: its next life has another ID. A back-off only grows.
+// Invariants: a limit stands until an executed request that was sent after the limit arrived is
+// answered without one, for answers on different connections may overtake each other. An upstream
+// that is leaving never returns: its next incarnation has another ID. The end of a back-off only
+// moves later.
 type Tracker struct {
-	limits  map[string]Limit
-	leaving map[string]time.Time // when it was heard
-	backOff map[string]Bar
-	unlistedSince    map[string]time.Time // since when what is known is of no listed upstream
+	limits        map[string]Limit
+	leaving       map[string]time.Time // time of the first report
+	backOff       map[string]Bar
+	unlistedSince map[string]time.Time // since when the upstream is not listed
 }
 
-// New returns a Tracker that has heard nothing.
+// New returns a Tracker without notices.
 func New() *Tracker {
 	return &Tracker{
-		limits:  map[string]Limit{},
-		leaving: map[string]time.Time{},
-		backOff: map[string]Bar{},
-		unlistedSince:    map[string]time.Time{},
+		limits:        map[string]Limit{},
+		leaving:       map[string]time.Time{},
+		backOff:       map[string]Bar{},
+		unlistedSince: map[string]time.Time{},
 	}
 }
 
-// Limits returns all limits that were heard, those that were taken back among them.
+// Limits returns all limits that were reported, including withdrawn ones.
 func (t *Tracker) Limits() []Limit { return slices.Collect(maps.Values(t.limits)) }
 
-// Record takes in what an answer says that came now to what was sent at a time.
+// Record takes in the notice of an answer that came at now, to a request sent at sent.
 func (t *Tracker) Record(id string, n Notice, sent, now time.Time) Change {
 	return Change{
 		Limit:   t.recordLimit(id, n, sent, now),
@@ -102,28 +103,29 @@
 	return true
 }
 
-// Inherit gives an upstream's next life what was heard under the ID of the former one since the
-// next began: the registry tells of a start later than the first answers after it.
-func (t *Tracker) Inherit(next, former string, began time.Time) {
-	if l := t.limits[former]; l.Limited && !l.At.Before(began) {
+// Inherit copies to an upstream's next incarnation what was reported under the ID of the former
+// one since the next one started: the first answers after a start come before the registry lists
+// it.
+func (t *Tracker) Inherit(next, former string, started time.Time) {
+	if l := t.limits[former]; l.Limited && !l.At.Before(started) {
 		l.Upstream = next
 		t.limits[next] = l
 	}
-	if at, leaves := t.leaving[former]; leaves && !at.Before(began) {
+	if at, leaves := t.leaving[former]; leaves && !at.Before(started) {
 		t.leaving[next] = at
 	}
-	if b, backsOff := t.backOff[former]; backsOff && !b.At.Before(began) {
+	if b, backsOff := t.backOff[former]; backsOff && !b.At.Before(started) {
 		t.backOff[next] = b
 	}
 }
 
-// Limit returns the limit of an upstream; ok is false when none stands.
+// Limit returns the limit of an upstream; ok is false when it has none.
 func (t *Tracker) Limit(id string) (l Limit, ok bool) {
 	l = t.limits[id]
 	return l, l.Limited
 }
 
-// Bar returns why an upstream is to get nothing now; ok is false when it may.
+// Bar returns why an upstream is to get no requests now; ok is false when it may get them.
 func (t *Tracker) Bar(id string, now time.Time) (b Bar, ok bool) {
 	if at, leaves := t.leaving[id]; leaves {
 		return Bar{Leaving: true, At: at}, true
@@ -132,7 +134,7 @@
 	return b, ok && now.Before(b.Until)
 }
 
-// Barred returns the upstreams that are to get nothing now.
+// Barred returns the upstreams that are to get no requests now.
 func (t *Tracker) Barred(now time.Time) []string {
 	ids := slices.Collect(maps.Keys(t.leaving))
 	for id, b := range t.backOff {
@@ -143,11 +145,11 @@
 	return ids
 }
 
-// retention is how long what an upstream has said is kept after its entry has gone: it may come
-// back.
+// retention is how long the notices of an upstream are kept while it is not listed: it may be
+// listed again.
 const retention = time.Minute
 
-// RetainListed forgets what upstreams have said that are not listed, after a while.
+// RetainListed drops the notices of upstreams that have not been listed for retention.
 func (t *Tracker) RetainListed(listed func(id string) bool, now time.Time) {
 	for _, id := range t.known() {
 		if listed(id) {
@@ -168,7 +170,7 @@
 	}
 }
 
-// known returns all upstreams that have said something, some of them twice.
+// known returns all upstreams with notices, some of them more than once.
 func (t *Tracker) known() []string {
 	ids := slices.Collect(maps.Keys(t.limits))
 	ids = slices.AppendSeq(ids, maps.Keys(t.leaving))
--- a/internal/core/notice/notice_test.go
+++ b/internal/core/notice/notice_test.go
@@ -15,27 +15,27 @@
 func TestLimitStandsUntilALaterAnswerNamesNone(t *testing.T) {
 	tr := New()
 	if tr.Record("a", Notice{Ran: true}, at(0), at(1)).Limit {
-		t.Error("no limit is news")
+		t.Error("an answer without a limit is reported as a change")
 	}
 	if !tr.Record("a", limit(2), at(0), at(10)).Limit {
-		t.Error("a limit is none")
+		t.Error("a new limit is not reported as a change")
 	}
 	if tr.Record("a", limit(2), at(11), at(20)).Limit {
-		t.Error("the same limit is news")
+		t.Error("the same limit is reported as a change")
 	}
 	if l, ok := tr.Limit("a"); !ok || l.PerSecond != 2 || !l.At.Equal(at(20)) {
 		t.Errorf("got %+v", l)
 	}
 	if !tr.Record("a", Notice{Ran: true}, at(21), at(30)).Limit {
-		t.Error("the end of a limit is none")
+		t.Error("the end of a limit is not reported as a change")
 	}
 	if _, ok := tr.Limit("a"); ok {
-		t.Error("the limit stands")
+		t.Error("the limit still stands")
 	}
 }
 
-// TestAnswerToAnEarlierRequestDoesNotEndALimit has an answer that was written before the limit
-// come after it, on another connection.
+// TestAnswerToAnEarlierRequestDoesNotEndALimit has an answer that was sent before the limit
+// arrive after it, on another connection.
 func TestAnswerToAnEarlierRequestDoesNotEndALimit(t *testing.T) {
 	tr := New()
 	tr.Record("a", limit(2), at(0), at(10))
@@ -48,7 +48,7 @@
 }
 
 // TestAnswerToARequestThatDidNotRunDoesNotEndALimit: the answers to orders, and refusals, are not those
-// of a request that ran.
+// of an executed request.
 func TestAnswerToARequestThatDidNotRunDoesNotEndALimit(t *testing.T) {
 	tr := New()
 	tr.Record("a", limit(2), at(0), at(10))
@@ -60,7 +60,8 @@
 	}
 }
 
-// TestNoticesOutliveAShortAbsenceOfTheirUpstream: entries lapse while the store is away.
+// TestNoticesOutliveAShortAbsenceOfTheirUpstream: entries expire while the store is not
+// reachable.
 func TestNoticesOutliveAShortAbsenceOfTheirUpstream(t *testing.T) {
 	tr := New()
 	tr.Record("a", Notice{Leaving: true, Limited: true, Limit: 2}, at(0), at(1))
@@ -70,28 +71,28 @@
 	tr.RetainListed(func(string) bool { return true }, at(55_000))
 	tr.RetainListed(none, at(60_000))
 	if _, ok := tr.Bar("a", at(60_000)); !ok {
-		t.Error("forgotten too early")
+		t.Error("dropped too early")
 	}
 	tr.RetainListed(none, at(121_000))
 	_, limited := tr.Limit("a")
 	if _, ok := tr.Bar("a", at(121_000)); ok || limited {
-		t.Error("kept for good")
+		t.Error("not dropped")
 	}
 }
 
 func TestLeavingUpstreamStaysBarred(t *testing.T) {
 	tr := New()
 	if c := tr.Record("a", Notice{Leaving: true}, at(0), at(1)); !c.Leaving {
-		t.Error("it is no news")
+		t.Error("leaving is not reported as a change")
 	}
 	if c := tr.Record("a", Notice{}, at(2), at(3)); c != (Change{}) {
-		t.Errorf("an answer without the word changes %+v", c)
+		t.Errorf("an answer without a notice changes %+v", c)
 	}
 	if b, ok := tr.Bar("a", at(1_000_000)); !ok || !b.Leaving || !b.At.Equal(at(1)) {
 		t.Errorf("got %+v, %v", b, ok)
 	}
 	if _, ok := tr.Bar("b", at(2)); ok {
-		t.Error("another one is barred")
+		t.Error("another upstream is barred")
 	}
 }
 
@@ -99,22 +100,22 @@
 	tr := New()
 	tr.Record("a", Notice{BackOff: 2 * time.Second}, at(0), at(0))
 	if c := tr.Record("a", Notice{BackOff: time.Second}, at(0), at(500)); c.BackOff {
-		t.Error("a shorter one changes it")
+		t.Error("a shorter back-off is reported as a change")
 	}
 	if _, ok := tr.Bar("a", at(1999)); !ok || !slices.Equal(tr.Barred(at(1999)), []string{"a"}) {
-		t.Error("it is over too early")
+		t.Error("the back-off ended too early")
 	}
 	if _, ok := tr.Bar("a", at(2000)); ok || len(tr.Barred(at(2000))) > 0 {
-		t.Error("it is not over")
+		t.Error("the back-off has not ended")
 	}
 }
 
-// TestNextIncarnationInheritsNoticesFromBeforeItWasListed guards against requests to a server in its
-// back-off, or above its limit, that has started again under its id: its first answers are
-// heard under the ID of its former life.
+// TestNextIncarnationInheritsNoticesFromBeforeItWasListed guards against requests to a restarted server
+// during its back-off or above its limit: its first answers are recorded under the ID of its
+// former incarnation.
 func TestNextIncarnationInheritsNoticesFromBeforeItWasListed(t *testing.T) {
 	tr := New()
-	tr.Record("a@1", Notice{Leaving: true}, at(0), at(500)) // by the former life
+	tr.Record("a@1", Notice{Leaving: true}, at(0), at(500)) // by the former incarnation
 	tr.Record("a@1", Notice{BackOff: 5 * time.Second, Limited: true, Limit: 2}, at(1500), at(1500))
 	tr.Inherit("a@2", "a@1", at(1000))
 	if b, ok := tr.Bar("a@2", at(2000)); !ok || b.Leaving || !b.Until.Equal(at(6500)) {
@@ -125,6 +126,6 @@
 	}
 	tr.Inherit("a@3", "a@2", at(3000))
 	if _, ok := tr.Bar("a@3", at(3000)); ok {
-		t.Error("a life is barred for what its former one said")
+		t.Error("an incarnation is barred for a notice of the former one")
 	}
 }
--- a/internal/core/notice/seconds.go
+++ b/internal/core/notice/seconds.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// maxBackOff bounds what an answer may ask for.
+// maxBackOff is the longest back-off that an answer may ask for.
 const maxBackOff = time.Hour
 
-// ParseBackOff reads a number of seconds, fractions among them, for which an upstream wants
-// nothing; what is none is zero.
+// ParseBackOff parses a back-off in seconds, which may have a fraction, and bounds it to an
+// hour. It returns zero for text that is not a positive number.
 func ParseBackOff(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds > 0) {
