--- a/internal/core/option/option.go
+++ b/internal/core/option/option.go
@@ -8,7 +8,7 @@
 	int | int64 | float64 | time.Duration
 }
 
-// Default sets an option that is zero or negative to its default.
+// Default sets an option that is zero or negative to value.
 func Default[T Number](option *T, value T) {
 	if *option <= 0 {
 		*option = value
