--- a/internal/schedule/cold_test.go
+++ b/internal/schedule/cold_test.go
@@ -15,11 +15,11 @@
 	return pace.ColdLimit{Upstream: upstream, PerSecond: rareRate, Until: time.Now().Add(d)}
 }
 
-// TestColdServerKnownToOneDaemonIsLimitedForAll guards against a keeper that gives turns as
-// for a warm server because the news has reached it last.
+// TestColdServerKnownToOneDaemonIsLimitedForAll guards against a keeper that gives out turns
+// as for a warm server because another daemon was the first to get the report.
 func TestColdServerKnownToOneDaemonIsLimitedForAll(t *testing.T) {
 	g := newGroup("a", "b", "c")
-	g.services["b"].Place(t.Context(), shortRequest("b", 1)) // tells it its keeper
+	g.services["b"].Place(t.Context(), shortRequest("b", 1)) // makes it choose its keeper
 	g.services["b"].flush(t.Context(), true)
 	for i := range 4 {
 		g.services["b"].ReportCold(coldLimit(fmt.Sprint("e", i), time.Hour))
@@ -32,7 +32,8 @@
 	}
 }
 
-// TestAdmitRequestReportsAColdServer: for plain servers the question is the news.
+// TestAdmitRequestReportsAColdServer: for servers that are no engines, a request for a turn
+// carries the report.
 func TestAdmitRequestReportsAColdServer(t *testing.T) {
 	g := newGroup("a", "b", "c")
 	shop := notice.Limit{Upstream: "shop"}
@@ -41,10 +42,10 @@
 	}
 	g.services["b"].book.Pacer().SetCold(coldLimit("shop", time.Hour), time.Now())
 	if _, ok := g.services["b"].Admit(t.Context(), shop, time.Second); ok {
-		t.Error("the keeper gave a turn as for a warm server")
+		t.Error("the keeper gave out a turn as for a warm server")
 	}
 	if _, ok := g.services["c"].Admit(t.Context(), shop, time.Second); ok {
-		t.Error("the keeper has not kept what it was told")
+		t.Error("the keeper has not kept the report")
 	}
 }
 
@@ -61,7 +62,8 @@
 	}
 }
 
-// TestOlderListDoesNotEndAColdLimitReportedByAnAnswer: only a list that says something new does.
+// TestOlderListDoesNotEndAColdLimitReportedByAnAnswer: only a list with newer data on
+// the upstream does.
 func TestOlderListDoesNotEndAColdLimitReportedByAnAnswer(t *testing.T) {
 	s := newGroup("a").services["a"]
 	cold := func() bool {
@@ -75,16 +77,16 @@
 	s.ReportCold(coldLimit("e0", time.Hour))
 	s.Apply(nil, list, nil)
 	if !cold() {
-		t.Error("a list that says nothing of it ended it")
+		t.Error("a list without the upstream's cold limit ended it")
 	}
 	s.Apply(nil, list, []pace.ColdLimit{{Upstream: "e0", PerSecond: rareRate, Until: warmSince}})
 	if cold() {
-		t.Error("a newer word that it is warm is not taken")
+		t.Error("a newer report that it is warm was ignored")
 	}
 	s.ReportCold(coldLimit("e0", time.Hour))
 	s.Apply(nil, list, []pace.ColdLimit{{Upstream: "e0", PerSecond: rareRate, Until: warmSince}})
 	if !cold() {
-		t.Error("the same word, told again, ended it")
+		t.Error("the same report, repeated, ended it")
 	}
 }
 
@@ -95,7 +97,7 @@
 	return l.Snapshot()
 }
 
-// TestShorterColdLimitOfAnotherDaemonIsIgnored: it may have heard an older one.
+// TestShorterColdLimitOfAnotherDaemonIsIgnored: that daemon's report may be older.
 func TestShorterColdLimitOfAnotherDaemonIsIgnored(t *testing.T) {
 	s := newGroup("a").services["a"]
 	now := time.Now()
--- a/internal/schedule/displace.go
+++ b/internal/schedule/displace.go
@@ -9,7 +9,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/booking"
 )
 
-// scheduleDisplace moves the writers that a booked attempt makes late, when its reading begins.
+// scheduleDisplace moves the decodes that a booked attempt makes late, when its prefill starts.
 func (s *Service) scheduleDisplace(attempt string, p booking.Plan) {
 	if p.Verdict == booking.Booked && !p.Short() {
 		time.AfterFunc(p.Wait, func() { s.displace(attempt) })
@@ -40,7 +40,7 @@
 	return s.opts.Move(attempts)
 }
 
-// requestMove tells another daemon to move attempts. One that is not reached keeps them where
+// requestMove asks another daemon to move attempts. A daemon that is not reached leaves them where
 // they are, which costs their callers a pause and nothing else.
 func (s *Service) requestMove(host string, attempts []string) {
 	for _, m := range s.opts.Peers.Rank(keeperKey, allMembers) {
--- a/internal/schedule/displace_test.go
+++ b/internal/schedule/displace_test.go
@@ -10,11 +10,11 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/booking"
 )
 
-// TestDecodesAreMovedByTheirDaemons is the pattern of a long prompt of one daemon that is read
-// where others write: each of these is told to move its own, and only those.
+// TestDecodesAreMovedByTheirDaemons has a long prompt of one daemon prefilled on an engine that
+// decodes requests of others: each of these is asked to move its own, and only those.
 func TestDecodesAreMovedByTheirDaemons(t *testing.T) {
 	g := newGroup("k", "a", "b")
-	g.setEngines(16) // room for all writers on one engine
+	g.setEngines(16) // slots for all decodes on one engine
 	var mu sync.Mutex
 	moved := map[string][]string{}
 	for host, s := range g.services {
@@ -33,7 +33,7 @@
 	}
 	keeper := g.services["k"]
 	keeper.mu.Lock()
-	for i := range len(g.hosts) + 2 { // those that leave go where more write
+	for i := range len(g.hosts) + 2 { // attempts move to an engine with more decodes
 		a := booking.Request{ID: fmt.Sprint("x", i), Host: "x", Service: "llm", Gap: 200 * time.Millisecond, Left: time.Minute}
 		keeper.book.Record(a, booking.Plan{Parts: []booking.Part{otherThan(on)}}, time.Now())
 		keeper.book.RecordFirstEvent(a.ID)
@@ -44,24 +44,24 @@
 
 	keeper.displace("long")
 	want := []string{"a", "b", "k"}
-	told := func() []string {
+	asked := func() []string {
 		mu.Lock()
 		defer mu.Unlock()
 		var hosts []string
 		for host, attempts := range moved {
 			if len(attempts) != 1 || attempts[0] != "of-"+host {
-				t.Errorf("%s was told to move %v", host, attempts)
+				t.Errorf("%s was asked to move %v", host, attempts)
 			}
 			hosts = append(hosts, host)
 		}
 		slices.Sort(hosts)
 		return hosts
 	}
-	for len(told()) < len(want) { // the test's timeout bounds it
+	for len(asked()) < len(want) { // the test's timeout bounds it
 		time.Sleep(time.Millisecond)
 	}
-	if got := told(); !slices.Equal(got, want) {
-		t.Errorf("told %v", got)
+	if got := asked(); !slices.Equal(got, want) {
+		t.Errorf("asked %v", got)
 	}
 }
 
--- a/internal/schedule/flush.go
+++ b/internal/schedule/flush.go
@@ -7,15 +7,15 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/booking"
 )
 
-// Run tells the keeper what is new until the context ends.
+// Run sends events and heartbeats to the keeper until the context ends.
 func (s *Service) Run(ctx context.Context) error {
-	alive := time.NewTicker(heartbeatInterval)
-	defer alive.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-alive.C:
+		case <-heartbeat.C:
 			s.dropSilent(time.Now())
 			s.probeSilent(ctx)
 			s.flush(ctx, true)
@@ -26,9 +26,10 @@
 	}
 }
 
-// flush sends what is new. With always it also sends a sign of life, where the keeper has
-// attempts of this daemon: what all send that have none would grow with the daemons.
-func (s *Service) flush(ctx context.Context, always bool) {
+// flush sends the events to the keeper. With heartbeat it sends a message without events too, if
+// this daemon has open attempts: heartbeats of daemons without any would load the keeper in
+// proportion to the number of daemons.
+func (s *Service) flush(ctx context.Context, heartbeat bool) {
 	s.mu.Lock()
 	keeper, remote := s.chooseKeeper(time.Now())
 	if !remote {
@@ -47,14 +48,14 @@
 		s.afterFlush(ctx, err, false)
 		return
 	}
-	news, open := s.events, len(s.open)
+	events, open := s.events, len(s.open)
 	s.events = nil
 	s.mu.Unlock()
-	if len(news) == 0 && (!always || open == 0) {
+	if len(events) == 0 && (!heartbeat || open == 0) {
 		return
 	}
 	var reply NotifyReply
-	err := s.call(ctx, keeper, "Notify", notifyTimeout, &NotifyRequest{From: s.self(), Events: news}, &reply)
+	err := s.call(ctx, keeper, "Notify", notifyTimeout, &NotifyRequest{From: s.self(), Events: events}, &reply)
 	s.afterFlush(ctx, err, reply.Unknown)
 }
 
@@ -71,25 +72,25 @@
 	s.needsRestore = s.needsRestore || unknown
 }
 
-// openAttempts returns the own open attempts. The caller holds the lock.
+// openAttempts returns the own open attempts with their age. The caller holds the lock.
 func (s *Service) openAttempts(now time.Time) []booking.OpenAttempt {
 	open := make([]booking.OpenAttempt, 0, len(s.open))
 	for id, o := range s.open {
-		told := *o
-		told.Age = now.Sub(s.bookedAt[id])
-		open = append(open, told)
+		attempt := *o
+		attempt.Age = now.Sub(s.bookedAt[id])
+		open = append(open, attempt)
 	}
 	return open
 }
 
-// dropSilent drops the attempts of daemons that have not been heard for long: they
-// have gone, or tell another keeper.
+// dropSilent drops the attempts of daemons that have sent nothing for long: they have gone, or
+// use another keeper.
 func (s *Service) dropSilent(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.book.Expire(now)
-	for host, l := range s.clients {
-		silent := now.Sub(l.lastMessage)
+	for host, c := range s.clients {
+		silent := now.Sub(c.lastMessage)
 		switch {
 		case silent > dropAttemptsAfter && s.book.Has(host):
 			s.log.WithField("from", host).Info("book_of_host_dropped")
--- a/internal/schedule/growth_test.go
+++ b/internal/schedule/growth_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestDaemonsWithoutWorkSendTheKeeperNothing guards against messages to the one keeper that
-// grow with the daemons and not with their work.
+// TestDaemonsWithoutWorkSendTheKeeperNothing guards against messages to the one keeper
+// that grow with the number of daemons and not with their work.
 func TestDaemonsWithoutWorkSendTheKeeperNothing(t *testing.T) {
 	for _, daemons := range []int{10, 20, 40} {
 		var hosts []string
@@ -30,12 +30,12 @@
 	}
 }
 
-// TestDaemonThatWasIdleNeedsNoRestore: the keeper keeps a daemon's life while it
-// has nothing to tell.
+// TestDaemonThatWasIdleNeedsNoRestore: the keeper remembers the incarnation of a daemon that has
+// nothing to send.
 func TestDaemonThatWasIdleNeedsNoRestore(t *testing.T) {
 	g := newGroup("k", "a")
 	g.place(t, "a", "1")
-	g.services["a"].flush(t.Context(), true) // tells all, once
+	g.services["a"].flush(t.Context(), true) // sends a RestoreRequest, once
 	g.services["a"].End("1")
 	g.services["a"].flush(t.Context(), false)
 	g.services["k"].dropSilent(time.Now().Add(2 * dropAttemptsAfter))
@@ -43,23 +43,23 @@
 	g.place(t, "a", "2")
 	g.services["a"].flush(t.Context(), true)
 	if n := g.calls[ServiceName+".Restore"]; n > 0 {
-		t.Errorf("it has told all %d times", n)
+		t.Errorf("it has sent all attempts again, %d times", n)
 	}
 	g.services["k"].dropSilent(time.Now().Add(2 * dropClientAfter))
 	if n := len(g.services["k"].clients); n > 0 {
-		t.Errorf("the keeper keeps %d lives for good", n)
+		t.Errorf("the keeper has not dropped %d daemons", n)
 	}
 }
 
-// TestRequestsDoNotWaitForASilentKeeper guards against a keeper that is gone for long, and that
-// each daemon tries again and again with a request of its own.
+// TestRequestsDoNotWaitForASilentKeeper guards against a keeper that is gone for long and that
+// each daemon calls again and again while a request waits for it.
 func TestRequestsDoNotWaitForASilentKeeper(t *testing.T) {
 	g := newGroup("k", "next", "a")
 	a := g.services["a"]
 	g.place(t, "a", "1")
 	g.setCut("k", true)
-	g.place(t, "a", "2")                           // finds out
-	a.silent.backoff.ClearFailures("k", time.Time{}) // as after a while
+	g.place(t, "a", "2")                             // finds out that the keeper is silent
+	a.silent.backoff.ClearFailures("k", time.Time{}) // as if its retry delay had passed
 	g.place(t, "a", "3")
 	if a.keeper != "next" {
 		t.Fatalf("a request asked %q", a.keeper)
@@ -75,7 +75,7 @@
 	}
 	g.place(t, "a", "5")
 	if a.keeper != "k" {
-		t.Errorf("it asks %q after the first answers again", a.keeper)
+		t.Errorf("it uses %q after the first one answers again", a.keeper)
 	}
 }
 
--- a/internal/schedule/limits.go
+++ b/internal/schedule/limits.go
@@ -8,25 +8,25 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/pace"
 )
 
-// A limit binds all daemons together, that of a cold upstream too, so the keeper gives the
-// turns: with its plans for engines, by Admit for others. A daemon without a keeper sends
-// nothing to an upstream with a limit, for it does not know what others send.
+// A limit, that of a cold upstream too, applies to all daemons together, so the keeper gives out
+// the turns: with its plans for engines, by Admit for other upstreams. A daemon without a keeper
+// sends nothing to an upstream with a limit, for it does not know what others send.
 
-// ReportLimit tells the keeper what this daemon has heard of an upstream's limit.
+// ReportLimit reports to the keeper an upstream's limit that was reported to this daemon.
 func (s *Service) ReportLimit(l notice.Limit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.book.Pacer().SetLimit(l, now)
-	told := limitMessage(l, now)
-	s.enqueue(Event{Limit: &told})
+	report := limitMessage(l, now)
+	s.enqueue(Event{Limit: &report})
 }
 
 func limitMessage(l notice.Limit, now time.Time) Limit {
 	return Limit{Upstream: l.Upstream, Limited: l.Limited, PerSecond: l.PerSecond, Age: now.Sub(l.At)}
 }
 
-// limitMessages returns all limits that this daemon has heard.
+// limitMessages returns all limits that were reported to this daemon, as messages.
 func (s *Service) limitMessages(now time.Time) []Limit {
 	if s.opts.Limits == nil {
 		return nil
@@ -38,12 +38,12 @@
 	return all
 }
 
-// recordLimit takes in what another daemon has heard of a limit. The caller holds the lock.
+// recordLimit takes in a limit that another daemon reports. The caller holds the lock.
 func (s *Service) recordLimit(l *Limit, now time.Time) {
 	s.book.Pacer().SetLimit(notice.Limit{Upstream: l.Upstream, Limited: l.Limited, PerSecond: l.PerSecond, At: now.Add(-l.Age)}, now)
 }
 
-// ReportCold tells the keeper that an upstream has said it is cold.
+// ReportCold reports to the keeper that an upstream is cold by its own notice.
 func (s *Service) ReportCold(c pace.ColdLimit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,8 +56,8 @@
 	return &Cold{Upstream: c.Upstream, PerSecond: c.PerSecond, Left: c.Until.Sub(now)}
 }
 
-// recordCold takes in what another daemon knows of a cold upstream: of two words on how long it
-// stays so, the longer one holds. The caller holds the lock.
+// recordCold takes in that an upstream is cold by another daemon's report: of two reports the one
+// that ends later holds. The caller holds the lock.
 func (s *Service) recordCold(c *Cold, now time.Time) {
 	until := now.Add(c.Left)
 	if known, ok := s.book.Pacer().ColdLimit(c.Upstream, now); ok && known.Until.After(until) {
@@ -66,11 +66,11 @@
 	s.book.Pacer().SetCold(pace.ColdLimit{Upstream: c.Upstream, PerSecond: c.PerSecond, Until: until}, now)
 }
 
-// noTurnDelay is when to ask again for a turn that nobody gives.
+// noTurnDelay is the wait that Admit returns when no keeper gives out turns.
 const noTurnDelay = 200 * time.Millisecond
 
-// Admit takes a turn at an upstream with a limit, or a cold one, if it comes within a time, and
-// returns the wait for it.
+// Admit takes a turn at an upstream with a limit, or a cold one, if the wait for it is at most
+// within, and returns the wait; ok is false when it has no turn.
 func (s *Service) Admit(ctx context.Context, l notice.Limit, within time.Duration) (wait time.Duration, ok bool) {
 	s.mu.Lock()
 	now := time.Now()
--- a/internal/schedule/limits_test.go
+++ b/internal/schedule/limits_test.go
@@ -9,14 +9,14 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/notice"
 )
 
-// A limit that gives one turn in hours, so that no test depends on its own time.
+// rareRate is a limit of one turn in hours, so that no test depends on its own duration.
 const rareRate = 0.0001
 
 func rareLimit(upstream string) notice.Limit {
 	return notice.Limit{Upstream: upstream, Limited: true, PerSecond: rareRate, At: time.Now()}
 }
 
-// limitAllEngines has a daemon hear limits of all engines.
+// limitAllEngines reports limits of all engines to a daemon.
 func limitAllEngines(s *Service) {
 	for i := range 4 {
 		s.ReportLimit(rareLimit(fmt.Sprint("e", i)))
@@ -30,11 +30,11 @@
 	}
 }
 
-// TestLimitKnownToOneDaemonAppliesToAll guards against daemons that each keep to a limit of
-// their own: the keeper plans for those that have not heard of it too.
+// TestLimitKnownToOneDaemonAppliesToAll guards against daemons that each apply a limit for
+// themselves: the keeper plans also for those to which it was not reported.
 func TestLimitKnownToOneDaemonAppliesToAll(t *testing.T) {
 	g := newGroup("a", "b", "c")
-	g.services["b"].Place(t.Context(), shortRequest("b", 1)) // tells it its keeper
+	g.services["b"].Place(t.Context(), shortRequest("b", 1)) // makes it choose its keeper
 	g.services["b"].flush(t.Context(), true)
 	limitAllEngines(g.services["b"])
 	g.services["b"].flush(t.Context(), true)
@@ -50,8 +50,8 @@
 	limits := []notice.Limit{rareLimit("e0"), rareLimit("e1"), rareLimit("e2"), rareLimit("e3")}
 	g.services["c"].opts.Limits = func() []notice.Limit { return limits }
 	g.setCut("a", true)
-	g.services["c"].Place(t.Context(), shortRequest("c", 1)) // finds the first keeper dead
-	g.services["c"].flush(t.Context(), true)             // tells the next one all
+	g.services["c"].Place(t.Context(), shortRequest("c", 1)) // finds that the first keeper is silent
+	g.services["c"].flush(t.Context(), true)                 // sends all to the next one
 	if p := g.services["c"].Place(t.Context(), shortRequest("c", 2)); p.Verdict != booking.TooLate {
 		t.Errorf("got %+v", p)
 	}
@@ -62,20 +62,21 @@
 	b := g.services["b"]
 	limitAllEngines(b)
 	g.setCut("a", true)
-	for i := range 2 { // the question in vain, and after it
+	for i := range 2 { // during the call that fails, and after it
 		if p := b.Place(t.Context(), shortRequest("b", i)); p.Verdict != booking.AtLimit {
 			t.Errorf("got %+v", p)
 		}
 	}
 	if _, ok := b.Admit(t.Context(), rareLimit("s0"), time.Hour); ok {
-		t.Error("it takes turns that nobody gives")
+		t.Error("it takes turns without a keeper")
 	}
 	if p := g.services["a"].Place(t.Context(), shortRequest("a", 1)); p.Verdict != booking.Booked {
-		t.Errorf("the first of all: %+v", p)
+		t.Errorf("the first keeper: %+v", p)
 	}
 }
 
-// TestKeeperGivesOutTheTurnsAtPlainServers: their limits bind all daemons together too.
+// TestKeeperGivesOutTheTurnsAtPlainServers: their limits, too, apply to all daemons
+// together.
 func TestKeeperGivesOutTheTurnsAtPlainServers(t *testing.T) {
 	g := newGroup("a", "b", "c")
 	l := rareLimit("s0")
@@ -87,7 +88,7 @@
 			taken++
 		}
 	}
-	// What four seconds allow, and one turn a second more for the time that the test takes.
+	// The turns of four seconds, and one more for each second that the test takes.
 	if taken == 0 || taken > 4 {
 		t.Errorf("%d turns within 4 s at 1 a second", taken)
 	}
--- a/internal/schedule/messages.go
+++ b/internal/schedule/messages.go
@@ -9,50 +9,51 @@
 // ServiceName is the name under which daemons call each other.
 const ServiceName = "Schedule"
 
-// sender names one life of a daemon.
+// sender identifies one incarnation of a daemon.
 type sender struct {
 	Host        string
 	Incarnation uint64
 }
 
-// Event is news of an attempt, or of an upstream: its limit, or that it is cold.
+// Event reports a change of an attempt, or of an upstream: its limit, or that it is cold.
 type Event struct {
 	Attempt string
-	Ended   bool   // else its first event has come
-	Limit   *Limit // with it the rest is empty
-	Cold    *Cold  // with it the rest is empty
+	Ended   bool   // the attempt has ended; false: its first event has come
+	Limit   *Limit // if set, the other fields are empty
+	Cold    *Cold  // if set, the other fields are empty
 }
 
-// Cold is what a daemon knows of an upstream that bears few requests a second for a time.
+// Cold reports an upstream that can take only few requests per second for a time.
 type Cold struct {
 	Upstream  string
-	PerSecond float64 // requests from all daemons together
-	Left      time.Duration
+	PerSecond float64       // requests from all daemons together
+	Left      time.Duration // until it is warm
 }
 
-// Limit is what a daemon has heard of an upstream's limit.
+// Limit reports the rate limit of an upstream.
 type Limit struct {
 	Upstream  string
-	Limited   bool    // false: the upstream has taken it back
-	PerSecond float64 // requests from all daemons together
-	Age       time.Duration
+	Limited   bool          // false: the upstream has withdrawn its limit
+	PerSecond float64       // requests from all daemons together
+	Age       time.Duration // since the upstream reported it
 }
 
-// PlaceRequest asks the keeper of the book for a plan. Events come before it.
+// PlaceRequest asks the keeper for a plan. The keeper applies Events first.
 type PlaceRequest struct {
 	From   sender
 	Ask    booking.Request
 	Events []Event
 }
 
-// PlaceReply has the plan, which the keeper has noted.
+// PlaceReply has the plan, which the keeper has entered in the book.
 type PlaceReply struct {
 	Plan booking.Plan
-	// Unknown says that the keeper has not been told the sender's open attempts.
+	// Unknown says that the keeper does not have the sender's open attempts; the sender must
+	// send them in a RestoreRequest.
 	Unknown bool
 }
 
-// NotifyRequest tells the keeper news; without any it says that the sender lives.
+// NotifyRequest sends events to the keeper; without events it is a heartbeat.
 type NotifyRequest struct {
 	From   sender
 	Events []Event
@@ -63,8 +64,8 @@
 	Unknown bool // as in PlaceReply
 }
 
-// RestoreRequest tells the keeper all open attempts of the sender and all limits that it has
-// heard.
+// RestoreRequest sends the keeper all open attempts of the sender and all limits that were
+// reported to it.
 type RestoreRequest struct {
 	From   sender
 	Open   []booking.OpenAttempt
@@ -73,30 +74,30 @@
 
 // RestoreReply answers a RestoreRequest.
 type RestoreReply struct {
-	Taken int // attempts
+	Taken int // attempts taken into the book
 }
 
 // AdmitRequest asks the keeper for a turn at an upstream with a limit, or a cold one.
 type AdmitRequest struct {
 	From   sender
-	Limit  Limit         // as the sender has heard it
+	Limit  Limit         // as reported to the sender
 	Cold   *Cold         // nil: the upstream is not cold, as far as the sender knows
-	Within time.Duration // the longest wait for the turn
+	Within time.Duration // maximum wait for the turn
 }
 
-// AdmitReply has the turn.
+// AdmitReply says whether the sender has the turn.
 type AdmitReply struct {
 	OK   bool
-	Wait time.Duration // until the turn, also where it is too long
+	Wait time.Duration // until the turn, also if it is longer than Within
 }
 
-// MoveRequest tells a daemon to move attempts of its own: long prompts are about to be read
-// where they write.
+// MoveRequest asks a daemon to move attempts of its own: long prompts are about to be prefilled
+// on the engines where they decode.
 type MoveRequest struct {
 	Attempts []string
 }
 
 // MoveReply answers a MoveRequest.
 type MoveReply struct {
-	Moved int // attempts
+	Moved int // attempts moved
 }
--- a/internal/schedule/rpc.go
+++ b/internal/schedule/rpc.go
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// Notify takes in news of another daemon.
+// Notify applies the events of another daemon.
 func (r *RPC) Notify(req *NotifyRequest, reply *NotifyReply) error {
 	s := r.s
 	s.mu.Lock()
@@ -32,7 +32,8 @@
 	return nil
 }
 
-// Restore takes in all open attempts of another daemon.
+// Restore replaces the open attempts of another daemon in the book, and takes in the limits that
+// were reported to it.
 func (r *RPC) Restore(req *RestoreRequest, reply *RestoreReply) error {
 	s := r.s
 	s.mu.Lock()
@@ -47,16 +48,16 @@
 	return nil
 }
 
-// recordSender notes a message. It returns false for a daemon that has not told its open
-// attempts in this life. The caller holds the lock.
+// recordSender records a message of another daemon. It returns false if the daemon has not
+// sent its open attempts in this incarnation. The caller holds the lock.
 func (s *Service) recordSender(from sender, now time.Time) bool {
-	l, known := s.clients[from.Host]
-	if known && l.incarnation != from.Incarnation {
+	c, known := s.clients[from.Host]
+	if known && c.incarnation != from.Incarnation {
 		s.book.DropHost(from.Host)
-		l = client{}
+		c = client{}
 	}
-	s.clients[from.Host] = client{incarnation: from.Incarnation, lastMessage: now, restored: l.restored}
-	return l.restored
+	s.clients[from.Host] = client{incarnation: from.Incarnation, lastMessage: now, restored: c.restored}
+	return c.restored
 }
 
 func (s *Service) applyEvents(events []Event, now time.Time) {
@@ -74,7 +75,7 @@
 	}
 }
 
-// Admit gives another daemon a turn at an upstream with a limit.
+// Admit gives another daemon a turn at an upstream with a limit, or a cold one.
 func (r *RPC) Admit(req *AdmitRequest, reply *AdmitReply) error {
 	s := r.s
 	s.mu.Lock()
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// Move moves attempts of this daemon.
+// Move moves attempts of this daemon to other engines.
 func (r *RPC) Move(req *MoveRequest, reply *MoveReply) error {
 	reply.Moved = r.s.move(req.Attempts)
 	return nil
--- a/internal/schedule/service.go
+++ b/internal/schedule/service.go
@@ -16,12 +16,13 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/pace"
 )
 
-// Peers is what the schedule needs of the other daemons.
+// Peers gives access to the other daemons.
 type Peers interface {
 	// Rank returns up to n live daemons in an order that all agree on.
 	Rank(key string, n int) []membership.Member
 	// SameDomain reports whether a daemon is in this one's failure domain.
 	SameDomain(host string) bool
+	// Call calls a method of the daemon at an address.
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
@@ -30,48 +31,50 @@
 	Host        string
 	Incarnation uint64
 	Peers       Peers
-	// BehindCut reports whether a daemon is believed to be behind a cut; Doubt tells of one
-	// that did not answer. Both may be nil.
-	BehindCut  func(host string) bool
+	// BehindCut reports whether a daemon is taken to be unreachable behind a cut. It may be
+	// nil.
+	BehindCut func(host string) bool
+	// OnNoAnswer is called with the host of a daemon that did not answer. It may be nil.
 	OnNoAnswer func(host string)
-	// Move moves attempts of this daemon to other engines, those that may be, and returns
-	// how many. It may be nil.
+	// Move moves those of the attempts of this daemon that may be moved to other engines, and
+	// returns how many. It may be nil.
 	Move func(attempts []string) int
-	// Limits returns the limits that this daemon has heard. It may be nil.
+	// Limits returns the limits that were reported to this daemon. It may be nil.
 	Limits func() []notice.Limit
 	Log    *logrus.Entry
 }
 
-// Times between daemons.
+// Timeouts and intervals of messages between daemons.
 const (
-	// placeTimeout bounds a question to the keeper. A round trip between failure
-	// domains takes 1 to 2 ms; the bound is a fifth of the shortest objective, so
-	// that a plan of the daemon's own is still in time.
+	// placeTimeout bounds a call to the keeper that a request waits for. A round trip
+	// between failure domains takes 1 to 2 ms; the bound is a fifth of the shortest
+	// objective, so that after a timeout the daemon's own plan is still in time.
 	placeTimeout = 60 * time.Millisecond
-	// notifyTimeout bounds a message without a caller behind it.
+	// notifyTimeout bounds a call that no request waits for.
 	notifyTimeout = 500 * time.Millisecond
-	// flushDelay is how long news waits for more of it. Engines are read in parts
-	// of tens of milliseconds, so that this is soon enough.
+	// flushDelay is how long an event waits for others to be sent with it. Prefill takes
+	// tens of milliseconds, so that this is soon enough.
 	flushDelay = 10 * time.Millisecond
-	// heartbeatInterval is the time between two messages to the keeper without news.
+	// heartbeatInterval is the time between two messages to the keeper without events.
 	heartbeatInterval = 500 * time.Millisecond
 	// dropAttemptsAfter is the silence after which a daemon's attempts are dropped.
 	dropAttemptsAfter = 2500 * time.Millisecond
-	// dropClientAfter is the silence after which a daemon without open attempts is forgotten: it tells
-	// nothing while it has none.
+	// dropClientAfter is the silence after which a daemon without open attempts is dropped: it
+	// sends nothing while it has none.
 	dropClientAfter = time.Minute
-	// calledWithin is how long after a question this daemon counts as one that others ask.
+	// calledWithin is how long after a call of another daemon this one counts as a keeper in
+	// use.
 	calledWithin = 10 * time.Second
 )
 
-// allMembers asks for the ranking of all daemons.
+// allMembers is passed to Peers.Rank for the ranking of all daemons.
 const allMembers = math.MaxInt
 
-// keeperKey is the key whose first live daemon keeps the book.
+// keeperKey is the rendezvous key: the first live daemon in its ranking keeps the book.
 const keeperKey = "booking"
 
-// Daemons that are looked at for one that answers: the first of all, then the first of the
-// own failure domain, for all of the former may be behind one cut.
+// Numbers of daemons that are considered as keepers: the first in the ranking, then the first
+// of the own failure domain, for all of the former may be behind one cut.
 const (
 	keeperCandidates     = 6
 	sameDomainCandidates = 3
@@ -82,18 +85,18 @@
 	opts Options
 	log  *logrus.Entry
 
-	mu      sync.Mutex
-	book    *booking.Book
-	open    map[string]*booking.OpenAttempt // own attempts, without their age
-	bookedAt   map[string]time.Time            // of own attempts
-	events    []Event
-	clients   map[string]client      // daemons that ask this one
-	listedCold    map[string]time.Time // until when upstreams are cold by the list, where it has said so
-	silent    *silentHosts
-	keeper  string // host that was asked last; empty: this one
-	uncoordinated   bool   // those that come before this one are silent, and nobody asks it
-	needsRestore bool   // the keeper lacks some of the own attempts
-	// restoring: the own attempts are on their way to the keeper.
+	mu            sync.Mutex
+	book          *booking.Book
+	open          map[string]*booking.OpenAttempt // own attempts, with Age unset
+	bookedAt      map[string]time.Time            // when own attempts were booked
+	events        []Event
+	clients       map[string]client    // daemons that call this one, by host
+	listedCold    map[string]time.Time // until when upstreams are cold by the list, by ID
+	silent        *silentHosts
+	keeper        string // host of the present keeper; empty: this one
+	uncoordinated bool   // those that rank before this one are silent, and no other daemon calls it
+	needsRestore  bool   // the keeper lacks some of the own attempts
+	// restoring says that a RestoreRequest is under way.
 	restoring bool
 	wake      chan struct{}
 }
@@ -101,26 +104,26 @@
 // client is what the keeper knows of another daemon.
 type client struct {
 	incarnation uint64
-	lastMessage          time.Time // of its last message
-	restored        bool      // it has told its open attempts
+	lastMessage time.Time // time of its last message
+	restored    bool      // it has sent its open attempts
 }
 
 // New returns a Service with an empty book.
 func New(o Options) *Service {
 	return &Service{
-		opts:  o,
-		log:   o.Log,
-		book:  booking.New(),
-		open:  map[string]*booking.OpenAttempt{},
-		bookedAt: map[string]time.Time{},
-		clients: map[string]client{},
-		listedCold:  map[string]time.Time{},
-		silent:  newSilentHosts(),
-		wake:  make(chan struct{}, 1),
+		opts:       o,
+		log:        o.Log,
+		book:       booking.New(),
+		open:       map[string]*booking.OpenAttempt{},
+		bookedAt:   map[string]time.Time{},
+		clients:    map[string]client{},
+		listedCold: map[string]time.Time{},
+		silent:     newSilentHosts(),
+		wake:       make(chan struct{}, 1),
 	}
 }
 
-// Apply takes in the services, the list of upstreams, and which of these are cold.
+// Apply replaces the services, the list of upstreams, and which of these are cold by the list.
 func (s *Service) Apply(services []booking.Service, list *fleet.Snapshot, cold []pace.ColdLimit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,26 +148,29 @@
 	return sender{Host: s.opts.Host, Incarnation: s.opts.Incarnation}
 }
 
-// candidates returns the daemons that may keep the book, in order.
+// candidates returns the daemons that may keep the book, in order of preference.
 func (s *Service) candidates() []membership.Member {
 	ranked := s.opts.Peers.Rank(keeperKey, allMembers)
 	return membership.TopAndNearby(ranked, keeperCandidates, sameDomainCandidates, s.opts.Peers.SameDomain)
 }
 
-func (s *Service) behindCut(host string) bool { return s.opts.BehindCut != nil && s.opts.BehindCut(host) }
+func (s *Service) behindCut(host string) bool {
+	return s.opts.BehindCut != nil && s.opts.BehindCut(host)
+}
 
-// recentlyCalled reports whether others have asked this daemon of late. The caller holds the lock.
+// recentlyCalled reports whether other daemons have called this one recently. The caller holds
+// the lock.
 func (s *Service) recentlyCalled(now time.Time) bool {
-	for _, l := range s.clients {
-		if now.Sub(l.lastMessage) < calledWithin {
+	for _, c := range s.clients {
+		if now.Sub(c.lastMessage) < calledWithin {
 			return true
 		}
 	}
 	return false
 }
 
-// findKeeper returns the daemon to ask; ok is false when it is this one. skipped says that
-// others come before it and do not answer.
+// findKeeper returns the keeper to call; ok is false when it is this daemon. skipped says that
+// daemons that rank before it do not answer.
 func (s *Service) findKeeper() (m membership.Member, ok, skipped bool) {
 	for _, m := range s.candidates() {
 		if m.Host == s.opts.Host {
@@ -179,7 +185,9 @@
 	return membership.Member{}, false, skipped
 }
 
-// chooseKeeper returns the keeper and notes a change of it. The caller holds the lock.
+// chooseKeeper returns the keeper, records a change of it, and sets the share of the limits that
+// this daemon gives out. remote is false when this daemon is the keeper. The caller holds the
+// lock.
 func (s *Service) chooseKeeper(now time.Time) (m membership.Member, remote bool) {
 	m, remote, skipped := s.findKeeper()
 	s.uncoordinated = !remote && skipped && !s.recentlyCalled(now)
@@ -196,12 +204,12 @@
 		s.log.WithFields(logrus.Fields{"keeper": host, "former": s.keeper, "open": len(s.open)}).Info("book_keeper_changed")
 		s.keeper = host
 		s.needsRestore = remote && len(s.open)+len(s.limitMessages(now)) > 0
-		s.signal() // the new one is to know at once what is under way
+		s.signal() // the new keeper is to get the open attempts at once
 	}
 	return m, remote
 }
 
-// Place plans an attempt: by the keeper, else by what is known here.
+// Place plans an attempt: by the keeper, or with the own book if the keeper does not answer.
 func (s *Service) Place(ctx context.Context, a booking.Request) booking.Plan {
 	s.mu.Lock()
 	now := time.Now()
@@ -210,11 +218,11 @@
 		defer s.mu.Unlock()
 		return s.placeLocally(a, s.uncoordinated, now)
 	}
-	news := s.takeEvents()
+	events := s.takeEvents()
 	s.mu.Unlock()
 
 	var reply PlaceReply
-	err := s.call(ctx, keeper, "Place", placeTimeout, &PlaceRequest{From: s.self(), Ask: a, Events: news}, &reply)
+	err := s.call(ctx, keeper, "Place", placeTimeout, &PlaceRequest{From: s.self(), Ask: a, Events: events}, &reply)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now = time.Now()
@@ -226,12 +234,12 @@
 		return s.placeLocally(a, true, now)
 	}
 	if reply.Unknown || s.restoring {
-		// What is on its way does not have this attempt and replaces what the keeper knows.
+		// A RestoreRequest under way lacks this attempt and replaces what the keeper has.
 		s.needsRestore = true
 		s.signal()
 	}
 	if reply.Plan.Verdict == booking.NoEngine {
-		// A keeper that has just started may not have the list yet.
+		// A keeper that has just started may not have the list of upstreams yet.
 		p := s.placeLocally(a, true, now)
 		s.needsRestore = s.needsRestore || p.Verdict == booking.Booked
 		return p
@@ -241,11 +249,11 @@
 	return reply.Plan
 }
 
-// placeLocally plans by what is known here; alone says that another daemon may plan for others
-// meanwhile. The caller holds the lock.
-func (s *Service) placeLocally(a booking.Request, alone bool, now time.Time) booking.Plan {
+// placeLocally plans with the own book; uncoordinated says that another daemon may be planning
+// for others meanwhile. The caller holds the lock.
+func (s *Service) placeLocally(a booking.Request, uncoordinated bool, now time.Time) booking.Plan {
 	place := s.book.Place
-	if alone {
+	if uncoordinated {
 		place = s.book.PlaceUncoordinated
 	}
 	p := place(a, now)
@@ -254,29 +262,28 @@
 	return p
 }
 
-// takeEvents returns what a question to the keeper takes with it: nothing while the keeper is
-// to be told all open attempts, for news that overtakes these would be undone by them. The
-// caller holds the lock.
+// takeEvents returns the events to send with a call to the keeper: none while a RestoreRequest is
+// due or under way, for it would undo events that overtake it. The caller holds the lock.
 func (s *Service) takeEvents() []Event {
 	if s.needsRestore || s.restoring {
 		return nil
 	}
-	news := s.events
+	events := s.events
 	s.events = nil
-	return news
+	return events
 }
 
-func (s *Service) call(ctx context.Context, to membership.Member, method string, wait time.Duration, args, reply any) error {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+func (s *Service) call(ctx context.Context, to membership.Member, method string, timeout time.Duration, args, reply any) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return s.opts.Peers.Call(ctx, to.Address, ServiceName+"."+method, args, reply)
 }
 
-// recordNoAnswer notes that a daemon did not answer. The caller holds the lock.
+// recordNoAnswer records that a daemon did not answer. The caller holds the lock.
 func (s *Service) recordNoAnswer(ctx context.Context, m membership.Member, err error, now time.Time) {
-	s.needsRestore = true // news may be lost with the message
+	s.needsRestore = true // events may be lost with the message
 	if ctx.Err() != nil {
-		return // the request has ended; that says nothing of the daemon
+		return // the request has ended; that says nothing about the daemon
 	}
 	if s.opts.OnNoAnswer != nil {
 		s.opts.OnNoAnswer(m.Host)
@@ -293,7 +300,7 @@
 	s.bookedAt[a.ID] = now
 }
 
-// FirstEvent notes the first event of an own attempt.
+// FirstEvent records the first event of an own attempt.
 func (s *Service) FirstEvent(attempt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -304,7 +311,7 @@
 	}
 }
 
-// End notes the end of an own attempt.
+// End records the end of an own attempt.
 func (s *Service) End(attempt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/schedule/service_test.go
+++ b/internal/schedule/service_test.go
@@ -20,18 +20,18 @@
 
 // group is a few daemons that call each other directly.
 type group struct {
-	hosts []string // in rank
-	mu    sync.Mutex
-	services    map[string]*Service
-	cut   map[string]bool // hosts that nobody reaches
-	calls map[string]int  // that reached a daemon, by method
-	// cutDomain is cut off from all others; empty: none is.
+	hosts    []string // in the order of their rank
+	mu       sync.Mutex
+	services map[string]*Service
+	cut      map[string]bool // unreachable hosts
+	calls    map[string]int  // calls that reached a daemon, by method
+	// cutDomain is the failure domain that is cut off from all others; empty: none.
 	cutDomain string
-	// onRestore is called while a daemon's open attempts are on their way.
+	// onRestore is called while a RestoreRequest is under way.
 	onRestore func()
 }
 
-// view is one daemon's view of the group.
+// view is one daemon's view of the group; it implements Peers.
 type view struct {
 	*group
 	host string
@@ -45,7 +45,7 @@
 	return list
 }
 
-// SameDomain goes by the letters before the first dash of a host's name, its failure domain.
+// SameDomain compares the failure domains: the letters before the first dash of a host's name.
 func (e view) SameDomain(host string) bool { return domainOf(host) == domainOf(e.host) }
 
 func domainOf(host string) string {
@@ -106,10 +106,10 @@
 	g.setEngines(defaultTestSlots)
 }
 
-// defaultTestSlots is how many requests an engine of the tests runs at once.
+// defaultTestSlots is how many requests an engine of the tests runs at once by default.
 const defaultTestSlots = 4
 
-// setEngines tells all daemons of engines with a number of slots.
+// setEngines gives all daemons a list of engines with a number of slots.
 func (g *group) setEngines(slots int) {
 	l := fleet.New(fleet.Options{OutageAfter: time.Hour})
 	var all []fleet.Change
@@ -151,16 +151,16 @@
 	g.place(t, "a", "2")
 	g.place(t, "b", "3")
 	if n := g.services["k"].booked(); n != 3 {
-		t.Errorf("the keeper knows %d attempts", n)
+		t.Errorf("the keeper has %d attempts", n)
 	}
 	if n := g.services["a"].booked(); n != 1 {
-		t.Errorf("another daemon knows %d attempts", n)
+		t.Errorf("another daemon has %d attempts", n)
 	}
 	g.services["a"].FirstEvent("2")
 	g.services["a"].End("2")
 	g.services["a"].flush(t.Context(), false)
 	if n := g.services["k"].booked(); n != 2 {
-		t.Errorf("after an end the keeper knows %d attempts", n)
+		t.Errorf("after an end the keeper has %d attempts", n)
 	}
 }
 
@@ -168,17 +168,17 @@
 	g := newGroup("k", "next", "a")
 	g.place(t, "a", "1")
 	g.setCut("k", true)
-	g.place(t, "a", "2") // by itself: the keeper does not answer
+	g.place(t, "a", "2") // with its own book: the keeper does not answer
 	if n := g.services["a"].booked(); n != 2 {
-		t.Errorf("the daemon itself knows %d attempts", n)
+		t.Errorf("the daemon itself has %d attempts", n)
 	}
 	g.services["a"].flush(t.Context(), true)
 	if n := g.services["next"].booked(); n != 2 {
-		t.Errorf("the next keeper was told of %d attempts", n)
+		t.Errorf("the next keeper got %d attempts", n)
 	}
 	g.place(t, "a", "3")
 	if n := g.services["next"].booked(); n != 3 {
-		t.Errorf("the next keeper knows %d attempts", n)
+		t.Errorf("the next keeper has %d attempts", n)
 	}
 }
 
@@ -190,7 +190,7 @@
 	g.place(t, "a", "2")
 	g.services["a"].flush(t.Context(), true)
 	if n := g.services["k"].booked(); n != 2 {
-		t.Errorf("the new keeper knows %d attempts", n)
+		t.Errorf("the new keeper has %d attempts", n)
 	}
 }
 
@@ -210,14 +210,14 @@
 	}
 }
 
-// TestEventsDoNotOvertakeARestore has an attempt end while the keeper is being told that it
-// is open: the end must reach the keeper after that, or the attempt stays in its book.
+// TestEventsDoNotOvertakeARestore has an attempt end while a RestoreRequest with it is under
+// way: the end must reach the keeper later, or the attempt stays in its book.
 func TestEventsDoNotOvertakeARestore(t *testing.T) {
 	g := newGroup("k", "a")
 	g.place(t, "a", "1")
 	g.services["a"].flush(t.Context(), true)
 	g.setCut("k", true)
-	g.services["a"].flush(t.Context(), true) // is lost, so that all is to be told again
+	g.services["a"].flush(t.Context(), true) // is lost, so that a RestoreRequest is due
 	g.setCut("k", false)
 	g.services["a"].silent = newSilentHosts()
 	g.onRestore = func() {
@@ -233,7 +233,7 @@
 	g.services["a"].End("2")
 	g.services["a"].flush(t.Context(), true)
 	if n := g.services["k"].booked(); n != 0 {
-		t.Errorf("after all have ended the keeper knows %d attempts", n)
+		t.Errorf("after all have ended the keeper has %d attempts", n)
 	}
 }
 
@@ -242,11 +242,11 @@
 	g.place(t, "a", "1")
 	g.services["k"].dropSilent(time.Now().Add(dropAttemptsAfter / 2))
 	if g.services["k"].booked() != 1 {
-		t.Error("forgotten too early")
+		t.Error("dropped too early")
 	}
 	g.services["k"].dropSilent(time.Now().Add(2 * dropAttemptsAfter))
 	if n := g.services["k"].booked(); n != 0 {
-		t.Errorf("the keeper still knows %d attempts", n)
+		t.Errorf("the keeper still has %d attempts", n)
 	}
 }
 
@@ -256,8 +256,8 @@
 	g.place(t, "a", "1")
 }
 
-// TestDaemonsOfACutDomainShareABook is the pattern of many daemons of which the strongest, which come
-// first, are in other failure domains than the one that is cut off.
+// TestDaemonsOfACutDomainShareABook has a failure domain cut off whose daemons rank behind
+// all those of the other domains.
 func TestDaemonsOfACutDomainShareABook(t *testing.T) {
 	var hosts []string
 	for _, domain := range []string{"a", "c", "d"} {
@@ -268,7 +268,7 @@
 	near := []string{"b-0", "b-1", "b-2", "b-3"}
 	g := newGroup(append(hosts, near...)...)
 	g.cutDomain = "b"
-	for n := range keeperCandidates { // each question to one behind the cut is in vain once
+	for n := range keeperCandidates { // one call to each candidate behind the cut fails
 		for _, host := range near {
 			g.place(t, host, fmt.Sprintf("%s/in-vain-%d", host, n))
 		}
@@ -278,17 +278,17 @@
 	}
 	for _, host := range near[1:] {
 		if keeper := g.services[host].keeper; keeper != near[0] {
-			t.Errorf("%s asks %q, want %s", host, keeper, near[0])
+			t.Errorf("%s uses %q, want %s", host, keeper, near[0])
 		}
 	}
 	if keeper := g.services[near[0]].keeper; keeper != "" {
-		t.Errorf("%s asks %q, want to keep the book itself", near[0], keeper)
+		t.Errorf("%s uses %q, want to keep the book itself", near[0], keeper)
 	}
 }
 
-// TestDaemonsThatRestartTogetherShareABook is the pattern of the death of all daemons: they
-// start at once and their callers come back together. Each prompt is one question to the one
-// keeper, and each daemon tells it what it has open once at the most.
+// TestDaemonsThatRestartTogetherShareABook has all daemons die, start at once and get their
+// callers back together. Each prompt is one call to the one keeper, and each daemon sends it its
+// open attempts once at most.
 func TestDaemonsThatRestartTogetherShareABook(t *testing.T) {
 	const daemons, prompts = 8, 2 // as many as the engines of the group take
 	var hosts []string
@@ -312,13 +312,13 @@
 	}
 	for _, host := range hosts[1:] {
 		if keeper := g.services[host].keeper; keeper != hosts[0] {
-			t.Errorf("%s asks %q", host, keeper)
+			t.Errorf("%s uses %q", host, keeper)
 		}
 	}
 	if got, want := g.calls[ServiceName+".Place"], (daemons-1)*prompts; got != want {
-		t.Errorf("%d questions to the keeper, want %d", got, want)
+		t.Errorf("%d calls to the keeper, want %d", got, want)
 	}
 	if got := g.calls[ServiceName+".Restore"]; got > daemons-1 {
-		t.Errorf("%d daemons' open attempts were told, of %d", got, daemons-1)
+		t.Errorf("%d restores by %d daemons", got, daemons-1)
 	}
 }
--- a/internal/schedule/silence.go
+++ b/internal/schedule/silence.go
@@ -9,18 +9,18 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/avoid"
 )
 
-// Daemons that did not answer are asked again in the background, ever more rarely while they
+// Daemons that did not answer are called again in the background, less and less often while they
 // stay silent.
 const (
-	retryInitial  = time.Second
-	retryMax   = 4 * time.Second
+	retryInitial    = time.Second
+	retryMax        = 4 * time.Second
 	retryResetAfter = 10 * time.Second
 )
 
-// silentHosts is the daemons that did not answer. Each counts as silent until it has answered a
-// question that no request waits for: in vain, such a question costs a caller its time.
+// silentHosts tracks the daemons that did not answer. Each counts as silent until it has answered
+// a call that no request waits for: a call that times out would cost a request its time.
 type silentHosts struct {
-	backoff *avoid.Tracker // when to ask again
+	backoff *avoid.Tracker // when to call again
 	hosts   map[string]bool
 }
 
@@ -31,7 +31,7 @@
 	}
 }
 
-// recordFailure notes that a daemon did not answer, and returns for how long it is not asked.
+// recordFailure records that a daemon did not answer, and returns for how long it is not called.
 func (s *silentHosts) recordFailure(host string, now time.Time) time.Duration {
 	s.hosts[host] = true
 	return s.backoff.RecordFailure(host, now)
@@ -42,7 +42,7 @@
 	s.backoff.RecordSuccess(host, now)
 }
 
-// dueForRetry returns the daemons to ask again now, and forgets those that are not to be asked at all.
+// dueForRetry returns the silent daemons to call again now, and drops those that are no candidates.
 func (s *silentHosts) dueForRetry(candidates []string, now time.Time) []string {
 	maps.DeleteFunc(s.hosts, func(host string, _ bool) bool { return !slices.Contains(candidates, host) })
 	avoided := s.backoff.Avoided(now)
@@ -55,8 +55,7 @@
 	return due
 }
 
-// probeSilent asks daemons that did not answer, and come before the one that is asked in their
-// place, whether they do now.
+// probeSilent calls the silent candidates that are due again, to find out whether they answer now.
 func (s *Service) probeSilent(ctx context.Context) {
 	s.mu.Lock()
 	now := time.Now()
