--- a/internal/core/booking/types.go
+++ b/internal/core/booking/types.go
@@ -105,7 +105,7 @@
 
 // OpenAttempt is a booked attempt, as a daemon reports it to a new keeper of the book.
 type OpenAttempt struct {
-	Ask      Request
+	Ask      Request // the attempt
 	Plan     Plan
 	Age      time.Duration // since it was booked
 	HasFirst bool          // its first event has come
--- a/internal/core/reach/reach.go
+++ b/internal/core/reach/reach.go
@@ -88,8 +88,8 @@
 	return due
 }
 
-// minTried is the least number of connections tried, all of them in vain, by which a probe
-// finds a cut: one upstream may be dead.
+// minTried is the number of failed connections from which a probe finds a cut: one upstream may
+// be dead.
 const minTried = 2
 
 // EndProbe takes in the result of a probe. A probe with too few connections changes nothing, for
--- a/internal/schedule/growth_test.go
+++ b/internal/schedule/growth_test.go
@@ -62,12 +62,12 @@
 	a.silent.backoff.ClearFailures("k", time.Time{}) // as if its retry delay had passed
 	g.place(t, "a", "3")
 	if a.keeper != "next" {
-		t.Fatalf("a request asked %q", a.keeper)
+		t.Fatalf("a request used %q", a.keeper)
 	}
 	g.setCut("k", false)
 	g.place(t, "a", "4")
 	if a.keeper != "next" {
-		t.Fatalf("a request asked %q before it was known to answer", a.keeper)
+		t.Fatalf("a request used %q before it was known to answer", a.keeper)
 	}
 	a.probeSilent(t.Context())
 	for end := time.Now().Add(10 * time.Second); a.isSilent("k") && time.Now().Before(end); {
--- a/internal/schedule/messages.go
+++ b/internal/schedule/messages.go
@@ -41,7 +41,7 @@
 // PlaceRequest asks the keeper for a plan. The keeper applies Events first.
 type PlaceRequest struct {
 	From   sender
-	Ask    booking.Request
+	Ask    booking.Request // the attempt to plan
 	Events []Event
 }
 
