--- a/internal/core/booking/load_test.go
+++ b/internal/core/booking/load_test.go
@@ -11,7 +11,7 @@
 // largeSiteFigures are the figures of a site of about two hundred engines.
 var largeSiteFigures = cost.Figures{
 	Slots: 10, Memory: 450_000, Stride: 73, Chunk: 2048, StepMs: 0.925, PerSeqMs: 0.00483,
-	ContextPerK: 0.00254, ReadPerMs: 256, PairsMsPerM: 0.0917, UsualPrompt: 15_000, UsualAnswer: 1700, MaxHelpers: 16,
+	ContextPerK: 0.00254, PrefillTokensPerMs: 256, PairsMsPerM: 0.0917, UsualPrompt: 15_000, UsualAnswer: 1700, MaxHelpers: 16,
 }
 
 // alternatingLoad is a load that changes every ten seconds from many long prompts to many
@@ -63,7 +63,7 @@
 
 func modelLoads() []modelLoad {
 	slow := largeSiteFigures
-	slow.ReadPerMs /= 2
+	slow.PrefillTokensPerMs /= 2
 	slow.PairsMsPerM *= 2
 	return []modelLoad{
 		{"large", 195, largeSiteFigures, alternatingLoad(1), 0},
--- a/internal/core/cost/cost.go
+++ b/internal/core/cost/cost.go
@@ -11,20 +11,20 @@
 
 // Figures are the published performance figures of one engine.
 type Figures struct {
-	Slots       int     // requests that run at once
-	Memory      int64   // tokens
-	Stride      int     // token steps of a pass with decodes, and tokens of an event
-	Chunk       int     // maximum prompt tokens prefilled in one step
-	StepMs      float64 // a token step without load
-	PerSeqMs    float64 // added to a step for each decoding request
-	ContextPerK float64 // ms added to a step per 1,000 context tokens of the decoding requests
-	ReadPerMs   float64 // prompt tokens prefilled in a millisecond
-	PairsMsPerM float64 // ms per million pairs of a prompt token and an earlier one
-	HopMs       float64 // added to a step of a prompt whose memory is spread over engines
-	ReportLag   time.Duration
-	UsualPrompt int // tokens, mean
-	UsualAnswer int // tokens, mean
-	MaxHelpers  int // maximum engines that help one to prefill a prompt; zero: none
+	Slots              int     // requests that run at once
+	Memory             int64   // tokens
+	Stride             int     // token steps of a pass with decodes, and tokens of an event
+	Chunk              int     // maximum prompt tokens prefilled in one step
+	StepMs             float64 // a token step without load
+	PerSeqMs           float64 // added to a step for each decoding request
+	ContextPerK        float64 // ms added to a step per 1,000 context tokens of the decoding requests
+	PrefillTokensPerMs float64 // prompt tokens prefilled in a millisecond
+	PairsMsPerM        float64 // ms per million pairs of a prompt token and an earlier one
+	HopMs              float64 // added to a step of a prompt whose memory is spread over engines
+	ReportLag          time.Duration
+	UsualPrompt        int // tokens, mean
+	UsualAnswer        int // tokens, mean
+	MaxHelpers         int // maximum engines that help one to prefill a prompt; zero: none
 }
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
@@ -35,8 +35,8 @@
 	n := float64(tokens)
 	pairs := n * n / 2 / 1e6
 	prefill := 0.0 // if the rate is not published
-	if f.ReadPerMs > 0 {
-		prefill = n / f.ReadPerMs
+	if f.PrefillTokensPerMs > 0 {
+		prefill = n / f.PrefillTokensPerMs
 	}
 	return millis(prefill + pairs*f.PairsMsPerM)
 }
