--- a/internal/core/booking/engine.go
+++ b/internal/core/booking/engine.go
@@ -12,123 +12,123 @@
 
 // engine is one engine of the book.
 type engine struct {
-	up      fleet.Upstream
-	figures *cost.Figures
-	order   uint64 // fixed and the same on all daemons: the order of packing
+	up       fleet.Upstream
+	figures  *cost.Figures
+	packRank uint64 // packing order, the same on all daemons
 
-	// entries are the attempts that have a part here, in the order of booking.
+	// entries are the attempts with a part here, in the order of booking.
 	entries []*entry
 
-	// steady is the part of the load that changes with the entries only, and reading are
-	// the entries that change it with time; both hold while tallied. To work them out for
-	// each prompt would take the keeper most of a core on a large site.
-	steady  load
-	reading []*entry
-	tight   time.Duration // for which steady was worked out
-	tallied bool
+	// cachedLoad is the part of the load that depends on the entries only, and prefilling are
+	// the entries whose part depends on the time; both are valid while cacheValid. Computing
+	// them for each prompt would take the keeper most of a core on a large site.
+	cachedLoad   load
+	prefilling   []*entry
+	cachedMinGap time.Duration // MinGap for which cachedLoad was computed
+	cacheValid   bool
 }
 
-// changed says that the entries or the figures have changed.
-func (e *engine) changed() { e.tallied = false }
+// invalidate drops the cached load after a change of the entries or the figures.
+func (e *engine) invalidate() { e.cacheValid = false }
 
 func newEngine(u fleet.Upstream, f *cost.Figures) *engine {
-	return &engine{up: u, figures: f, order: xxhash.Sum64String(u.ID)}
+	return &engine{up: u, figures: f, packRank: xxhash.Sum64String(u.ID)}
 }
 
 // entry is one booked attempt.
 //
-// Invariant: it stands in entries of each of its engines and in the book's table,
-// or in neither.
+// Invariant: it is in entries of each of its engines and in entries of the book, or in
+// neither.
 type entry struct {
-	ask     Request
-	plan    Plan
-	engines []*engine // of the plan's parts, those that are known
-	until   time.Time // when it has ended in any case
-	begin   time.Time // of reading, as booked
-	end     time.Time // of reading, as booked
-	first   bool      // its first event has come, so its prompt is read
-	long    bool      // longer than what disturbs nobody
+	req          Request
+	plan         Plan
+	engines      []*engine // the known engines of the plan's parts
+	expires      time.Time // when it is dropped even if its end was not reported
+	prefillStart time.Time // as booked
+	prefillEnd   time.Time // as booked
+	hasFirst     bool      // its first event has come, so its prefill is done
+	long         bool      // in several parts, or longer than maxShortPrefill
 }
 
-// overdueShare is how much longer than so far a part that is overdue is expected
-// to take, as a share of its time so far. It only has to grow with the delay.
+// overdueShare is the expected remaining time of a part that is overdue, as a share of
+// its time so far. It only has to grow with the delay.
 const overdueShare = 0.25
 
-// readEnd returns when the attempt's part will have been read.
-func (e *entry) readEnd(now time.Time) time.Time {
-	if e.first {
+// expectedPrefillEnd returns when the prefill of the attempt's parts is expected to end.
+func (e *entry) expectedPrefillEnd(now time.Time) time.Time {
+	if e.hasFirst {
 		return now
 	}
-	if e.end.After(now) {
-		return e.end
+	if e.prefillEnd.After(now) {
+		return e.prefillEnd
 	}
-	return now.Add(time.Duration(overdueShare * float64(now.Sub(e.begin))))
+	return now.Add(time.Duration(overdueShare * float64(now.Sub(e.prefillStart))))
 }
 
-// writes reports whether the attempt writes on an engine, or will, in place of
-// only helping there.
-func (e *entry) writes(on *engine) bool { return e.plan.Parts[0].Upstream == on.up.ID }
+// decodesOn reports whether the attempt decodes on an engine, or will, rather than only
+// prefilling a part there.
+func (e *entry) decodesOn(on *engine) bool { return e.plan.Parts[0].Upstream == on.up.ID }
 
-// valueGrowth is the exponent with which the worth of an answer in time grows with its
-// prompt: callers rate a long prompt higher than a short one, and less than in proportion.
-const valueGrowth = 0.7
+// valueExponent is the exponent with which the value of an answer in time grows with its
+// prompt: callers rate a long prompt higher than a short one, but less than in proportion.
+const valueExponent = 0.7
 
-// lateShare is the part of an answer's worth that is lost when it is late.
-const lateShare = 0.75
+// lateLossShare is the share of an answer's value that is lost when it is late.
+const lateLossShare = 0.75
 
-// value returns the worth of an answer in time, 1 for a prompt of a thousand tokens.
+// value returns the value of an answer in time, 1 for a prompt of up to a thousand tokens.
 func (a *Request) value() float64 {
-	return math.Pow(max(float64(a.Prompt)/1000, 1), valueGrowth)
+	return math.Pow(max(float64(a.Prompt)/1000, 1), valueExponent)
 }
 
-// writer is one request that writes on an engine, or will.
-type writer struct {
-	bears time.Duration // the longest part that does not make it late
-	stays time.Duration // the longest part that it waits for before it moves or is left
-	value float64
+// decodeRequest is one request that decodes on an engine, or will.
+type decodeRequest struct {
+	maxPause time.Duration // the longest prefill that does not make it late
+	maxStall time.Duration // the longest prefill after which it is neither moved nor abandoned
+	value    float64
 }
 
-// Waits of a writer for its next event, in its gap objective and at the least: those
-// after which a stream is moved to another engine, where its prompt is read anew.
+// A stream that waits longer for its next event than stallGaps times its gap objective, and
+// than minStall, is moved to another engine, where its prompt is prefilled again.
 const (
-	staysGaps  = 4
-	staysLeast = 1500 * time.Millisecond
+	stallGaps = 4
+	minStall  = 1500 * time.Millisecond
 )
 
-// stallCost is the worth that a writer's place earns in a second: a short prompt's
-// answer holds one for about two.
-const stallCost = 1.5
+// slotValue is the value that a slot earns in a second: the answer to a short prompt takes a
+// slot for about two seconds.
+const slotValue = 1.5
 
 // load is the state of an engine at one moment.
 type load struct {
-	engine  *engine
-	turn    time.Duration // until a request may be sent here
-	free    time.Time     // when it may be sent to and all long parts booked here are read
-	current time.Duration // left of the long part that is being read
-	coming  time.Duration // the longest long part that is booked and not begun
-	unread  time.Duration // reading time of short prompts not yet read
-	writers []writer
-	tight   int   // of the writers, those that bear the shortest pauses
-	long    int   // of the writers, those with a long prompt
-	helping int   // parts of others that are read or held here
-	context int64 // tokens of the writers
-	memory  int64 // tokens held or booked
+	engine        *engine
+	turnWait      time.Duration // until a request may be sent here
+	freeAt        time.Time     // when it may be sent to and all long parts booked here are prefilled
+	runningLong   time.Duration // left of the long part that is being prefilled
+	bookedLong    time.Duration // the longest long part that is booked and not started
+	shortPrefill  time.Duration // prefill time of the short prompts without a first event
+	decodes       []decodeRequest
+	minGapDecodes int   // number of decodes with the shortest gap objectives
+	longDecodes   int   // number of decodes with a long prompt
+	helperParts   int   // number of parts of prompts that decode elsewhere
+	context       int64 // tokens of the decodes
+	memory        int64 // tokens held or booked
 }
 
-// anyPause is what a writer bears that has no objective for pauses.
-const anyPause = time.Hour
+// unlimitedPause is the pause that a decode without a gap objective tolerates.
+const unlimitedPause = time.Hour
 
-func (e *entry) writer() writer {
-	gap := e.ask.Gap
+func (e *entry) decode() decodeRequest {
+	gap := e.req.Gap
 	if gap <= 0 {
-		gap = anyPause
+		gap = unlimitedPause
 	}
-	return writer{bears: gap, stays: max(staysGaps*gap, staysLeast), value: e.ask.value()}
+	return decodeRequest{maxPause: gap, maxStall: max(stallGaps*gap, minStall), value: e.req.value()}
 }
 
-// unknownSlots is assumed where neither the service nor the upstream says how many
-// requests run at once: few enough for any engine that batches.
-const unknownSlots = 8
+// defaultSlots is assumed if neither the service nor the upstream says how many requests run
+// at once: few enough for any engine that batches.
+const defaultSlots = 8
 
 // slots returns how many requests run at once.
 func (e *engine) slots() int {
@@ -138,105 +138,105 @@
 	case e.up.Slots > 0:
 		return e.up.Slots
 	}
-	return unknownSlots
+	return defaultSlots
 }
 
-// look works out the load. tight is the shortest gap objective of the service. The
-// writers are shared by all loads of the engine and must not be changed.
-func (e *engine) look(now time.Time, tight time.Duration) load {
-	if !e.tallied || e.tight != tight {
-		e.tally(tight)
+// loadAt returns the load at a time. minGap is the shortest gap objective of the service. The
+// decodes are shared by all loads of the engine and must not be changed.
+func (e *engine) loadAt(now time.Time, minGap time.Duration) load {
+	if !e.cacheValid || e.cachedMinGap != minGap {
+		e.recomputeCache(minGap)
 	}
-	l := e.steady
-	l.free = now
-	for _, x := range e.reading {
-		e.addReading(&l, x, now)
+	l := e.cachedLoad
+	l.freeAt = now
+	for _, x := range e.prefilling {
+		e.addPrefill(&l, x, now)
 	}
 	return l
 }
 
-// await has nothing sent before a turn.
-func (l *load) await(turn, now time.Time) {
-	l.turn = turn.Sub(now)
-	if turn.After(l.free) {
-		l.free = turn
+// delayUntil records that nothing may be sent to the engine before a turn.
+func (l *load) delayUntil(turn, now time.Time) {
+	l.turnWait = turn.Sub(now)
+	if turn.After(l.freeAt) {
+		l.freeAt = turn
 	}
 }
 
-// tally works out steady and reading.
-func (e *engine) tally(tight time.Duration) {
-	e.steady, e.reading = load{engine: e}, e.reading[:0]
-	e.tight, e.tallied = tight, true
-	l := &e.steady
+// recomputeCache computes cachedLoad and prefilling.
+func (e *engine) recomputeCache(minGap time.Duration) {
+	e.cachedLoad, e.prefilling = load{engine: e}, e.prefilling[:0]
+	e.cachedMinGap, e.cacheValid = minGap, true
+	l := &e.cachedLoad
 	for _, x := range e.entries {
-		e.add(l, x, tight)
-		if !x.first {
-			e.reading = append(e.reading, x)
+		e.addEntry(l, x, minGap)
+		if !x.hasFirst {
+			e.prefilling = append(e.prefilling, x)
 		}
 	}
-	pass := l.pass()
-	for i := range l.writers {
-		l.writers[i].bears -= pass + pauseMargin
+	pass := l.passTime()
+	for i := range l.decodes {
+		l.decodes[i].maxPause -= pass + pauseMargin
 	}
 }
 
-func (e *engine) add(l *load, x *entry, tight time.Duration) {
+func (e *engine) addEntry(l *load, x *entry, minGap time.Duration) {
 	l.memory += x.memoryOn(e)
-	if !x.writes(e) {
-		l.helping++
+	if !x.decodesOn(e) {
+		l.helperParts++
 		return
 	}
-	l.context += x.ask.need()
+	l.context += x.req.need()
 	if x.long {
-		l.long++
+		l.longDecodes++
 	}
-	l.writers = append(l.writers, x.writer())
-	if x.ask.Gap > 0 && x.ask.Gap <= tight {
-		l.tight++
+	l.decodes = append(l.decodes, x.decode())
+	if x.req.Gap > 0 && x.req.Gap <= minGap {
+		l.minGapDecodes++
 	}
 }
 
-func (e *engine) addReading(l *load, x *entry, now time.Time) {
+func (e *engine) addPrefill(l *load, x *entry, now time.Time) {
 	if !x.long {
-		l.unread += e.figures.PrefillTime(x.ask.Prompt)
+		l.shortPrefill += e.figures.PrefillTime(x.req.Prompt)
 		return
 	}
-	end := x.readEnd(now)
-	if end.After(l.free) {
-		l.free = end
+	end := x.expectedPrefillEnd(now)
+	if end.After(l.freeAt) {
+		l.freeAt = end
 	}
-	if x.begin.After(now) {
-		l.coming = max(l.coming, x.plan.Read)
+	if x.prefillStart.After(now) {
+		l.bookedLong = max(l.bookedLong, x.plan.Read)
 		return
 	}
-	l.current = max(l.current, end.Sub(now))
+	l.runningLong = max(l.runningLong, end.Sub(now))
 }
 
-// pass returns the time of a pass with the present writers.
-func (l *load) pass() time.Duration {
+// passTime returns the time of a pass with the present decodes.
+func (l *load) passTime() time.Duration {
 	f := l.engine.figures
-	return time.Duration(f.Stride) * f.StepTime(len(l.writers), l.context)
+	return time.Duration(f.Stride) * f.StepTime(len(l.decodes), l.context)
 }
 
-// harm returns the worth that is lost on the engine when a part of the length is
-// read there: that of the writers who do not bear it, and of their places meanwhile.
-func (l *load) harm(part time.Duration) float64 {
-	sum := stallCost * part.Seconds() * float64(len(l.writers))
-	for _, w := range l.writers {
-		if part > w.bears {
-			sum += lateShare * w.value
+// delayCost returns the value that is lost on the engine by a prefill of the length: that of
+// the decodes that do not tolerate it, and of their slots meanwhile.
+func (l *load) delayCost(part time.Duration) float64 {
+	sum := slotValue * part.Seconds() * float64(len(l.decodes))
+	for _, w := range l.decodes {
+		if part > w.maxPause {
+			sum += lateLossShare * w.value
 		}
-		if part > w.stays {
+		if part > w.maxStall {
 			sum += w.value
 		}
 	}
 	return sum
 }
 
-// bearsAll reports whether no writer is made late by a part of the length.
-func (l *load) bearsAll(part time.Duration) bool {
-	for _, w := range l.writers {
-		if part > w.bears {
+// toleratesPause reports whether a pause of the length makes no decode late.
+func (l *load) toleratesPause(part time.Duration) bool {
+	for _, w := range l.decodes {
+		if part > w.maxPause {
 			return false
 		}
 	}
@@ -252,8 +252,8 @@
 		}
 		reserved += p.Reserve
 	}
-	if e.writes(on) && own == 0 {
-		return max(e.ask.need()-reserved, 0)
+	if e.decodesOn(on) && own == 0 {
+		return max(e.req.need()-reserved, 0)
 	}
 	return own
 }
--- a/internal/core/booking/model_result_test.go
+++ b/internal/core/booking/model_result_test.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// tally is what some calls earned.
-type tally struct {
+// outcomes counts how some calls ended, and the value that they earned.
+type outcomes struct {
 	n, inTime, late, refused, lost int
 	owed, earned                   float64
 }
 
-func (t *tally) add(c *call) {
+func (t *outcomes) add(c *call) {
 	t.n++
-	t.owed += c.worth * c.kind.worth
+	t.owed += c.weight * c.kind.value
 	switch {
 	case c.refused:
 		t.refused++
@@ -21,24 +21,24 @@
 		t.lost++
 	case c.first-c.arrived <= c.kind.objective && c.pause <= c.kind.gap:
 		t.inTime++
-		t.earned += c.worth * c.kind.worth
+		t.earned += c.weight * c.kind.value
 	default:
 		t.late++
-		t.earned += c.worth * c.kind.late
+		t.earned += c.weight * c.kind.lateValue
 	}
 }
 
-func (t *tally) share() float64 { return t.earned / math.Max(t.owed, 1e-9) }
+func (t *outcomes) share() float64 { return t.earned / math.Max(t.owed, 1e-9) }
 
-// result tells how a played load was served.
+// result says how a load was served.
 type result struct {
-	all, largest tally // largest: the longest tenth of the longest kind
-	kinds        []tally
-	paused       int // in time by their first event, late by a pause
+	all, largest outcomes // largest: the tenth of the longest kind with the longest prompts
+	kinds        []outcomes
+	paused       int // first event in time, but a later pause too long
 }
 
 func (m *model) result() result {
-	r := result{kinds: make([]tally, len(kinds))}
+	r := result{kinds: make([]outcomes, len(kinds))}
 	longest := &kinds[len(kinds)-1]
 	var prompts []int
 	for _, c := range m.all {
--- a/internal/schedule/limits.go
+++ b/internal/schedule/limits.go
@@ -8,57 +8,57 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/pace"
 )
 
-// A limit binds all daemons together, that of a cold upstream too, so the keeper gives the
-// turns: with its plans for engines, by Admit for others. A daemon without a keeper sends
-// nothing to an upstream with a limit, for it does not know what others send.
+// A limit, that of a cold upstream too, applies to all daemons together, so the keeper gives out
+// the turns: with its plans for engines, by Admit for other upstreams. A daemon without a keeper
+// sends nothing to an upstream with a limit, for it does not know what others send.
 
-// ReportLimit tells the keeper what this daemon has heard of an upstream's limit.
+// ReportLimit reports to the keeper an upstream's limit that was reported to this daemon.
 func (s *Service) ReportLimit(l notice.Limit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.book.Pacer().SetLimit(l, now)
-	told := limitAt(l, now)
-	s.tell(Event{Limit: &told})
+	report := limitMessage(l, now)
+	s.enqueue(Event{Limit: &report})
 }
 
-func limitAt(l notice.Limit, now time.Time) Limit {
+func limitMessage(l notice.Limit, now time.Time) Limit {
 	return Limit{Upstream: l.Upstream, Limited: l.Limited, PerSecond: l.PerSecond, Age: now.Sub(l.At)}
 }
 
-// limitsNow returns all limits that this daemon has heard.
-func (s *Service) limitsNow(now time.Time) []Limit {
+// limitMessages returns all limits that were reported to this daemon, as messages.
+func (s *Service) limitMessages(now time.Time) []Limit {
 	if s.opts.Limits == nil {
 		return nil
 	}
 	var all []Limit
 	for _, l := range s.opts.Limits() {
-		all = append(all, limitAt(l, now))
+		all = append(all, limitMessage(l, now))
 	}
 	return all
 }
 
-// hearLimit takes in what another daemon has heard of a limit. The caller holds the lock.
-func (s *Service) hearLimit(l *Limit, now time.Time) {
+// recordLimit takes in a limit that another daemon reports. The caller holds the lock.
+func (s *Service) recordLimit(l *Limit, now time.Time) {
 	s.book.Pacer().SetLimit(notice.Limit{Upstream: l.Upstream, Limited: l.Limited, PerSecond: l.PerSecond, At: now.Add(-l.Age)}, now)
 }
 
-// ReportCold tells the keeper that an upstream has said it is cold.
+// ReportCold reports to the keeper that an upstream is cold by its own notice.
 func (s *Service) ReportCold(c pace.ColdLimit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.book.Pacer().SetCold(c, now)
-	s.tell(Event{Cold: coldAt(c, now)})
+	s.enqueue(Event{Cold: coldMessage(c, now)})
 }
 
-func coldAt(c pace.ColdLimit, now time.Time) *Cold {
+func coldMessage(c pace.ColdLimit, now time.Time) *Cold {
 	return &Cold{Upstream: c.Upstream, PerSecond: c.PerSecond, Left: c.Until.Sub(now)}
 }
 
-// hearCold takes in what another daemon knows of a cold upstream: of two words on how long it
-// stays so, the longer one holds. The caller holds the lock.
-func (s *Service) hearCold(c *Cold, now time.Time) {
+// recordCold takes in that an upstream is cold by another daemon's report: of two reports the one
+// that ends later holds. The caller holds the lock.
+func (s *Service) recordCold(c *Cold, now time.Time) {
 	until := now.Add(c.Left)
 	if known, ok := s.book.Pacer().ColdLimit(c.Upstream, now); ok && known.Until.After(until) {
 		return
@@ -66,35 +66,35 @@
 	s.book.Pacer().SetCold(pace.ColdLimit{Upstream: c.Upstream, PerSecond: c.PerSecond, Until: until}, now)
 }
 
-// noTurn is when to ask again for a turn that nobody gives.
-const noTurn = 200 * time.Millisecond
+// noTurnDelay is the wait that Admit returns when no keeper gives out turns.
+const noTurnDelay = 200 * time.Millisecond
 
-// Admit takes a turn at an upstream with a limit, or a cold one, if it comes within a time, and
-// returns the wait for it.
+// Admit takes a turn at an upstream with a limit, or a cold one, if the wait for it is at most
+// within, and returns the wait; ok is false when it has no turn.
 func (s *Service) Admit(ctx context.Context, l notice.Limit, within time.Duration) (wait time.Duration, ok bool) {
 	s.mu.Lock()
 	now := time.Now()
-	keeper, remote := s.choose(now)
+	keeper, remote := s.chooseKeeper(now)
 	if !remote {
 		defer s.mu.Unlock()
-		if s.alone {
-			return noTurn, false
+		if s.uncoordinated {
+			return noTurnDelay, false
 		}
 		s.book.Pacer().SetLimit(l, now)
 		return s.book.Pacer().Admit(l.Upstream, within, now)
 	}
-	req := &AdmitRequest{From: s.self(), Limit: limitAt(l, now), Within: within}
+	req := &AdmitRequest{From: s.self(), Limit: limitMessage(l, now), Within: within}
 	if c, cold := s.book.Pacer().ColdLimit(l.Upstream, now); cold {
-		req.Cold = coldAt(c, now)
+		req.Cold = coldMessage(c, now)
 	}
 	s.mu.Unlock()
 	var reply AdmitReply
-	err := s.call(ctx, keeper, "Admit", placeWait, req, &reply)
+	err := s.call(ctx, keeper, "Admit", placeTimeout, req, &reply)
 	if err == nil {
 		return reply.Wait, reply.OK
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lost(ctx, keeper, err, time.Now())
-	return noTurn, false
+	s.recordNoAnswer(ctx, keeper, err, time.Now())
+	return noTurnDelay, false
 }
--- a/internal/schedule/rpc.go
+++ b/internal/schedule/rpc.go
@@ -14,58 +14,59 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	reply.Unknown = !s.hear(req.From, now)
+	reply.Unknown = !s.recordSender(req.From, now)
 	s.applyEvents(req.Events, now)
 	reply.Plan = s.book.Place(req.Ask, now)
-	s.displaceAt(req.Ask.ID, reply.Plan)
+	s.scheduleDisplace(req.Ask.ID, reply.Plan)
 	return nil
 }
 
-// Notify takes in news of another daemon.
+// Notify applies the events of another daemon.
 func (r *RPC) Notify(req *NotifyRequest, reply *NotifyReply) error {
 	s := r.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	reply.Unknown = !s.hear(req.From, now)
+	reply.Unknown = !s.recordSender(req.From, now)
 	s.applyEvents(req.Events, now)
 	return nil
 }
 
-// Restore takes in all open attempts of another daemon.
+// Restore replaces the open attempts of another daemon in the book, and takes in the limits that
+// were reported to it.
 func (r *RPC) Restore(req *RestoreRequest, reply *RestoreReply) error {
 	s := r.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.heard[req.From.Host] = life{incarnation: req.From.Incarnation, at: now, told: true}
+	s.clients[req.From.Host] = client{incarnation: req.From.Incarnation, lastMessage: now, restored: true}
 	s.book.Restore(req.From.Host, req.Open, now)
 	for i := range req.Limits {
-		s.hearLimit(&req.Limits[i], now)
+		s.recordLimit(&req.Limits[i], now)
 	}
 	reply.Taken = len(req.Open)
 	return nil
 }
 
-// hear notes a message. It returns false for a daemon that has not told its open
-// attempts in this life. The caller holds the lock.
-func (s *Service) hear(from sender, now time.Time) bool {
-	l, known := s.heard[from.Host]
-	if known && l.incarnation != from.Incarnation {
+// recordSender records a message of another daemon. It returns false if the daemon has not
+// sent its open attempts in this incarnation. The caller holds the lock.
+func (s *Service) recordSender(from sender, now time.Time) bool {
+	c, known := s.clients[from.Host]
+	if known && c.incarnation != from.Incarnation {
 		s.book.DropHost(from.Host)
-		l = life{}
+		c = client{}
 	}
-	s.heard[from.Host] = life{incarnation: from.Incarnation, at: now, told: l.told}
-	return l.told
+	s.clients[from.Host] = client{incarnation: from.Incarnation, lastMessage: now, restored: c.restored}
+	return c.restored
 }
 
 func (s *Service) applyEvents(events []Event, now time.Time) {
 	for _, e := range events {
 		switch {
 		case e.Limit != nil:
-			s.hearLimit(e.Limit, now)
+			s.recordLimit(e.Limit, now)
 		case e.Cold != nil:
-			s.hearCold(e.Cold, now)
+			s.recordCold(e.Cold, now)
 		case e.Ended:
 			s.book.End(e.Attempt)
 		default:
@@ -74,22 +75,22 @@
 	}
 }
 
-// Admit gives another daemon a turn at an upstream with a limit.
+// Admit gives another daemon a turn at an upstream with a limit, or a cold one.
 func (r *RPC) Admit(req *AdmitRequest, reply *AdmitReply) error {
 	s := r.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.hear(req.From, now)
-	s.hearLimit(&req.Limit, now)
+	s.recordSender(req.From, now)
+	s.recordLimit(&req.Limit, now)
 	if req.Cold != nil {
-		s.hearCold(req.Cold, now)
+		s.recordCold(req.Cold, now)
 	}
 	reply.Wait, reply.OK = s.book.Pacer().Admit(req.Limit.Upstream, req.Within, now)
 	return nil
 }
 
-// Move moves attempts of this daemon.
+// Move moves attempts of this daemon to other engines.
 func (r *RPC) Move(req *MoveRequest, reply *MoveReply) error {
 	reply.Moved = r.s.move(req.Attempts)
 	return nil
