--- a/internal/claims/answers.go
+++ b/internal/claims/answers.go
@@ -18,33 +18,33 @@
 )
 
 const (
-	chunkBytes = 256 << 10
-	// unreachableRetry is when a caller may ask again for an outcome whose
-	// holder is away.
+	chunkBytes = 256 << 10 // of an answer in one Chunk
+	// unreachableRetry is the Retry-After of a repeat whose holder cannot be
+	// reached.
 	unreachableRetry = 10 * time.Second
 )
 
 // AnswerOptions bound what a holder keeps for repeats of its keys.
 type AnswerOptions struct {
-	Bytes    int           // of all answers together. Default 32 MiB
-	OneBytes int           // of one answer. Default 4 MiB
-	Age      time.Duration // of an ended answer's bytes. Default the replay's window
-	Records  int           // of keys whose outcome is known. Default 50,000
+	Bytes    int           // stored for all answers together. Default 32 MiB
+	OneBytes int           // stored for one answer. Default 4 MiB
+	Age      time.Duration // an ended answer's bytes are kept this long. Default the replay's window
+	Records  int           // ended runs whose outcome is kept. Default 50,000
 }
 
-// AnswerState says how the run of a key stands.
+// AnswerState is the state of the run of a key and of its stored answer.
 type AnswerState uint8
 
 // States of an answer. All but AnswerRunning are final.
 const (
-	AnswerMissing     AnswerState = iota // the holder does not know of the run
-	AnswerRunning                        // claimed or dispatched
-	AnswerComplete                       // the whole answer is here
-	AnswerFailed                         // it may have run and gave no whole answer
-	AnswerUnknown                        // dispatched, and its end was lost
-	AnswerReleased                       // never dispatched: ask again
+	AnswerMissing     AnswerState = iota // the holder has no record of the run
+	AnswerRunning                        // claimed or dispatched, not ended
+	AnswerComplete                       // ended with a whole answer, which is kept
+	AnswerFailed                         // may have run, ended without a whole answer
+	AnswerUnknown                        // dispatched, the end was not seen
+	AnswerReleased                       // never dispatched: the key can be claimed again
 	AnswerDropped                        // completed, answer no longer kept
-	AnswerUnreachable                    // the holder's host cannot be asked
+	AnswerUnreachable                    // the holder's host cannot be reached
 )
 
 var answerStateNames = [...]string{
@@ -68,8 +68,8 @@
 	Size    int // bytes of the whole answer; set by Finish
 }
 
-// Refusal returns what to tell a caller whose repeat met this ending, nil for a
-// whole answer.
+// Refusal returns the refusal for a caller whose repeat found a run that ended
+// this way, nil for a whole answer.
 func (e Ending) Refusal() *request.Refusal {
 	r := &request.Refusal{Outcome: request.Unknown, Code: request.CodeOutcomeLost, Message: e.Message}
 	switch e.State {
@@ -83,10 +83,10 @@
 		r.Outcome, r.Code = request.Complete, request.CodeAnswerDropped
 		r.Message = "completed, answer no longer kept"
 	case AnswerReleased:
-		return request.Refuse(request.CodeKeyUnavailable, awayRetry, "not run; the key is free again")
+		return request.Refuse(request.CodeKeyUnavailable, logRetry, "not run; the key is free again")
 	default:
 		r.RetryAfter = unreachableRetry
-		r.Message = "the host that may have run the request cannot be asked"
+		r.Message = "the host that may have run the request cannot be reached"
 	}
 	if r.Code == "" {
 		r.Code = request.CodeOutcomeLost
@@ -96,24 +96,25 @@
 
 // Chunk is a piece of an answer.
 type Chunk struct {
-	State  AnswerState // AnswerRunning: more may come
+	State  AnswerState // AnswerRunning: more may follow
 	Data   []byte
 	Ending Ending // when State is final
 }
 
+// answerKey identifies one run by its key and the log offset of its claim.
 type answerKey struct {
 	customer, key string
 	offset        int64
 }
 
-// kept is one run's answer. A dropped one has lost its bytes but not its end.
-type kept struct {
+// storedAnswer is one run's answer. A dropped one keeps its ending, not its bytes.
+type storedAnswer struct {
 	key     answerKey
 	data    []byte
-	size    int
+	size    int // bytes written, dropped ones included
 	dropped bool
 	ending  Ending
-	ended   time.Time
+	endedAt time.Time
 	changed chan struct{} // closed and replaced at each change
 }
 
@@ -122,11 +123,11 @@
 	o   AnswerOptions
 	now func() time.Time
 
-	mu    sync.Mutex
-	bytes int
-	runs  map[answerKey]*kept
-	ended *list.List // of *kept, oldest end first
-	asked map[scopedKey]*asked
+	mu        sync.Mutex
+	bytes     int // stored in all answers
+	runs      map[answerKey]*storedAnswer
+	ended     *list.List // of *storedAnswer, oldest end first
+	undecided map[scopedKey]*undecidedClaims
 }
 
 // scopedKey is an idempotency key of a customer.
@@ -134,25 +135,25 @@
 	customer, key string
 }
 
-// asked counts this host's claims of a key whose verdict is on its way.
-type asked struct {
-	claims int
-	fewer  chan struct{} // closed and replaced when claims falls
+// undecidedClaims counts this host's claims of a key that still wait for a verdict.
+type undecidedClaims struct {
+	count     int
+	decreased chan struct{} // closed and replaced when count falls
 }
 
-// NewAnswers returns an empty Answers for a use beside the claims. The window is
+// NewAnswers returns an empty Answers for a use other than claims. The window is
 // the default of Age.
 func NewAnswers(o AnswerOptions, window time.Duration, now func() time.Time) *Answers {
 	return newAnswers(o, window, now)
 }
 
-// Begin starts the answer of one run. Its name must be unique to it.
+// Begin starts the answer of one run, which the customer, key and offset identify.
 func (a *Answers) Begin(customer, key string, offset int64) *Recording {
 	return a.begin(answerKey{customer, key, offset})
 }
 
-// Read returns what is there of a run's answer beyond from bytes; it waits for
-// more of a run that goes on until the context ends.
+// Read returns the next piece of a run's answer, starting at byte from. While the
+// run goes on it waits for more bytes until the context ends.
 func (a *Answers) Read(ctx context.Context, customer, key string, offset int64, from int) Chunk {
 	return a.read(ctx, answerKey{customer, key, offset}, from)
 }
@@ -168,51 +169,53 @@
 		o.Records = DefaultAnswerRecords
 	}
 	option.Default(&o.Age, window)
-	return &Answers{o: o, now: now, runs: map[answerKey]*kept{}, ended: list.New(), asked: map[scopedKey]*asked{}}
+	return &Answers{o: o, now: now, runs: map[answerKey]*storedAnswer{}, ended: list.New(), undecided: map[scopedKey]*undecidedClaims{}}
 }
 
-// expect has reads of a run that is not known wait until done is called: another
-// host may have read a claim as the holder's before the holder itself did.
-func (a *Answers) expect(customer, key string) (done func()) {
+// expectVerdict makes reads of an unknown run of the key wait until done is
+// called: another host may read from the log that this host holds the key before
+// this host does.
+func (a *Answers) expectVerdict(customer, key string) (done func()) {
 	k := scopedKey{customer, key}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	x := a.asked[k]
+	x := a.undecided[k]
 	if x == nil {
-		x = &asked{fewer: make(chan struct{})}
-		a.asked[k] = x
+		x = &undecidedClaims{decreased: make(chan struct{})}
+		a.undecided[k] = x
 	}
-	x.claims++
-	return func() { a.verdictCame(k, x) }
+	x.count++
+	return func() { a.removeUndecided(k, x) }
 }
 
-func (a *Answers) verdictCame(k scopedKey, x *asked) {
+// removeUndecided ends the wait of one claim of a key and wakes the readers.
+func (a *Answers) removeUndecided(k scopedKey, x *undecidedClaims) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	x.claims--
-	if x.claims == 0 {
-		delete(a.asked, k)
+	x.count--
+	if x.count == 0 {
+		delete(a.undecided, k)
 	}
-	close(x.fewer)
-	x.fewer = make(chan struct{})
+	close(x.decreased)
+	x.decreased = make(chan struct{})
 }
 
-// Recording takes the answer of one run as it comes.
+// Recording stores the answer of one run as it is written.
 type Recording struct {
 	a *Answers
-	k *kept
+	k *storedAnswer
 }
 
 func (a *Answers) begin(key answerKey) *Recording {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	k := &kept{key: key, ending: Ending{State: AnswerRunning}, changed: make(chan struct{})}
+	k := &storedAnswer{key: key, ending: Ending{State: AnswerRunning}, changed: make(chan struct{})}
 	a.runs[key] = k
 	return &Recording{a: a, k: k}
 }
 
-// Write adds bytes to the answer. It never fails: what does not fit the bounds
-// is not kept, and repeats of the key are told so.
+// Write adds bytes to the answer. It never fails: an answer that exceeds the bounds
+// is dropped, and repeats of the key get AnswerDropped.
 func (r *Recording) Write(p []byte) (int, error) {
 	a, k := r.a, r.k
 	a.mu.Lock()
@@ -227,13 +230,13 @@
 	if !k.dropped {
 		k.data = append(k.data, p...)
 		a.bytes += len(p)
-		a.shrink(k)
+		a.evict(k)
 	}
 	k.signal()
 	return len(p), nil
 }
 
-// Finish ends the answer. Only the first call counts.
+// Finish ends the answer. Only the first call has an effect.
 func (r *Recording) Finish(e Ending) {
 	a, k := r.a, r.k
 	a.mu.Lock()
@@ -243,29 +246,31 @@
 	}
 	e.Size = k.size
 	k.ending = e
-	k.ended = a.now()
+	k.endedAt = a.now()
 	a.ended.PushBack(k)
 	k.signal()
 	a.expire()
 }
 
-func (k *kept) signal() {
+// signal wakes the readers that wait for a change.
+func (k *storedAnswer) signal() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
-// shrink drops the bytes of the oldest ended answers, and those of the growing
-// one last.
-func (a *Answers) shrink(growing *kept) {
+// evict drops the bytes of ended answers, oldest first, until the total is within
+// bounds; if that is not enough, also those of the growing one.
+func (a *Answers) evict(growing *storedAnswer) {
 	for e := a.ended.Front(); e != nil && a.bytes > a.o.Bytes; e = e.Next() {
-		a.drop(e.Value.(*kept))
+		a.drop(e.Value.(*storedAnswer))
 	}
 	if a.bytes > a.o.Bytes {
 		a.drop(growing)
 	}
 }
 
-func (a *Answers) drop(k *kept) {
+// drop frees an answer's bytes and keeps its ending.
+func (a *Answers) drop(k *storedAnswer) {
 	if k.dropped {
 		return
 	}
@@ -275,20 +280,20 @@
 	answersDropped.Inc()
 }
 
-// sweep drops what has grown too old.
+// sweep expires old bytes and outcomes.
 func (a *Answers) sweep() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.expire()
 }
 
-// expire drops bytes older than Age, and outcomes older than twice that or
-// beyond Records.
+// expire drops the bytes of answers that ended more than Age ago, and removes
+// outcomes older than twice that or in excess of Records.
 func (a *Answers) expire() {
 	now := a.now()
 	for e := a.ended.Front(); e != nil; {
-		k, next := e.Value.(*kept), e.Next()
-		age := now.Sub(k.ended)
+		k, next := e.Value.(*storedAnswer), e.Next()
+		age := now.Sub(k.endedAt)
 		if age <= a.o.Age && a.ended.Len() <= a.o.Records {
 			return
 		}
@@ -301,11 +306,10 @@
 	}
 }
 
-// read returns what is there beyond from bytes, waiting for more of a run that
-// goes on.
+// read implements Read.
 func (a *Answers) read(ctx context.Context, key answerKey, from int) Chunk {
 	for {
-		chunk, changed := a.look(key, from)
+		chunk, changed := a.chunkAt(key, from)
 		if changed == nil {
 			return chunk
 		}
@@ -317,13 +321,14 @@
 	}
 }
 
-// look returns a chunk, and a channel to wait on when there is nothing new.
-func (a *Answers) look(key answerKey, from int) (Chunk, <-chan struct{}) {
+// chunkAt returns the chunk that starts at byte from. If there is nothing new yet,
+// the channel is not nil and is closed at the next change.
+func (a *Answers) chunkAt(key answerKey, from int) (Chunk, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	k := a.runs[key]
-	if x := a.asked[scopedKey{key.customer, key.key}]; k == nil && x != nil {
-		return Chunk{State: AnswerRunning}, x.fewer
+	if x := a.undecided[scopedKey{key.customer, key.key}]; k == nil && x != nil {
+		return Chunk{State: AnswerRunning}, x.decreased
 	}
 	if k == nil || from < 0 {
 		return Chunk{State: AnswerMissing}, nil
--- a/internal/claims/await.go
+++ b/internal/claims/await.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	awaitPoll  = 5 * time.Second // longest wait of one call for more
-	awaitTries = 3               // failed calls in a row before the holder is given up
+	awaitCallWait = 5 * time.Second // longest wait of one call for more of an answer
+	awaitTries    = 3               // failed calls in a row after which the holder counts as unreachable
 )
 
-var errNoAddress = merry.Sentinel("the holder's host is not known")
+var errNoAddress = merry.Sentinel("no address known for the holder's host")
 
-// Await relays the answer of a run that Result.Holder holds, here or at another
-// host, and returns how it ended. The answer is whole only with AnswerComplete;
-// with any other state the bytes written so far are no answer. The error is that
-// of w, or of the context.
+// Await writes to w the answer of the run that Result.Holder stands for, on this
+// host or another, and returns how it ended. The answer is whole only with
+// AnswerComplete; with any other state the bytes written so far must not be taken
+// for an answer. The error is that of w, or of the context.
 func (s *Service) Await(ctx context.Context, r Result, w io.Writer) (Ending, error) {
 	return Relay(ctx, w, func(from int) Chunk { return s.nextChunk(ctx, r, from) })
 }
 
-// Relay writes an answer that comes in chunks and returns how it ended, as Await
-// does. The function next returns what is there beyond from bytes.
+// Relay writes an answer chunk by chunk and returns how it ended, as Await does.
+// The function next returns the chunk that starts at byte from.
 func Relay(ctx context.Context, w io.Writer, next func(from int) Chunk) (Ending, error) {
 	from := 0
 	for {
@@ -50,13 +50,14 @@
 	}
 }
 
-// nextChunk asks the holder, trying again a few times when it cannot be reached.
+// nextChunk reads the next chunk from the holder, with up to awaitTries calls when
+// it cannot be reached.
 func (s *Service) nextChunk(ctx context.Context, r Result, from int) Chunk {
 	if r.Holder.Host == s.o.Host {
 		if r.Holder.Incarnation != s.o.Incarnation {
 			return Chunk{State: AnswerMissing}
 		}
-		return s.readOwn(ctx, answerKey{r.record.Customer, r.record.Key, r.Offset}, r.Holder.ID, from)
+		return s.readLocal(ctx, answerKey{r.record.Customer, r.record.Key, r.Offset}, r.Holder.ID, from)
 	}
 	for range awaitTries {
 		chunk, err := s.callAwait(ctx, r, from)
@@ -70,12 +71,13 @@
 	return Chunk{State: AnswerUnreachable}
 }
 
+// callAwait makes one Await call to the holder's host.
 func (s *Service) callAwait(ctx context.Context, r Result, from int) (Chunk, error) {
 	address, ok := s.peers.Address(r.Holder.Host)
 	if !ok {
-		return Chunk{}, errNoAddress // it may have started a moment ago
+		return Chunk{}, errNoAddress // the host may have just started, so this is retried
 	}
-	ctx, cancel := context.WithTimeout(ctx, awaitPoll+s.o.CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, awaitCallWait+s.o.CallTimeout)
 	defer cancel()
 	args := AwaitArgs{
 		Customer:    r.record.Customer,
@@ -84,7 +86,7 @@
 		ID:          r.Holder.ID,
 		Incarnation: r.Holder.Incarnation,
 		From:        from,
-		Wait:        awaitPoll,
+		Wait:        awaitCallWait,
 	}
 	var chunk Chunk
 	if err := s.peers.Call(ctx, address, ServiceName+".Await", args, &chunk); err != nil {
--- a/internal/claims/batch.go
+++ b/internal/claims/batch.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// appendBatches writes what is queued, one append at a time: soon when the
-// partition was idle, at most once per BatchEvery when it is busy.
+// appendBatches writes the queued records, one append at a time: after IdleWait
+// when the partition was idle, at most once per BatchEvery when it is busy.
 func (c *combiner) appendBatches(ctx context.Context, wake <-chan struct{}) {
 	var last time.Time
 	for {
@@ -16,25 +16,28 @@
 		case <-ctx.Done():
 			return
 		}
-		if !wait.For(ctx, c.pause(last)) {
+		if !wait.For(ctx, c.appendDelay(last)) {
 			return
 		}
 		last = c.o.Now()
-		if batch := c.take(); len(batch) > 0 {
+		if batch := c.nextBatch(); len(batch) > 0 {
 			c.append(ctx, batch)
 		}
 	}
 }
 
-func (c *combiner) pause(last time.Time) time.Duration {
+// appendDelay returns the wait before the next append; last is when the previous
+// one started.
+func (c *combiner) appendDelay(last time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.o.Now()
-	return max(c.o.IdleWait, last.Add(c.o.BatchEvery).Sub(now), c.blocked.Sub(now))
+	return max(c.o.IdleWait, last.Add(c.o.BatchEvery).Sub(now), c.blockedUntil.Sub(now))
 }
 
-// take returns the next batch without what nobody waits for any longer.
-func (c *combiner) take() []*pending {
+// nextBatch takes up to MaxBatch records off the queue, skipping those whose
+// caller no longer waits.
+func (c *combiner) nextBatch() []*pending {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var batch []*pending
@@ -51,6 +54,7 @@
 	return batch
 }
 
+// append writes a batch to the log in one append.
 func (c *combiner) append(ctx context.Context, batch []*pending) {
 	records := make([][]byte, len(batch))
 	for i, p := range batch {
@@ -62,23 +66,24 @@
 	appendedRecords.Add(len(batch))
 	_, err := c.log.Append(appendCtx, c.stream, records)
 	if err != nil && ctx.Err() == nil {
-		c.fail(batch, err)
+		c.handleAppendError(batch, err)
 	}
 }
 
-// fail keeps a batch whose append failed, since it may have taken effect, and
-// makes follow look for it now.
-func (c *combiner) fail(batch []*pending, err error) {
+// handleAppendError keeps a batch whose append failed, since the records may be in
+// the log all the same, and cancels the waiting read so that follow reads for them
+// at once.
+func (c *combiner) handleAppendError(batch []*pending, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	logErrors.Inc()
 	c.o.Log.WithError(err).WithField("stream", c.stream).WithField("records", len(batch)).Warn("claim_append_failed")
 	for _, p := range batch {
-		p.errorAt = c.reads
+		p.failedAtRead = c.reads
 	}
-	c.unsure = append(c.unsure, batch...)
-	c.blocked = c.o.Now().Add(c.o.RetryEvery)
-	if c.stopPoll != nil {
-		c.stopPoll()
+	c.unconfirmed = append(c.unconfirmed, batch...)
+	c.blockedUntil = c.o.Now().Add(c.o.RetryEvery)
+	if c.cancelRead != nil {
+		c.cancelRead()
 	}
 }
--- a/internal/claims/bench_test.go
+++ b/internal/claims/bench_test.go
@@ -21,8 +21,8 @@
 )
 
 // BenchmarkCombiner acquires, as one operation, the distinct keys that one
-// partition gets in 160 ms at a number of claims a second. Waits are cut to a
-// minimum: the processor time is that of the whole way of a claim.
+// partition gets in 160 ms at a given number of claims per second. Waits are cut to
+// a minimum, so the CPU time is that of a whole claim, from acquire to verdict.
 func BenchmarkCombiner(b *testing.B) {
 	for _, rate := range []int{10, 100, 500} {
 		b.Run(fmt.Sprintf("%dps", rate), func(b *testing.B) {
@@ -51,30 +51,30 @@
 	}
 }
 
-// BenchmarkPaced runs a partition at its real pace, asks spread evenly over the
-// second, and reports appends a second and the wait for a verdict.
+// BenchmarkPaced runs a partition in real time with claims spread evenly over the
+// second, and reports appends per second and the wait for a verdict.
 func BenchmarkPaced(b *testing.B) {
 	for _, rate := range []int{10, 100, 500} {
 		b.Run(fmt.Sprintf("%dps", rate), func(b *testing.B) {
 			log := newMemLog()
 			ctx, cancel := context.WithCancel(context.Background())
-			var wg, asks sync.WaitGroup
+			var wg, calls sync.WaitGroup
 			c := newCombiner(Options{Host: "a"}.withDefaults(), log, ctx, &wg, 0)
-			c.open(ctx)
+			c.ensureReady(ctx)
 			var waited atomic.Int64
 			b.ResetTimer()
 			before, began := cpuTime(), time.Now()
 			for n := 0; n < b.N; n++ {
 				time.Sleep(time.Until(began.Add(time.Duration(n) * time.Second / time.Duration(rate))))
-				asks.Go(func() {
-					asked := time.Now()
+				calls.Go(func() {
+					started := time.Now()
 					if reply := c.acquire(ctx, benchClaim(n, 0)); reply.State != StateHolds {
 						b.Error(reply.State)
 					}
-					waited.Add(int64(time.Since(asked)))
+					waited.Add(int64(time.Since(started)))
 				})
 			}
-			asks.Wait()
+			calls.Wait()
 			b.StopTimer()
 			seconds := time.Since(began).Seconds()
 			b.ReportMetric(float64(log.appends)/seconds, "appends/s")
@@ -102,7 +102,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// countingConn counts the bytes of both directions.
+// countingConn counts the bytes read and written.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -141,9 +141,9 @@
 	return res, err
 }
 
-// BenchmarkLogBytes runs a partition at its pace over HTTP and counts the bytes
-// between combiner and log. 315 claims a second are 39 for each of 8 partitions
-// and 10 for each of 32; both make at most 200 appends a second altogether.
+// BenchmarkLogBytes runs a partition in real time over HTTP and counts the bytes
+// between combiner and log. 315 claims per second are 39 for each of 8 partitions
+// and 10 for each of 32; both make at most 200 appends per second in total.
 func BenchmarkLogBytes(b *testing.B) {
 	for _, load := range []struct {
 		rate int
@@ -154,23 +154,23 @@
 			var bytes atomic.Int64
 			log := overHTTP(b, &bytes)
 			ctx, cancel := context.WithCancel(context.Background())
-			var wg, asks sync.WaitGroup
+			var wg, calls sync.WaitGroup
 			c := newCombiner(Options{Host: "a", BatchEvery: load.pace}.withDefaults(), log, ctx, &wg, 0)
-			c.open(ctx)
+			c.ensureReady(ctx)
 			bytes.Store(0)
 			var waited atomic.Int64
 			before, began := cpuTime(), time.Now()
 			for n := 0; n < b.N; n++ {
 				time.Sleep(time.Until(began.Add(time.Duration(n) * time.Second / time.Duration(rate))))
-				asks.Go(func() {
-					asked := time.Now()
+				calls.Go(func() {
+					started := time.Now()
 					if reply := c.acquire(ctx, benchClaim(n, 0)); reply.State != StateHolds {
 						b.Error(reply.State)
 					}
-					waited.Add(int64(time.Since(asked)))
+					waited.Add(int64(time.Since(started)))
 				})
 			}
-			asks.Wait()
+			calls.Wait()
 			b.ReportMetric(float64(bytes.Load())/time.Since(began).Seconds(), "B/s")
 			b.ReportMetric(float64(waited.Load())/float64(b.N)/1e6, "wait-ms")
 			b.ReportMetric(float64(cpuTime()-before)/float64(b.N), "cpu-ns/claim")
@@ -200,18 +200,18 @@
 	return log
 }
 
-// BenchmarkAcquireCall counts the bytes of one net/rpc call to a combiner and
-// its answer on an open connection.
+// BenchmarkAcquireCall counts the bytes of one net/rpc call to a combiner and its
+// reply on an open connection.
 func BenchmarkAcquireCall(b *testing.B) {
 	s := newSite(b, "a")
 	server := rpc.NewServer()
 	if err := server.RegisterName(ServiceName, s.hosts["a"].RPC()); err != nil {
 		b.Fatal(err)
 	}
-	near, far := net.Pipe()
-	go server.ServeConn(far)
+	clientConn, serverConn := net.Pipe()
+	go server.ServeConn(serverConn)
 	var bytes atomic.Int64
-	client := rpc.NewClient(countingConn{near, &bytes})
+	client := rpc.NewClient(countingConn{clientConn, &bytes})
 	defer func() { _ = client.Close() }()
 	call := func(n int) {
 		var reply AcquireReply
@@ -220,7 +220,7 @@
 			b.Fatal(reply.State, err)
 		}
 	}
-	call(0) // types are described once for each connection
+	call(0) // gob sends type descriptions once per connection
 	bytes.Store(0)
 	b.ResetTimer()
 	for n := 1; n <= b.N; n++ {
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -15,7 +15,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-func ask(key string) Ask {
+func newRequest(key string) Ask {
 	return Ask{Customer: "frigolijst", Key: key, Fingerprint: 7, NotAfter: time.Now().Add(time.Minute)}
 }
 
@@ -23,10 +23,10 @@
 	s.mu.Lock()
 	h := s.hosts[host]
 	s.mu.Unlock()
-	return h.Acquire(context.Background(), ask(key))
+	return h.Acquire(context.Background(), newRequest(key))
 }
 
-// mustHold acquires a key and takes the step before the first byte.
+// mustHold acquires a key and fails the test unless the host holds it.
 func (s *site) mustHold(host, key string) Result {
 	s.t.Helper()
 	r, err := s.acquire(host, key)
@@ -106,19 +106,19 @@
 	}
 }
 
-// An append whose record cannot be read back in time leaves no right to
-// dispatch, and the key comes free by the front's own release.
-func TestUndecidedClaimDiesAndIsReleased(t *testing.T) {
+// A claim whose record cannot be read back in time must not be dispatched, and the
+// front's own release frees the key.
+func TestUndecidedClaimIsReleased(t *testing.T) {
 	s := newSite(t, "a", "b")
-	s.log.set(func() { s.log.faults = []fault{blinded} })
-	a := ask("k")
+	s.log.update(func() { s.log.faults = []fault{lostReplyAndReads} })
+	a := newRequest("k")
 	a.NotAfter = time.Now().Add(300 * time.Millisecond)
 	_, err := s.hosts["b"].Acquire(context.Background(), a)
 	wantCode(t, err, request.CodeKeyUnavailable)
 	if claims, _ := s.log.records("k"); claims != 1 {
 		t.Fatalf("%d claim records", claims)
 	}
-	s.log.set(func() { s.log.noReads = false })
+	s.log.update(func() { s.log.noReads = false })
 	eventually(t, "the key is free again", func() bool {
 		r, err := s.acquire("a", "k")
 		return err == nil && r.Mine() && r.Permit.Dispatch(time.Now())
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestHolderReplaced(t *testing.T) {
+func TestAnswerIsMissingAfterHolderRestarts(t *testing.T) {
 	s := newSite(t, "a", "b")
 	first := s.mustHold("b", "k")
 	first.Permit.Dispatch(time.Now())
@@ -175,7 +175,7 @@
 func TestKeysThatAreRefused(t *testing.T) {
 	s := newSite(t, "a", "b")
 	s.mustHold("a", "k")
-	other := ask("k")
+	other := newRequest("k")
 	other.Fingerprint++
 	_, err := s.hosts["b"].Acquire(context.Background(), other)
 	wantCode(t, err, request.CodeKeyConflict)
@@ -201,42 +201,43 @@
 	t.Fatalf("never: %s", what)
 }
 
-// A peer may read a claim as this host's before this host has read it itself.
+// A peer may read from the log that this host holds a key before this host does.
 func TestAnswerIsNotMissingBeforeTheHolderHasReadItsVerdict(t *testing.T) {
 	a := newAnswers(AnswerOptions{}, time.Minute, time.Now)
 	key := answerKey{"frigolijst", "basket", 7}
-	verdictCame := a.expect("frigolijst", "basket")
-	alsoAsked := a.expect("frigolijst", "basket")
-	alsoAsked()
-	chunk, changed := a.look(key, 0)
+	verdictDone := a.expectVerdict("frigolijst", "basket")
+	otherDone := a.expectVerdict("frigolijst", "basket")
+	otherDone()
+	chunk, changed := a.chunkAt(key, 0)
 	if chunk.State != AnswerRunning || changed == nil {
 		t.Fatalf("state %v while the verdict is on its way", chunk.State)
 	}
-	if other, _ := a.look(answerKey{"modder", "basket", 7}, 0); other.State != AnswerMissing {
+	if other, _ := a.chunkAt(answerKey{"modder", "basket", 7}, 0); other.State != AnswerMissing {
 		t.Errorf("state %v for another customer's key", other.State)
 	}
 	answer := a.begin(key)
-	verdictCame()
+	verdictDone()
 	<-changed
 	_, _ = answer.Write([]byte("list"))
 	answer.Finish(Ending{State: AnswerComplete})
-	if chunk, _ := a.look(key, 0); string(chunk.Data) != "list" {
+	if chunk, _ := a.chunkAt(key, 0); string(chunk.Data) != "list" {
 		t.Errorf("got %q", chunk.Data)
 	}
-	if chunk, _ := a.look(answerKey{"frigolijst", "basket", 8}, 0); chunk.State != AnswerMissing {
-		t.Errorf("state %v of a run that never was", chunk.State)
+	if chunk, _ := a.chunkAt(answerKey{"frigolijst", "basket", 8}, 0); chunk.State != AnswerMissing {
+		t.Errorf("state %v of a run that never began", chunk.State)
 	}
 }
 
-// A caller who was told 'not run' must not be told 'unknown' when it comes back.
-func TestClaimGivenUpIsAsGoodAsReleased(t *testing.T) {
+// A caller whose request was refused as not run must not get 'unknown' when it
+// repeats the request.
+func TestAbandonedClaimReadsAsReleased(t *testing.T) {
 	s := newSite(t, "a", "b")
-	s.log.set(func() { s.log.faults = []fault{blinded} })
-	short := ask("basket")
+	s.log.update(func() { s.log.faults = []fault{lostReplyAndReads} })
+	short := newRequest("basket")
 	short.NotAfter = time.Now().Add(200 * time.Millisecond)
 	_, err := s.hosts["a"].Acquire(context.Background(), short)
 	wantCode(t, err, request.CodeKeyUnavailable)
-	s.log.set(func() { s.log.noReads = false })
+	s.log.update(func() { s.log.noReads = false })
 	eventually(t, "the other host holds the key", func() bool {
 		r, err := s.acquire("b", "basket")
 		if err != nil || r.Mine() {
--- a/internal/claims/combiner.go
+++ b/internal/claims/combiner.go
@@ -10,16 +10,16 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// pending is a record on its way into the log and back.
+// pending is a record that is to be appended and then read back from the log.
 type pending struct {
-	record  claim.Record
-	data    []byte
-	done    chan claim.Event // buffered; gets the event that settles it
-	settled bool             // by its event, or given up by its caller
-	errorAt int64            // number of the last read that began before the append failed
+	record       claim.Record
+	data         []byte           // the encoded record
+	done         chan claim.Event // buffered; receives the event that decides the record
+	settled      bool             // the event was delivered, or the caller no longer waits
+	failedAtRead int64            // number of the last read that began before the append failed
 }
 
-// combiner serves one partition. Two goroutines run while it is used: follow
+// combiner serves one partition. Two goroutines run while it is in use: follow
 // reads the stream, appendBatches writes it. Verdicts come from follow only.
 type combiner struct {
 	o      Options
@@ -28,21 +28,21 @@
 	wg     *sync.WaitGroup
 	stream string
 
-	mu        sync.Mutex
-	running   bool
-	used      time.Time
-	replay    *claim.Replay // nil until the window was replayed
-	appliedAt time.Time     // local time of the last applied record
-	changed   chan struct{} // closed and replaced when replay or away change
-	away      bool          // the last read failed
-	blocked   time.Time     // no append before it, as the last one failed
-	claims    map[claim.ID]*pending
-	releases  map[int64]*pending
-	queue     []*pending
-	unsure    []*pending // append failed; looked for before they are queued again
-	reads     int64
-	wake      chan struct{}
-	stopPoll  context.CancelFunc
+	mu             sync.Mutex
+	running        bool
+	lastUsed       time.Time
+	replay         *claim.Replay // nil until the window has been replayed
+	appliedAt      time.Time     // local time at which the last record was applied
+	changed        chan struct{} // closed and replaced when replay or logUnavailable change
+	logUnavailable bool          // the last read failed
+	blockedUntil   time.Time     // no append before it, since the last one failed
+	claims         map[claim.ID]*pending
+	releases       map[int64]*pending
+	queue          []*pending
+	unconfirmed    []*pending // append failed; read for before they are queued again
+	reads          int64      // started so far
+	wake           chan struct{}
+	cancelRead     context.CancelFunc // cancels the read that waits for records, nil if none does
 }
 
 func newCombiner(o Options, log platform.Log, base context.Context, wg *sync.WaitGroup, partition int) *combiner {
@@ -60,16 +60,17 @@
 	return fmt.Sprintf("claims-%d", partition)
 }
 
-// acquire returns the verdict on a claim, appending it if need be.
+// acquire returns the verdict on a claim, appending it if the log does not decide
+// it yet.
 func (c *combiner) acquire(ctx context.Context, cl claim.Claim) AcquireReply {
-	if !c.open(ctx) {
+	if !c.ensureReady(ctx) {
 		return AcquireReply{State: StateAway}
 	}
 	p, reply := c.submit(cl)
 	if p == nil {
 		return reply
 	}
-	defer c.forget(p)
+	defer c.removePending(p)
 	select {
 	case ev := <-p.done:
 		return AcquireReply{State: verdictStates[ev.Verdict], Offset: ev.Offset, Holder: ev.Holder}
@@ -78,7 +79,8 @@
 	}
 }
 
-// submit queues a claim, or answers at once when the log already decides.
+// submit queues a claim and returns it as pending. If the log decides it already,
+// or it cannot be queued, the reply says so and the pending record is nil.
 func (c *combiner) submit(cl claim.Claim) (*pending, AcquireReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,7 +104,7 @@
 	case claim.KeyReleased:
 		cl.Supersedes = st.Holder.Offset
 	}
-	if c.away || c.o.Now().Before(c.blocked) {
+	if c.logUnavailable || c.o.Now().Before(c.blockedUntil) {
 		return nil, AcquireReply{State: StateAway}
 	}
 	if c.replay.Len()+len(c.claims) >= c.o.MaxKeys {
@@ -118,16 +120,17 @@
 	return p, AcquireReply{}
 }
 
-// release writes the release of a claim that holds its key.
+// release appends the release of a claim that holds its key and waits until it is
+// read back.
 func (c *combiner) release(ctx context.Context, a ReleaseArgs) ReleaseReply {
-	if !c.open(ctx) {
+	if !c.ensureReady(ctx) {
 		return ReleaseReply{State: StateAway}
 	}
 	p, state := c.submitRelease(a)
 	if p == nil {
 		return ReleaseReply{State: state}
 	}
-	defer c.forget(p)
+	defer c.removePending(p)
 	select {
 	case <-p.done:
 		return ReleaseReply{State: StateReleased}
@@ -136,10 +139,12 @@
 	}
 }
 
+// submitRelease queues a release. If none is to be written, the pending record is
+// nil and the state tells why.
 func (c *combiner) submitRelease(a ReleaseArgs) (*pending, State) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.replay == nil || c.away {
+	if c.replay == nil || c.logUnavailable {
 		return nil, StateAway
 	}
 	d, ok := c.replay.Decided(a.Customer, a.Key, a.ID)
@@ -167,8 +172,8 @@
 	return &pending{record: r, data: data, done: make(chan claim.Event, 1)}, nil
 }
 
-// logNow is a lower bound of the log's clock: the last record's time, and what
-// has passed here since it was applied.
+// logNow returns a lower bound of the log's clock: the last record's time plus the
+// local time that has passed since it was applied.
 func (c *combiner) logNow() time.Time {
 	if c.replay.Clock().IsZero() {
 		return time.Time{}
@@ -188,8 +193,9 @@
 	}
 }
 
-// forget ends the wait for a record. One that was not appended yet never is.
-func (c *combiner) forget(p *pending) {
+// removePending ends the wait for a record. If it was not appended yet, it never
+// will be.
+func (c *combiner) removePending(p *pending) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p.settled = true
@@ -201,13 +207,13 @@
 	}
 }
 
-// open starts the combiner if need be and waits until the window is replayed.
-// It reports false at once when the log does not answer.
-func (c *combiner) open(ctx context.Context) bool {
+// ensureReady starts the combiner if it does not run and waits until the window is
+// replayed. It reports false at once when the log does not answer.
+func (c *combiner) ensureReady(ctx context.Context) bool {
 	for {
 		c.mu.Lock()
-		c.start()
-		ready, away, changed := c.replay != nil, c.away, c.changed
+		c.startIfStopped()
+		ready, away, changed := c.replay != nil, c.logUnavailable, c.changed
 		c.mu.Unlock()
 		if ready || away {
 			return ready
@@ -220,13 +226,16 @@
 	}
 }
 
-func (c *combiner) start() {
-	c.used = c.o.Now()
+// startIfStopped records a use of the partition and starts the goroutines unless
+// they run.
+func (c *combiner) startIfStopped() {
+	c.lastUsed = c.o.Now()
 	if c.running || c.base.Err() != nil {
 		return
 	}
 	c.running = true
-	// A new channel, so that an ending run cannot take this run's wake-ups.
+	// A new channel, so that goroutines of an earlier start that are still ending
+	// cannot take these wake-ups.
 	wake := make(chan struct{}, 1)
 	c.wake = wake
 	ctx, cancel := context.WithCancel(c.base)
@@ -242,21 +251,22 @@
 	}()
 }
 
-// stopIfIdle ends the run of a partition that nobody uses; the next use replays
-// the window again.
+// stopIfIdle marks a partition that has not been used for IdleStop as stopped and
+// drops its replay; the next use replays the window again.
 func (c *combiner) stopIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.claims)+len(c.releases) > 0 || c.o.Now().Sub(c.used) < c.o.IdleStop {
+	if len(c.claims)+len(c.releases) > 0 || c.o.Now().Sub(c.lastUsed) < c.o.IdleStop {
 		return false
 	}
 	c.running = false
 	c.replay = nil
-	c.away = false
-	c.queue, c.unsure = nil, nil
+	c.logUnavailable = false
+	c.queue, c.unconfirmed = nil, nil
 	return true
 }
 
+// signal wakes the callers of ensureReady.
 func (c *combiner) signal() {
 	close(c.changed)
 	c.changed = make(chan struct{})
--- a/internal/claims/fake_test.go
+++ b/internal/claims/fake_test.go
@@ -17,34 +17,34 @@
 
 var errFault = merry.New("injected fault")
 
-// fault is what happens to one append.
+// fault is the fault injected into one append.
 type fault int
 
 const (
-	noEffect   fault = iota // error, nothing appended
-	lostAnswer              // error after the effect
-	doubled                 // appended twice
-	fine                    // none
-	blinded                 // error after the effect, and no reads until noReads is cleared
+	noEffect      fault = iota // error, nothing appended
+	lostReply                  // error after the effect
+	appendedTwice              // appended twice
+	noFault
+	lostReplyAndReads // error after the effect, and reads fail until noReads is cleared
 )
 
-// memLog is a platform.Log with faults.
+// memLog is an in-memory platform.Log with injected faults.
 type memLog struct {
 	mu      sync.Mutex
 	streams map[string][]platform.Record
-	first   map[string]int64 // first kept, when trimmed
+	first   map[string]int64 // first retained offset of a trimmed stream
 	changed chan struct{}
 	faults  []fault // of the next appends
-	noReads bool
-	noLog   bool
+	noReads bool    // reads fail
+	noLog   bool    // reads and appends fail
 	clock   func() time.Time
 	appends int
 	era     int64
 }
 
-// restore goes back to the first so many records of a stream, in another era.
+// restore truncates a stream to its first length records and starts a new era.
 func (l *memLog) restore(stream string, length int) {
-	l.set(func() {
+	l.update(func() {
 		l.streams[stream] = slices.Clone(l.streams[stream][:length])
 		l.era++
 	})
@@ -59,7 +59,7 @@
 	}
 }
 
-func (l *memLog) set(f func()) {
+func (l *memLog) update(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
@@ -68,7 +68,7 @@
 }
 
 func (l *memLog) Append(_ context.Context, stream string, records [][]byte) (first int64, err error) {
-	l.set(func() {
+	l.update(func() {
 		l.appends++
 		times := 1
 		if l.noLog {
@@ -92,11 +92,11 @@
 	switch f {
 	case noEffect:
 		return 0, errFault
-	case lostAnswer:
+	case lostReply:
 		return 1, errFault
-	case fine:
+	case noFault:
 		return 1, nil
-	case blinded:
+	case lostReplyAndReads:
 		l.noReads = true
 		return 1, errFault
 	}
@@ -132,7 +132,7 @@
 	}
 }
 
-// site is a few hosts on one log, joined by net/rpc.
+// site is a set of hosts on one log that call each other by net/rpc.
 type site struct {
 	t     testing.TB
 	log   *memLog
@@ -151,7 +151,8 @@
 	return s
 }
 
-// start puts a host in place, empty, and stops it with the test.
+// start starts a host without state in place of any earlier one of its name, and
+// stops it when the test ends.
 func (s *site) start(name string, incarnation uint64) *Service {
 	quiet := logrus.New()
 	quiet.SetLevel(logrus.PanicLevel)
@@ -160,7 +161,7 @@
 		BatchEvery: 2 * time.Millisecond, IdleWait: time.Millisecond,
 		Poll: 100 * time.Millisecond, RetryEvery: 5 * time.Millisecond,
 		CallTimeout: time.Second, DecideIn: 20 * time.Second, IdleStop: 300 * time.Millisecond,
-	}, s.log, &peersOf{s})
+	}, s.log, &fakePeers{s})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { _ = h.Run(ctx) })
@@ -177,10 +178,10 @@
 	s.down[name] = down
 }
 
-// peersOf implements Peers; an address is a host's name.
-type peersOf struct{ s *site }
+// fakePeers implements Peers; an address is a host's name.
+type fakePeers struct{ s *site }
 
-func (p *peersOf) Combiners(int) []PeerRef {
+func (p *fakePeers) Combiners(int) []PeerRef {
 	var refs []PeerRef
 	for _, name := range p.s.names {
 		refs = append(refs, PeerRef{Host: name, Address: name})
@@ -188,11 +189,11 @@
 	return refs
 }
 
-func (p *peersOf) Address(host string) (string, bool) {
+func (p *fakePeers) Address(host string) (string, bool) {
 	return host, slices.Contains(p.s.names, host)
 }
 
-func (p *peersOf) Call(ctx context.Context, address, method string, args, reply any) error {
+func (p *fakePeers) Call(ctx context.Context, address, method string, args, reply any) error {
 	p.s.mu.Lock()
 	target, down := p.s.hosts[address], p.s.down[address]
 	p.s.mu.Unlock()
@@ -203,9 +204,9 @@
 	if err := server.RegisterName(ServiceName, target.RPC()); err != nil {
 		return err
 	}
-	near, far := net.Pipe()
-	go server.ServeConn(far)
-	client := rpc.NewClient(near)
+	clientConn, serverConn := net.Pipe()
+	go server.ServeConn(serverConn)
+	client := rpc.NewClient(clientConn)
 	defer func() { _ = client.Close() }()
 	select {
 	case call := <-client.Go(method, args, reply, make(chan *rpc.Call, 1)).Done:
--- a/internal/claims/faults_test.go
+++ b/internal/claims/faults_test.go
@@ -18,33 +18,33 @@
 		claims int // records in the log afterwards
 	}{
 		"no effect":        {[]fault{noEffect, noEffect}, 1},
-		"lost answer":      {[]fault{lostAnswer}, 1},
-		"doubled":          {[]fault{doubled}, 2},
-		"no effect, twice": {[]fault{noEffect, doubled}, 2},
+		"lost answer":      {[]fault{lostReply}, 1},
+		"doubled":          {[]fault{appendedTwice}, 2},
+		"no effect, twice": {[]fault{noEffect, appendedTwice}, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, "a", "b")
-			s.log.set(func() { s.log.faults = c.faults })
+			s.log.update(func() { s.log.faults = c.faults })
 			r := s.mustHold("b", "k")
 			if claims, _ := s.log.records("k"); claims != c.claims || !r.Permit.Dispatch(time.Now()) {
 				t.Errorf("%d claim records, want %d; permit %v", claims, c.claims, r.Permit.State())
 			}
 			if again, err := s.acquire("a", "k"); err != nil || again.Mine() || again.Offset != r.Offset {
-				t.Errorf("second ask: %+v, %v", again, err)
+				t.Errorf("second acquire: %+v, %v", again, err)
 			}
 		})
 	}
 }
 
-// TestStormOfFaults: with every other append failing in some way, combiners
-// coming and going and keys released, no key is dispatched twice, and each
-// key can be dispatched in the end.
-func TestStormOfFaults(t *testing.T) {
-	const keys, workers, asks = 8, 6, 40
+// With half of the appends failing in some way, combiners becoming unreachable and
+// reachable again and keys being released, no key is dispatched twice and each key
+// can be dispatched in the end.
+func TestRandomFaultsNeverDispatchTwice(t *testing.T) {
+	const keys, workers, acquiresPerWorker = 8, 6, 40
 	s := newSite(t, "a", "b", "c")
 	rng := rand.New(rand.NewPCG(1, 2))
-	for range workers * asks {
-		f := []fault{noEffect, lostAnswer, doubled, fine, fine, fine}[rng.IntN(6)]
+	for range workers * acquiresPerWorker {
+		f := []fault{noEffect, lostReply, appendedTwice, noFault, noFault, noFault}[rng.IntN(6)]
 		s.log.faults = append(s.log.faults, f)
 	}
 	var dispatches [keys]atomic.Int64
@@ -62,7 +62,7 @@
 	for w := range workers {
 		rng := rand.New(rand.NewPCG(3, uint64(w)))
 		wg.Go(func() {
-			for i := range asks {
+			for i := range acquiresPerWorker {
 				if w == 0 {
 					s.setDown(s.names[i%2], rng.IntN(2) == 0)
 				}
@@ -71,7 +71,7 @@
 		})
 	}
 	wg.Wait()
-	s.log.set(func() { s.log.faults = nil })
+	s.log.update(func() { s.log.faults = nil })
 	for n := range dispatches {
 		eventually(t, fmt.Sprintf("key %d dispatched", n), func() bool {
 			try(rng, "c", n)
@@ -83,14 +83,14 @@
 	}
 }
 
-func TestLogAwayRefusesAndRecovers(t *testing.T) {
+func TestUnavailableLogRefusesAndRecovers(t *testing.T) {
 	s := newSite(t, "a", "b")
-	s.log.set(func() { s.log.noLog = true })
+	s.log.update(func() { s.log.noLog = true })
 	_, err := s.acquire("b", "k")
 	if r := wantCode(t, err, request.CodeKeyUnavailable); r.RetryAfter <= 0 {
 		t.Error("no Retry-After")
 	}
-	s.log.set(func() { s.log.noLog = false })
+	s.log.update(func() { s.log.noLog = false })
 	eventually(t, "a claim is held again", func() bool {
 		r, err := s.acquire("b", "k")
 		return err == nil && r.Mine()
@@ -99,13 +99,13 @@
 
 func TestAppendsFailUntilDeadline(t *testing.T) {
 	s := newSite(t, "a")
-	s.log.set(func() { s.log.faults = make([]fault, 100_000) }) // no effect
-	a := ask("k")
+	s.log.update(func() { s.log.faults = make([]fault, 100_000) }) // no effect
+	a := newRequest("k")
 	a.NotAfter = time.Now().Add(300 * time.Millisecond)
 	_, err := s.hosts["a"].Acquire(context.Background(), a)
 	wantCode(t, err, request.CodeKeyUnavailable)
-	s.log.set(func() { s.log.faults = nil })
-	eventually(t, "another ask holds", func() bool {
+	s.log.update(func() { s.log.faults = nil })
+	eventually(t, "another claim holds the key", func() bool {
 		r, err := s.acquire("a", "k")
 		return err == nil && r.Mine()
 	})
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestCombinersFail(t *testing.T) {
+func TestAcquireWithCombinersDown(t *testing.T) {
 	s := newSite(t, "a", "b", "c", "d")
 	first := s.mustHold("d", "k")
 	for _, name := range []string{"a", "b", "c"} {
--- a/internal/claims/follow.go
+++ b/internal/claims/follow.go
@@ -13,37 +13,39 @@
 )
 
 const (
-	pageRecords = 2000
-	// searchFrom is the number of kept records from which on the window's start
-	// is searched for instead of reading them all.
-	searchFrom = 5000
+	pageRecords = 2000 // read from the log at once
+	// minSearchRecords is the number of retained records from which on the start of
+	// the window is found by binary search instead of by reading them all.
+	minSearchRecords = 5000
 )
 
 // follow reads the stream until the partition is idle or the context ends.
 func (c *combiner) follow(ctx context.Context) {
 	for ctx.Err() == nil && !c.stopIfIdle() {
-		err := c.readOn(ctx)
+		err := c.readNext(ctx)
 		if err == nil || ctx.Err() != nil {
 			continue
 		}
-		c.setAway(err)
+		c.markLogUnavailable(err)
 		wait.For(ctx, c.o.RetryEvery)
 	}
 }
 
-func (c *combiner) setAway(err error) {
+// markLogUnavailable records a failed read and wakes the callers of ensureReady.
+func (c *combiner) markLogUnavailable(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.away {
+	if !c.logUnavailable {
 		c.o.Log.WithError(err).WithField("stream", c.stream).Warn("claim_log_away")
 	}
-	c.away = true
+	c.logUnavailable = true
 	logErrors.Inc()
 	c.signal()
 }
 
-// readOn replays the window first, and then reads one page.
-func (c *combiner) readOn(ctx context.Context) error {
+// readNext replays the window if there is no replay yet, and reads one page
+// otherwise.
+func (c *combiner) readNext(ctx context.Context) error {
 	c.mu.Lock()
 	replay := c.replay
 	c.mu.Unlock()
@@ -57,14 +59,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.replay = replay
-	c.report(claim.Stats{}, replay.Stats())
+	c.reportStats(claim.Stats{}, replay.Stats())
 	c.appliedAt = c.o.Now()
-	c.away = false
+	c.logUnavailable = false
 	c.signal()
 	return nil
 }
 
-// poll waits for the next records and settles what they decide.
+// poll waits for the next records and delivers the events that they cause.
 func (c *combiner) poll(ctx context.Context, replay *claim.Replay) error {
 	readCtx, cancel := context.WithTimeout(ctx, c.o.Poll+c.o.LogTimeout)
 	defer cancel()
@@ -73,25 +75,26 @@
 	page, err := c.log.Read(readCtx, c.stream, replay.Next(), pageRecords, pause)
 	if err != nil {
 		if pause > 0 && readCtx.Err() == context.Canceled {
-			return nil // cut short by fail
+			return nil // cancelled by handleAppendError
 		}
 		return err
 	}
 	if page.Era != replay.Era() {
-		return c.leaveEra(replay.Era(), page.Era)
+		return c.handleEraChange(replay.Era(), page.Era)
 	}
 	c.apply(replay, page, number)
 	if len(page.Records) == 0 && time.Since(began) < pause/2 {
-		wait.For(ctx, c.o.BatchEvery) // a log that does not wait must not make us spin
+		wait.For(ctx, c.o.BatchEvery) // avoids a busy loop if the log returns without waiting
 	}
 	return nil
 }
 
 var errEarlierEra = merry.Sentinel("the log answers in an earlier era")
 
-// leaveEra drops the replay, so that the window is replayed in the log's present era: claims that
-// were decided may be lost, and offsets stand for other records.
-func (c *combiner) leaveEra(was, era int64) error {
+// handleEraChange drops the replay, so that the window is replayed in the log's
+// new era: decided claims may be lost, and offsets may refer to other records. An
+// earlier era is an error.
+func (c *combiner) handleEraChange(was, era int64) error {
 	if era < was {
 		return merry.Wrap(errEarlierEra)
 	}
@@ -103,41 +106,44 @@
 	return nil
 }
 
-// beginRead numbers a read and says how long it may wait. The cancel function is
-// called by fail.
+// beginRead returns the number of a new read and how long it may wait for records.
+// handleAppendError calls the cancel function.
 func (c *combiner) beginRead(cancel context.CancelFunc) (number int64, pause time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reads++
-	c.stopPoll = nil
-	if len(c.unsure) > 0 || c.away {
+	c.cancelRead = nil
+	if len(c.unconfirmed) > 0 || c.logUnavailable {
 		return c.reads, 0
 	}
-	c.stopPoll = cancel
+	c.cancelRead = cancel
 	return c.reads, c.o.Poll
 }
 
+// apply applies a page's records to the replay and delivers the events; read is the
+// number of the read that returned the page.
 func (c *combiner) apply(replay *claim.Replay, page platform.Page, read int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.away {
+	if c.logUnavailable {
 		c.o.Log.WithField("stream", c.stream).Info("claim_log_back")
-		c.away = false
+		c.logUnavailable = false
 		c.signal()
 	}
 	before := replay.Stats()
 	for _, r := range page.Records {
-		c.settle(replay.Apply(input(r)))
+		c.deliver(replay.Apply(replayInput(r)))
 		c.appliedAt = c.o.Now()
 	}
-	c.report(before, replay.Stats())
+	c.reportStats(before, replay.Stats())
 	if len(page.Records) == 0 || replay.Next() >= page.Next {
 		c.requeue(read)
 	}
 }
 
-// report counts and logs what the replay could not use.
-func (c *combiner) report(before, after claim.Stats) {
+// reportStats counts and logs the irregular records that the replay has met between
+// two states of its statistics.
+func (c *combiner) reportStats(before, after claim.Stats) {
 	if n := after.Undecodable - before.Undecodable; n > 0 {
 		undecodable.Add(int(n))
 		c.o.Log.WithField("stream", c.stream).WithField("records", n).Warn("claim_undecodable")
@@ -151,12 +157,12 @@
 	}
 }
 
-func input(r platform.Record) claim.Input {
+func replayInput(r platform.Record) claim.Input {
 	return claim.Input{Offset: r.Offset, At: r.At, Data: r.Data}
 }
 
-// settle hands an event to the one who waits for it.
-func (c *combiner) settle(ev claim.Event) {
+// deliver sends an event to the caller that waits for it, if any.
+func (c *combiner) deliver(ev claim.Event) {
 	var p *pending
 	switch ev.Kind {
 	case claim.EventDecided:
@@ -171,26 +177,27 @@
 	p.done <- ev
 }
 
-// requeue appends again what a whole read, begun after the failed append, did
-// not show. Should the first append still take effect, its ID is a repeat.
+// requeue queues again the unconfirmed records that a read to the end of the log,
+// begun after the failed append, did not return. Should the first append still take
+// effect, the later of the two records is a repeat by its ID.
 func (c *combiner) requeue(read int64) {
-	rest := c.unsure[:0]
-	for _, p := range c.unsure {
+	rest := c.unconfirmed[:0]
+	for _, p := range c.unconfirmed {
 		switch {
 		case p.settled:
-		case p.errorAt < read:
+		case p.failedAtRead < read:
 			c.enqueue(p)
 		default:
 			rest = append(rest, p)
 		}
 	}
-	c.unsure = rest
+	c.unconfirmed = rest
 }
 
-// replayWindow reads what counts for new claims. If part of it was trimmed, a
-// mark is appended so that the end of the uncertain time can be told.
+// replayWindow replays the records that matter for new claims. If some were trimmed,
+// it appends a mark, which shows when verdicts become certain again.
 func (c *combiner) replayWindow(ctx context.Context) (*claim.Replay, error) {
-	head, err := c.readNow(ctx, 1, 1)
+	head, err := c.readPage(ctx, 1, 1)
 	if err != nil {
 		return nil, err
 	}
@@ -207,28 +214,29 @@
 	if !unseen && replay.IsCertain() {
 		return replay, nil
 	}
-	if err := c.mark(ctx, replay); err != nil {
+	if err := c.appendMark(ctx, replay); err != nil {
 		return nil, err
 	}
 	_, err = c.catchUp(ctx, replay, next)
 	if err == nil && replay.Clock().IsZero() {
-		err = merry.New("own mark is not in the log yet")
+		err = merry.New("the appended mark is not readable in the log yet")
 	}
 	return replay, err
 }
 
-// catchUp applies all records from an offset on and returns the stream's next.
+// catchUp applies all records from an offset on and returns the next offset of the
+// stream.
 func (c *combiner) catchUp(ctx context.Context, replay *claim.Replay, from int64) (int64, error) {
 	for {
-		page, err := c.readNow(ctx, from, pageRecords)
+		page, err := c.readPage(ctx, from, pageRecords)
 		if err != nil {
 			return 0, err
 		}
 		if page.Era != replay.Era() {
-			return 0, merry.Errorf("stream %s went from era %d to %d while it was replayed", c.stream, replay.Era(), page.Era)
+			return 0, merry.Errorf("stream %s changed from era %d to %d during replay", c.stream, replay.Era(), page.Era)
 		}
 		for _, r := range page.Records {
-			replay.Apply(input(r))
+			replay.Apply(replayInput(r))
 			from = r.Offset + 1
 		}
 		if len(page.Records) == 0 || from >= page.Next {
@@ -237,11 +245,11 @@
 	}
 }
 
-// windowStart returns the last offset that is old enough for all later claims
-// to be certain, or the first kept one.
+// windowStart returns the last offset old enough that a replay from it makes the
+// verdicts on new claims certain, or the first retained offset.
 func (c *combiner) windowStart(ctx context.Context, head platform.Page) (int64, error) {
 	first, count := head.FirstKept, head.Next-head.FirstKept
-	if count < searchFrom {
+	if count < minSearchRecords {
 		return max(first, 1), nil
 	}
 	last, err := c.timeAt(ctx, head.Next-1)
@@ -250,52 +258,55 @@
 	}
 	oldest := last.Add(-c.o.Replay.Window() - time.Second)
 	var failed error
-	young := sort.Search(int(count), func(i int) bool {
+	firstInWindow := sort.Search(int(count), func(i int) bool {
 		at, err := c.timeAt(ctx, first+int64(i))
 		if err != nil {
 			failed = err
 		}
 		return failed != nil || at.After(oldest)
 	})
-	return first + int64(max(young-1, 0)), failed
+	return first + int64(max(firstInWindow-1, 0)), failed
 }
 
+// timeAt returns the log time of the record at an offset.
 func (c *combiner) timeAt(ctx context.Context, offset int64) (time.Time, error) {
-	page, err := c.readNow(ctx, offset, 1)
+	page, err := c.readPage(ctx, offset, 1)
 	if err != nil {
 		return time.Time{}, err
 	}
 	if len(page.Records) == 0 {
-		return time.Time{}, merry.Errorf("stream %s has no record at %d", c.stream, offset)
+		return time.Time{}, merry.Errorf("stream %s has no record at offset %d", c.stream, offset)
 	}
 	return page.Records[0].At, nil
 }
 
-func (c *combiner) readNow(ctx context.Context, from int64, limit int) (platform.Page, error) {
+// readPage reads up to limit records without waiting for new ones.
+func (c *combiner) readPage(ctx context.Context, from int64, limit int) (platform.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.o.LogTimeout)
 	defer cancel()
 	return c.log.Read(ctx, c.stream, from, limit, 0)
 }
 
-// markNow appends a mark with what is known of the log's era. In a later era than the first, the
-// window is replayed for it: without a mark of the era in it, verdicts would be uncertain.
-func (c *combiner) markNow(ctx context.Context) error {
-	head, err := c.readNow(ctx, 1, 1)
+// refreshMark appends a mark with the log's era and its start, if known. In any era
+// but the first it replays the window for that: without a mark of the era in the
+// window, verdicts would be uncertain.
+func (c *combiner) refreshMark(ctx context.Context) error {
+	head, err := c.readPage(ctx, 1, 1)
 	if err != nil {
 		return err
 	}
-	if head.Era != platform.NoEra && !c.open(ctx) {
-		return merry.New("the window is not replayed")
+	if head.Era != platform.NoEra && !c.ensureReady(ctx) {
+		return merry.New("the window has not been replayed")
 	}
 	c.mu.Lock()
 	replay := c.replay
 	c.mu.Unlock()
-	return c.mark(ctx, replay)
+	return c.appendMark(ctx, replay)
 }
 
-// mark appends a record that shows the log's time, and since when it is in the era of a replay;
-// nil: that is not known.
-func (c *combiner) mark(ctx context.Context, replay *claim.Replay) error {
+// appendMark appends a record that shows the log's time and, if replay is not nil,
+// the era of the replay and since when the log is in it.
+func (c *combiner) appendMark(ctx context.Context, replay *claim.Replay) error {
 	m := claim.Mark{Host: c.o.Host}
 	if replay != nil {
 		m.Era = replay.Era()
--- a/internal/claims/release.go
+++ b/internal/claims/release.go
@@ -17,8 +17,8 @@
 	maxReleaseWait = 15 * time.Second // between two tries of one release
 )
 
-// releaser writes the releases of claims that were given up, as soon as the
-// log can be reached. A lost release costs a held key, never a second run.
+// releaser writes the releases of abandoned and released claims as soon as the log
+// can be reached. If a release is lost, the key stays held; no request runs twice.
 type releaser struct {
 	s    *Service
 	wake chan struct{}
@@ -28,17 +28,17 @@
 }
 
 type releaseTask struct {
-	claim claim.Claim
-	until time.Time // the claim is no longer remembered, or can no longer hold
-	next  time.Time // not tried before it
-	wait  time.Duration
+	claim     claim.Claim
+	until     time.Time     // from then on the claim is out of the window and needs no release
+	notBefore time.Time     // of the next try
+	backOff   time.Duration // wait after the last failed try
 }
 
 func newReleaser(s *Service) *releaser {
 	return &releaser{s: s, wake: make(chan struct{}, 1)}
 }
 
-// add queues the release of a claim whose permit is Released or Dead.
+// add queues the release of a claim whose permit is claim.Released or claim.Dead.
 func (r *releaser) add(cl claim.Claim, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,6 +53,7 @@
 	}
 }
 
+// run writes queued releases until the context ends.
 func (r *releaser) run(ctx context.Context) {
 	for {
 		select {
@@ -60,7 +61,7 @@
 		case <-ctx.Done():
 			return
 		}
-		for left := r.round(ctx); left > 0; left = r.round(ctx) {
+		for left := r.tryAll(ctx); left > 0; left = r.tryAll(ctx) {
 			if !wait.For(ctx, r.s.o.RetryEvery) {
 				return
 			}
@@ -68,8 +69,8 @@
 	}
 }
 
-// round tries each task once and returns how many are left.
-func (r *releaser) round(ctx context.Context) int {
+// tryAll tries each due task once and returns how many tasks are left.
+func (r *releaser) tryAll(ctx context.Context) int {
 	r.mu.Lock()
 	tasks := r.tasks
 	r.tasks = nil
@@ -78,8 +79,8 @@
 	g.SetLimit(releaseWorkers)
 	for _, t := range tasks {
 		g.Go(func() error {
-			if r.s.o.Now().Before(t.next) || !r.write(ctx, t.claim) {
-				r.keep(t)
+			if r.s.o.Now().Before(t.notBefore) || !r.writeRelease(ctx, t.claim) {
+				r.requeue(t)
 			}
 			return nil
 		})
@@ -90,23 +91,25 @@
 	return len(r.tasks)
 }
 
-func (r *releaser) keep(t releaseTask) {
+// requeue keeps a task for a later try, with a growing back-off, until its time is
+// over.
+func (r *releaser) requeue(t releaseTask) {
 	now := r.s.o.Now()
 	if now.After(t.until) {
 		releasesDropped.Inc()
 		return
 	}
-	if now.After(t.next) {
-		t.wait = min(max(2*t.wait, r.s.o.RetryEvery), maxReleaseWait)
-		t.next = now.Add(t.wait)
+	if now.After(t.notBefore) {
+		t.backOff = min(max(2*t.backOff, r.s.o.RetryEvery), maxReleaseWait)
+		t.notBefore = now.Add(t.backOff)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tasks = append(r.tasks, t)
 }
 
-// write reports whether the release stands in the log, or needs not.
-func (r *releaser) write(ctx context.Context, cl claim.Claim) bool {
+// writeRelease reports whether the release is in the log or none is needed.
+func (r *releaser) writeRelease(ctx context.Context, cl claim.Claim) bool {
 	args := ReleaseArgs{
 		Customer:    cl.Customer,
 		Key:         cl.Key,
@@ -114,8 +117,8 @@
 		Host:        cl.Host,
 		Incarnation: cl.Incarnation,
 	}
-	for _, ref := range r.s.route(claim.Partition(cl.Customer, cl.Key)) {
-		reply, err := r.writeAt(ctx, ref, args)
+	for _, ref := range r.s.combinersFor(claim.Partition(cl.Customer, cl.Key)) {
+		reply, err := r.writeReleaseAt(ctx, ref, args)
 		if err == nil && reply.State == StateReleased {
 			releasesWritten.Inc()
 			return true
@@ -124,7 +127,8 @@
 	return false
 }
 
-func (r *releaser) writeAt(ctx context.Context, ref PeerRef, args ReleaseArgs) (ReleaseReply, error) {
+// writeReleaseAt has one combiner write the release.
+func (r *releaser) writeReleaseAt(ctx context.Context, ref PeerRef, args ReleaseArgs) (ReleaseReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.s.o.CallTimeout)
 	defer cancel()
 	if ref.Host == r.s.o.Host {
--- a/internal/claims/restored_test.go
+++ b/internal/claims/restored_test.go
@@ -8,13 +8,14 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// TestKeyWhoseClaimTheLogHasLostIsRefusedUntilItsLifeIsOver guards against a second run: the log
-// comes back from a copy without a claim that was granted. The host that has followed it refuses
-// the key, and so does one that starts afterwards and has never seen the claim.
-func TestKeyWhoseClaimTheLogHasLostIsRefusedUntilItsLifeIsOver(t *testing.T) {
+// TestKeyOfLostClaimIsRefusedUntilWindowEnds guards against a second run after the
+// log is restored from a copy without a granted claim. The host that followed the
+// log refuses the key, and so does one that starts afterwards and has never read the
+// claim.
+func TestKeyOfLostClaimIsRefusedUntilWindowEnds(t *testing.T) {
 	s := newSite(t, "a", "b")
 	back := claim.Options{}.Window() + time.Minute
-	s.log.set(func() { s.log.clock = func() time.Time { return time.Now().Add(-back) } })
+	s.log.update(func() { s.log.clock = func() time.Time { return time.Now().Add(-back) } })
 	s.mustHold("a", "k")
 	stream := StreamName(claim.Partition("frigolijst", "k"))
 	s.log.restore(stream, 0)
@@ -32,8 +33,8 @@
 	_, err := s.acquire("b", "k")
 	wantCode(t, err, request.CodeKeyUnavailable)
 
-	// Once the era is older than the window, keys are taken again.
-	s.log.set(func() { s.log.clock = time.Now })
+	// Once the era is older than the window, keys can be claimed again.
+	s.log.update(func() { s.log.clock = time.Now })
 	s.start("a", 100)
 	s.start("b", 100)
 	s.mustHold("b", "k")
--- a/internal/claims/rpc.go
+++ b/internal/claims/rpc.go
@@ -7,23 +7,23 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/claim"
 )
 
-// State is a combiner's answer.
+// State is the result of a claim or release at a combiner.
 type State uint8
 
 // States of a reply.
 const (
 	StateUndecided State = iota // no verdict in time; the claim may be in the log
-	StateHolds
-	StateHeld
-	StateConflict
-	StateExpired
-	StateLate
-	StateUncertain // the partition refuses: claims may have been trimmed
-	StateAway      // the log does not answer; the claim was not appended now
-	StateBusy      // the partition remembers as many keys as it may
-	StateReleased  // a release stands in the log, or none is needed
-	StateNotFound  // the claim to be released is not in the log
-	StateInvalid   // the claim cannot be encoded
+	StateHolds                  // the claim holds its key
+	StateHeld                   // another claim holds the key
+	StateConflict               // the key was used with another fingerprint
+	StateExpired                // the key's own time is outside the key life
+	StateLate                   // recorded after the claim's NotAfter
+	StateUncertain              // earlier claims of the key may be lost or trimmed
+	StateAway                   // the log does not answer; this call appended nothing
+	StateBusy                   // the partition remembers MaxKeys keys already
+	StateReleased               // a release is in the log, or none is needed
+	StateNotFound               // the claim to be released is not in the log
+	StateInvalid                // the claim cannot be encoded
 )
 
 var stateNames = [...]string{
@@ -49,13 +49,13 @@
 	claim.Uncertain: StateUncertain,
 }
 
-// AcquireArgs asks a combiner for the verdict on a claim.
+// AcquireArgs requests the verdict on a claim from a combiner.
 type AcquireArgs struct {
 	Claim claim.Claim
-	Wait  time.Duration // the combiner answers within it
+	Wait  time.Duration // the combiner replies within it
 }
 
-// AcquireReply is the verdict.
+// AcquireReply is the verdict on a claim.
 type AcquireReply struct {
 	State      State
 	Offset     int64         // of the claim, when it is in the log
@@ -63,7 +63,7 @@
 	RetryAfter time.Duration // with StateUncertain, zero if not known
 }
 
-// ReleaseArgs asks a combiner to write a holder's release.
+// ReleaseArgs requests that a combiner write the release of a claim.
 type ReleaseArgs struct {
 	Customer    string
 	Key         string
@@ -73,20 +73,20 @@
 	Wait        time.Duration
 }
 
-// ReleaseReply tells whether the release stands in the log.
+// ReleaseReply tells whether the release is in the log.
 type ReleaseReply struct {
 	State State
 }
 
-// AwaitArgs asks a holder for the answer of its run.
+// AwaitArgs requests a run's answer from its holder.
 type AwaitArgs struct {
 	Customer    string
 	Key         string
 	Offset      int64
 	ID          claim.ID
-	Incarnation uint64 // the holder's; another process knows nothing
-	From        int    // bytes received so far
-	Wait        time.Duration
+	Incarnation uint64        // of the holder; a later process has no answers of an earlier one
+	From        int           // bytes received so far
+	Wait        time.Duration // the holder replies within it
 }
 
 // RPC is the net/rpc receiver, to be registered as ServiceName.
@@ -94,10 +94,10 @@
 	s *Service
 }
 
-// RPC returns the receiver for the other hosts' calls.
+// RPC returns the receiver of the other hosts' calls.
 func (s *Service) RPC() *RPC { return &RPC{s: s} }
 
-// Acquire answers a front.
+// Acquire returns the verdict on a front's claim.
 func (r *RPC) Acquire(a AcquireArgs, reply *AcquireReply) error {
 	ctx, cancel := context.WithTimeout(r.s.base, a.Wait)
 	defer cancel()
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// Release answers a holder.
+// Release writes the release of a front's claim.
 func (r *RPC) Release(a ReleaseArgs, reply *ReleaseReply) error {
 	ctx, cancel := context.WithTimeout(r.s.base, a.Wait)
 	defer cancel()
@@ -113,7 +113,8 @@
 	return nil
 }
 
-// Await answers a front that was sent the same key again.
+// Await returns the next chunk of a run's answer to a front that received the same
+// key again.
 func (r *RPC) Await(a AwaitArgs, reply *Chunk) error {
 	if a.Incarnation != r.s.o.Incarnation {
 		*reply = Chunk{State: AnswerMissing}
@@ -121,6 +122,6 @@
 	}
 	ctx, cancel := context.WithTimeout(r.s.base, a.Wait)
 	defer cancel()
-	*reply = r.s.readOwn(ctx, answerKey{a.Customer, a.Key, a.Offset}, a.ID, a.From)
+	*reply = r.s.readLocal(ctx, answerKey{a.Customer, a.Key, a.Offset}, a.ID, a.From)
 	return nil
 }
--- a/internal/claims/service.go
+++ b/internal/claims/service.go
@@ -15,17 +15,19 @@
 )
 
 const (
-	// remoteTries is how many other hosts are asked before the own combiner.
-	remoteTries = 2
-	// awayRetry is when a caller may come back to an unreachable log; the front
-	// spreads it.
-	awayRetry = 2 * time.Second
-	// callMargin is the part of a call's time kept for the way back.
-	callMargin = 10
+	// maxRemoteCombiners is the number of other hosts' combiners that are called
+	// before this host's own.
+	maxRemoteCombiners = 2
+	// logRetry is the Retry-After of refusals for a log that does not answer; the
+	// front spreads it.
+	logRetry = 2 * time.Second
+	// callMarginDivisor sets the part of a call's time that is left for the reply to
+	// travel: one tenth.
+	callMarginDivisor = 10
 )
 
-// Service is one host's side of the claims: for its own front, and as combiner
-// and holder for the other hosts. Run must be running while it is used.
+// Service acquires claims for this host's front, and serves the other hosts as
+// combiner and holder. Run must be running while it is used.
 type Service struct {
 	o         Options
 	peers     Peers
@@ -34,7 +36,7 @@
 	wg        sync.WaitGroup
 	combiners [claim.Partitions]*combiner
 	answers   *Answers
-	givenUp   *givenUp
+	abandoned *abandonedClaims
 	releaser  *releaser
 }
 
@@ -47,57 +49,59 @@
 	for i := range s.combiners {
 		s.combiners[i] = newCombiner(o, log, s.base, &s.wg, i)
 	}
-	s.givenUp = newGivenUp(o.Replay.Window(), o.Now)
+	s.abandoned = newAbandonedClaims(o.Replay.Window(), o.Now)
 	s.releaser = newReleaser(s)
 	return s
 }
 
 // Run writes releases and marks until the context ends, and then stops the
-// combiners. Releases not written by then are lost, which costs no safety: the
-// keys stay held until their life ends.
+// combiners. Releases not written by then are lost, which is safe: the keys stay
+// held until their life ends.
 func (s *Service) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	wg.Go(func() { s.releaser.run(ctx) })
-	wg.Go(func() { s.keepMarks(ctx) })
+	wg.Go(func() { s.appendMarks(ctx) })
 	wg.Wait()
 	s.stop()
 	s.wg.Wait()
 	return nil
 }
 
-// keepMarks appends a mark now and then to the partitions that this host is the
-// first combiner of, so that an idle stream always shows how old it is.
-func (s *Service) keepMarks(ctx context.Context) {
+// appendMarks appends a mark every MarkEvery to the partitions whose first combiner
+// is this host, so that an idle stream always has a recent record that shows the
+// log's time.
+func (s *Service) appendMarks(ctx context.Context) {
 	for wait.For(ctx, s.o.MarkEvery) {
 		s.answers.sweep()
-		s.givenUp.sweep()
+		s.abandoned.sweep()
 		for i, c := range s.combiners {
 			refs := s.peers.Combiners(i)
 			if len(refs) == 0 || refs[0].Host != s.o.Host {
 				continue
 			}
-			if err := c.markNow(ctx); err != nil {
+			if err := c.refreshMark(ctx); err != nil {
 				s.o.Log.WithError(err).WithField("stream", c.stream).Warn("claim_mark_failed")
 			}
 		}
 	}
 }
 
+// combiner returns this host's combiner for the partition of a key.
 func (s *Service) combiner(customer, key string) *combiner {
 	return s.combiners[claim.Partition(customer, key)]
 }
 
-// Acquire asks for the right to run the request of a key. The error is a
-// *request.Refusal: nothing was sent and nothing will be. A holder elsewhere is
-// not an error, see Result; when Await then says that it was released, Acquire
-// may be called again and supersedes it.
+// Acquire claims the right to run the request of a key. The error is a
+// *request.Refusal: the request was not dispatched and will not be. A key that
+// another claim holds is not an error, see Result; when Await then returns
+// AnswerReleased, Acquire may be called again and supersedes that claim.
 func (s *Service) Acquire(ctx context.Context, a Ask) (Result, error) {
-	if err := a.check(); err != nil {
+	if err := a.validate(); err != nil {
 		return Result{}, err
 	}
 	now := s.o.Now()
-	// A dispatch must come well before the key's entry ends, however the clocks
-	// of the hosts and the log differ.
+	// The dispatch must happen well before the log's entry of the key expires, even
+	// if the clocks of the hosts and the log differ.
 	notAfter := earlier(a.NotAfter, now.Add(s.o.Replay.KeyLife/2))
 	cl := claim.Claim{
 		Customer:    a.Customer,
@@ -110,11 +114,11 @@
 		LifeMs:      s.o.Replay.KeyLife.Milliseconds(),
 	}
 	permit := claim.NewPermit(notAfter)
-	verdictCame := s.answers.expect(a.Customer, a.Key)
-	defer verdictCame()
+	verdictDone := s.answers.expectVerdict(a.Customer, a.Key)
+	defer verdictDone()
 	ctx, cancel := context.WithTimeout(ctx, min(notAfter.Sub(now), s.o.DecideIn))
 	defer cancel()
-	reply, open := s.ask(ctx, cl)
+	reply, open := s.requestVerdict(ctx, cl)
 	countVerdict(reply.State)
 	s.logVerdict(cl, reply)
 	if reply.State == StateHolds && permit.Grant(reply.Offset) {
@@ -123,7 +127,7 @@
 	}
 	permit.Kill()
 	if open {
-		s.givenUp.add(cl.ID)
+		s.abandoned.add(cl.ID)
 		s.releaser.add(cl, s.o.Now())
 	}
 	if reply.State == StateHeld {
@@ -132,8 +136,8 @@
 	return Result{}, refusal(reply, a.NotAfter.Sub(now))
 }
 
-// check returns a *request.Refusal of an ask that no record could hold.
-func (a Ask) check() error {
+// validate returns a *request.Refusal if the key or customer does not fit a record.
+func (a Ask) validate() error {
 	switch {
 	case a.Key == "" || len(a.Key) > claim.MaxKeyBytes:
 		return request.Refuse(request.CodeBadRequest, 0, "idempotency key has %d bytes, want 1 to %d", len(a.Key), claim.MaxKeyBytes)
@@ -161,38 +165,40 @@
 		Info("event=claim")
 }
 
-// ask goes through the combiners until one gives a verdict, the own one last.
-// open is true when the claim may hold in the log without this front knowing.
-func (s *Service) ask(ctx context.Context, cl claim.Claim) (reply AcquireReply, open bool) {
+// requestVerdict calls the combiners in turn, this host's own last, until one
+// returns a verdict. open is true when the claim may come to hold its key in the
+// log although the reply does not say so.
+func (s *Service) requestVerdict(ctx context.Context, cl claim.Claim) (reply AcquireReply, open bool) {
 	reply = AcquireReply{State: StateAway}
-	for _, ref := range s.route(claim.Partition(cl.Customer, cl.Key)) {
+	for _, ref := range s.combinersFor(claim.Partition(cl.Customer, cl.Key)) {
 		if ctx.Err() != nil {
 			break
 		}
-		r, err := s.askOne(ctx, ref, cl)
+		r, err := s.requestVerdictFrom(ctx, ref, cl)
 		if err != nil || r.State == StateUndecided {
 			open = true
 			continue
 		}
 		switch {
 		case r.State == StateUncertain && r.Offset > 0:
-			return r, true // another replay may have seen enough to let it hold
+			return r, true // another combiner's replay may have enough records to find that it holds
 		case r.State == StateUncertain || r.State == StateBusy:
 			reply = r
 		case r.State != StateAway:
-			// An ask that got no answer may still be appended, unless this
-			// verdict is that of its record.
+			// A claim sent to a combiner that did not reply may still be appended,
+			// unless this verdict is that of its record.
 			return r, open && r.Offset == 0
 		}
 	}
 	return reply, open
 }
 
-// route lists who is asked, this host's own combiner always among them.
-func (s *Service) route(partition int) []PeerRef {
+// combinersFor lists the combiners to call for a partition in order, this host's own
+// last.
+func (s *Service) combinersFor(partition int) []PeerRef {
 	var refs []PeerRef
 	for _, ref := range s.peers.Combiners(partition) {
-		if ref.Host == s.o.Host || len(refs) == remoteTries {
+		if ref.Host == s.o.Host || len(refs) == maxRemoteCombiners {
 			break
 		}
 		refs = append(refs, ref)
@@ -200,7 +206,8 @@
 	return append(refs, PeerRef{Host: s.o.Host})
 }
 
-func (s *Service) askOne(ctx context.Context, ref PeerRef, cl claim.Claim) (AcquireReply, error) {
+// requestVerdictFrom requests the verdict on a claim from one combiner.
+func (s *Service) requestVerdictFrom(ctx context.Context, ref PeerRef, cl claim.Claim) (AcquireReply, error) {
 	if ref.Host == s.o.Host {
 		return s.combiner(cl.Customer, cl.Key).acquire(ctx, cl), nil
 	}
@@ -213,13 +220,16 @@
 	return reply, nil
 }
 
-// callWait leaves the answer of a call time to come back.
+// callWait returns how long the called host may take, which leaves the reply time
+// to travel before the context's deadline.
 func callWait(ctx context.Context) time.Duration {
 	end, _ := ctx.Deadline()
 	left := time.Until(end)
-	return left - left/callMargin
+	return left - left/callMarginDivisor
 }
 
+// refusal returns the refusal for a reply that neither holds the key nor names a
+// holder; remaining is the time to the request's deadline.
 func refusal(r AcquireReply, remaining time.Duration) *request.Refusal {
 	switch r.State {
 	case StateConflict:
@@ -229,29 +239,30 @@
 	case StateLate:
 		return request.Refuse(request.CodeDeadline, 0, "the claim was recorded after the deadline")
 	case StateUncertain:
-		return request.Refuse(request.CodeKeyUnavailable, max(r.RetryAfter, awayRetry), "earlier uses of the idempotency key cannot be ruled out")
+		return request.Refuse(request.CodeKeyUnavailable, max(r.RetryAfter, logRetry), "earlier uses of the idempotency key cannot be ruled out")
 	case StateInvalid:
 		return request.Refuse(request.CodeInternal, 0, "the claim cannot be encoded")
 	case StateBusy:
-		return request.Refuse(request.CodeKeyUnavailable, awayRetry, "too many idempotency keys are remembered")
+		return request.Refuse(request.CodeKeyUnavailable, logRetry, "too many idempotency keys are remembered")
 	}
 	if remaining <= 0 {
 		return request.Refuse(request.CodeDeadline, 0, "the deadline has passed")
 	}
-	return request.Refuse(request.CodeKeyUnavailable, awayRetry, "the claim log does not answer")
+	return request.Refuse(request.CodeKeyUnavailable, logRetry, "the claim log does not answer")
 }
 
-// readOwn returns what is there of a run of this host.
-func (s *Service) readOwn(ctx context.Context, key answerKey, id claim.ID, from int) Chunk {
+// readLocal returns the next chunk of the answer of one of this host's runs.
+func (s *Service) readLocal(ctx context.Context, key answerKey, id claim.ID, from int) Chunk {
 	chunk := s.answers.read(ctx, key, from)
-	if chunk.State == AnswerMissing && s.givenUp.has(id) {
+	if chunk.State == AnswerMissing && s.abandoned.contains(id) {
 		return Chunk{State: AnswerReleased}
 	}
 	return chunk
 }
 
-// Release gives up a key that this host holds and has not dispatched; another
-// ask may then take it. It reports false when the request was dispatched.
+// Release releases a key that this host holds and whose request was not dispatched,
+// so that it can be claimed again. It reports false if this host does not hold the
+// key, dispatched the request or released the key before.
 func (s *Service) Release(r Result) bool {
 	if r.Permit == nil || !r.Permit.Release() {
 		return false
--- a/internal/claims/types.go
+++ b/internal/claims/types.go
@@ -10,26 +10,27 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/option"
 )
 
-// Ask is a front's wish to run the request of a key.
+// Ask is a front's request for the right to run the request of a key.
 type Ask struct {
 	Customer    string
 	Key         string    // idempotency key, scoped to the customer
 	Fingerprint uint64    // of the request's body
-	NotAfter    time.Time // the request's deadline: no dispatch after it
+	NotAfter    time.Time // the request's deadline; it is not dispatched later
 }
 
-// Result of Acquire: either this host holds the key, or another claim does.
+// Result is the result of Acquire: either this host holds the key, or another claim
+// does.
 type Result struct {
 	Offset int64 // of the holder's claim
 
-	// Permit and Answer are set when this host holds the key. Permit.Dispatch
-	// must report true before the first byte is sent. Every held Result ends in
-	// Service.Release or in Answer.Finish.
+	// Permit and Answer are set when this host holds the key. Permit.Dispatch must
+	// report true before the first byte is sent. The caller must end with
+	// Service.Release or Answer.Finish.
 	Permit *claim.Permit
 	Answer *Recording
 
-	// Holder is the other claim when Permit is nil. It may be of this host; use
-	// Service.Await for its answer.
+	// Holder is the other claim when Permit is nil. It may be of this host too;
+	// Service.Await returns its answer.
 	Holder claim.Holder
 
 	record claim.Claim
@@ -44,15 +45,15 @@
 	Address string // IP:port of its peer listener
 }
 
-// Peers is what this package needs of the other daemons.
+// Peers gives access to the other daemons.
 type Peers interface {
-	// Combiners lists the live hosts for a partition in rendezvous order, this
-	// host included.
+	// Combiners lists the live hosts, this one included, in the partition's
+	// rendezvous order.
 	Combiners(partition int) []PeerRef
 	// Address returns the peer address of a live host.
 	Address(host string) (address string, ok bool)
-	// Call calls a net/rpc method, as ServiceName + ".Acquire". After an error the
-	// reply may still be written to and must not be read.
+	// Call calls a net/rpc method, for example ServiceName + ".Acquire". After an
+	// error the reply may still be written to and must not be read.
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
@@ -73,24 +74,24 @@
 	DefaultMaxKeys     = 200_000
 )
 
-// Options of a Service. Host, Incarnation and Replay must be set alike to what
-// the peers see; the rest has defaults.
+// Options configure a Service. Host and Incarnation must be those that the peers
+// know this host by, and Replay the same on all hosts; the rest has defaults.
 type Options struct {
 	Host        string
-	Incarnation uint64        // of this process; another one after each start
+	Incarnation uint64        // of this process; a new one after each start
 	Replay      claim.Options // the same on all hosts of the site
 
-	BatchEvery  time.Duration // least time between appends to a partition
-	IdleWait    time.Duration // wait for company before the first append
-	MaxBatch    int           // records in an append
-	Poll        time.Duration // longest wait of a read
+	BatchEvery  time.Duration // minimum time between appends to a partition
+	IdleWait    time.Duration // wait for more records before an append to an idle partition
+	MaxBatch    int           // records in one append
+	Poll        time.Duration // maximum wait of a read for new records
 	LogTimeout  time.Duration // of an append, and of a read beyond its wait
 	RetryEvery  time.Duration // after an error of the log
-	IdleStop    time.Duration // an unused partition is followed no longer
+	IdleStop    time.Duration // a partition unused for this long is not followed any more
 	CallTimeout time.Duration // of a call to a combiner
-	DecideIn    time.Duration // longest wait for a verdict
+	DecideIn    time.Duration // maximum wait for a verdict
 	MarkEvery   time.Duration // between marks; half the key life by default
-	MaxKeys     int           // remembered keys of a partition before it refuses
+	MaxKeys     int           // keys that a partition remembers; further claims get StateBusy
 
 	Answers AnswerOptions
 	Now     func() time.Time // time.Now by default
@@ -128,7 +129,7 @@
 	return o
 }
 
-// MinRetention is the least time for which the log must keep claim records.
+// MinRetention returns the minimum time for which the log must keep claim records.
 func (o Options) MinRetention() time.Duration {
 	o = o.withDefaults()
 	return o.Replay.Window() + 2*o.MarkEvery
--- a/internal/claims/window_test.go
+++ b/internal/claims/window_test.go
@@ -12,17 +12,17 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// A host that starts after a trim cannot know who held the key: it refuses, with
-// records left or without.
+// A host that starts after a trim cannot know which claim held the key, so it
+// refuses the key, whether or not any records are left.
 func TestTrimmedWindowRefuses(t *testing.T) {
 	for name, kept := range map[string]int{"some records kept": 1, "all trimmed": 0} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, "a")
 			back := claim.Options{}.Window() + time.Minute
-			s.log.set(func() { s.log.clock = func() time.Time { return time.Now().Add(-back) } })
+			s.log.update(func() { s.log.clock = func() time.Time { return time.Now().Add(-back) } })
 			s.mustHold("a", "k")
 			stream := StreamName(claim.Partition("frigolijst", "k"))
-			s.log.set(func() {
+			s.log.update(func() {
 				garbage := platform.Record{Offset: 2, At: s.log.clock(), Data: []byte("garbage")}
 				s.log.streams[stream] = append(s.log.streams[stream], garbage)
 				s.log.first[stream] = int64(3 - kept)
@@ -31,15 +31,15 @@
 			_, err := s.acquire("a", "k")
 			wantCode(t, err, request.CodeKeyUnavailable)
 
-			// Once the hole is older than the window, the key is taken again.
-			s.log.set(func() { s.log.clock = time.Now })
+			// Once the trimmed part is older than the window, the key can be claimed again.
+			s.log.update(func() { s.log.clock = time.Now })
 			s.start("a", 100)
 			s.mustHold("a", "k")
 		})
 	}
 }
 
-// A combiner that stopped for want of use replays the window before it answers.
+// A combiner that stopped because it was idle replays the window before it answers.
 func TestIdleCombinerReplays(t *testing.T) {
 	s := newSite(t, "a")
 	first := s.mustHold("a", "k")
@@ -58,7 +58,7 @@
 func TestWindowStartIsSearched(t *testing.T) {
 	log := newMemLog()
 	start := time.Now().Add(-24 * time.Hour)
-	const count = 3 * searchFrom
+	const count = 3 * minSearchRecords
 	for i := range count {
 		at := start.Add(time.Duration(i) * 24 * time.Hour / count)
 		log.streams["claims-0"] = append(log.streams["claims-0"], platform.Record{Offset: int64(i + 1), At: at, Data: []byte("x")})
@@ -88,7 +88,7 @@
 		return k
 	}
 	state := func(k answerKey) AnswerState {
-		chunk, _ := a.look(k, 0)
+		chunk, _ := a.chunkAt(k, 0)
 		return chunk.State
 	}
 	first, second, tooLarge := record(1, 50), record(2, 51), record(3, 61)
@@ -106,17 +106,17 @@
 	}
 }
 
-func TestGivenUpIsForgotten(t *testing.T) {
+func TestAbandonedClaimExpires(t *testing.T) {
 	now := time.Now()
-	g := newGivenUp(time.Minute, func() time.Time { return now })
+	g := newAbandonedClaims(time.Minute, func() time.Time { return now })
 	g.add(claim.ID{1})
 	g.sweep()
-	if !g.has(claim.ID{1}) || g.has(claim.ID{2}) {
+	if !g.contains(claim.ID{1}) || g.contains(claim.ID{2}) {
 		t.Error("wrong claims known")
 	}
 	now = now.Add(time.Minute + 1)
 	g.sweep()
-	if g.has(claim.ID{1}) {
+	if g.contains(claim.ID{1}) {
 		t.Error("known beyond its window")
 	}
 }
