--- a/internal/claims/answers.go
+++ b/internal/claims/answers.go
@@ -12,9 +12,9 @@
 
 // Defaults of AnswerOptions.
 const (
-	DefaultAnswerBytes    = 32 << 20
-	DefaultOneAnswerBytes = 4 << 20
-	DefaultAnswerRecords  = 50_000
+	DefaultMaxTotalBytes    = 32 << 20
+	DefaultMaxAnswerBytes   = 4 << 20
+	DefaultMaxAnswerRecords = 50_000
 )
 
 const (
@@ -26,10 +26,10 @@
 
 // AnswerOptions bound what a holder keeps for repeats of its keys.
 type AnswerOptions struct {
-	Bytes    int           // of all answers together. Default 32 MiB
-	OneBytes int           // of one answer. Default 4 MiB
-	Age      time.Duration // of an ended answer's bytes. Default the replay's window
-	Records  int           // of keys whose outcome is known. Default 50,000
+	MaxTotalBytes  int           // of all answers together. Default 32 MiB
+	MaxAnswerBytes int           // of one answer. Default 4 MiB
+	MaxAge         time.Duration // of an ended answer's bytes. Default the replay's window
+	MaxRecords     int           // of keys whose outcome is known. Default 50,000
 }
 
 // AnswerState says how the run of a key stands.
@@ -147,7 +147,7 @@
 }
 
 // Begin starts the answer of one run. Its name must be unique to it.
-func (a *Answers) Begin(customer, key string, offset int64) *Recording {
+func (a *Answers) Begin(customer, key string, offset int64) *AnswerWriter {
 	return a.begin(answerKey{customer, key, offset})
 }
 
@@ -158,16 +158,16 @@
 }
 
 func newAnswers(o AnswerOptions, window time.Duration, now func() time.Time) *Answers {
-	if o.Bytes <= 0 {
-		o.Bytes = DefaultAnswerBytes
+	if o.MaxTotalBytes <= 0 {
+		o.MaxTotalBytes = DefaultMaxTotalBytes
 	}
-	if o.OneBytes <= 0 {
-		o.OneBytes = DefaultOneAnswerBytes
+	if o.MaxAnswerBytes <= 0 {
+		o.MaxAnswerBytes = DefaultMaxAnswerBytes
 	}
-	if o.Records <= 0 {
-		o.Records = DefaultAnswerRecords
+	if o.MaxRecords <= 0 {
+		o.MaxRecords = DefaultMaxAnswerRecords
 	}
-	option.Default(&o.Age, window)
+	option.Default(&o.MaxAge, window)
 	return &Answers{o: o, now: now, runs: map[answerKey]*kept{}, ended: list.New(), asked: map[scopedKey]*asked{}}
 }
 
@@ -197,23 +197,23 @@
 	x.fewer = make(chan struct{})
 }
 
-// Recording takes the answer of one run as it comes.
-type Recording struct {
+// AnswerWriter takes the answer of one run as it comes.
+type AnswerWriter struct {
 	a *Answers
 	k *kept
 }
 
-func (a *Answers) begin(key answerKey) *Recording {
+func (a *Answers) begin(key answerKey) *AnswerWriter {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	k := &kept{key: key, ending: Ending{State: AnswerRunning}, changed: make(chan struct{})}
 	a.runs[key] = k
-	return &Recording{a: a, k: k}
+	return &AnswerWriter{a: a, k: k}
 }
 
 // Write adds bytes to the answer. It never fails: what does not fit the bounds
 // is not kept, and repeats of the key are told so.
-func (r *Recording) Write(p []byte) (int, error) {
+func (r *AnswerWriter) Write(p []byte) (int, error) {
 	a, k := r.a, r.k
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -221,7 +221,7 @@
 		return len(p), nil
 	}
 	k.size += len(p)
-	if k.size > a.o.OneBytes {
+	if k.size > a.o.MaxAnswerBytes {
 		a.drop(k)
 	}
 	if !k.dropped {
@@ -234,7 +234,7 @@
 }
 
 // Finish ends the answer. Only the first call counts.
-func (r *Recording) Finish(e Ending) {
+func (r *AnswerWriter) Finish(e Ending) {
 	a, k := r.a, r.k
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -257,10 +257,10 @@
 // shrink drops the bytes of the oldest ended answers, and those of the growing
 // one last.
 func (a *Answers) shrink(growing *kept) {
-	for e := a.ended.Front(); e != nil && a.bytes > a.o.Bytes; e = e.Next() {
+	for e := a.ended.Front(); e != nil && a.bytes > a.o.MaxTotalBytes; e = e.Next() {
 		a.drop(e.Value.(*kept))
 	}
-	if a.bytes > a.o.Bytes {
+	if a.bytes > a.o.MaxTotalBytes {
 		a.drop(growing)
 	}
 }
@@ -289,11 +289,11 @@
 	for e := a.ended.Front(); e != nil; {
 		k, next := e.Value.(*kept), e.Next()
 		age := now.Sub(k.ended)
-		if age <= a.o.Age && a.ended.Len() <= a.o.Records {
+		if age <= a.o.MaxAge && a.ended.Len() <= a.o.MaxRecords {
 			return
 		}
 		a.drop(k)
-		if age > 2*a.o.Age || a.ended.Len() > a.o.Records {
+		if age > 2*a.o.MaxAge || a.ended.Len() > a.o.MaxRecords {
 			a.ended.Remove(e)
 			delete(a.runs, k.key)
 		}
--- a/internal/claims/batch.go
+++ b/internal/claims/batch.go
@@ -30,7 +30,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.o.Now()
-	return max(c.o.IdleWait, last.Add(c.o.BatchEvery).Sub(now), c.blocked.Sub(now))
+	return max(c.o.BatchDelay, last.Add(c.o.BatchEvery).Sub(now), c.blocked.Sub(now))
 }
 
 // take returns the next batch without what nobody waits for any longer.
--- a/internal/claims/bench_test.go
+++ b/internal/claims/bench_test.go
@@ -29,7 +29,7 @@
 			s := newSite(b, "a")
 			h := s.hosts["a"]
 			c := h.combiners[0]
-			c.o.BatchEvery, c.o.IdleWait, c.o.MaxKeys = 1, 1, 1<<30
+			c.o.BatchEvery, c.o.BatchDelay, c.o.MaxKeys = 1, 1, 1<<30
 			batch := max(1, rate*int(DefaultBatchEvery)/int(time.Second))
 			before := cpuTime()
 			for n := 0; n < b.N; n++ {
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -15,8 +15,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-func ask(key string) Ask {
-	return Ask{Customer: "frigolijst", Key: key, Fingerprint: 7, NotAfter: time.Now().Add(time.Minute)}
+func ask(key string) AcquireRequest {
+	return AcquireRequest{Customer: "frigolijst", Key: key, Fingerprint: 7, NotAfter: time.Now().Add(time.Minute)}
 }
 
 func (s *site) acquire(host, key string) (Result, error) {
@@ -30,7 +30,7 @@
 func (s *site) mustHold(host, key string) Result {
 	s.t.Helper()
 	r, err := s.acquire(host, key)
-	if err != nil || !r.Mine() {
+	if err != nil || !r.HoldsKey() {
 		s.t.Fatalf("%s does not hold %s: %+v, %v", host, key, r.Holder, err)
 	}
 	return r
@@ -80,7 +80,7 @@
 	var dispatched int
 	want := bytes.Repeat([]byte("0123456789"), chunkBytes/4)
 	for i, r := range results {
-		if r.Mine() {
+		if r.HoldsKey() {
 			if r.Permit.Dispatch(time.Now()) {
 				dispatched++
 			}
@@ -121,7 +121,7 @@
 	s.log.set(func() { s.log.noReads = false })
 	eventually(t, "the key is free again", func() bool {
 		r, err := s.acquire("a", "k")
-		return err == nil && r.Mine() && r.Permit.Dispatch(time.Now())
+		return err == nil && r.HoldsKey() && r.Permit.Dispatch(time.Now())
 	})
 	if _, releases := s.log.records("k"); releases != 1 {
 		t.Errorf("%d releases", releases)
@@ -136,7 +136,7 @@
 	}
 	eventually(t, "b supersedes", func() bool {
 		r, err := s.acquire("b", "k")
-		if err != nil || r.Mine() {
+		if err != nil || r.HoldsKey() {
 			return err == nil && r.Permit.Dispatch(time.Now())
 		}
 		end, err := s.hosts["b"].Await(context.Background(), r, &bytes.Buffer{})
@@ -162,7 +162,7 @@
 	s.start("b", 99)
 	for _, name := range s.names {
 		r, err := s.acquire(name, "k")
-		if err != nil || r.Mine() {
+		if err != nil || r.HoldsKey() {
 			t.Fatalf("%s: %+v, %v", name, r, err)
 		}
 		end, err := s.hosts[name].Await(context.Background(), r, &bytes.Buffer{})
@@ -239,7 +239,7 @@
 	s.log.set(func() { s.log.noReads = false })
 	eventually(t, "the other host holds the key", func() bool {
 		r, err := s.acquire("b", "basket")
-		if err != nil || r.Mine() {
+		if err != nil || r.HoldsKey() {
 			return err == nil
 		}
 		end, err := s.hosts["b"].Await(context.Background(), r, &bytes.Buffer{})
--- a/internal/claims/combiner.go
+++ b/internal/claims/combiner.go
@@ -63,7 +63,7 @@
 // acquire returns the verdict on a claim, appending it if need be.
 func (c *combiner) acquire(ctx context.Context, cl claim.Claim) AcquireReply {
 	if !c.open(ctx) {
-		return AcquireReply{State: StateAway}
+		return AcquireReply{State: StateLogUnavailable}
 	}
 	p, reply := c.submit(cl)
 	if p == nil {
@@ -83,7 +83,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.replay == nil {
-		return nil, AcquireReply{State: StateAway}
+		return nil, AcquireReply{State: StateLogUnavailable}
 	}
 	if d, ok := c.replay.Decided(cl.Customer, cl.Key, cl.ID); ok {
 		return nil, AcquireReply{State: verdictStates[d.Verdict], Offset: d.Offset, Holder: d.Holder}
@@ -103,7 +103,7 @@
 		cl.Supersedes = st.Holder.Offset
 	}
 	if c.away || c.o.Now().Before(c.blocked) {
-		return nil, AcquireReply{State: StateAway}
+		return nil, AcquireReply{State: StateLogUnavailable}
 	}
 	if c.replay.Len()+len(c.claims) >= c.o.MaxKeys {
 		return nil, AcquireReply{State: StateBusy}
@@ -121,7 +121,7 @@
 // release writes the release of a claim that holds its key.
 func (c *combiner) release(ctx context.Context, a ReleaseArgs) ReleaseReply {
 	if !c.open(ctx) {
-		return ReleaseReply{State: StateAway}
+		return ReleaseReply{State: StateLogUnavailable}
 	}
 	p, state := c.submitRelease(a)
 	if p == nil {
@@ -140,7 +140,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.replay == nil || c.away {
-		return nil, StateAway
+		return nil, StateLogUnavailable
 	}
 	d, ok := c.replay.Decided(a.Customer, a.Key, a.ID)
 	if !ok {
@@ -247,7 +247,7 @@
 func (c *combiner) stopIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.claims)+len(c.releases) > 0 || c.o.Now().Sub(c.used) < c.o.IdleStop {
+	if len(c.claims)+len(c.releases) > 0 || c.o.Now().Sub(c.used) < c.o.IdleTimeout {
 		return false
 	}
 	c.running = false
--- a/internal/claims/fake_test.go
+++ b/internal/claims/fake_test.go
@@ -157,9 +157,9 @@
 	quiet.SetLevel(logrus.PanicLevel)
 	h := New(Options{
 		Host: name, Incarnation: incarnation, Log: quiet,
-		BatchEvery: 2 * time.Millisecond, IdleWait: time.Millisecond,
-		Poll: 100 * time.Millisecond, RetryEvery: 5 * time.Millisecond,
-		CallTimeout: time.Second, DecideIn: 20 * time.Second, IdleStop: 300 * time.Millisecond,
+		BatchEvery: 2 * time.Millisecond, BatchDelay: time.Millisecond,
+		PollTimeout: 100 * time.Millisecond, RetryEvery: 5 * time.Millisecond,
+		CallTimeout: time.Second, VerdictTimeout: 20 * time.Second, IdleTimeout: 300 * time.Millisecond,
 	}, s.log, &peersOf{s})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
--- a/internal/claims/faults_test.go
+++ b/internal/claims/faults_test.go
@@ -29,7 +29,7 @@
 			if claims, _ := s.log.records("k"); claims != c.claims || !r.Permit.Dispatch(time.Now()) {
 				t.Errorf("%d claim records, want %d; permit %v", claims, c.claims, r.Permit.State())
 			}
-			if again, err := s.acquire("a", "k"); err != nil || again.Mine() || again.Offset != r.Offset {
+			if again, err := s.acquire("a", "k"); err != nil || again.HoldsKey() || again.Offset != r.Offset {
 				t.Errorf("second ask: %+v, %v", again, err)
 			}
 		})
@@ -51,7 +51,7 @@
 	try := func(rng *rand.Rand, host string, n int) {
 		r, err := s.acquire(host, fmt.Sprint(n))
 		switch {
-		case err != nil || !r.Mine():
+		case err != nil || !r.HoldsKey():
 		case rng.IntN(2) == 0:
 			s.hosts[host].Release(r)
 		case r.Permit.Dispatch(time.Now()):
@@ -93,7 +93,7 @@
 	s.log.set(func() { s.log.noLog = false })
 	eventually(t, "a claim is held again", func() bool {
 		r, err := s.acquire("b", "k")
-		return err == nil && r.Mine()
+		return err == nil && r.HoldsKey()
 	})
 }
 
@@ -107,7 +107,7 @@
 	s.log.set(func() { s.log.faults = nil })
 	eventually(t, "another ask holds", func() bool {
 		r, err := s.acquire("a", "k")
-		return err == nil && r.Mine()
+		return err == nil && r.HoldsKey()
 	})
 	if claims, _ := s.log.records("k"); claims != 1 {
 		t.Errorf("%d claim records: one that nobody waits for was appended", claims)
@@ -120,7 +120,7 @@
 	for _, name := range []string{"a", "b", "c"} {
 		s.setDown(name, true)
 		r, err := s.acquire("d", "k")
-		if err != nil || r.Mine() || r.Offset != first.Offset {
+		if err != nil || r.HoldsKey() || r.Offset != first.Offset {
 			t.Errorf("without %s: %+v, %v", name, r, err)
 		}
 		s.mustHold("d", "without "+name)
--- a/internal/claims/follow.go
+++ b/internal/claims/follow.go
@@ -66,7 +66,7 @@
 
 // poll waits for the next records and settles what they decide.
 func (c *combiner) poll(ctx context.Context, replay *claim.Replay) error {
-	readCtx, cancel := context.WithTimeout(ctx, c.o.Poll+c.o.LogTimeout)
+	readCtx, cancel := context.WithTimeout(ctx, c.o.PollTimeout+c.o.LogTimeout)
 	defer cancel()
 	number, pause := c.beginRead(cancel)
 	began := time.Now()
@@ -114,7 +114,7 @@
 		return c.reads, 0
 	}
 	c.stopPoll = cancel
-	return c.reads, c.o.Poll
+	return c.reads, c.o.PollTimeout
 }
 
 func (c *combiner) apply(replay *claim.Replay, page platform.Page, read int64) {
--- a/internal/claims/rpc.go
+++ b/internal/claims/rpc.go
@@ -18,12 +18,12 @@
 	StateConflict
 	StateExpired
 	StateLate
-	StateUncertain // the partition refuses: claims may have been trimmed
-	StateAway      // the log does not answer; the claim was not appended now
-	StateBusy      // the partition remembers as many keys as it may
-	StateReleased  // a release stands in the log, or none is needed
-	StateNotFound  // the claim to be released is not in the log
-	StateInvalid   // the claim cannot be encoded
+	StateUncertain      // the partition refuses: claims may have been trimmed
+	StateLogUnavailable // the log does not answer; the claim was not appended now
+	StateBusy           // the partition remembers as many keys as it may
+	StateReleased       // a release stands in the log, or none is needed
+	StateNotFound       // the claim to be released is not in the log
+	StateInvalid        // the claim cannot be encoded
 )
 
 var stateNames = [...]string{
--- a/internal/claims/service.go
+++ b/internal/claims/service.go
@@ -91,7 +91,7 @@
 // *request.Refusal: nothing was sent and nothing will be. A holder elsewhere is
 // not an error, see Result; when Await then says that it was released, Acquire
 // may be called again and supersedes it.
-func (s *Service) Acquire(ctx context.Context, a Ask) (Result, error) {
+func (s *Service) Acquire(ctx context.Context, a AcquireRequest) (Result, error) {
 	if err := a.check(); err != nil {
 		return Result{}, err
 	}
@@ -112,7 +112,7 @@
 	permit := claim.NewPermit(notAfter)
 	verdictCame := s.answers.expect(a.Customer, a.Key)
 	defer verdictCame()
-	ctx, cancel := context.WithTimeout(ctx, min(notAfter.Sub(now), s.o.DecideIn))
+	ctx, cancel := context.WithTimeout(ctx, min(notAfter.Sub(now), s.o.VerdictTimeout))
 	defer cancel()
 	reply, open := s.ask(ctx, cl)
 	countVerdict(reply.State)
@@ -133,7 +133,7 @@
 }
 
 // check returns a *request.Refusal of an ask that no record could hold.
-func (a Ask) check() error {
+func (a AcquireRequest) check() error {
 	switch {
 	case a.Key == "" || len(a.Key) > claim.MaxKeyBytes:
 		return request.Refuse(request.CodeBadRequest, 0, "idempotency key has %d bytes, want 1 to %d", len(a.Key), claim.MaxKeyBytes)
@@ -164,7 +164,7 @@
 // ask goes through the combiners until one gives a verdict, the own one last.
 // open is true when the claim may hold in the log without this front knowing.
 func (s *Service) ask(ctx context.Context, cl claim.Claim) (reply AcquireReply, open bool) {
-	reply = AcquireReply{State: StateAway}
+	reply = AcquireReply{State: StateLogUnavailable}
 	for _, ref := range s.route(claim.Partition(cl.Customer, cl.Key)) {
 		if ctx.Err() != nil {
 			break
@@ -179,7 +179,7 @@
 			return r, true // another replay may have seen enough to let it hold
 		case r.State == StateUncertain || r.State == StateBusy:
 			reply = r
-		case r.State != StateAway:
+		case r.State != StateLogUnavailable:
 			// An ask that got no answer may still be appended, unless this
 			// verdict is that of its record.
 			return r, open && r.Offset == 0
--- a/internal/claims/types.go
+++ b/internal/claims/types.go
@@ -10,8 +10,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/option"
 )
 
-// Ask is a front's wish to run the request of a key.
-type Ask struct {
+// AcquireRequest is a front's wish to run the request of a key.
+type AcquireRequest struct {
 	Customer    string
 	Key         string    // idempotency key, scoped to the customer
 	Fingerprint uint64    // of the request's body
@@ -26,7 +26,7 @@
 	// must report true before the first byte is sent. Every held Result ends in
 	// Service.Release or in Answer.Finish.
 	Permit *claim.Permit
-	Answer *Recording
+	Answer *AnswerWriter
 
 	// Holder is the other claim when Permit is nil. It may be of this host; use
 	// Service.Await for its answer.
@@ -35,8 +35,8 @@
 	record claim.Claim
 }
 
-// Mine reports whether this host holds the key.
-func (r Result) Mine() bool { return r.Permit != nil }
+// HoldsKey reports whether this host holds the key.
+func (r Result) HoldsKey() bool { return r.Permit != nil }
 
 // PeerRef is a daemon that can be called.
 type PeerRef struct {
@@ -61,16 +61,16 @@
 
 // Defaults of Options.
 const (
-	DefaultBatchEvery  = 160 * time.Millisecond
-	DefaultIdleWait    = 2 * time.Millisecond
-	DefaultMaxBatch    = 500
-	DefaultPoll        = 5 * time.Second
-	DefaultLogTimeout  = 2 * time.Second
-	DefaultRetryEvery  = 250 * time.Millisecond
-	DefaultIdleStop    = time.Minute
-	DefaultCallTimeout = 1500 * time.Millisecond
-	DefaultDecideIn    = 5 * time.Second
-	DefaultMaxKeys     = 200_000
+	DefaultBatchEvery     = 160 * time.Millisecond
+	DefaultBatchDelay     = 2 * time.Millisecond
+	DefaultMaxBatch       = 500
+	DefaultPollTimeout    = 5 * time.Second
+	DefaultLogTimeout     = 2 * time.Second
+	DefaultRetryEvery     = 250 * time.Millisecond
+	DefaultIdleTimeout    = time.Minute
+	DefaultCallTimeout    = 1500 * time.Millisecond
+	DefaultVerdictTimeout = 5 * time.Second
+	DefaultMaxKeys        = 200_000
 )
 
 // Options of a Service. Host, Incarnation and Replay must be set alike to what
@@ -80,17 +80,17 @@
 	Incarnation uint64        // of this process; another one after each start
 	Replay      claim.Options // the same on all hosts of the site
 
-	BatchEvery  time.Duration // least time between appends to a partition
-	IdleWait    time.Duration // wait for company before the first append
-	MaxBatch    int           // records in an append
-	Poll        time.Duration // longest wait of a read
-	LogTimeout  time.Duration // of an append, and of a read beyond its wait
-	RetryEvery  time.Duration // after an error of the log
-	IdleStop    time.Duration // an unused partition is followed no longer
-	CallTimeout time.Duration // of a call to a combiner
-	DecideIn    time.Duration // longest wait for a verdict
-	MarkEvery   time.Duration // between marks; half the key life by default
-	MaxKeys     int           // remembered keys of a partition before it refuses
+	BatchEvery     time.Duration // least time between appends to a partition
+	BatchDelay     time.Duration // wait for company before the first append
+	MaxBatch       int           // records in an append
+	PollTimeout    time.Duration // longest wait of a read
+	LogTimeout     time.Duration // of an append, and of a read beyond its wait
+	RetryEvery     time.Duration // after an error of the log
+	IdleTimeout    time.Duration // an unused partition is followed no longer
+	CallTimeout    time.Duration // of a call to a combiner
+	VerdictTimeout time.Duration // longest wait for a verdict
+	MarkEvery      time.Duration // between marks; half the key life by default
+	MaxKeys        int           // remembered keys of a partition before it refuses
 
 	Answers AnswerOptions
 	Now     func() time.Time // time.Now by default
@@ -105,13 +105,13 @@
 		o.Replay.MaxSkew = claim.DefaultMaxSkew
 	}
 	option.Default(&o.BatchEvery, DefaultBatchEvery)
-	option.Default(&o.IdleWait, DefaultIdleWait)
-	option.Default(&o.Poll, DefaultPoll)
+	option.Default(&o.BatchDelay, DefaultBatchDelay)
+	option.Default(&o.PollTimeout, DefaultPollTimeout)
 	option.Default(&o.LogTimeout, DefaultLogTimeout)
 	option.Default(&o.RetryEvery, DefaultRetryEvery)
-	option.Default(&o.IdleStop, DefaultIdleStop)
+	option.Default(&o.IdleTimeout, DefaultIdleTimeout)
 	option.Default(&o.CallTimeout, DefaultCallTimeout)
-	option.Default(&o.DecideIn, DefaultDecideIn)
+	option.Default(&o.VerdictTimeout, DefaultVerdictTimeout)
 	option.Default(&o.MarkEvery, o.Replay.KeyLife/2)
 	if o.MaxBatch <= 0 {
 		o.MaxBatch = DefaultMaxBatch
--- a/internal/claims/window_test.go
+++ b/internal/claims/window_test.go
@@ -50,7 +50,7 @@
 		return !c.running
 	})
 	r, err := s.acquire("a", "k")
-	if err != nil || r.Mine() || r.Offset != first.Offset {
+	if err != nil || r.HoldsKey() || r.Offset != first.Offset {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
@@ -79,7 +79,7 @@
 
 func TestAnswersAreBounded(t *testing.T) {
 	now := time.Now()
-	a := newAnswers(AnswerOptions{Bytes: 100, OneBytes: 60, Records: 3}, time.Minute, func() time.Time { return now })
+	a := newAnswers(AnswerOptions{MaxTotalBytes: 100, MaxAnswerBytes: 60, MaxRecords: 3}, time.Minute, func() time.Time { return now })
 	record := func(i, size int) answerKey {
 		k := answerKey{"c", fmt.Sprint(i), 1}
 		r := a.begin(k)
--- a/internal/daemon/feed.go
+++ b/internal/daemon/feed.go
@@ -125,7 +125,7 @@
 	ticker := time.NewTicker(watchEvery)
 	defer ticker.Stop()
 	for {
-		p.watcher.Watch(ctx, p.unsure())
+		p.watcher.SetTargets(ctx, p.unsure())
 		if n := p.router.Expire(); n > 0 {
 			p.log.WithField("attempts", n).Error("attempts_without_end")
 		}
@@ -149,12 +149,12 @@
 			failing := u.State == placement.Dead || u.State == placement.Suspect
 			served = served || !failing
 			if stale || failing {
-				targets = append(targets, upstream.Target{Name: u.Name, Address: u.Address, Engine: isEngine})
+				targets = append(targets, upstream.Target{Name: u.Name, Address: u.Address, IsEngine: isEngine})
 			}
 		}
 		if !served && pool.Routing.Spill != settings.SpillNever {
 			for _, u := range p.spillChoice(others) {
-				targets = append(targets, upstream.Target{Name: u.Name, Address: u.Address, Engine: isEngine})
+				targets = append(targets, upstream.Target{Name: u.Name, Address: u.Address, IsEngine: isEngine})
 			}
 		}
 	}
--- a/internal/edge/listchange.go
+++ b/internal/edge/listchange.go
@@ -128,7 +128,7 @@
 			continue
 		}
 		if next, over := after.Successor(u); over {
-			p.pool.Drop(u.Address)
+			p.pool.CloseIdle(u.Address)
 			p.relay.UpstreamReplaced(u, next)
 		} else {
 			p.relay.UpstreamDelisted(u)
--- a/internal/front/build.go
+++ b/internal/front/build.go
@@ -44,12 +44,12 @@
 	body   []byte // of a service's call
 	sink   sink   // of a generation
 
-	first    *placement.Decision // place taken by the gate, noted with the router
-	answered int                 // tokens delivered
-	passed   strings.Builder     // text delivered from another run
-	permit   *claim.Permit       // to dispatch once, nil when it may be repeated
-	record   *claims.Recording   // keeps the answer for repeats of the key, nil without
-	needed   func() bool         // the answer is kept for somebody else; set with record
+	first    *placement.Decision  // place taken by the gate, noted with the router
+	answered int                  // tokens delivered
+	passed   strings.Builder      // text delivered from another run
+	permit   *claim.Permit        // to dispatch once, nil when it may be repeated
+	record   *claims.AnswerWriter // keeps the answer for repeats of the key, nil without
+	needed   func() bool          // the answer is kept for somebody else; set with record
 }
 
 // defaults of one call, from the settings or the operation.
--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -116,7 +116,7 @@
 	if upstream.IsNotStarted(err) {
 		return retry.NotWritten
 	}
-	if _, ok := upstream.IsRefused(err); ok {
+	if _, ok := upstream.RefusalCode(err); ok {
 		return retry.Refused
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
--- a/internal/front/joined.go
+++ b/internal/front/joined.go
@@ -46,11 +46,11 @@
 // somebody has.
 func (s *Server) asJoinable(ctx context.Context, j *job, t *join.Ticket, do work) *request.Refusal {
 	j.record = t.Answer
-	j.needed = t.Joined
+	j.needed = t.HasReaders
 	wanted, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() {
-		if !t.Joined() {
+		if !t.HasReaders() {
 			cancel()
 		}
 	})
--- a/internal/front/keyed.go
+++ b/internal/front/keyed.go
@@ -40,7 +40,7 @@
 		return s.withoutKey(ctx, j, do)
 	}
 	for try := range maxSupersedes {
-		res, err := s.opts.Claims.Acquire(ctx, claims.Ask{
+		res, err := s.opts.Claims.Acquire(ctx, claims.AcquireRequest{
 			Customer:    j.req.Customer,
 			Key:         j.req.Key,
 			Fingerprint: j.req.Fingerprint,
@@ -49,7 +49,7 @@
 		if err != nil {
 			return asRefusal(err)
 		}
-		if res.Mine() {
+		if res.HoldsKey() {
 			return s.asHolder(ctx, j, res, do)
 		}
 		end, err := s.passOn(ctx, j, pass, func(ctx context.Context, w io.Writer) (claims.Ending, error) {
--- a/internal/front/notices.go
+++ b/internal/front/notices.go
@@ -26,7 +26,7 @@
 
 // noteRefusal keeps what a refusal asks for.
 func (s *Server) noteRefusal(name string, err error) {
-	var r *upstream.Refused
+	var r *upstream.RefusedError
 	if !errors.As(err, &r) {
 		return
 	}
--- a/internal/front/notices_test.go
+++ b/internal/front/notices_test.go
@@ -20,9 +20,9 @@
 		err  error
 		bars bool
 	}{
-		"it leaves":               {&upstream.Refused{Code: upstream.CodeLeaving}, true},
-		"it wants a pause":        {&upstream.Refused{Code: upstream.CodeOverloaded, BackOff: time.Hour}, true},
-		"it has no memory":        {&upstream.Refused{Code: upstream.CodeNoMemory}, false},
+		"it leaves":               {&upstream.RefusedError{Code: upstream.CodeLeaving}, true},
+		"it wants a pause":        {&upstream.RefusedError{Code: upstream.CodeOverloaded, BackOff: time.Hour}, true},
+		"it has no memory":        {&upstream.RefusedError{Code: upstream.CodeNoMemory}, false},
 		"it was no word of its":   {errors.New("broken"), false},
 		"nothing was wrong (nil)": {nil, false},
 	} {
--- a/internal/front/once_test.go
+++ b/internal/front/once_test.go
@@ -13,7 +13,7 @@
 // A dispatch that comes too late says nothing of the upstream, and no other one is
 // tried: the test's jobs have no server to tell or to ask.
 func TestTooLateForItsPermit(t *testing.T) {
-	late := &upstream.NotSent{Err: upstream.ErrNotPermitted}
+	late := &upstream.NotSentError{Err: upstream.ErrNotPermitted}
 	j := &job{req: &request.Request{ID: "r"}}
 	call := &serviceCall{job: j, attempt: 1}
 	got := call.next(context.Background(), placement.Decision{}, late)
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -155,7 +155,7 @@
 	if upstream.IsNotStarted(err) {
 		return streamEnd{end: retry.NotWritten, err: err}
 	}
-	if _, ok := upstream.IsRefused(err); ok {
+	if _, ok := upstream.RefusalCode(err); ok {
 		return streamEnd{end: retry.Refused, err: err}
 	}
 	var syntax interface{ Timeout() bool }
--- a/internal/front/target.go
+++ b/internal/front/target.go
@@ -45,7 +45,7 @@
 
 // restarted reports whether the engine's process is another one than that which
 // the attempt was sent to.
-func (t *target) restarted(now upstream.Standing) bool {
+func (t *target) restarted(now upstream.AttemptStatus) bool {
 	return t.incarnation != "" && now.Incarnation != t.incarnation
 }
 
--- a/internal/httpwire/answer.go
+++ b/internal/httpwire/answer.go
@@ -54,9 +54,9 @@
 	return n, err
 }
 
-// Framed reports whether the answer says where it ends. One that does not ends with
+// SelfDelimited reports whether the answer says where it ends. One that does not ends with
 // its connection.
-func (a *Answer) Framed() bool {
+func (a *Answer) SelfDelimited() bool {
 	return a.ContentLength >= 0 || len(a.TransferEncoding) > 0
 }
 
@@ -75,5 +75,5 @@
 }
 
 func (a *Answer) reusable() bool {
-	return a.Response != nil && a.wrote && a.ended && !a.Response.Close && a.Framed() && a.conn.br.Buffered() == 0
+	return a.Response != nil && a.wrote && a.ended && !a.Response.Close && a.SelfDelimited() && a.conn.br.Buffered() == 0
 }
--- a/internal/httpwire/conn.go
+++ b/internal/httpwire/conn.go
@@ -30,8 +30,8 @@
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
 			Idle:     p.opts.ProbeIdle,
-			Interval: p.opts.ProbeEvery,
-			Count:    p.opts.Probes,
+			Interval: p.opts.ProbeInterval,
+			Count:    p.opts.ProbeCount,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, p.opts.UserTimeout) },
 	}
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -13,13 +13,13 @@
 
 // Options of a Pool. All durations must be positive.
 type Options struct {
-	DialTimeout time.Duration
-	UserTimeout time.Duration // unacknowledged bytes break a connection after it
-	ProbeIdle   time.Duration // silence before the first keep-alive probe
-	ProbeEvery  time.Duration // between two probes
-	Probes      int           // unanswered probes that break a connection
-	MaxIdle     int           // kept connections to one address
-	IdleTimeout time.Duration // the longest that one is kept; less when the upstream says so
+	DialTimeout   time.Duration
+	UserTimeout   time.Duration // unacknowledged bytes break a connection after it
+	ProbeIdle     time.Duration // silence before the first keep-alive probe
+	ProbeInterval time.Duration // between two probes
+	ProbeCount    int           // unanswered probes that break a connection
+	MaxIdle       int           // kept connections to one address
+	IdleTimeout   time.Duration // the longest that one is kept; less when the upstream says so
 	// IdleMargin is taken off the time that an upstream says it keeps an idle
 	// connection.
 	IdleMargin time.Duration
@@ -63,8 +63,8 @@
 	return a, nil
 }
 
-// Reach makes a connection to an address and closes it; the error is that of dialing.
-func (p *Pool) Reach(ctx context.Context, address string) error {
+// TryDial makes a connection to an address and closes it; the error is that of dialing.
+func (p *Pool) TryDial(ctx context.Context, address string) error {
 	c, err := p.dial(ctx, address)
 	if err != nil {
 		return err
@@ -130,8 +130,8 @@
 	p.idle[c.address] = append(kept, c)
 }
 
-// Drop closes the kept connections to an address.
-func (p *Pool) Drop(address string) {
+// CloseIdle closes the kept connections to an address.
+func (p *Pool) CloseIdle(address string) {
 	for c := p.pop(address); c != nil; c = p.pop(address) {
 		c.Close()
 	}
--- a/internal/httpwire/pool_test.go
+++ b/internal/httpwire/pool_test.go
@@ -65,8 +65,8 @@
 
 func newTestPool() *Pool {
 	return NewPool(Options{
-		DialTimeout: time.Second, UserTimeout: time.Second, ProbeIdle: time.Second, ProbeEvery: time.Second,
-		Probes: 2, MaxIdle: 2, IdleTimeout: time.Minute, IdleMargin: 500 * time.Millisecond,
+		DialTimeout: time.Second, UserTimeout: time.Second, ProbeIdle: time.Second, ProbeInterval: time.Second,
+		ProbeCount: 2, MaxIdle: 2, IdleTimeout: time.Minute, IdleMargin: 500 * time.Millisecond,
 	})
 }
 
--- a/internal/join/join_test.go
+++ b/internal/join/join_test.go
@@ -69,7 +69,7 @@
 			t.Errorf("%s joins", what)
 		}
 	}
-	if first.Joined() {
+	if first.HasReaders() {
 		t.Error("joined before anybody reads")
 	}
 	want := strings.Repeat("diagnosis ", 1000)
@@ -85,7 +85,7 @@
 	for part := want; part != ""; part = part[100:] {
 		_, _ = first.Answer.Write([]byte(part[:100]))
 	}
-	for !first.Joined() {
+	for !first.HasReaders() {
 		time.Sleep(time.Millisecond)
 	}
 	first.Finish(claims.Ending{State: claims.AnswerComplete})
--- a/internal/join/service.go
+++ b/internal/join/service.go
@@ -69,16 +69,16 @@
 
 // Ticket is a request's place: it runs itself, or joins Other.
 type Ticket struct {
-	Other  *Run              // the run to join, nil when there is none
-	Answer *claims.Recording // keeps the own answer for those who join; nil with Other
+	Other  *Run                 // the run to join, nil when there is none
+	Answer *claims.AnswerWriter // keeps the own answer for those who join; nil with Other
 
 	s      *Service
 	run    Run
 	joined atomic.Bool
 }
 
-// Joined reports whether somebody else has read the answer.
-func (t *Ticket) Joined() bool { return t.joined.Load() }
+// HasReaders reports whether somebody else has read the answer.
+func (t *Ticket) HasReaders() bool { return t.joined.Load() }
 
 // Enter asks the key's home for a run in flight. The run with the ID instead, if
 // any, was of no use. Of r, Host and Incarnation are filled in.
--- a/internal/upstream/backoff_test.go
+++ b/internal/upstream/backoff_test.go
@@ -24,7 +24,7 @@
 		_, callErr := c.Call(context.Background(), address, "confirm", "r1", 1, []byte(`{}`))
 		_, generateErr := c.Generate(context.Background(), address, &GenerateRequest{RequestID: "r1", Attempt: 1})
 		for _, err := range []error{callErr, generateErr} {
-			var r *Refused
+			var r *RefusedError
 			if !errors.As(err, &r) || r.BackOff != want {
 				t.Errorf("%d: %v", status, err)
 			}
--- a/internal/upstream/calls.go
+++ b/internal/upstream/calls.go
@@ -35,7 +35,7 @@
 func (c *Client) Call(ctx context.Context, address, operation, requestID string, attempt int, body []byte) ([]byte, error) {
 	ec, err := c.worker(address)
 	if err != nil {
-		return nil, &NotSent{Err: err}
+		return nil, &NotSentError{Err: err}
 	}
 	ctx, backOff := withBackOff(ctx)
 	res, err := ec.CallOperation(ctx, engineapi.AnyJSON(body), engineapi.CallOperationParams{
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -8,15 +8,15 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/engineapi"
 )
 
-// Refused is an upstream's answer that it did not do what was asked.
-type Refused struct {
+// RefusedError is an upstream's answer that it did not do what was asked.
+type RefusedError struct {
 	Code    string // a code of the engine API
 	Message string
 	BackOff time.Duration // for which the upstream wants nothing from this host; zero: not said
 }
 
 // Error implements error.
-func (r *Refused) Error() string {
+func (r *RefusedError) Error() string {
 	return fmt.Sprintf("upstream refused (%s): %s", r.Code, r.Message)
 }
 
@@ -32,28 +32,28 @@
 	CodeBadRequest    = string(engineapi.RefusalCodeBadRequest)
 )
 
-// NotSent means that no byte reached the upstream: the connection could not be
+// NotSentError means that no byte reached the upstream: the connection could not be
 // opened. The work was certainly not started.
-type NotSent struct {
+type NotSentError struct {
 	Err error
 }
 
 // Error implements error.
-func (n *NotSent) Error() string { return "not sent: " + n.Err.Error() }
+func (n *NotSentError) Error() string { return "not sent: " + n.Err.Error() }
 
 // Unwrap returns the cause.
-func (n *NotSent) Unwrap() error { return n.Err }
+func (n *NotSentError) Unwrap() error { return n.Err }
 
 // IsNotStarted reports whether an error proves that the upstream did not start
 // the work: nothing was sent.
 func IsNotStarted(err error) bool {
-	var notSent *NotSent
+	var notSent *NotSentError
 	return errors.As(err, &notSent)
 }
 
-// IsRefused reports whether the upstream itself said no, and with which code.
-func IsRefused(err error) (code string, ok bool) {
-	var r *Refused
+// RefusalCode reports whether the upstream itself said no, and with which code.
+func RefusalCode(err error) (code string, ok bool) {
+	var r *RefusedError
 	if errors.As(err, &r) {
 		return r.Code, true
 	}
@@ -66,11 +66,11 @@
 		return nil
 	}
 	if dialFailed(err) {
-		return &NotSent{Err: err}
+		return &NotSentError{Err: err}
 	}
 	return err
 }
 
-func refusedFrom(r *engineapi.RefusalStatusCode) *Refused {
-	return &Refused{Code: string(r.Response.Code), Message: r.Response.Message}
+func refusedFrom(r *engineapi.RefusalStatusCode) *RefusedError {
+	return &RefusedError{Code: string(r.Response.Code), Message: r.Response.Message}
 }
--- a/internal/upstream/generate.go
+++ b/internal/upstream/generate.go
@@ -49,7 +49,7 @@
 func (c *Client) Generate(ctx context.Context, address string, req *GenerateRequest) (*Stream, error) {
 	ec, err := c.worker(address)
 	if err != nil {
-		return nil, &NotSent{Err: err}
+		return nil, &NotSentError{Err: err}
 	}
 	ctx, backOff := withBackOff(ctx)
 	res, err := ec.Generate(ctx, req)
@@ -99,5 +99,5 @@
 	if err := json.Unmarshal(body, &refusal); err != nil {
 		return merry.Errorf("status %d with an undecodable body", resp.StatusCode)
 	}
-	return &Refused{Code: string(refusal.Code), Message: refusal.Message, BackOff: backOff}
+	return &RefusedError{Code: string(refusal.Code), Message: refusal.Message, BackOff: backOff}
 }
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -19,22 +19,22 @@
 	PhaseOrphaned Phase = Phase(engineapi.RunningPhaseOrphaned)
 )
 
-// Standing is what an engine says of an attempt.
-type Standing struct {
+// AttemptStatus is what an engine says of an attempt.
+type AttemptStatus struct {
 	Phase       Phase
 	Incarnation string // of the engine, in the form of load reports
 }
 
 // Probe asks an engine, on a new connection, where an attempt stands. An error
 // means that the engine cannot be reached now.
-func (c *Client) Probe(ctx context.Context, address, requestID string, attempt int) (Standing, error) {
+func (c *Client) Probe(ctx context.Context, address, requestID string, attempt int) (AttemptStatus, error) {
 	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	books, err := c.Books(ctx, address)
 	if err != nil {
-		return Standing{}, err
+		return AttemptStatus{}, err
 	}
-	standing := Standing{Incarnation: placement.ShortIncarnation(books.Incarnation)}
+	standing := AttemptStatus{Incarnation: placement.ShortIncarnation(books.Incarnation)}
 	for _, r := range books.Running {
 		if r.RequestID == requestID && r.Attempt == attempt {
 			standing.Phase = Phase(r.Phase)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -127,7 +127,7 @@
 	sink := &fakeSink{states: make(chan string, 100)}
 	w := NewWatcher(NewClient(Options{}), sink, WatchOptions{Interval: time.Millisecond, Timeout: 50 * time.Millisecond})
 	ctx, cancel := context.WithCancel(context.Background())
-	w.Watch(ctx, []Target{{Name: "silent", Address: silent, Engine: true}, {Name: "dead", Address: dead, Engine: true}})
+	w.SetTargets(ctx, []Target{{Name: "silent", Address: silent, IsEngine: true}, {Name: "dead", Address: dead, IsEngine: true}})
 	want := map[string]bool{"silent=suspect": true, "dead=dead": true}
 	for len(want) > 0 {
 		delete(want, <-sink.states)
--- a/internal/upstream/watch.go
+++ b/internal/upstream/watch.go
@@ -41,9 +41,9 @@
 
 // Target is an upstream to be watched.
 type Target struct {
-	Name    string
-	Address string // IP:port
-	Engine  bool   // else a plain service, of which only the port is tried
+	Name     string
+	Address  string // IP:port
+	IsEngine bool   // else a plain service, of which only the port is tried
 }
 
 // Sink takes what a Watcher finds.
@@ -54,16 +54,16 @@
 
 // WatchOptions configure a Watcher. Zero fields take the defaults.
 type WatchOptions struct {
-	Interval time.Duration // between two looks at an upstream; 250 ms
-	Timeout  time.Duration // of one look; 1 s
-	Misses   int           // timeouts in a row after which it is suspect; 2
+	Interval      time.Duration // between two looks at an upstream; 250 ms
+	Timeout       time.Duration // of one look; 1 s
+	SuspectMisses int           // timeouts in a row after which it is suspect; 2
 }
 
 // Defaults of WatchOptions.
 const (
 	DefaultWatchInterval = 250 * time.Millisecond
 	DefaultWatchTimeout  = time.Second
-	DefaultWatchMisses   = 2
+	DefaultSuspectMisses = 2
 )
 
 // Watcher looks at upstreams in turn and tells what it finds. A refused
@@ -86,14 +86,14 @@
 	if opts.Timeout == 0 {
 		opts.Timeout = DefaultWatchTimeout
 	}
-	if opts.Misses == 0 {
-		opts.Misses = DefaultWatchMisses
+	if opts.SuspectMisses == 0 {
+		opts.SuspectMisses = DefaultSuspectMisses
 	}
 	return &Watcher{client: client, sink: sink, opts: opts, cancels: map[Target]context.CancelFunc{}}
 }
 
-// Watch makes the upstreams watched those of the list, until the context ends.
-func (w *Watcher) Watch(ctx context.Context, targets []Target) {
+// SetTargets makes the upstreams watched those of the list, until the context ends.
+func (w *Watcher) SetTargets(ctx context.Context, targets []Target) {
 	wanted := map[Target]bool{}
 	for _, t := range targets {
 		wanted[t] = true
@@ -152,7 +152,7 @@
 		return 0
 	}
 	misses++
-	if misses >= w.opts.Misses {
+	if misses >= w.opts.SuspectMisses {
 		w.sink.SetState(t.Name, placement.Suspect)
 	}
 	return misses
@@ -161,7 +161,7 @@
 func (w *Watcher) look(ctx context.Context, t Target) error {
 	ctx, cancel := context.WithTimeout(ctx, w.opts.Timeout)
 	defer cancel()
-	if !t.Engine {
+	if !t.IsEngine {
 		return tryPort(ctx, t.Address)
 	}
 	report, err := w.client.Report(ctx, t.Address)
