--- a/internal/edge/callers.go
+++ b/internal/edge/callers.go
@@ -21,7 +21,7 @@
 func (p *process) callerServer() *http.Server {
 	idle := &idleConns{limit: p.callerIdle, timers: map[net.Conn]*time.Timer{}}
 	return &http.Server{
-		Handler:           p.provider.Ingress(p.door, p.leaving.Load),
+		Handler:           p.provider.CallerHandler(p.door, p.leaving.Load),
 		ReadHeaderTimeout: headerTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnState:         idle.state,
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -74,13 +74,13 @@
 	ms := p.cfg.SettingsWithinMs
 	o := p.followOptions(ms)
 	o.Stream = p.provider.SettingsStream()
-	o.Pace = within(ms, settingsPart)
-	o.Wait = within(ms, waitPart)
+	o.ReadInterval = within(ms, settingsPart)
+	o.LongPoll = within(ms, waitPart)
 	o.Timeout = settingsTimeout
-	o.PeerWait = within(ms, peerWaitPart)
-	o.MostAge = 2*o.Pace + o.Wait + wayAge
+	o.PeerTimeout = within(ms, peerWaitPart)
+	o.MaxAge = 2*o.ReadInterval + o.LongPoll + wayAge
 	o.RankOf = p.provider.RankOfSettings
-	o.Rewritten = rewrittenByOperators
+	o.RewriteTime = rewrittenByOperators
 	o.Apply = p.applySettings
 	return keyed.New(o)
 }
@@ -91,14 +91,14 @@
 	ms := p.cfg.LeavingWithinMs
 	o := p.followOptions(ms)
 	o.Stream = p.provider.UpstreamsStream()
-	o.Pace = within(ms, upstreamsPart)
+	o.ReadInterval = within(ms, upstreamsPart)
 	o.Timeout = upstreamsWait
-	o.PeerWait = upstreamsPeerWait
-	o.MostAge = 2*o.Pace + wayAge
+	o.PeerTimeout = upstreamsPeerWait
+	o.MaxAge = 2*o.ReadInterval + wayAge
 	o.RankOf = p.provider.RankOfUpstream
-	o.Rewritten = lapsedReturn
-	o.News = func(before, after []byte) bool { return !p.provider.SameUpstream(before, after) }
-	o.Regained = regained
+	o.RewriteTime = lapsedReturn
+	o.IsSignificant = func(before, after []byte) bool { return !p.provider.SameUpstream(before, after) }
+	o.OnRegained = regained
 	o.Apply = p.applyUpstreams
 	return keyed.New(o)
 }
@@ -106,14 +106,14 @@
 // followOptions returns what both followers have in common.
 func (p *process) followOptions(ms float64) keyed.Options {
 	return keyed.Options{
-		Store:    p.store,
-		PeerHold: within(ms, holdPart),
-		PeerPace: peerPace,
-		Patience: p.patience(),
-		Doubt:    copyDoubt,
-		Demand:   p.door.Demanded(),
-		Spread:   p.spread,
-		Log:      p.log,
+		Store:            p.store,
+		PeerHold:         within(ms, holdPart),
+		PeerReadInterval: peerPace,
+		StartupDelay:     p.patience(),
+		DoubtTime:        copyDoubt,
+		Demand:           p.door.Demanded(),
+		Feed:             p.spread,
+		Log:              p.log,
 	}
 }
 
--- a/internal/keyed/era.go
+++ b/internal/keyed/era.go
@@ -9,16 +9,16 @@
 
 // Rank is what a value says itself of when it was written.
 type Rank struct {
-	Life  int64 // of its writer; zero: not told
-	Count int64 // rises with each value of a life
+	Incarnation int64 // of its writer; zero: not told
+	Count       int64 // rises with each value of a life
 }
 
 // compare compares two ranks. It is not ok where one alone tells the life.
 func (r Rank) compare(other Rank) (order int, ok bool) {
-	if (r.Life == 0) != (other.Life == 0) {
+	if (r.Incarnation == 0) != (other.Incarnation == 0) {
 		return 0, false
 	}
-	return cmp.Or(cmp.Compare(r.Life, other.Life), cmp.Compare(r.Count, other.Count)), true
+	return cmp.Or(cmp.Compare(r.Incarnation, other.Incarnation), cmp.Compare(r.Count, other.Count)), true
 }
 
 // RankOf returns the rank of a value of a key. It is not ok where the value does not tell.
--- a/internal/keyed/era_test.go
+++ b/internal/keyed/era_test.go
@@ -34,7 +34,7 @@
 func TestRecordAtAnOffsetThatHadAnotherIsNews(t *testing.T) {
 	store := &fakeStore{era: 1}
 	f, table := newFollower(store, nil)
-	f.opts.Doubt = time.Hour
+	f.opts.DoubtTime = time.Hour
 	store.put("a", "1")
 	mustRead(t, f)
 	store.put("a", "2")
@@ -56,7 +56,7 @@
 func TestRecordOfTheOlderCopyIsLeftAsideUntilTheDoubtEnds(t *testing.T) {
 	store := &fakeStore{era: 1}
 	f, table := newFollower(store, nil)
-	f.opts.Doubt = time.Hour
+	f.opts.DoubtTime = time.Hour
 	store.put("b", "1")
 	mustRead(t, f)
 	store.put("a", "1")
@@ -103,7 +103,7 @@
 	}
 	first.readStore() // it knows the new era, and what the store has lost
 	first.alone = false
-	second.follower.opts.Spread.silent.RecordSuccess(first.host, time.Now())
+	second.follower.opts.Feed.silent.RecordSuccess(first.host, time.Now())
 	second.read()
 	if got := second.knows(); got != lost {
 		t.Errorf("it has %d, not %d", got, lost)
--- a/internal/keyed/fake_test.go
+++ b/internal/keyed/fake_test.go
@@ -88,7 +88,7 @@
 // fakePeers calls the spreads of other daemons directly.
 type fakePeers struct {
 	hosts   []string // in rank
-	spreads map[string]*Spread
+	spreads map[string]*Feed
 	near    []string // in the failure domain of the one that reads
 	asked   map[string]int
 	bytes   map[string]int // of records, that each has answered
--- a/internal/keyed/follower.go
+++ b/internal/keyed/follower.go
@@ -24,38 +24,38 @@
 
 // Options configure a Follower. All durations must be positive but Wait.
 type Options struct {
-	Store   platform.Keyed
-	Stream  string
-	Pace    time.Duration // between the starts of two reads
-	Wait    time.Duration // that a read of the store stays open for a first record
-	Timeout time.Duration // of a read, besides Wait
-	// MostAge is the age up to which what a reader knows is as good as a read of the store: two
+	Store        platform.Keyed
+	Stream       string
+	ReadInterval time.Duration // between the starts of two reads
+	LongPoll     time.Duration // that a read of the store stays open for a first record
+	Timeout      time.Duration // of a read, besides Wait
+	// MaxAge is the age up to which what a reader knows is as good as a read of the store: two
 	// paces of a reader and the way, and while its reads stay open their wait, during which it
 	// hears of no change because there is none.
-	MostAge time.Duration
+	MaxAge time.Duration
 	// RankOf tells the ranks of values; nil: their places in the stream decide.
 	RankOf RankOf
 	// Rewritten is how long after the store has come back from an older copy what it has lost is
 	// written again, and Doubt when what the copy has is the store's word in any case.
-	Rewritten, Doubt time.Duration
-	// News tells whether others need to know of a key's new value; nil: of each.
-	News func(before, after []byte) bool
-	// Spread reads from other daemons in place of the store; nil: never.
-	Spread   *Spread
-	PeerWait time.Duration // for an answer of a peer, besides PeerHold
+	RewriteTime, DoubtTime time.Duration
+	// IsSignificant tells whether others need to know of a key's new value; nil: of each.
+	IsSignificant func(before, after []byte) bool
+	// Feed reads from other daemons in place of the store; nil: never.
+	Feed        *Feed
+	PeerTimeout time.Duration // for an answer of a peer, besides PeerHold
 	// PeerHold is how long a peer that has nothing new may hold its answer back.
-	PeerHold time.Duration
-	PeerPace time.Duration // between the starts of two reads from peers
-	// Patience is how long a Follower that knows nothing leaves the store to those whose task
+	PeerHold         time.Duration
+	PeerReadInterval time.Duration // between the starts of two reads from peers
+	// StartupDelay is how long a Follower that knows nothing leaves the store to those whose task
 	// it is to read it, for all may have started at once. It ends with Demand, closed when
 	// somebody waits for what it is to know; nil: never.
-	Patience time.Duration
-	Demand   <-chan struct{}
-	Apply    func(Batch)
-	// Regained is called when the store, or a reader of it, has something fresh again; may
+	StartupDelay time.Duration
+	Demand       <-chan struct{}
+	Apply        func(Batch)
+	// OnRegained is called when the store, or a reader of it, has something fresh again; may
 	// be nil.
-	Regained func()
-	Log      *logrus.Entry
+	OnRegained func()
+	Log        *logrus.Entry
 }
 
 // Follower follows one stream.
@@ -82,8 +82,8 @@
 func New(o Options) *Follower {
 	f := &Follower{opts: o, log: o.Log.WithField("stream", o.Stream), began: time.Now(), done: make(chan struct{})}
 	f.copied = newCopied(o.RankOf)
-	if o.Spread != nil {
-		o.Spread.add(o.Stream, f)
+	if o.Feed != nil {
+		o.Feed.add(o.Stream, f)
 	}
 	return f
 }
@@ -104,9 +104,9 @@
 		switch {
 		case err == nil:
 			pause = pauseFirst
-			pace := f.opts.Pace
+			pace := f.opts.ReadInterval
 			if f.fromPeer {
-				pace = f.opts.PeerPace
+				pace = f.opts.PeerReadInterval
 			}
 			wait.For(ctx, pace-time.Since(began))
 		case again(err):
@@ -151,11 +151,11 @@
 // read reads once: from the daemons that are to be asked first, then from the store where it
 // is the task of this one, and else from any others.
 func (f *Follower) read(ctx context.Context) error {
-	s := f.opts.Spread
+	s := f.opts.Feed
 	if s == nil {
 		return f.readStoreOr(ctx, nil)
 	}
-	fresh := f.opts.MostAge
+	fresh := f.opts.MaxAge
 	if f.isNew() {
 		return f.readOne(ctx)
 	}
@@ -187,7 +187,7 @@
 
 // isNew reports whether this daemon has just started, knows nothing, and nobody waits for it.
 func (f *Follower) isNew() bool {
-	return f.knowsNothing() && time.Since(f.began) < f.opts.Patience && !f.demanded()
+	return f.knowsNothing() && time.Since(f.began) < f.opts.StartupDelay && !f.demanded()
 }
 
 // newPause is between two questions of a daemon that has just started.
@@ -196,7 +196,7 @@
 // readOne asks one daemon. All may have started together: each that is asked is a
 // connection more, and nobody knows anything yet.
 func (f *Follower) readOne(ctx context.Context) error {
-	one := f.opts.Spread.some()
+	one := f.opts.Feed.some()
 	if f.readPeer(ctx, one[:min(1, len(one))], anyAge) {
 		return nil
 	}
@@ -207,10 +207,10 @@
 func (f *Follower) reads(reader bool) bool {
 	nothing := f.knowsNothing()
 	waited := time.Since(f.began)
-	if nothing && waited < 2*f.opts.Patience && !f.demanded() {
+	if nothing && waited < 2*f.opts.StartupDelay && !f.demanded() {
 		return reader
 	}
-	return reader || nothing || f.opts.Spread.draws()
+	return reader || nothing || f.opts.Feed.draws()
 }
 
 // demanded reports whether somebody waits for what the Follower is to know.
@@ -244,7 +244,7 @@
 		// service.
 		fresh = anyAge
 	}
-	return f.readPeer(ctx, f.opts.Spread.some(), fresh)
+	return f.readPeer(ctx, f.opts.Feed.some(), fresh)
 }
 
 func (f *Follower) knowsNothing() bool {
@@ -256,9 +256,9 @@
 // errKicked ends a read that is to be begun anew.
 var errKicked = errors.New("the read is begun anew")
 
-// Kick ends a read that stays open, for the store may have been away in the meantime
+// RestartRead ends a read that stays open, for the store may have been away in the meantime
 // and may never answer it.
-func (f *Follower) Kick() {
+func (f *Follower) RestartRead() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.kick != nil {
@@ -270,7 +270,7 @@
 	f.fromPeer = false
 	began := time.Now()
 	outer := ctx
-	ctx, cancel := context.WithTimeout(ctx, f.opts.Timeout+f.opts.Wait)
+	ctx, cancel := context.WithTimeout(ctx, f.opts.Timeout+f.opts.LongPoll)
 	defer cancel()
 	kicked, kick := context.WithCancel(ctx)
 	defer kick()
@@ -309,8 +309,8 @@
 	}
 	f.away = false
 	f.log.Info("store_regained")
-	if f.opts.Regained != nil {
-		f.opts.Regained()
+	if f.opts.OnRegained != nil {
+		f.opts.OnRegained()
 	}
 }
 
--- a/internal/keyed/sources.go
+++ b/internal/keyed/sources.go
@@ -47,7 +47,7 @@
 // domain form a tree by their rank, whose root asks the readers: each daemon answers a few,
 // however many there are, and only the roots ask other failure domains. Behind its parent each
 // has the parent's parents, and then the readers, to ask.
-func (s *Spread) sources() sources {
+func (s *Feed) sources() sources {
 	ranked := s.peers.Rank(readerKey, math.MaxInt)
 	var from sources
 	readers := membership.TopAndNearby(ranked, siteReaders, nearReaders, s.peers.SameDomain)
@@ -73,7 +73,7 @@
 
 // ancestors returns the daemons above this one in the tree of its failure domain, its parent
 // first.
-func (s *Spread) ancestors(ranked []membership.Member) []membership.Member {
+func (s *Feed) ancestors(ranked []membership.Member) []membership.Member {
 	var near []membership.Member
 	at := -1
 	for _, m := range ranked {
@@ -96,7 +96,7 @@
 // draws reports whether this daemon is to read the store though it is no reader. All draw
 // while no reader has anything fresh, so that a few try wherever the store can be reached
 // and what one has read spreads from it.
-func (s *Spread) draws() bool {
+func (s *Feed) draws() bool {
 	near := 1
 	for _, m := range s.peers.Members() {
 		if m.Host != s.host && m.State != membership.Dead && s.peers.SameDomain(m.Host) {
@@ -108,7 +108,7 @@
 
 // some returns a few other daemons that may live, those of the own failure domain first: a
 // daemon behind a cut reaches no others.
-func (s *Spread) some() []membership.Member {
+func (s *Feed) some() []membership.Member {
 	var others []membership.Member
 	for _, m := range s.peers.Members() {
 		if m.Host != s.host && m.State != membership.Dead {
@@ -123,7 +123,7 @@
 }
 
 // distance orders daemons by how far they are.
-func (s *Spread) distance(m membership.Member) int {
+func (s *Feed) distance(m membership.Member) int {
 	if s.peers.SameDomain(m.Host) {
 		return 0
 	}
--- a/internal/keyed/spread.go
+++ b/internal/keyed/spread.go
@@ -29,8 +29,8 @@
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// Spread lets daemons read streams from each other. It is safe for concurrent use.
-type Spread struct {
+// Feed lets daemons read streams from each other. It is safe for concurrent use.
+type Feed struct {
 	host   string
 	peers  Peers
 	random rand.Source
@@ -53,9 +53,9 @@
 
 func (globalSource) Uint64() uint64 { return rand.Uint64() }
 
-// NewSpread returns a Spread of the daemon with the name.
-func NewSpread(host string, peers Peers) *Spread {
-	return &Spread{
+// NewFeed returns a Spread of the daemon with the name.
+func NewFeed(host string, peers Peers) *Feed {
+	return &Feed{
 		host:      host,
 		peers:     peers,
 		random:    globalSource{},
@@ -64,13 +64,13 @@
 	}
 }
 
-func (s *Spread) add(stream string, f *Follower) {
+func (s *Feed) add(stream string, f *Follower) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.followers[stream] = f
 }
 
-func (s *Spread) follower(stream string) *Follower {
+func (s *Feed) follower(stream string) *Follower {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.followers[stream]
@@ -110,10 +110,10 @@
 const versionOfEras = 1
 
 // RPC has the methods that other daemons call.
-type RPC struct{ s *Spread }
+type RPC struct{ s *Feed }
 
 // RPC returns the receiver to register with the peers.
-func (s *Spread) RPC() *RPC { return &RPC{s} }
+func (s *Feed) RPC() *RPC { return &RPC{s} }
 
 var errNothing = merry.Sentinel("nothing is known of the stream")
 
@@ -155,7 +155,7 @@
 	f.mu.Lock()
 	done := f.done
 	news := f.copied.at.IsZero() || f.otherEra(req) || req.From < f.copied.recentFrom || len(f.copied.since(req.From)) > 0
-	fresh := f.opts.MostAge - time.Since(f.copied.at)
+	fresh := f.opts.MaxAge - time.Since(f.copied.at)
 	f.mu.Unlock()
 	most := min(req.Hold, mostHold, fresh)
 	if news || most <= 0 {
@@ -174,7 +174,7 @@
 // readPeer reads from one of the daemons what is at most of an age; it returns false when
 // none knows enough.
 func (f *Follower) readPeer(ctx context.Context, from []membership.Member, most time.Duration) bool {
-	s := f.opts.Spread
+	s := f.opts.Feed
 	for _, m := range from {
 		if m.Host == s.host || s.isSilent(m.Host) {
 			continue
@@ -195,11 +195,11 @@
 func (f *Follower) askPeer(ctx context.Context, m membership.Member, from int64) (reply SinceReply, records []platform.KeyedRecord, ok bool) {
 	era := f.position().era
 	req := SinceRequest{Stream: f.opts.Stream, From: from, Era: era, Hold: f.opts.PeerHold}
-	wait := f.opts.PeerWait + f.opts.PeerHold
-	err := f.opts.Spread.ask(ctx, m, req, wait, &reply)
+	wait := f.opts.PeerTimeout + f.opts.PeerHold
+	err := f.opts.Feed.ask(ctx, m, req, wait, &reply)
 	if err == nil && reply.Era > era && !reply.Whole && req.From != allKeys {
 		req.From, reply = allKeys, SinceReply{}
-		err = f.opts.Spread.ask(ctx, m, req, wait, &reply)
+		err = f.opts.Feed.ask(ctx, m, req, wait, &reply)
 	}
 	if err != nil {
 		return reply, nil, false
@@ -232,7 +232,7 @@
 	case reply.Era < at.era:
 		f.takeEarlier(records, reply.Era, host)
 		if reply.Version >= versionOfEras {
-			f.opts.Spread.behind(host)
+			f.opts.Feed.behind(host)
 		}
 		return false
 	case reply.Next < at.next, reply.Age > most && !f.knowsLess(reply):
@@ -250,8 +250,8 @@
 // recall asks other daemons, until one answers, for what the store may have lost before this one
 // began: it knows only what the store said.
 func (f *Follower) recall(ctx context.Context) {
-	for _, m := range f.opts.Spread.some() {
-		if f.opts.Spread.isSilent(m.Host) {
+	for _, m := range f.opts.Feed.some() {
+		if f.opts.Feed.isSilent(m.Host) {
 			continue
 		}
 		reply, records, ok := f.askPeer(ctx, m, allKeys)
@@ -274,20 +274,20 @@
 	return !f.copied.at.IsZero() && r.Next > f.copied.next && time.Since(f.copied.at) > r.Age
 }
 
-func (s *Spread) isSilent(host string) bool {
+func (s *Feed) isSilent(host string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Contains(s.silent.Avoided(time.Now()), host)
 }
 
 // behind leaves a daemon alone for a while that knows less of the store than this one.
-func (s *Spread) behind(host string) {
+func (s *Feed) behind(host string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent.RecordFailure(host, time.Now())
 }
 
-func (s *Spread) ask(ctx context.Context, m membership.Member, req SinceRequest, wait time.Duration, reply *SinceReply) error {
+func (s *Feed) ask(ctx context.Context, m membership.Member, req SinceRequest, wait time.Duration, reply *SinceReply) error {
 	asked, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	err := s.peers.Call(asked, m.Address, ServiceName+".Since", &req, reply)
--- a/internal/keyed/take.go
+++ b/internal/keyed/take.go
@@ -40,7 +40,7 @@
 	if next < 0 || f.anew {
 		return f.readAll(ctx, began)
 	}
-	page, err := f.opts.Store.Since(ctx, f.opts.Stream, next, f.opts.Wait)
+	page, err := f.opts.Store.Since(ctx, f.opts.Stream, next, f.opts.LongPoll)
 	if err == nil {
 		err = f.date(&page)
 	}
@@ -95,7 +95,7 @@
 func (f *Follower) take(page platform.KeyedPage, at time.Time, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	fresh := f.copied.add(page, f.opts.News)
+	fresh := f.copied.add(page, f.opts.IsSignificant)
 	f.taken(Batch{Records: fresh, At: at, From: from})
 }
 
@@ -155,7 +155,7 @@
 func (f *Follower) takeEarlier(records []platform.KeyedRecord, era int64, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	changed := f.copied.merge(records, f.opts.Rewritten)
+	changed := f.copied.merge(records, f.opts.RewriteTime)
 	if len(changed) == 0 {
 		return
 	}
@@ -166,7 +166,7 @@
 // settle applies what is certain by now of what the store's era had left open. The caller holds
 // the lock.
 func (f *Follower) settle() {
-	changed := f.copied.settle(f.opts.Rewritten, f.opts.Doubt)
+	changed := f.copied.settle(f.opts.RewriteTime, f.opts.DoubtTime)
 	if len(changed) == 0 {
 		return
 	}
--- a/internal/keyed/tree_test.go
+++ b/internal/keyed/tree_test.go
@@ -94,13 +94,13 @@
 func TestHeartbeatsAreNoNews(t *testing.T) {
 	bytes := map[int]int{}
 	for _, upstreams := range []int{100, 200, 400} {
-		peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Spread{}, asked: map[string]int{}, bytes: map[string]int{}}
+		peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Feed{}, asked: map[string]int{}, bytes: map[string]int{}}
 		store := &fakeStore{}
 		followers, tables := map[string]*Follower{}, map[string]*table{}
 		for _, h := range peers.hosts {
-			peers.spreads[h] = NewSpread(h, peers)
+			peers.spreads[h] = NewFeed(h, peers)
 			followers[h], tables[h] = newFollower(store, peers.spreads[h])
-			followers[h].opts.News = sameBeats
+			followers[h].opts.IsSignificant = sameBeats
 		}
 		beat := func(n int) {
 			for i := range upstreams {
@@ -133,10 +133,10 @@
 // TestHeldAnswerComesWithTheNextRead: news goes through a level as fast as an answer, and a
 // daemon without news is asked as often as the store is read.
 func TestHeldAnswerComesWithTheNextRead(t *testing.T) {
-	peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Spread{}}
+	peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Feed{}}
 	store := &fakeStore{}
 	store.put("a", "1")
-	peers.spreads["t1"], peers.spreads["x"] = NewSpread("t1", peers), NewSpread("x", peers)
+	peers.spreads["t1"], peers.spreads["x"] = NewFeed("t1", peers), NewFeed("x", peers)
 	t1, _ := newFollower(store, peers.spreads["t1"])
 	x, tb := newFollower(store, peers.spreads["x"])
 	x.opts.PeerHold = time.Hour // bounded by the one that is asked
@@ -191,8 +191,8 @@
 	start := func(began time.Time, demand chan struct{}) {
 		for h, x := range f.followers {
 			x.copied = copied{next: -1, records: map[string]platform.KeyedRecord{}}
-			x.began, x.opts.Patience, x.opts.Demand = began, time.Hour, demand
-			f.peers.spreads[h] = NewSpread(h, f.peers)
+			x.began, x.opts.StartupDelay, x.opts.Demand = began, time.Hour, demand
+			f.peers.spreads[h] = NewFeed(h, f.peers)
 			f.peers.spreads[h].add("s", x)
 		}
 		f.set(func(string) bool { return false })
