--- a/internal/core/settings/cache.go
+++ b/internal/core/settings/cache.go
@@ -61,9 +61,9 @@
 	return e
 }
 
-// Check returns what is wrong with a change in the tree that it would give. What
+// CheckChange returns what is wrong with a change in the tree that it would give. What
 // was wrong in the tree before is left out: it must not hold up other teams.
-func Check(documents []StoredDocument, c *Change) finding.List {
+func CheckChange(documents []StoredDocument, c *Change) finding.List {
 	known := map[finding.Finding]bool{}
 	_, before := NewCache().Compile(documents)
 	for _, f := range before {
--- a/internal/core/settings/cache_test.go
+++ b/internal/core/settings/cache_test.go
@@ -36,16 +36,16 @@
 	change := func(path, yaml string) *Change {
 		return &Change{ID: "x", Edits: []Edit{{Path: path, YAML: &yaml}}}
 	}
-	if f := Check(documents, change("/", "limits: {}")); len(f) != 1 || f[0].Place.File != "/t" {
+	if f := CheckChange(documents, change("/", "limits: {}")); len(f) != 1 || f[0].Place.File != "/t" {
 		t.Errorf("a pool in use was taken away: %v", f)
 	}
-	if f := Check(documents, change("/t", "models: [{name: chat2, pool: eng}]")); len(f) > 0 {
+	if f := CheckChange(documents, change("/t", "models: [{name: chat2, pool: eng}]")); len(f) > 0 {
 		t.Errorf("a fault of another team held up a change: %v", f)
 	}
-	if f := Check(documents, change("/u", "models: [{name: lost, pool: none}, {name: m, pool: eng}]")); len(f) == 0 {
+	if f := CheckChange(documents, change("/u", "models: [{name: lost, pool: none}, {name: m, pool: eng}]")); len(f) == 0 {
 		t.Error("a fault in the edited document was let pass")
 	}
-	if f := Check(documents, change("/v", "models: [{name: chat, pool: eng}]")); len(f) != 1 || f[0].Place.File != "/v" {
+	if f := CheckChange(documents, change("/v", "models: [{name: chat, pool: eng}]")); len(f) != 1 || f[0].Place.File != "/v" {
 		t.Errorf("a name in use was taken: %v", f)
 	}
 }
--- a/internal/core/settings/path.go
+++ b/internal/core/settings/path.go
@@ -56,8 +56,8 @@
 // failure domain.
 func EvacuationPath(domain string) string { return evacuations + "/" + domain }
 
-// IsEvacuation reports whether a path is that of an evacuation.
-func IsEvacuation(path string) bool { return path != evacuations && Contains(evacuations, path) }
+// IsEvacuationPath reports whether a path is that of an evacuation.
+func IsEvacuationPath(path string) bool { return path != evacuations && Contains(evacuations, path) }
 
 // Contains reports whether path is ancestor or lies below it.
 func Contains(ancestor, path string) bool {
--- a/internal/core/settings/schema.go
+++ b/internal/core/settings/schema.go
@@ -91,7 +91,7 @@
 	Name          string     `yaml:"name"`
 	Kind          string     `yaml:"kind"` // a Pool* constant
 	ChecksFencing bool       `yaml:"checks_fencing,omitempty"`
-	OrderMs       int        `yaml:"longest_order_ms,omitempty"` // longest an order may take to act
+	MaxOrderMs    int        `yaml:"longest_order_ms,omitempty"` // longest an order may take to act
 	Upstreams     []Upstream `yaml:"upstreams"`
 }
 
--- a/internal/core/settings/verdict.go
+++ b/internal/core/settings/verdict.go
@@ -30,16 +30,16 @@
 // Verdict is what replay made of one record. It holds no prose, so that states of
 // different program versions stay equal; Reason renders it.
 type Verdict struct {
-	Offset   int64    `json:"offset"`
-	AtMs     int64    `json:"at_ms"` // Unix time by the log's clock
-	ChangeID string   `json:"id"`
-	Author   string   `json:"author"`
-	Content  uint64   `json:"content"` // Change.Content
-	Paths    []string `json:"paths"`
-	Outcome  Outcome  `json:"outcome"`
-	Path     string   `json:"path,omitempty"`  // of the edit that lost
-	Rival    int64    `json:"rival,omitempty"` // version or offset that it lost to
-	Base     int64    `json:"base,omitempty"`  // base or seen offset of the loser
+	Offset      int64    `json:"offset"`
+	AtMs        int64    `json:"at_ms"` // Unix time by the log's clock
+	ChangeID    string   `json:"id"`
+	Author      string   `json:"author"`
+	ContentHash uint64   `json:"content"` // Change.Content
+	Paths       []string `json:"paths"`
+	Outcome     Outcome  `json:"outcome"`
+	Path        string   `json:"path,omitempty"`  // of the edit that lost
+	PriorOffset int64    `json:"rival,omitempty"` // version or offset that it lost to
+	Base        int64    `json:"base,omitempty"`  // base or seen offset of the loser
 }
 
 // At returns when the log took the record, by the log's clock.
@@ -54,13 +54,13 @@
 	case Accepted:
 		return ""
 	case Conflict:
-		return fmt.Sprintf("%s has version %d, the edit starts from %d", v.Path, v.Rival, v.Base)
+		return fmt.Sprintf("%s has version %d, the edit starts from %d", v.Path, v.PriorOffset, v.Base)
 	case Overtaken:
-		return fmt.Sprintf("change at offset %d, near %s, came first", v.Rival, v.Path)
+		return fmt.Sprintf("change at offset %d, near %s, came first", v.PriorOffset, v.Path)
 	case Stale:
 		return fmt.Sprintf("checked against offset %d, too far from offset %d", v.Base, v.Offset)
 	case Repeated:
-		return fmt.Sprintf("repeats the change at offset %d", v.Rival)
+		return fmt.Sprintf("repeats the change at offset %d", v.PriorOffset)
 	case Undecodable:
 		return "not a change record"
 	}
--- a/internal/owner/orders_test.go
+++ b/internal/owner/orders_test.go
@@ -158,7 +158,7 @@
 
 func TestOrderPoolsOfSettings(t *testing.T) {
 	pools := []settings.Pool{
-		{Name: "p", Kind: settings.PoolEngine, OrderMs: 3000, Upstreams: []settings.Upstream{
+		{Name: "p", Kind: settings.PoolEngine, MaxOrderMs: 3000, Upstreams: []settings.Upstream{
 			{Name: "here", Address: "127.0.0.1:1", Domain: "d"}, {Name: "there", Domain: "x"},
 		}},
 		{Name: "empty", Kind: settings.PoolEngine, Upstreams: []settings.Upstream{{Name: "idle", Domain: "d"}}},
