--- a/internal/claims/answers.go
+++ b/internal/claims/answers.go
@@ -12,9 +12,9 @@
 
 // Defaults of AnswerOptions.
 const (
-	DefaultAnswerBytes    = 32 << 20
-	DefaultOneAnswerBytes = 4 << 20
-	DefaultAnswerRecords  = 50_000
+	DefaultMaxTotalBytes    = 32 << 20
+	DefaultMaxAnswerBytes   = 4 << 20
+	DefaultMaxAnswerRecords = 50_000
 )
 
 const (
@@ -26,10 +26,10 @@
 
 // AnswerOptions bound what a holder keeps for repeats of its keys.
 type AnswerOptions struct {
-	Bytes    int           // stored for all answers together. Default 32 MiB
-	OneBytes int           // stored for one answer. Default 4 MiB
-	Age      time.Duration // an ended answer's bytes are kept this long. Default the replay's window
-	Records  int           // ended runs whose outcome is kept. Default 50,000
+	MaxTotalBytes  int           // stored for all answers together. Default 32 MiB
+	MaxAnswerBytes int           // stored for one answer. Default 4 MiB
+	MaxAge         time.Duration // an ended answer's bytes are kept this long. Default the replay's window
+	MaxRecords     int           // ended runs whose outcome is kept. Default 50,000
 }
 
 // AnswerState is the state of the run of a key and of its stored answer.
@@ -148,7 +148,7 @@
 }
 
 // Begin starts the answer of one run, which the customer, key and offset identify.
-func (a *Answers) Begin(customer, key string, offset int64) *Recording {
+func (a *Answers) Begin(customer, key string, offset int64) *AnswerWriter {
 	return a.begin(answerKey{customer, key, offset})
 }
 
@@ -159,16 +159,16 @@
 }
 
 func newAnswers(o AnswerOptions, window time.Duration, now func() time.Time) *Answers {
-	if o.Bytes <= 0 {
-		o.Bytes = DefaultAnswerBytes
+	if o.MaxTotalBytes <= 0 {
+		o.MaxTotalBytes = DefaultMaxTotalBytes
 	}
-	if o.OneBytes <= 0 {
-		o.OneBytes = DefaultOneAnswerBytes
+	if o.MaxAnswerBytes <= 0 {
+		o.MaxAnswerBytes = DefaultMaxAnswerBytes
 	}
-	if o.Records <= 0 {
-		o.Records = DefaultAnswerRecords
+	if o.MaxRecords <= 0 {
+		o.MaxRecords = DefaultMaxAnswerRecords
 	}
-	option.Default(&o.Age, window)
+	option.Default(&o.MaxAge, window)
 	return &Answers{o: o, now: now, runs: map[answerKey]*storedAnswer{}, ended: list.New(), undecided: map[scopedKey]*undecidedClaims{}}
 }
 
@@ -200,23 +200,23 @@
 	x.decreased = make(chan struct{})
 }
 
-// Recording stores the answer of one run as it is written.
-type Recording struct {
+// AnswerWriter stores the answer of one run as it is written.
+type AnswerWriter struct {
 	a *Answers
 	k *storedAnswer
 }
 
-func (a *Answers) begin(key answerKey) *Recording {
+func (a *Answers) begin(key answerKey) *AnswerWriter {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	k := &storedAnswer{key: key, ending: Ending{State: AnswerRunning}, changed: make(chan struct{})}
 	a.runs[key] = k
-	return &Recording{a: a, k: k}
+	return &AnswerWriter{a: a, k: k}
 }
 
 // Write adds bytes to the answer. It never fails: an answer that exceeds the bounds
 // is dropped, and repeats of the key get AnswerDropped.
-func (r *Recording) Write(p []byte) (int, error) {
+func (r *AnswerWriter) Write(p []byte) (int, error) {
 	a, k := r.a, r.k
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -224,7 +224,7 @@
 		return len(p), nil
 	}
 	k.size += len(p)
-	if k.size > a.o.OneBytes {
+	if k.size > a.o.MaxAnswerBytes {
 		a.drop(k)
 	}
 	if !k.dropped {
@@ -237,7 +237,7 @@
 }
 
 // Finish ends the answer. Only the first call has an effect.
-func (r *Recording) Finish(e Ending) {
+func (r *AnswerWriter) Finish(e Ending) {
 	a, k := r.a, r.k
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -261,10 +261,10 @@
 // evict drops the bytes of ended answers, oldest first, until the total is within
 // bounds; if that is not enough, also those of the growing one.
 func (a *Answers) evict(growing *storedAnswer) {
-	for e := a.ended.Front(); e != nil && a.bytes > a.o.Bytes; e = e.Next() {
+	for e := a.ended.Front(); e != nil && a.bytes > a.o.MaxTotalBytes; e = e.Next() {
 		a.drop(e.Value.(*storedAnswer))
 	}
-	if a.bytes > a.o.Bytes {
+	if a.bytes > a.o.MaxTotalBytes {
 		a.drop(growing)
 	}
 }
@@ -294,11 +294,11 @@
 	for e := a.ended.Front(); e != nil; {
 		k, next := e.Value.(*storedAnswer), e.Next()
 		age := now.Sub(k.endedAt)
-		if age <= a.o.Age && a.ended.Len() <= a.o.Records {
+		if age <= a.o.MaxAge && a.ended.Len() <= a.o.MaxRecords {
 			return
 		}
 		a.drop(k)
-		if age > 2*a.o.Age || a.ended.Len() > a.o.Records {
+		if age > 2*a.o.MaxAge || a.ended.Len() > a.o.MaxRecords {
 			a.ended.Remove(e)
 			delete(a.runs, k.key)
 		}
--- a/internal/claims/batch.go
+++ b/internal/claims/batch.go
@@ -32,7 +32,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.o.Now()
-	return max(c.o.IdleWait, last.Add(c.o.BatchEvery).Sub(now), c.blockedUntil.Sub(now))
+	return max(c.o.BatchDelay, last.Add(c.o.BatchEvery).Sub(now), c.blockedUntil.Sub(now))
 }
 
 // nextBatch takes up to MaxBatch records off the queue, skipping those whose
--- a/internal/claims/combiner.go
+++ b/internal/claims/combiner.go
@@ -64,7 +64,7 @@
 // it yet.
 func (c *combiner) acquire(ctx context.Context, cl claim.Claim) AcquireReply {
 	if !c.ensureReady(ctx) {
-		return AcquireReply{State: StateAway}
+		return AcquireReply{State: StateLogUnavailable}
 	}
 	p, reply := c.submit(cl)
 	if p == nil {
@@ -85,7 +85,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.replay == nil {
-		return nil, AcquireReply{State: StateAway}
+		return nil, AcquireReply{State: StateLogUnavailable}
 	}
 	if d, ok := c.replay.Decided(cl.Customer, cl.Key, cl.ID); ok {
 		return nil, AcquireReply{State: verdictStates[d.Verdict], Offset: d.Offset, Holder: d.Holder}
@@ -105,7 +105,7 @@
 		cl.Supersedes = st.Holder.Offset
 	}
 	if c.logUnavailable || c.o.Now().Before(c.blockedUntil) {
-		return nil, AcquireReply{State: StateAway}
+		return nil, AcquireReply{State: StateLogUnavailable}
 	}
 	if c.replay.Len()+len(c.claims) >= c.o.MaxKeys {
 		return nil, AcquireReply{State: StateBusy}
@@ -124,7 +124,7 @@
 // read back.
 func (c *combiner) release(ctx context.Context, a ReleaseArgs) ReleaseReply {
 	if !c.ensureReady(ctx) {
-		return ReleaseReply{State: StateAway}
+		return ReleaseReply{State: StateLogUnavailable}
 	}
 	p, state := c.submitRelease(a)
 	if p == nil {
@@ -145,7 +145,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.replay == nil || c.logUnavailable {
-		return nil, StateAway
+		return nil, StateLogUnavailable
 	}
 	d, ok := c.replay.Decided(a.Customer, a.Key, a.ID)
 	if !ok {
@@ -256,7 +256,7 @@
 func (c *combiner) stopIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.claims)+len(c.releases) > 0 || c.o.Now().Sub(c.lastUsed) < c.o.IdleStop {
+	if len(c.claims)+len(c.releases) > 0 || c.o.Now().Sub(c.lastUsed) < c.o.IdleTimeout {
 		return false
 	}
 	c.running = false
--- a/internal/claims/follow.go
+++ b/internal/claims/follow.go
@@ -68,7 +68,7 @@
 
 // poll waits for the next records and delivers the events that they cause.
 func (c *combiner) poll(ctx context.Context, replay *claim.Replay) error {
-	readCtx, cancel := context.WithTimeout(ctx, c.o.Poll+c.o.LogTimeout)
+	readCtx, cancel := context.WithTimeout(ctx, c.o.PollTimeout+c.o.LogTimeout)
 	defer cancel()
 	number, pause := c.beginRead(cancel)
 	began := time.Now()
@@ -117,7 +117,7 @@
 		return c.reads, 0
 	}
 	c.cancelRead = cancel
-	return c.reads, c.o.Poll
+	return c.reads, c.o.PollTimeout
 }
 
 // apply applies a page's records to the replay and delivers the events; read is the
--- a/internal/claims/rpc.go
+++ b/internal/claims/rpc.go
@@ -12,18 +12,18 @@
 
 // States of a reply.
 const (
-	StateUndecided State = iota // no verdict in time; the claim may be in the log
-	StateHolds                  // the claim holds its key
-	StateHeld                   // another claim holds the key
-	StateConflict               // the key was used with another fingerprint
-	StateExpired                // the key's own time is outside the key life
-	StateLate                   // recorded after the claim's NotAfter
-	StateUncertain              // earlier claims of the key may be lost or trimmed
-	StateAway                   // the log does not answer; this call appended nothing
-	StateBusy                   // the partition remembers MaxKeys keys already
-	StateReleased               // a release is in the log, or none is needed
-	StateNotFound               // the claim to be released is not in the log
-	StateInvalid                // the claim cannot be encoded
+	StateUndecided      State = iota // no verdict in time; the claim may be in the log
+	StateHolds                       // the claim holds its key
+	StateHeld                        // another claim holds the key
+	StateConflict                    // the key was used with another fingerprint
+	StateExpired                     // the key's own time is outside the key life
+	StateLate                        // recorded after the claim's NotAfter
+	StateUncertain                   // earlier claims of the key may be lost or trimmed
+	StateLogUnavailable              // the log does not answer; this call appended nothing
+	StateBusy                        // the partition remembers MaxKeys keys already
+	StateReleased                    // a release is in the log, or none is needed
+	StateNotFound                    // the claim to be released is not in the log
+	StateInvalid                     // the claim cannot be encoded
 )
 
 var stateNames = [...]string{
--- a/internal/claims/service.go
+++ b/internal/claims/service.go
@@ -95,7 +95,7 @@
 // *request.Refusal: the request was not dispatched and will not be. A key that
 // another claim holds is not an error, see Result; when Await then returns
 // AnswerReleased, Acquire may be called again and supersedes that claim.
-func (s *Service) Acquire(ctx context.Context, a Ask) (Result, error) {
+func (s *Service) Acquire(ctx context.Context, a AcquireRequest) (Result, error) {
 	if err := a.validate(); err != nil {
 		return Result{}, err
 	}
@@ -116,7 +116,7 @@
 	permit := claim.NewPermit(notAfter)
 	verdictDone := s.answers.expectVerdict(a.Customer, a.Key)
 	defer verdictDone()
-	ctx, cancel := context.WithTimeout(ctx, min(notAfter.Sub(now), s.o.DecideIn))
+	ctx, cancel := context.WithTimeout(ctx, min(notAfter.Sub(now), s.o.VerdictTimeout))
 	defer cancel()
 	reply, open := s.requestVerdict(ctx, cl)
 	countVerdict(reply.State)
@@ -137,7 +137,7 @@
 }
 
 // validate returns a *request.Refusal if the key or customer does not fit a record.
-func (a Ask) validate() error {
+func (a AcquireRequest) validate() error {
 	switch {
 	case a.Key == "" || len(a.Key) > claim.MaxKeyBytes:
 		return request.Refuse(request.CodeBadRequest, 0, "idempotency key has %d bytes, want 1 to %d", len(a.Key), claim.MaxKeyBytes)
@@ -169,7 +169,7 @@
 // returns a verdict. open is true when the claim may come to hold its key in the
 // log although the reply does not say so.
 func (s *Service) requestVerdict(ctx context.Context, cl claim.Claim) (reply AcquireReply, open bool) {
-	reply = AcquireReply{State: StateAway}
+	reply = AcquireReply{State: StateLogUnavailable}
 	for _, ref := range s.combinersFor(claim.Partition(cl.Customer, cl.Key)) {
 		if ctx.Err() != nil {
 			break
@@ -184,7 +184,7 @@
 			return r, true // another combiner's replay may have enough records to find that it holds
 		case r.State == StateUncertain || r.State == StateBusy:
 			reply = r
-		case r.State != StateAway:
+		case r.State != StateLogUnavailable:
 			// A claim sent to a combiner that did not reply may still be appended,
 			// unless this verdict is that of its record.
 			return r, open && r.Offset == 0
--- a/internal/claims/types.go
+++ b/internal/claims/types.go
@@ -10,8 +10,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/option"
 )
 
-// Ask is a front's request for the right to run the request of a key.
-type Ask struct {
+// AcquireRequest is a front's request for the right to run the request of a key.
+type AcquireRequest struct {
 	Customer    string
 	Key         string    // idempotency key, scoped to the customer
 	Fingerprint uint64    // of the request's body
@@ -27,7 +27,7 @@
 	// report true before the first byte is sent. The caller must end with
 	// Service.Release or Answer.Finish.
 	Permit *claim.Permit
-	Answer *Recording
+	Answer *AnswerWriter
 
 	// Holder is the other claim when Permit is nil. It may be of this host too;
 	// Service.Await returns its answer.
@@ -36,8 +36,8 @@
 	record claim.Claim
 }
 
-// Mine reports whether this host holds the key.
-func (r Result) Mine() bool { return r.Permit != nil }
+// HoldsKey reports whether this host holds the key.
+func (r Result) HoldsKey() bool { return r.Permit != nil }
 
 // PeerRef is a daemon that can be called.
 type PeerRef struct {
@@ -62,16 +62,16 @@
 
 // Defaults of Options.
 const (
-	DefaultBatchEvery  = 160 * time.Millisecond
-	DefaultIdleWait    = 2 * time.Millisecond
-	DefaultMaxBatch    = 500
-	DefaultPoll        = 5 * time.Second
-	DefaultLogTimeout  = 2 * time.Second
-	DefaultRetryEvery  = 250 * time.Millisecond
-	DefaultIdleStop    = time.Minute
-	DefaultCallTimeout = 1500 * time.Millisecond
-	DefaultDecideIn    = 5 * time.Second
-	DefaultMaxKeys     = 200_000
+	DefaultBatchEvery     = 160 * time.Millisecond
+	DefaultBatchDelay     = 2 * time.Millisecond
+	DefaultMaxBatch       = 500
+	DefaultPollTimeout    = 5 * time.Second
+	DefaultLogTimeout     = 2 * time.Second
+	DefaultRetryEvery     = 250 * time.Millisecond
+	DefaultIdleTimeout    = time.Minute
+	DefaultCallTimeout    = 1500 * time.Millisecond
+	DefaultVerdictTimeout = 5 * time.Second
+	DefaultMaxKeys        = 200_000
 )
 
 // Options configure a Service. Host and Incarnation must be those that the peers
@@ -81,17 +81,17 @@
 	Incarnation uint64        // of this process; a new one after each start
 	Replay      claim.Options // the same on all hosts of the site
 
-	BatchEvery  time.Duration // minimum time between appends to a partition
-	IdleWait    time.Duration // wait for more records before an append to an idle partition
-	MaxBatch    int           // records in one append
-	Poll        time.Duration // maximum wait of a read for new records
-	LogTimeout  time.Duration // of an append, and of a read beyond its wait
-	RetryEvery  time.Duration // after an error of the log
-	IdleStop    time.Duration // a partition unused for this long is not followed any more
-	CallTimeout time.Duration // of a call to a combiner
-	DecideIn    time.Duration // maximum wait for a verdict
-	MarkEvery   time.Duration // between marks; half the key life by default
-	MaxKeys     int           // keys that a partition remembers; further claims get StateBusy
+	BatchEvery     time.Duration // minimum time between appends to a partition
+	BatchDelay     time.Duration // wait for more records before an append to an idle partition
+	MaxBatch       int           // records in one append
+	PollTimeout    time.Duration // maximum wait of a read for new records
+	LogTimeout     time.Duration // of an append, and of a read beyond its wait
+	RetryEvery     time.Duration // after an error of the log
+	IdleTimeout    time.Duration // a partition unused for this long is not followed any more
+	CallTimeout    time.Duration // of a call to a combiner
+	VerdictTimeout time.Duration // maximum wait for a verdict
+	MarkEvery      time.Duration // between marks; half the key life by default
+	MaxKeys        int           // keys that a partition remembers; further claims get StateBusy
 
 	Answers AnswerOptions
 	Now     func() time.Time // time.Now by default
@@ -106,13 +106,13 @@
 		o.Replay.MaxSkew = claim.DefaultMaxSkew
 	}
 	option.Default(&o.BatchEvery, DefaultBatchEvery)
-	option.Default(&o.IdleWait, DefaultIdleWait)
-	option.Default(&o.Poll, DefaultPoll)
+	option.Default(&o.BatchDelay, DefaultBatchDelay)
+	option.Default(&o.PollTimeout, DefaultPollTimeout)
 	option.Default(&o.LogTimeout, DefaultLogTimeout)
 	option.Default(&o.RetryEvery, DefaultRetryEvery)
-	option.Default(&o.IdleStop, DefaultIdleStop)
+	option.Default(&o.IdleTimeout, DefaultIdleTimeout)
 	option.Default(&o.CallTimeout, DefaultCallTimeout)
-	option.Default(&o.DecideIn, DefaultDecideIn)
+	option.Default(&o.VerdictTimeout, DefaultVerdictTimeout)
 	option.Default(&o.MarkEvery, o.Replay.KeyLife/2)
 	if o.MaxBatch <= 0 {
 		o.MaxBatch = DefaultMaxBatch
--- a/internal/edge/process.go
+++ b/internal/edge/process.go
@@ -33,7 +33,7 @@
 	store    platform.Keyed
 	node     *peer.Node
 	peers    *peers
-	spread   *keyed.Spread
+	spread   *keyed.Feed
 	schedule *schedule.Service
 	plain    *plainServers
 	suspects *suspects.Tracker
@@ -97,14 +97,14 @@
 		plain:     newPlainServers(cfg.Domain, cfg.Incarnation),
 		upstreams: fleet.New(fleet.Options{OutageAfter: awayAfter(cfg), ReturnGrace: lapsedReturn}),
 		pool: httpwire.NewPool(httpwire.Options{
-			DialTimeout: dialTimeout,
-			UserTimeout: userTimeout,
-			ProbeIdle:   probeIdle,
-			ProbeEvery:  probeEvery,
-			Probes:      probes,
-			MaxIdle:     idlePerServer,
-			IdleTimeout: idleTimeout,
-			IdleMargin:  idleMargin,
+			DialTimeout:   dialTimeout,
+			UserTimeout:   userTimeout,
+			ProbeIdle:     probeIdle,
+			ProbeInterval: probeEvery,
+			ProbeCount:    probes,
+			MaxIdle:       idlePerServer,
+			IdleTimeout:   idleTimeout,
+			IdleMargin:    idleMargin,
 		}),
 	}
 	p.list.Store(&fleet.Snapshot{})
@@ -159,7 +159,7 @@
 		Limits:      p.notices.Limits,
 		Log:         p.log,
 	})
-	p.spread = keyed.NewSpread(p.cfg.Host, ranked)
+	p.spread = keyed.NewFeed(p.cfg.Host, ranked)
 	if err := node.Register(keyed.ServiceName, p.spread.RPC()); err != nil {
 		return err
 	}
@@ -174,7 +174,7 @@
 		Planner:         p.schedule,
 		Balancer:        p.plain,
 		Suspects:        p.suspects,
-		Probe:           p.pool.Reach,
+		Probe:           p.pool.TryDial,
 		DaemonAddresses: p.peers.addresses,
 		Upstreams:       p.list.Load,
 		OnIdentified:    p.identified,
@@ -267,7 +267,7 @@
 	}
 	settings := p.followSettings()
 	run("settings", settings.Run)
-	run("upstreams", p.followUpstreams(settings.Kick).Run)
+	run("upstreams", p.followUpstreams(settings.RestartRead).Run)
 	run("file", p.watchFile)
 	run("peers", p.node.Run)
 	run("schedule", p.schedule.Run)
