--- a/internal/claims/answers.go
+++ b/internal/claims/answers.go
@@ -142,7 +142,7 @@
 }
 
 // NewAnswers returns an empty Answers for a use other than claims. The window is
-// the default of Age.
+// the default of MaxAge.
 func NewAnswers(o AnswerOptions, window time.Duration, now func() time.Time) *Answers {
 	return newAnswers(o, window, now)
 }
@@ -287,8 +287,8 @@
 	a.expire()
 }
 
-// expire drops the bytes of answers that ended more than Age ago, and removes
-// outcomes older than twice that or in excess of Records.
+// expire drops the bytes of answers that ended more than MaxAge ago, and removes
+// outcomes older than twice that or in excess of MaxRecords.
 func (a *Answers) expire() {
 	now := a.now()
 	for e := a.ended.Front(); e != nil; {
--- a/internal/claims/batch.go
+++ b/internal/claims/batch.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// appendBatches writes the queued records, one append at a time: after IdleWait
+// appendBatches writes the queued records, one append at a time: after BatchDelay
 // when the partition was idle, at most once per BatchEvery when it is busy.
 func (c *combiner) appendBatches(ctx context.Context, wake <-chan struct{}) {
 	var last time.Time
--- a/internal/claims/combiner.go
+++ b/internal/claims/combiner.go
@@ -251,7 +251,7 @@
 	}()
 }
 
-// stopIfIdle marks a partition that has not been used for IdleStop as stopped and
+// stopIfIdle marks a partition that has not been used for IdleTimeout as stopped and
 // drops its replay; the next use replays the window again.
 func (c *combiner) stopIfIdle() bool {
 	c.mu.Lock()
--- a/internal/claims/types.go
+++ b/internal/claims/types.go
@@ -10,7 +10,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/option"
 )
 
-// AcquireRequest is a front's request for the right to run the request of a key.
+// AcquireRequest identifies the request that a front wants to run under its key.
 type AcquireRequest struct {
 	Customer    string
 	Key         string    // idempotency key, scoped to the customer
@@ -24,8 +24,8 @@
 	Offset int64 // of the holder's claim
 
 	// Permit and Answer are set when this host holds the key. Permit.Dispatch must
-	// report true before the first byte is sent. The caller must end with
-	// Service.Release or Answer.Finish.
+	// report true before the first byte is sent. A held Result must end
+	// with Service.Release or Answer.Finish.
 	Permit *claim.Permit
 	Answer *AnswerWriter
 
--- a/internal/join/rpc.go
+++ b/internal/join/rpc.go
@@ -6,10 +6,10 @@
 	"github.com/buckthorndock/buckthorndock/internal/claims"
 )
 
-// EnterArgs asks a key's home for a run in flight.
+// EnterArgs registers a run at its key's home unless there is one to join.
 type EnterArgs struct {
 	Run     Run
-	Instead string
+	Instead string // ID of the run that could not be joined and that Run replaces
 }
 
 // EnterReply names the run to join, if Join is set.
@@ -18,17 +18,17 @@
 	Other Run
 }
 
-// LeaveArgs tells a key's home that a run has ended.
+// LeaveArgs reports the end of a run to its key's home.
 type LeaveArgs struct {
 	Run Run
 }
 
-// LeaveReply is empty.
+// LeaveReply confirms a LeaveArgs; Done is always true.
 type LeaveReply struct {
 	Done bool
 }
 
-// ReadArgs asks for the answer of a run from a byte on.
+// ReadArgs requests the answer of a run from byte From on.
 type ReadArgs struct {
 	Run  Run
 	From int
@@ -40,23 +40,24 @@
 	base context.Context
 }
 
-// RPC returns the receiver for the other hosts' calls, which end with base.
+// RPC returns the receiver of the other hosts' calls, which end with base.
 func (s *Service) RPC(base context.Context) *RPC { return &RPC{s: s, base: base} }
 
-// Enter answers a front.
+// Enter returns the run that a front's request can join, or registers the request.
 func (r *RPC) Enter(a EnterArgs, reply *EnterReply) error {
-	reply.Other, reply.Join = r.s.home.enter(a.Run, a.Instead)
+	reply.Other, reply.Join = r.s.registry.enter(a.Run, a.Instead)
 	return nil
 }
 
-// Leave takes the end of a run.
+// Leave removes a run that has ended.
 func (r *RPC) Leave(a LeaveArgs, reply *LeaveReply) error {
-	r.s.home.leave(a.Run)
+	r.s.registry.leave(a.Run)
 	reply.Done = true
 	return nil
 }
 
-// Read answers a front that has joined a run of this host.
+// Read returns the next chunk of the answer of one of this host's runs to a front
+// that joined it.
 func (r *RPC) Read(a ReadArgs, reply *claims.Chunk) error {
 	if a.Run.Host != r.s.o.Host || a.Run.Incarnation != r.s.o.Incarnation {
 		*reply = claims.Chunk{State: claims.AnswerMissing}
@@ -64,6 +65,6 @@
 	}
 	ctx, cancel := context.WithTimeout(r.base, readWait)
 	defer cancel()
-	*reply = r.s.readOwn(ctx, a.Run, a.From)
+	*reply = r.s.readLocal(ctx, a.Run, a.From)
 	return nil
 }
--- a/internal/join/service.go
+++ b/internal/join/service.go
@@ -15,81 +15,83 @@
 // ServiceName is the name under which RPC is to be registered.
 const ServiceName = "Join"
 
-// Times of calls to other hosts.
 const (
-	homeTimeout = 300 * time.Millisecond // to ask a key's home; the request waits for it
-	readWait    = 5 * time.Second        // longest wait of one call for more of an answer
-	readTimeout = readWait + time.Second
-	keepAnswer  = time.Minute // an ended answer, for those who are still reading
+	homeTimeout  = 300 * time.Millisecond // of a call to a key's home; the request waits for it
+	readWait     = 5 * time.Second        // longest wait of one call for more of an answer
+	readTimeout  = readWait + time.Second
+	answerMaxAge = time.Minute // of an ended answer, for requests that still read it
 )
 
-// Peers is what this package needs of the other daemons.
+// Peers gives access to the other daemons.
 type Peers interface {
-	// Owner returns the live host of this failure domain that comes first for a
-	// key; host is empty when there is none.
+	// Owner returns the live host of this failure domain that is first for a key by
+	// rendezvous hashing, and whether it is this host; host is empty when there is
+	// none.
 	Owner(key string) (host, address string, self bool)
 	// Address returns the peer address of a live host.
 	Address(host string) (address string, ok bool)
-	// Call calls a net/rpc method, as ServiceName + ".Enter".
+	// Call calls a net/rpc method, for example ServiceName + ".Enter".
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// Options of a Service.
+// Options configure a Service.
 type Options struct {
 	Host        string
 	Incarnation uint64
 	Peers       Peers
-	Answers     claims.AnswerOptions // Age is a minute by default
+	Answers     claims.AnswerOptions // MaxAge is a minute by default
 	Now         func() time.Time     // time.Now by default
 }
 
-// Service is one host's side: for its own requests, as home of keys, and for
-// those who read the answers of its runs.
+// Service joins this host's requests to runs in flight, keeps the registry of the
+// keys whose home is this host, and serves the answers of its own runs to others.
 type Service struct {
-	o       Options
-	home    *home
-	answers *claims.Answers
+	o        Options
+	registry *runRegistry
+	answers  *claims.Answers
 
-	mu   sync.Mutex
-	open map[string]*Ticket // own runs by ID
+	mu      sync.Mutex
+	tickets map[string]*Ticket // this host's runs in flight, by ID
 }
 
-// New returns a Service.
+// New returns a Service without runs.
 func New(o Options) *Service {
 	if o.Now == nil {
 		o.Now = time.Now
 	}
 	return &Service{
-		o:       o,
-		home:    newHome(o.Now),
-		answers: claims.NewAnswers(o.Answers, keepAnswer, o.Now),
-		open:    map[string]*Ticket{},
+		o:        o,
+		registry: newRunRegistry(o.Now),
+		answers:  claims.NewAnswers(o.Answers, answerMaxAge, o.Now),
+		tickets:  map[string]*Ticket{},
 	}
 }
 
-// Ticket is a request's place: it runs itself, or joins Other.
+// Ticket is the result of Enter: the request joins Other or is run by this host.
 type Ticket struct {
 	Other  *Run                 // the run to join, nil when there is none
-	Answer *claims.AnswerWriter // keeps the own answer for those who join; nil with Other
+	Answer *claims.AnswerWriter // stores this run's answer for requests that join it; nil with Other
 
-	s      *Service
-	run    Run
-	joined atomic.Bool
+	s          *Service
+	run        Run
+	hasReaders atomic.Bool
 }
 
-// HasReaders reports whether somebody else has read the answer.
-func (t *Ticket) HasReaders() bool { return t.joined.Load() }
+// HasReaders reports whether another request has joined this run and read from its
+// answer while it was in flight.
+func (t *Ticket) HasReaders() bool { return t.hasReaders.Load() }
 
-// Enter asks the key's home for a run in flight. The run with the ID instead, if
-// any, was of no use. Of r, Host and Incarnation are filled in.
-func (s *Service) Enter(ctx context.Context, r Run, instead string) *Ticket {
+// Enter looks up the run in flight of r's key at the key's home, or registers r
+// there. The run with the ID replacedID, if not empty, could not be joined, and r
+// takes its place. Enter fills in r.Host and r.Incarnation.
+func (s *Service) Enter(ctx context.Context, r Run, replacedID string) *Ticket {
 	r.Host, r.Incarnation = s.o.Host, s.o.Incarnation
 	t := &Ticket{s: s, run: r, Answer: s.answers.Begin(r.Customer, r.ID, 0)}
 	s.mu.Lock()
-	s.open[r.ID] = t
+	s.tickets[r.ID] = t
 	s.mu.Unlock()
-	// All is ready for readers before the home can name this run.
-	other, ok := s.askHome(ctx, r, instead)
+	// Readers must be able to find the run as soon as the home can return it.
+	other, ok := s.enterAtHome(ctx, r, replacedID)
 	if ok {
 		t.close(claims.Ending{State: claims.AnswerReleased})
 		return &Ticket{Other: &other, s: s, run: r}
@@ -97,10 +99,12 @@
 	return t
 }
 
-func (s *Service) askHome(ctx context.Context, r Run, instead string) (Run, bool) {
+// enterAtHome returns the run that r can join. It returns false if there is none or
+// the home cannot be reached.
+func (s *Service) enterAtHome(ctx context.Context, r Run, replacedID string) (Run, bool) {
 	host, address, self := s.o.Peers.Owner(homeKey(r))
 	if self {
-		return s.home.enter(r, instead)
+		return s.registry.enter(r, replacedID)
 	}
 	if host == "" {
 		return Run{}, false
@@ -108,7 +112,7 @@
 	ctx, cancel := context.WithTimeout(ctx, homeTimeout)
 	defer cancel()
 	var reply EnterReply
-	if err := s.o.Peers.Call(ctx, address, ServiceName+".Enter", EnterArgs{Run: r, Instead: instead}, &reply); err != nil {
+	if err := s.o.Peers.Call(ctx, address, ServiceName+".Enter", EnterArgs{Run: r, Instead: replacedID}, &reply); err != nil {
 		return Run{}, false
 	}
 	return reply.Other, reply.Join
@@ -116,34 +120,36 @@
 
 func homeKey(r Run) string { return "join/" + r.Customer + "/" + r.Key }
 
-// Finish ends an own run.
+// Finish ends a run of this host and reports its end to the key's home.
 func (t *Ticket) Finish(e claims.Ending) {
 	t.close(e)
 	host, address, self := t.s.o.Peers.Owner(homeKey(t.run))
 	switch {
 	case self:
-		t.s.home.leave(t.run)
+		t.s.registry.leave(t.run)
 	case host != "":
-		go t.tellHome(address)
+		go t.leaveAtHome(address)
 	}
 }
 
+// close ends the answer and removes the run from those in flight.
 func (t *Ticket) close(e claims.Ending) {
 	t.Answer.Finish(e)
 	t.s.mu.Lock()
 	defer t.s.mu.Unlock()
-	delete(t.s.open, t.run.ID)
+	delete(t.s.tickets, t.run.ID)
 }
 
-// tellHome may fail: the run is forgotten at its deadline then.
-func (t *Ticket) tellHome(address string) {
+// leaveAtHome reports the run's end to the host at address. If the call fails, the
+// home drops the run at Run.Until.
+func (t *Ticket) leaveAtHome(address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), homeTimeout)
 	defer cancel()
 	var reply LeaveReply
 	_ = t.s.o.Peers.Call(ctx, address, ServiceName+".Leave", LeaveArgs{Run: t.run}, &reply)
 }
 
-// Relay passes the answer of a run on and returns how it ended, as
+// Relay writes the answer of a run to w and returns how it ended, as
 // claims.Service.Await does.
 func (s *Service) Relay(ctx context.Context, r Run, w io.Writer) (claims.Ending, error) {
 	return claims.Relay(ctx, w, func(from int) claims.Chunk {
@@ -155,11 +161,12 @@
 	})
 }
 
-var errNoAddress = merry.Sentinel("the host of the run is not known")
+var errNoAddress = merry.Sentinel("no address known for the host of the run")
 
+// read returns the chunk of a run's answer that starts at byte from.
 func (s *Service) read(ctx context.Context, r Run, from int) (claims.Chunk, error) {
 	if r.Host == s.o.Host && r.Incarnation == s.o.Incarnation {
-		return s.readOwn(ctx, r, from), nil
+		return s.readLocal(ctx, r, from), nil
 	}
 	address, ok := s.o.Peers.Address(r.Host)
 	if !ok {
@@ -174,10 +181,12 @@
 	return chunk, nil
 }
 
-func (s *Service) readOwn(ctx context.Context, r Run, from int) claims.Chunk {
+// readLocal returns the next chunk of the answer of one of this host's runs, and
+// records that the run has a reader.
+func (s *Service) readLocal(ctx context.Context, r Run, from int) claims.Chunk {
 	s.mu.Lock()
-	if t := s.open[r.ID]; t != nil {
-		t.joined.Store(true)
+	if t := s.tickets[r.ID]; t != nil {
+		t.hasReaders.Store(true)
 	}
 	s.mu.Unlock()
 	return s.answers.Read(ctx, r.Customer, r.ID, 0, from)
