--- a/internal/upstream/backoff.go
+++ b/internal/upstream/backoff.go
@@ -8,23 +8,25 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/notice"
 )
 
-// headerBackOff has the seconds for which an upstream wants nothing from the host that it
-// turns away. The API's own types do not show it.
+// headerBackOff has the seconds for which an upstream wants no requests from the host
+// that it refuses. The generated API types do not expose it.
 const headerBackOff = "Retry-After"
 
 type backOffKey struct{}
 
-// withBackOff returns a context with which the transport notes what the answer asks for.
+// withBackOff returns a context and the duration in which the transport stores the
+// back-off that the answer requests.
 func withBackOff(ctx context.Context) (context.Context, *time.Duration) {
 	span := new(time.Duration)
 	return context.WithValue(ctx, backOffKey{}, span), span
 }
 
-// backOffNoter is a transport that notes the back-offs which answers ask for.
-type backOffNoter struct{ http.RoundTripper }
+// backOffRecorder is a transport that stores the back-off that an answer requests in
+// the request's context.
+type backOffRecorder struct{ http.RoundTripper }
 
 // RoundTrip implements http.RoundTripper.
-func (n backOffNoter) RoundTrip(req *http.Request) (*http.Response, error) {
+func (n backOffRecorder) RoundTrip(req *http.Request) (*http.Response, error) {
 	res, err := n.RoundTripper.RoundTrip(req)
 	if err != nil {
 		return nil, err
--- a/internal/upstream/backoff_test.go
+++ b/internal/upstream/backoff_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestRefusalTellsForHowLongNothingIsWanted(t *testing.T) {
+func TestRefusalCarriesBackOff(t *testing.T) {
 	for status, want := range map[int]time.Duration{
 		http.StatusServiceUnavailable:  1500 * time.Millisecond,
 		http.StatusTooManyRequests:     1500 * time.Millisecond,
--- a/internal/upstream/calls.go
+++ b/internal/upstream/calls.go
@@ -9,11 +9,11 @@
 )
 
 // Cancel ends an attempt on an engine and frees its memory; it is idempotent.
-// known is false when the engine had no such attempt.
+// known is false if the engine has no such attempt.
 func (c *Client) Cancel(ctx context.Context, address, requestID string, attempt int) (known bool, err error) {
 	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
-	ec, err := c.worker(address)
+	ec, err := c.dispatchClient(address)
 	if err != nil {
 		return false, err
 	}
@@ -27,13 +27,13 @@
 	case *engineapi.RefusalStatusCode:
 		return false, refusedFrom(r)
 	}
-	return false, unexpected(res)
+	return false, unexpectedAnswer(res)
 }
 
 // Call runs an operation of a plain service on a new connection and returns its
-// answer, checked to belong to this attempt.
+// answer. An answer that belongs to another attempt is an error.
 func (c *Client) Call(ctx context.Context, address, operation, requestID string, attempt int, body []byte) ([]byte, error) {
-	ec, err := c.worker(address)
+	ec, err := c.dispatchClient(address)
 	if err != nil {
 		return nil, &NotSentError{Err: err}
 	}
@@ -57,18 +57,18 @@
 		refused.BackOff = *backOff
 		return nil, refused
 	}
-	return nil, unexpected(res)
+	return nil, unexpectedAnswer(res)
 }
 
 // Load returns an engine's load report.
 func (c *Client) Load(ctx context.Context, address string) (*engineapi.LoadReport, error) {
-	ec, err := c.poller(address)
+	ec, err := c.pollClient(address)
 	if err != nil {
 		return nil, err
 	}
 	res, err := ec.GetLoad(ctx)
 	if err != nil {
-		return nil, c.pollFailed(err)
+		return nil, c.handlePollError(err)
 	}
 	switch r := res.(type) {
 	case *engineapi.LoadReport:
@@ -76,18 +76,18 @@
 	case *engineapi.RefusalStatusCode:
 		return nil, refusedFrom(r)
 	}
-	return nil, unexpected(res)
+	return nil, unexpectedAnswer(res)
 }
 
 // CacheEvents returns an engine's cache events from a sequence number on.
 func (c *Client) CacheEvents(ctx context.Context, address string, from int64) (*engineapi.CacheEvents, error) {
-	ec, err := c.poller(address)
+	ec, err := c.pollClient(address)
 	if err != nil {
 		return nil, err
 	}
 	res, err := ec.GetCacheEvents(ctx, engineapi.GetCacheEventsParams{From: from})
 	if err != nil {
-		return nil, c.pollFailed(err)
+		return nil, c.handlePollError(err)
 	}
 	switch r := res.(type) {
 	case *engineapi.CacheEvents:
@@ -95,9 +95,11 @@
 	case *engineapi.RefusalStatusCode:
 		return nil, refusedFrom(r)
 	}
-	return nil, unexpected(res)
+	return nil, unexpectedAnswer(res)
 }
 
-func unexpected(res any) error {
+// unexpectedAnswer returns the error for an answer of a type that the caller does
+// not handle.
+func unexpectedAnswer(res any) error {
 	return merry.Errorf("unexpected answer type %T", res)
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -15,8 +15,8 @@
 
 // Options configure a Client. The zero value uses the defaults.
 type Options struct {
-	DialTimeout time.Duration // to open a connection; 500 ms by default
-	PollTimeout time.Duration // for polls and orders; 2 s by default
+	DialTimeout time.Duration // of opening a connection; 500 ms by default
+	PollTimeout time.Duration // of polls and short calls such as Cancel; 2 s by default
 }
 
 // Defaults of Options.
@@ -25,18 +25,18 @@
 	DefaultPollTimeout = 2 * time.Second
 )
 
-// Client reaches upstreams by IP:port. Work is dispatched on a new connection
-// each time, since an idle one may have gone silent unnoticed; polls share
-// connections, which are dropped after a timeout.
+// Client calls upstreams by IP:port. Work is dispatched on a new connection each
+// time, since an idle one may be broken unnoticed; polls share connections, which
+// are closed after a failed poll.
 type Client struct {
 	opts     Options
 	dispatch *http.Client
 	poll     *http.Client
 	pollPool *http.Transport
 
-	mu      sync.Mutex
-	workers map[string]*engineapi.Client // by address, over dispatch
-	pollers map[string]*engineapi.Client // by address, over poll
+	mu              sync.Mutex
+	dispatchClients map[string]*engineapi.Client // by address, over dispatch
+	pollClients     map[string]*engineapi.Client // by address, over poll
 }
 
 // NewClient returns a Client.
@@ -48,33 +48,34 @@
 		opts.PollTimeout = DefaultPollTimeout
 	}
 	dialer := &net.Dialer{Timeout: opts.DialTimeout}
-	fresh := &http.Transport{DialContext: dialPermitted(dialer), DisableKeepAlives: true}
+	fresh := &http.Transport{DialContext: dialWithPermit(dialer), DisableKeepAlives: true}
 	shared := &http.Transport{DialContext: obs.CountBytes(obs.PurposeEngines, dialer.DialContext), MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute}
 	return &Client{
-		opts:     opts,
-		dispatch: &http.Client{Transport: backOffNoter{fresh}, CheckRedirect: followNone},
-		poll:     &http.Client{Transport: shared, Timeout: opts.PollTimeout},
-		pollPool: shared,
-		workers:  map[string]*engineapi.Client{},
-		pollers:  map[string]*engineapi.Client{},
+		opts:            opts,
+		dispatch:        &http.Client{Transport: backOffRecorder{fresh}, CheckRedirect: doNotFollowRedirects},
+		poll:            &http.Client{Transport: shared, Timeout: opts.PollTimeout},
+		pollPool:        shared,
+		dispatchClients: map[string]*engineapi.Client{},
+		pollClients:     map[string]*engineapi.Client{},
 	}
 }
 
-// followNone makes a redirect an answer like others: a second sending would be a
-// second dispatch, and an error in it no proof that the first did not run.
-func followNone(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+// doNotFollowRedirects has a redirect returned as the answer: following it would be
+// a second dispatch, and an error of that would not prove that the first did not run.
+func doNotFollowRedirects(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// worker returns the client whose calls each open a connection.
-func (c *Client) worker(address string) (*engineapi.Client, error) {
-	return c.cached(c.workers, address, c.dispatch)
+// dispatchClient returns the client that opens a connection for each call.
+func (c *Client) dispatchClient(address string) (*engineapi.Client, error) {
+	return c.cachedClient(c.dispatchClients, address, c.dispatch)
 }
 
-// poller returns the client whose calls share a connection.
-func (c *Client) poller(address string) (*engineapi.Client, error) {
-	return c.cached(c.pollers, address, c.poll)
+// pollClient returns the client that reuses connections.
+func (c *Client) pollClient(address string) (*engineapi.Client, error) {
+	return c.cachedClient(c.pollClients, address, c.poll)
 }
 
-func (c *Client) cached(m map[string]*engineapi.Client, address string, hc *http.Client) (*engineapi.Client, error) {
+// cachedClient returns m's client of an address, adding one over hc if there is none.
+func (c *Client) cachedClient(m map[string]*engineapi.Client, address string, hc *http.Client) (*engineapi.Client, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ec, ok := m[address]; ok {
@@ -82,20 +83,21 @@
 	}
 	ec, err := engineapi.NewClient("http://"+address, engineapi.WithClient(hc))
 	if err != nil {
-		return nil, merry.Prependf(err, "client of upstream %s", address)
+		return nil, merry.Prependf(err, "create client of upstream %s", address)
 	}
 	m[address] = ec
 	return ec, nil
 }
 
-// withTimeout bounds a short call.
+// withTimeout bounds a short call by PollTimeout.
 func (c *Client) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, c.opts.PollTimeout)
 }
 
-// pollFailed drops the shared connections after a failed poll, so that the next
-// one does not wait on a connection that has gone silent.
-func (c *Client) pollFailed(err error) error {
+// handlePollError closes the idle shared connections after a failed poll, so that
+// the next one does not wait on a broken connection, and returns the classified
+// error.
+func (c *Client) handlePollError(err error) error {
 	c.pollPool.CloseIdleConnections()
 	return classify(err)
 }
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,4 +1,3 @@
-// Package upstream speaks to engines and plain services. Their wire format is
-// known here and nowhere else: what is returned are the package's own types and
-// errors.
+// Package upstream calls engines and plain services. It hides their wire format:
+// errors, streams and probes are returned as the package's own types.
 package upstream
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -8,11 +8,11 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/engineapi"
 )
 
-// RefusedError is an upstream's answer that it did not do what was asked.
+// RefusedError is an upstream's answer that it did not do what was requested.
 type RefusedError struct {
 	Code    string // a code of the engine API
 	Message string
-	BackOff time.Duration // for which the upstream wants nothing from this host; zero: not said
+	BackOff time.Duration // for which the upstream wants no requests from this host; zero if not stated
 }
 
 // Error implements error.
@@ -20,7 +20,7 @@
 	return fmt.Sprintf("upstream refused (%s): %s", r.Code, r.Message)
 }
 
-// Refusal codes that callers tell apart.
+// Refusal codes of the engine API that callers handle.
 const (
 	CodeNoMemory      = string(engineapi.RefusalCodeNoMemory)
 	CodeNoModel       = string(engineapi.RefusalCodeNoModel)
@@ -51,7 +51,7 @@
 	return errors.As(err, &notSent)
 }
 
-// RefusalCode reports whether the upstream itself said no, and with which code.
+// RefusalCode returns the code of a RefusedError; ok is false for any other error.
 func RefusalCode(err error) (code string, ok bool) {
 	var r *RefusedError
 	if errors.As(err, &r) {
@@ -60,17 +60,19 @@
 	return "", false
 }
 
-// classify tells a failed dial from a failure after bytes may have been sent.
+// classify wraps the error of a failed dial in a NotSentError. Other errors, after
+// which bytes may have been sent, are returned as they are.
 func classify(err error) error {
 	if err == nil {
 		return nil
 	}
-	if dialFailed(err) {
+	if failedBeforeOpen(err) {
 		return &NotSentError{Err: err}
 	}
 	return err
 }
 
+// refusedFrom converts a refusal of the generated API.
 func refusedFrom(r *engineapi.RefusalStatusCode) *RefusedError {
 	return &RefusedError{Code: string(r.Response.Code), Message: r.Response.Message}
 }
--- a/internal/upstream/generate.go
+++ b/internal/upstream/generate.go
@@ -15,11 +15,11 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/engineapi"
 )
 
-// maxChunkLine bounds one line of a stream, in bytes. An engine that sends a
-// longer one is broken.
+// maxChunkLine bounds one line of a stream, in bytes. A longer one is an error of
+// the engine.
 const maxChunkLine = 1 << 20
 
-// maxErrorBody bounds what is read of a refusal, in bytes.
+// maxErrorBody bounds how much of a refusal's body is read, in bytes.
 const maxErrorBody = 64 << 10
 
 // Chunk is one line of an answer's stream, as api/engine.yaml describes it.
@@ -28,13 +28,13 @@
 	Attempt      int    `json:"attempt"`
 	Index        int    `json:"index"`
 	Text         string `json:"text"`
-	Done         bool   `json:"done"`          // the final marker; text is empty
+	Done         bool   `json:"done"`          // the last chunk of a whole answer; Text is empty
 	TotalTokens  int    `json:"total_tokens"`  // with Done
 	CachedTokens int    `json:"cached_tokens"` // with the first chunk
 	Error        string `json:"error"`
 }
 
-// GenerateRequest is one attempt at a request.
+// GenerateRequest is the engine API's request to run one attempt.
 type GenerateRequest = engineapi.GenerateRequest
 
 // Stream is the answer to an attempt. It is used by one goroutine.
@@ -43,11 +43,11 @@
 	scan *bufio.Scanner
 }
 
-// Generate dispatches an attempt on a new connection. The context bounds the
-// whole stream. An error for which IsNotStarted holds proves that nothing ran;
-// after any other it may have run.
+// Generate dispatches an attempt on a new connection. The context bounds the whole
+// stream. An error for which IsNotStarted reports true proves that the attempt did
+// not run; after any other it may have run.
 func (c *Client) Generate(ctx context.Context, address string, req *GenerateRequest) (*Stream, error) {
-	ec, err := c.worker(address)
+	ec, err := c.dispatchClient(address)
 	if err != nil {
 		return nil, &NotSentError{Err: err}
 	}
@@ -70,8 +70,8 @@
 	return &Stream{body: resp.Body, scan: scan}, nil
 }
 
-// Next returns the next chunk, io.EOF at the end of the connection. The end of
-// the connection does not say that the answer is whole; a chunk with Done does.
+// Next returns the next chunk, or io.EOF at the end of the connection. The answer is
+// whole only after a chunk with Done.
 func (s *Stream) Next() (Chunk, error) {
 	if !s.scan.Scan() {
 		if err := s.scan.Err(); err != nil {
@@ -89,11 +89,12 @@
 // Close ends the connection. It does not cancel the attempt on the engine.
 func (s *Stream) Close() { _ = s.body.Close() }
 
+// readRefusal reads and closes the response of a refusal and returns it as an error.
 func readRefusal(resp *http.Response, backOff time.Duration) error {
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
 	if err != nil {
-		return merry.Prependf(err, "status %d", resp.StatusCode)
+		return merry.Prependf(err, "read body of status %d", resp.StatusCode)
 	}
 	var refusal engineapi.Refusal
 	if err := json.Unmarshal(body, &refusal); err != nil {
--- a/internal/upstream/permit.go
+++ b/internal/upstream/permit.go
@@ -8,20 +8,21 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrNotPermitted means that the permit of WithPermit was refused: a connection
-// was opened and closed again, and no byte was written.
+// ErrNotPermitted means that the function given to WithPermit reported false: a
+// connection was opened and closed again, and no byte was written.
 var ErrNotPermitted = merry.Sentinel("dispatch is not permitted any more")
 
 type permitKey struct{}
 
-// WithPermit has a dispatch ask for permission when its connection is open,
-// before the first byte is written.
+// WithPermit returns a context whose dispatches call permitted when their connection
+// is open, before the first byte is written; if it reports false, nothing is sent.
 func WithPermit(ctx context.Context, permitted func() bool) context.Context {
 	return context.WithValue(ctx, permitKey{}, permitted)
 }
 
-// dialPermitted opens a connection and asks the permit of its context.
-func dialPermitted(dialer *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
+// dialWithPermit returns a dial function that calls the permit of its context, if
+// any, on an open connection.
+func dialWithPermit(dialer *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, network, address)
 		if err != nil {
@@ -36,8 +37,9 @@
 	}
 }
 
-// dialFailed reports whether an error came before a connection was open.
-func dialFailed(err error) bool {
+// failedBeforeOpen reports whether an error came before a connection could be
+// written to: the dial failed or was not permitted.
+func failedBeforeOpen(err error) bool {
 	var op *net.OpError
 	return errors.Is(err, ErrNotPermitted) || errors.As(err, &op) && op.Op == "dial"
 }
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -7,7 +7,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/placement"
 )
 
-// Phase is where an attempt stands on its engine.
+// Phase is the progress of an attempt on its engine.
 type Phase string
 
 // Phases of an attempt.
@@ -19,14 +19,14 @@
 	PhaseOrphaned Phase = Phase(engineapi.RunningPhaseOrphaned)
 )
 
-// AttemptStatus is what an engine says of an attempt.
+// AttemptStatus is an engine's report on one attempt.
 type AttemptStatus struct {
 	Phase       Phase
-	Incarnation string // of the engine, in the form of load reports
+	Incarnation string // of the engine, shortened as in load reports
 }
 
-// Probe asks an engine, on a new connection, where an attempt stands. An error
-// means that the engine cannot be reached now.
+// Probe reads the phase of an attempt from its engine on a new connection. An error
+// means that the engine cannot be reached now or refused the call.
 func (c *Client) Probe(ctx context.Context, address, requestID string, attempt int) (AttemptStatus, error) {
 	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
@@ -43,10 +43,9 @@
 	return standing, nil
 }
 
-// Books returns, over a new connection, everything that holds memory on an
-// engine.
+// Books reads, on a new connection, everything that holds memory on an engine.
 func (c *Client) Books(ctx context.Context, address string) (*engineapi.Books, error) {
-	ec, err := c.worker(address)
+	ec, err := c.dispatchClient(address)
 	if err != nil {
 		return nil, err
 	}
@@ -60,5 +59,5 @@
 	case *engineapi.RefusalStatusCode:
 		return nil, refusedFrom(r)
 	}
-	return nil, unexpected(res)
+	return nil, unexpectedAnswer(res)
 }
--- a/internal/upstream/redirect_test.go
+++ b/internal/upstream/redirect_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// A dispatch is sent to one place once: an answer that points elsewhere is not
-// followed, and it is no proof that nothing ran.
+// A dispatch is sent once: a redirect is not followed, and it does not prove that
+// nothing ran.
 func TestNoRedirectIsFollowed(t *testing.T) {
 	var sent atomic.Int32
 	var there *httptest.Server
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestPermitIsAskedOnceAConnectionIsOpen(t *testing.T) {
+func TestPermitIsRequestedAfterConnect(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 		t.Errorf("error %v, want one that says nothing was sent", err)
 	}
 	if asked {
-		t.Error("an upstream that cannot be reached used the permit up")
+		t.Error("the permit was used for an upstream that cannot be reached")
 	}
 }
 
@@ -68,14 +68,14 @@
 	})
 	got, err := NewClient(Options{}).Call(context.Background(), address, "stock", "r1", 1, []byte(`{}`))
 	if err == nil {
-		t.Errorf("took another call's answer %s", got)
+		t.Errorf("accepted another call's answer %s", got)
 	}
 	if IsNotStarted(err) {
-		t.Error("claims that nothing was sent")
+		t.Error("the error says that nothing was sent")
 	}
 }
 
-func TestAnswerLostAfterTheRequestMayHaveRun(t *testing.T) {
+func TestLostAnswerIsNotProofOfNotStarted(t *testing.T) {
 	address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := w.(http.Hijacker).Hijack()
 		if err == nil {
@@ -88,10 +88,10 @@
 	}
 }
 
-func TestStreamOfGarbageEndsWithAnError(t *testing.T) {
+func TestMalformedStreamReturnsError(t *testing.T) {
 	for name, body := range map[string]string{
 		"not JSON":       "milk\n",
-		"an endless":     strings.Repeat("x", maxChunkLine+1),
+		"too long":       strings.Repeat("x", maxChunkLine+1),
 		"another type":   `{"index":"seven"}` + "\n",
 		"half a line":    `{"request_id":"r1","ind`,
 		"nothing at all": "",
@@ -105,16 +105,16 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		if chunk, err := s.Next(); err == nil {
-			t.Errorf("%s: took %+v", name, chunk)
+			t.Errorf("%s: accepted %+v", name, chunk)
 		}
 		s.Close()
 	}
 }
 
-// fakeSink records what a Watcher finds.
+// fakeSink sends the states that a Watcher finds to a channel.
 type fakeSink struct{ states chan string }
 
-func TestWatcherTellsDeadFromSilent(t *testing.T) {
+func TestWatcherDistinguishesDeadFromSilent(t *testing.T) {
 	release := make(chan struct{})
 	silent := serve(t, func(http.ResponseWriter, *http.Request) { <-release })
 	t.Cleanup(func() { close(release) })
--- a/internal/upstream/watch.go
+++ b/internal/upstream/watch.go
@@ -10,17 +10,17 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/placement"
 )
 
-// Report asks an engine for its load. The report's time is that of receipt less
-// the age that the engine states.
+// Report reads an engine's load report. Its time is that of receipt minus the age
+// that the engine states.
 func (c *Client) Report(ctx context.Context, address string) (placement.Report, error) {
 	load, err := c.Load(ctx, address)
 	if err != nil {
 		return placement.Report{}, err
 	}
-	return reportOf(load, time.Now()), nil
+	return reportFrom(load, time.Now()), nil
 }
 
-func reportOf(l *engineapi.LoadReport, now time.Time) placement.Report {
+func reportFrom(l *engineapi.LoadReport, now time.Time) placement.Report {
 	return placement.Report{
 		Incarnation:   placement.ShortIncarnation(l.Incarnation),
 		Seq:           l.Seq,
@@ -39,14 +39,14 @@
 	}
 }
 
-// Target is an upstream to be watched.
+// Target is an upstream to watch.
 type Target struct {
 	Name     string
 	Address  string // IP:port
-	IsEngine bool   // else a plain service, of which only the port is tried
+	IsEngine bool   // else a plain service, which is only connected to
 }
 
-// Sink takes what a Watcher finds.
+// Sink receives the load reports and states that a Watcher finds.
 type Sink interface {
 	ApplyReport(upstream string, report placement.Report)
 	SetState(upstream string, s placement.State)
@@ -54,9 +54,9 @@
 
 // WatchOptions configure a Watcher. Zero fields take the defaults.
 type WatchOptions struct {
-	Interval      time.Duration // between two looks at an upstream; 250 ms
-	Timeout       time.Duration // of one look; 1 s
-	SuspectMisses int           // timeouts in a row after which it is suspect; 2
+	Interval      time.Duration // between two checks of an upstream; 250 ms
+	Timeout       time.Duration // of one check; 1 s
+	SuspectMisses int           // failed checks in a row after which an upstream is suspect; 2
 }
 
 // Defaults of WatchOptions.
@@ -66,8 +66,9 @@
 	DefaultSuspectMisses = 2
 )
 
-// Watcher looks at upstreams in turn and tells what it finds. A refused
-// connection means dead, silence means suspect, an answer means live.
+// Watcher checks each upstream periodically and reports its state to a Sink: dead if
+// no connection can be opened, suspect after repeated failures on an open one, live
+// after an answer.
 type Watcher struct {
 	client *Client
 	sink   Sink
@@ -92,7 +93,8 @@
 	return &Watcher{client: client, sink: sink, opts: opts, cancels: map[Target]context.CancelFunc{}}
 }
 
-// SetTargets makes the upstreams watched those of the list, until the context ends.
+// SetTargets replaces the set of watched upstreams. They are watched until the
+// context ends.
 func (w *Watcher) SetTargets(ctx context.Context, targets []Target) {
 	wanted := map[Target]bool{}
 	for _, t := range targets {
@@ -113,26 +115,28 @@
 	}
 }
 
+// start starts the goroutine that watches t; the caller holds w.mu.
 func (w *Watcher) start(ctx context.Context, t Target) {
 	ctx, cancel := context.WithCancel(ctx)
 	w.cancels[t] = cancel
 	w.wg.Add(1)
 	go func() {
 		defer w.wg.Done()
-		w.loop(ctx, t)
+		w.watch(ctx, t)
 	}()
 }
 
-func (w *Watcher) loop(ctx context.Context, t Target) {
+// watch checks t every Interval until the context ends.
+func (w *Watcher) watch(ctx context.Context, t Target) {
 	ticker := time.NewTicker(w.opts.Interval)
 	defer ticker.Stop()
 	misses := 0
 	for {
-		err := w.look(ctx, t)
+		err := w.check(ctx, t)
 		if ctx.Err() != nil {
 			return
 		}
-		misses = w.tell(t, err, misses)
+		misses = w.reportState(t, err, misses)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -141,8 +145,9 @@
 	}
 }
 
-// tell passes on a look's result and returns the misses in a row.
-func (w *Watcher) tell(t Target, err error, misses int) int {
+// reportState reports the state that follows from a check's result, and returns the
+// number of failed checks in a row.
+func (w *Watcher) reportState(t Target, err error, misses int) int {
 	if err == nil {
 		w.sink.SetState(t.Name, placement.Live)
 		return 0
@@ -158,11 +163,12 @@
 	return misses
 }
 
-func (w *Watcher) look(ctx context.Context, t Target) error {
+// check reads the load of an engine and applies it, or connects to a plain service.
+func (w *Watcher) check(ctx context.Context, t Target) error {
 	ctx, cancel := context.WithTimeout(ctx, w.opts.Timeout)
 	defer cancel()
 	if !t.IsEngine {
-		return tryPort(ctx, t.Address)
+		return checkPort(ctx, t.Address)
 	}
 	report, err := w.client.Report(ctx, t.Address)
 	if err != nil {
@@ -172,7 +178,8 @@
 	return nil
 }
 
-func tryPort(ctx context.Context, address string) error {
+// checkPort opens a connection to an address and closes it.
+func checkPort(ctx context.Context, address string) error {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -181,6 +188,6 @@
 	return conn.Close()
 }
 
-// Wait waits until all loops have ended; the contexts given to Watch must be
+// Wait waits until all checks have ended; the contexts given to SetTargets must be
 // done.
 func (w *Watcher) Wait() { w.wg.Wait() }
