--- a/internal/httpwire/answer.go
+++ b/internal/httpwire/answer.go
@@ -5,29 +5,29 @@
 	"net/http"
 )
 
-// Answer is the answer of an upstream. One goroutine reads it.
+// Answer is the answer of an upstream. It is used by one goroutine.
 type Answer struct {
 	*http.Response
 
-	pool  *Pool
-	conn  *conn
-	stop  func() bool // of the context's watch
-	wrote bool        // the whole request
-	ended bool        // the body was read to its end
+	pool           *Pool
+	conn           *conn
+	stopWatch      func() bool // cancels the close of conn at the context's end
+	requestWritten bool        // whole, without an error
+	bodyEnded      bool        // the body was read to its end
 }
 
-// firstFinal is the lowest status that ends an exchange; those below precede it.
-const firstFinal = 200
+// firstFinalStatus is the lowest status of a final response; lower ones are interim.
+const firstFinalStatus = 200
 
-// exchange writes the request and reads the head. An upstream may answer before it
-// has read a long body, so a failed write is no reason not to read.
+// exchange writes the request and reads the head of the answer. It reads also after a
+// failed write, since an upstream may answer before it has read a long body.
 func (a *Answer) exchange(req *http.Request) error {
 	c := a.conn
 	err := req.Write(c.bw)
 	if err == nil {
 		err = c.bw.Flush()
 	}
-	a.wrote = err == nil
+	a.requestWritten = err == nil
 	for {
 		res, readErr := http.ReadResponse(c.br, req)
 		if readErr != nil {
@@ -36,7 +36,7 @@
 			}
 			return readErr
 		}
-		if res.StatusCode < firstFinal && res.StatusCode != http.StatusSwitchingProtocols {
+		if res.StatusCode < firstFinalStatus && res.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
 		a.Response = res
@@ -44,36 +44,39 @@
 	}
 }
 
-// Read reads the body. io.EOF is returned only at its proper end: where the answer
-// has a length, after as many bytes.
+// Read reads the body. It returns io.EOF only at the end that the framing defines:
+// if the answer has a length, after that many bytes.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.Body.Read(p)
 	if err == io.EOF {
-		a.ended = true
+		a.bodyEnded = true
 	}
 	return n, err
 }
 
-// SelfDelimited reports whether the answer says where it ends. One that does not ends with
-// its connection.
+// SelfDelimited reports whether the answer's head or encoding says where the body
+// ends. Otherwise the body ends with the connection.
 func (a *Answer) SelfDelimited() bool {
 	return a.ContentLength >= 0 || len(a.TransferEncoding) > 0
 }
 
-// Close ends the exchange. The connection is kept if nothing odd happened on it.
+// Close ends the exchange. The connection is kept if it is reusable, and closed
+// otherwise.
 func (a *Answer) Close() {
-	stopped := a.stop()
+	stopped := a.stopWatch()
 	if !stopped || !a.reusable() {
 		a.conn.Close()
 		return
 	}
 	if idle := a.pool.idleTime(a.Header); idle > 0 {
-		a.pool.keep(a.conn, idle)
+		a.pool.putIdle(a.conn, idle)
 		return
 	}
 	a.conn.Close()
 }
 
+// reusable reports whether request and answer were transferred whole and the
+// connection can carry another exchange.
 func (a *Answer) reusable() bool {
-	return a.Response != nil && a.wrote && a.ended && !a.Response.Close && a.SelfDelimited() && a.conn.br.Buffered() == 0
+	return a.Response != nil && a.requestWritten && a.bodyEnded && !a.Response.Close && a.SelfDelimited() && a.conn.br.Buffered() == 0
 }
--- a/internal/httpwire/conn.go
+++ b/internal/httpwire/conn.go
@@ -16,14 +16,16 @@
 	br      *bufio.Reader
 	bw      *bufio.Writer
 	address string
-	expires time.Time // while idle: not to be used from then on
+	expires time.Time // while idle: not used from then on
 }
 
+// Buffer sizes of a connection, in bytes.
 const (
 	readBuffer  = 4 << 10
 	writeBuffer = 4 << 10
 )
 
+// dial opens a connection with the pool's timeouts.
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	dialer := net.Dialer{
 		Timeout: p.opts.DialTimeout,
@@ -47,8 +49,8 @@
 	}, nil
 }
 
-// setUserTimeout bounds how long written bytes may stay unacknowledged before the
-// connection counts as broken.
+// setUserTimeout sets how long written bytes may stay unacknowledged before the kernel
+// breaks the connection.
 func setUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
 	var set error
 	err := raw.Control(func(fd uintptr) {
@@ -60,9 +62,9 @@
 	return set
 }
 
-// quiet reports whether an idle connection is open and has no bytes waiting. Bytes
-// there belong to no request that is still to be sent.
-func (c *conn) quiet() bool {
+// isUsable reports whether an idle connection is open and has no unread bytes. Such
+// bytes cannot be the answer to a request that is not sent yet.
+func (c *conn) isUsable() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -11,26 +11,27 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Options of a Pool. All durations must be positive.
+// Options configure a Pool. All durations must be positive.
 type Options struct {
 	DialTimeout   time.Duration
-	UserTimeout   time.Duration // unacknowledged bytes break a connection after it
+	UserTimeout   time.Duration // bytes unacknowledged for this long break a connection
 	ProbeIdle     time.Duration // silence before the first keep-alive probe
 	ProbeInterval time.Duration // between two probes
 	ProbeCount    int           // unanswered probes that break a connection
-	MaxIdle       int           // kept connections to one address
-	IdleTimeout   time.Duration // the longest that one is kept; less when the upstream says so
-	// IdleMargin is taken off the time that an upstream says it keeps an idle
-	// connection.
+	MaxIdle       int           // idle connections kept to one address
+	IdleTimeout   time.Duration // longest that one is kept; shorter if the upstream says so
+	// IdleMargin is subtracted from the time for which an upstream says it keeps an
+	// idle connection.
 	IdleMargin time.Duration
 }
 
-// Pool keeps connections. It is safe for concurrent use.
+// Pool opens connections and keeps idle ones for reuse. It is safe for concurrent
+// use.
 type Pool struct {
 	opts Options
 
 	mu     sync.Mutex
-	idle   map[string][]*conn // by address, the last used last
+	idle   map[string][]*conn // by address, the most recently used last
 	dialed uint64
 }
 
@@ -39,23 +40,24 @@
 	return &Pool{opts: o, idle: map[string][]*conn{}}
 }
 
-// Dialed returns the number of connections made so far.
+// Dialed returns the number of connections opened for requests so far.
 func (p *Pool) Dialed() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dialed
 }
 
-// Do sends a request and returns its answer's head. The context bounds the whole
-// exchange; its end closes the connection. The answer must be closed. With fresh
-// the request gets a new connection, which nothing left behind can disturb.
+// Do sends a request and returns the answer once its head is read. The context bounds
+// the whole exchange; its end closes the connection. The answer must be closed. With
+// fresh the request gets a new connection, so that nothing of earlier exchanges can
+// affect it. An error wraps ErrNotSent or ErrBroken.
 func (p *Pool) Do(ctx context.Context, address string, req *http.Request, fresh bool) (*Answer, error) {
 	c, err := p.get(ctx, address, fresh)
 	if err != nil {
 		return nil, merry.Wrap(err, merry.WithCause(ErrNotSent))
 	}
 	a := &Answer{pool: p, conn: c}
-	a.stop = context.AfterFunc(ctx, func() { c.Close() })
+	a.stopWatch = context.AfterFunc(ctx, func() { c.Close() })
 	if err := a.exchange(req); err != nil {
 		a.Close()
 		return nil, merry.Wrap(err, merry.WithCause(ErrBroken))
@@ -63,7 +65,7 @@
 	return a, nil
 }
 
-// TryDial makes a connection to an address and closes it; the error is that of dialing.
+// TryDial opens a connection to an address and closes it.
 func (p *Pool) TryDial(ctx context.Context, address string) error {
 	c, err := p.dial(ctx, address)
 	if err != nil {
@@ -72,9 +74,11 @@
 	return c.Close()
 }
 
+// get returns an idle connection to an address, or a new one if there is none or
+// fresh is set.
 func (p *Pool) get(ctx context.Context, address string, fresh bool) (*conn, error) {
 	if !fresh {
-		if c := p.take(address, time.Now()); c != nil {
+		if c := p.takeIdle(address, time.Now()); c != nil {
 			return c, nil
 		}
 	}
@@ -87,21 +91,24 @@
 	return c, err
 }
 
-// take returns a kept connection that can be used, nil when there is none.
-func (p *Pool) take(address string, now time.Time) *conn {
+// takeIdle returns an idle connection that can be used, or nil. It closes those that
+// cannot.
+func (p *Pool) takeIdle(address string, now time.Time) *conn {
 	for {
-		c := p.pop(address)
+		c := p.popIdle(address)
 		if c == nil {
 			return nil
 		}
-		if now.Before(c.expires) && c.quiet() {
+		if now.Before(c.expires) && c.isUsable() {
 			return c
 		}
 		c.Close()
 	}
 }
 
-func (p *Pool) pop(address string) *conn {
+// popIdle removes and returns the most recently used idle connection to an address,
+// nil if there is none.
+func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[address]
@@ -117,8 +124,9 @@
 	return c
 }
 
-// keep takes back a connection whose answer is over.
-func (p *Pool) keep(c *conn, timeout time.Duration) {
+// putIdle keeps a connection after its answer for the timeout, or closes it if MaxIdle
+// are kept already.
+func (p *Pool) putIdle(c *conn, timeout time.Duration) {
 	c.expires = time.Now().Add(timeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,15 +138,15 @@
 	p.idle[c.address] = append(kept, c)
 }
 
-// CloseIdle closes the kept connections to an address.
+// CloseIdle closes the idle connections to an address.
 func (p *Pool) CloseIdle(address string) {
-	for c := p.pop(address); c != nil; c = p.pop(address) {
+	for c := p.popIdle(address); c != nil; c = p.popIdle(address) {
 		c.Close()
 	}
 }
 
-// Sweep closes the kept connections whose time is over, and with keep those of
-// addresses that it does not name.
+// Sweep closes the idle connections that have expired at now, and those to addresses
+// for which keep reports false.
 func (p *Pool) Sweep(now time.Time, keep func(address string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,7 +167,8 @@
 	}
 }
 
-// idleTime returns how long a connection may be kept after an answer.
+// idleTime returns how long a connection may be kept after an answer with the header
+// h; zero or less means that it must be closed.
 func (p *Pool) idleTime(h http.Header) time.Duration {
 	timeout := p.opts.IdleTimeout
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
--- a/internal/httpwire/pool_test.go
+++ b/internal/httpwire/pool_test.go
@@ -13,23 +13,24 @@
 	"time"
 )
 
-// peer is a server that answers each request of a connection with the next bytes of
-// a script, and then does what the script says.
-type peer struct {
+// scriptedServer answers each request with the bytes of a script, which also says
+// whether the connection stays open.
+type scriptedServer struct {
 	listener net.Listener
 	requests atomic.Int64
 	conns    atomic.Int64
 }
 
-// newPeer answers the n-th request of the k-th connection by script(k, n); false ends
-// the connection after the bytes.
-func newPeer(t *testing.T, script func(conn, request int) (answer string, goOn bool)) *peer {
+// newScriptedServer starts a server that answers request n of connection k, both
+// counted from 0, by script(k, n). If goOn is false, it closes the connection after the
+// answer.
+func newScriptedServer(t *testing.T, script func(conn, request int) (answer string, goOn bool)) *scriptedServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{listener: l}
+	p := &scriptedServer{listener: l}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -44,7 +45,7 @@
 	return p
 }
 
-func (p *peer) serve(c net.Conn, k int, script func(int, int) (string, bool)) {
+func (p *scriptedServer) serve(c net.Conn, k int, script func(int, int) (string, bool)) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	for n := 0; ; n++ {
@@ -74,9 +75,9 @@
 	return &http.Request{Method: http.MethodGet, URL: &url.URL{Opaque: "/x?y=1"}, Host: "h", Header: http.Header{}}
 }
 
-const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// exchange sends a request and returns the body.
+// exchange sends a request and returns the answer's body.
 func exchange(t *testing.T, p *Pool, address string, fresh bool) (string, error) {
 	t.Helper()
 	a, err := p.Do(t.Context(), address, get(), fresh)
@@ -89,7 +90,7 @@
 }
 
 func TestConnectionIsKeptAfterAWholeAnswer(t *testing.T) {
-	srv := newPeer(t, func(int, int) (string, bool) { return whole, true })
+	srv := newScriptedServer(t, func(int, int) (string, bool) { return wholeAnswer, true })
 	p := newTestPool()
 	for range 3 {
 		if body, err := exchange(t, p, srv.listener.Addr().String(), false); err != nil || body != "ok" {
@@ -100,15 +101,15 @@
 		t.Errorf("%d connections", n)
 	}
 	if _, err := exchange(t, p, srv.listener.Addr().String(), true); err != nil || srv.conns.Load() != 2 {
-		t.Errorf("a fresh one: %v, %d connections", err, srv.conns.Load())
+		t.Errorf("request on a fresh connection: %v, %d connections", err, srv.conns.Load())
 	}
 }
 
-func TestNothingIsSentASecondTime(t *testing.T) {
-	// The second request of a connection is read and the connection ends.
-	srv := newPeer(t, func(_, n int) (string, bool) {
+func TestRequestIsNeverResent(t *testing.T) {
+	// The server reads the second request of a connection and closes it unanswered.
+	srv := newScriptedServer(t, func(_, n int) (string, bool) {
 		if n == 0 {
-			return whole, true
+			return wholeAnswer, true
 		}
 		return "", false
 	})
@@ -121,18 +122,18 @@
 		t.Errorf("got %v", err)
 	}
 	if n := srv.requests.Load(); n != 2 {
-		t.Errorf("the server has read %d requests", n)
+		t.Errorf("the server has read %d requests, want 2", n)
 	}
 }
 
-func TestOddEndsAreNotKept(t *testing.T) {
+func TestUnreusableConnectionIsClosed(t *testing.T) {
 	answers := map[string]string{
-		"bytes after the answer": whole + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra",
+		"bytes after the answer": wholeAnswer + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra",
 		"asks to close":          "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
 		"too short an idle time": "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok",
 	}
 	for name, text := range answers {
-		srv := newPeer(t, func(int, int) (string, bool) { return text, true })
+		srv := newScriptedServer(t, func(int, int) (string, bool) { return text, true })
 		p := newTestPool()
 		for range 2 {
 			if body, err := exchange(t, p, srv.listener.Addr().String(), false); err != nil || body != "ok" {
@@ -146,7 +147,7 @@
 }
 
 func TestUnreadBodyEndsTheConnection(t *testing.T) {
-	srv := newPeer(t, func(int, int) (string, bool) { return whole, true })
+	srv := newScriptedServer(t, func(int, int) (string, bool) { return wholeAnswer, true })
 	p := newTestPool()
 	a, err := p.Do(t.Context(), srv.listener.Addr().String(), get(), false)
 	if err != nil {
@@ -158,27 +159,27 @@
 	}
 }
 
-func TestCutAnswersDoNotLookWhole(t *testing.T) {
+func TestTruncatedAnswerReturnsError(t *testing.T) {
 	for name, text := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nok",
 		"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
 	} {
-		srv := newPeer(t, func(int, int) (string, bool) { return text, false })
+		srv := newScriptedServer(t, func(int, int) (string, bool) { return text, false })
 		if body, err := exchange(t, newTestPool(), srv.listener.Addr().String(), false); err == nil {
-			t.Errorf("%s: %q looks whole", name, body)
+			t.Errorf("%s: truncated body %q without an error", name, body)
 		}
 	}
 }
 
 func TestAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
-	srv := newPeer(t, func(int, int) (string, bool) { return "HTTP/1.1 200 OK\r\n\r\nok", false })
+	srv := newScriptedServer(t, func(int, int) (string, bool) { return "HTTP/1.1 200 OK\r\n\r\nok", false })
 	if body, err := exchange(t, newTestPool(), srv.listener.Addr().String(), false); err != nil || body != "ok" {
 		t.Errorf("%q, %v", body, err)
 	}
 }
 
-func TestInterimAnswersArePassedOver(t *testing.T) {
-	srv := newPeer(t, func(int, int) (string, bool) { return "HTTP/1.1 100 Continue\r\n\r\n" + whole, true })
+func TestInterimResponsesAreSkipped(t *testing.T) {
+	srv := newScriptedServer(t, func(int, int) (string, bool) { return "HTTP/1.1 100 Continue\r\n\r\n" + wholeAnswer, true })
 	if body, err := exchange(t, newTestPool(), srv.listener.Addr().String(), false); err != nil || body != "ok" {
 		t.Errorf("%q, %v", body, err)
 	}
@@ -197,7 +198,7 @@
 }
 
 func TestContextEndsAnExchange(t *testing.T) {
-	srv := newPeer(t, func(int, int) (string, bool) { return "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nok", true })
+	srv := newScriptedServer(t, func(int, int) (string, bool) { return "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nok", true })
 	ctx, cancel := context.WithCancel(t.Context())
 	a, err := newTestPool().Do(ctx, srv.listener.Addr().String(), get(), false)
 	if err != nil {
@@ -206,11 +207,11 @@
 	defer a.Close()
 	cancel()
 	if _, err := io.ReadAll(a); err == nil {
-		t.Error("the body ended well")
+		t.Error("the body ended without an error")
 	}
 }
 
-func TestPathIsSentAsItIs(t *testing.T) {
+func TestPathIsSentUnchanged(t *testing.T) {
 	got := make(chan string, 1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -225,7 +226,7 @@
 		defer c.Close()
 		text, _ := bufio.NewReader(c).ReadString('\n')
 		got <- text
-		_, _ = io.WriteString(c, whole)
+		_, _ = io.WriteString(c, wholeAnswer)
 	}()
 	req := get()
 	req.URL.Opaque = "/a%2Fb/%zz?q=%20&&"
@@ -239,8 +240,8 @@
 	}
 }
 
-func TestSweepClosesWhatIsOver(t *testing.T) {
-	srv := newPeer(t, func(int, int) (string, bool) { return whole, true })
+func TestSweepClosesConnectionsOfUnlistedAddresses(t *testing.T) {
+	srv := newScriptedServer(t, func(int, int) (string, bool) { return wholeAnswer, true })
 	p := newTestPool()
 	address := srv.listener.Addr().String()
 	if _, err := exchange(t, p, address, false); err != nil {
@@ -252,6 +253,6 @@
 	}
 	p.Sweep(time.Now(), func(string) bool { return false })
 	if len(p.idle) != 0 {
-		t.Error("a connection to a server that has gone is kept")
+		t.Error("a connection to an unlisted address is kept")
 	}
 }
