--- a/internal/claims/release.go
+++ b/internal/claims/release.go
@@ -27,6 +27,7 @@
 	tasks []releaseTask
 }
 
+// releaseTask is a release that is not in the log yet.
 type releaseTask struct {
 	claim     claim.Claim
 	until     time.Time     // from then on the claim is out of the window and needs no release
--- a/internal/httpwire/conn.go
+++ b/internal/httpwire/conn.go
@@ -52,14 +52,14 @@
 // setUserTimeout sets how long written bytes may stay unacknowledged before the kernel
 // breaks the connection.
 func setUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
-	var set error
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return set
+	return sockErr
 }
 
 // isUsable reports whether an idle connection is open and has no unread bytes. Such
@@ -76,12 +76,12 @@
 	if err != nil {
 		return false
 	}
-	nothing := false
+	noData := false
 	err = rc.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		nothing = err == unix.EAGAIN || err == unix.EWOULDBLOCK
+		noData = err == unix.EAGAIN || err == unix.EWOULDBLOCK
 		return true
 	})
-	return err == nil && nothing
+	return err == nil && noData
 }
--- a/internal/httpwire/pool_test.go
+++ b/internal/httpwire/pool_test.go
@@ -22,9 +22,9 @@
 }
 
 // newScriptedServer starts a server that answers request n of connection k, both
-// counted from 0, by script(k, n). If goOn is false, it closes the connection after the
-// answer.
-func newScriptedServer(t *testing.T, script func(conn, request int) (answer string, goOn bool)) *scriptedServer {
+// counted from 0, by script(k, n). If keepOpen is false, it closes the connection
+// after the answer.
+func newScriptedServer(t *testing.T, script func(conn, request int) (answer string, keepOpen bool)) *scriptedServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,8 +57,8 @@
 			return
 		}
 		p.requests.Add(1)
-		answer, goOn := script(k, n)
-		if _, err := io.WriteString(c, answer); err != nil || !goOn {
+		answer, keepOpen := script(k, n)
+		if _, err := io.WriteString(c, answer); err != nil || !keepOpen {
 			return
 		}
 	}
--- a/internal/upstream/backoff.go
+++ b/internal/upstream/backoff.go
@@ -17,8 +17,8 @@
 // withBackOff returns a context and the duration in which the transport stores the
 // back-off that the answer requests.
 func withBackOff(ctx context.Context) (context.Context, *time.Duration) {
-	span := new(time.Duration)
-	return context.WithValue(ctx, backOffKey{}, span), span
+	backOff := new(time.Duration)
+	return context.WithValue(ctx, backOffKey{}, backOff), backOff
 }
 
 // backOffRecorder is a transport that stores the back-off that an answer requests in
@@ -31,10 +31,10 @@
 	if err != nil {
 		return nil, err
 	}
-	span, wanted := req.Context().Value(backOffKey{}).(*time.Duration)
-	turnedAway := res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests
-	if wanted && turnedAway {
-		*span = notice.ParseBackOff(res.Header.Get(headerBackOff))
+	backOff, ok := req.Context().Value(backOffKey{}).(*time.Duration)
+	refused := res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests
+	if ok && refused {
+		*backOff = notice.ParseBackOff(res.Header.Get(headerBackOff))
 	}
 	return res, nil
 }
