--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -178,7 +178,7 @@
 	})
 	rpc := p.owner.RPC(p.work)
 	p.holder = owner.NewHolder(owner.HolderOptions{
-		Me:        p.holderName(),
+		Self:      p.holderName(),
 		Engines:   p.engines,
 		Peers:     p.peers,
 		Ownership: p.peers,
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -137,7 +137,7 @@
 func (p *process) waitEnds() {
 	deadline := time.Now().Add(endsWait)
 	for time.Now().Before(deadline) {
-		if _, ending := p.holder.Held(); ending == 0 {
+		if _, ending := p.holder.Counts(); ending == 0 {
 			return
 		}
 		time.Sleep(drainCheck)
--- a/internal/daemon/feed.go
+++ b/internal/daemon/feed.go
@@ -85,7 +85,7 @@
 	}
 	for i := range digest.Engines {
 		e := &digest.Engines[i]
-		incarnation := strconv.FormatUint(uint64(e.Inc), 16) // placement.ShortIncarnation's form
+		incarnation := strconv.FormatUint(uint64(e.IncarnationHash), 16) // placement.ShortIncarnation's form
 		p.router.ApplyReport(e.Name, reportOf(e.Load(), incarnation, section.PublishedAt))
 		p.router.ApplyCacheEvents(e.Name, incarnation, cacheEventsOf(e.Events()))
 	}
--- a/internal/daemon/hosts.go
+++ b/internal/daemon/hosts.go
@@ -88,7 +88,7 @@
 // noteLives tells the owner the incarnations of all hosts.
 func (p *process) noteLives(ctx context.Context) {
 	for _, m := range p.node.Members() {
-		p.owner.HostLives(ctx, holderOf(m.Host, m.Incarnation))
+		p.owner.ObserveHolder(ctx, holderOf(m.Host, m.Incarnation))
 	}
 }
 
@@ -101,7 +101,7 @@
 	}
 	for _, host := range p.owner.Hosts() {
 		if !heard[host] && !p.list.lists(host, now) {
-			p.owner.HostGone(host)
+			p.owner.MarkHostGone(host)
 		}
 	}
 }
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -10,7 +10,7 @@
 	me := p.holderName()
 	p.orders = owner.NewOrders(owner.OrderOptions{
 		Domain:    p.cfg.Domain,
-		Me:        order.Holder{Host: me.Host, Incarnation: me.Incarnation},
+		Self:      order.Holder{Host: me.Host, Incarnation: me.Incarnation},
 		Log:       p.logService,
 		Weights:   p.weights,
 		Engines:   p.engines,
--- a/internal/front/generate.go
+++ b/internal/front/generate.go
@@ -80,7 +80,7 @@
 		last = res
 		if res.complete {
 			end = placement.End{Complete: true, AnswerTokens: g.asm.NextIndex()}
-			g.s.opts.Holder.Done(t.name(), g.running())
+			g.s.opts.Holder.Untrack(t.name(), g.running())
 			g.s.retries.success(g.job.routing, time.Now())
 			return g.finish(), false
 		}
@@ -164,7 +164,7 @@
 func (g *generation) abandon(t *target, res streamEnd) {
 	notStarted := res.end == retry.NotWritten || res.end == retry.Refused
 	if notStarted && !res.callerGone {
-		g.s.opts.Holder.Done(t.name(), g.running())
+		g.s.opts.Holder.Untrack(t.name(), g.running())
 		return
 	}
 	g.s.opts.Holder.End(t.engine(g.job), g.running())
--- a/internal/owner/act.go
+++ b/internal/owner/act.go
@@ -62,7 +62,7 @@
 	ctx, cancel := context.WithTimeout(ctx, s.opts.CallTimeout)
 	defer cancel()
 	err := s.opts.Engines.Reserve(ctx, address, ask)
-	var refused *Refused
+	var refused *RefusedError
 	switch {
 	case err == nil:
 		return ledger.Held
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -85,9 +85,9 @@
 	var d Digest
 	for i := range engines {
 		e := EngineDigest{
-			Name: fmt.Sprintf("hal-a-gpu-%03d", i), Inc: 0x9e3779b9, Seq: 123456, AgeMs: 321, StepUs: 21500,
-			Prefill: 19876, Decode: 4211, Queued: 7, QueuedT: 45678, Running: 31, Total: 400000, Used: 312345,
-			Block: 512, Models: "assistant@2026-11 lists@7", Role: "mixed", HeldMs: 800, HeldT: 250000,
+			Name: fmt.Sprintf("hal-a-gpu-%03d", i), IncarnationHash: 0x9e3779b9, Seq: 123456, AgeMs: 321, StepUs: 21500,
+			Prefill: 19876, Decode: 4211, Queued: 7, QueuedTokens: 45678, Running: 31, Total: 400000, Used: 312345,
+			Block: 512, Models: "assistant@2026-11 lists@7", Role: "mixed", ReservedMs: 800, ReservedTokens: 250000,
 		}
 		var list []CacheEvent
 		for j := range events {
--- a/internal/owner/digest.go
+++ b/internal/owner/digest.go
@@ -19,26 +19,26 @@
 
 // EngineDigest is one engine's part of a digest.
 type EngineDigest struct {
-	Name    string
-	Models  string // separated by blanks
-	Role    string
-	Inc     uint32 // hash of the engine's incarnation
-	Seq     int64  // of the load report
-	AgeMs   int64  // of the load report when the digest was made
-	StepUs  int64
-	Prefill int64 // tokens a second
-	Decode  int64 // tokens a second of one stream, in hundredths
-	Queued  int64
-	QueuedT int64 // prompt tokens queued
-	Running int64
-	Total   int64 // tokens
-	Used    int64 // tokens
-	Block   int64 // tokens of a block
-	Leaving bool
-	HeldMs  int64    // a gang starts in this time; zero: none waits
-	HeldT   int64    // tokens it waits for
-	First   int64    // sequence number of the first cache event
-	Cache   []uint64 // pairs of (step of sequence number << 2 | kind, block)
+	Name            string
+	Models          string // separated by blanks
+	Role            string
+	IncarnationHash uint32 // hash of the engine's incarnation
+	Seq             int64  // of the load report
+	AgeMs           int64  // of the load report when the digest was made
+	StepUs          int64
+	Prefill         int64 // tokens a second
+	Decode          int64 // tokens a second of one stream, in hundredths
+	Queued          int64
+	QueuedTokens    int64 // prompt tokens queued
+	Running         int64
+	Total           int64 // tokens
+	Used            int64 // tokens
+	Block           int64 // tokens of a block
+	Leaving         bool
+	ReservedMs      int64    // a gang starts in this time; zero: none waits
+	ReservedTokens  int64    // tokens it waits for
+	FirstCacheSeq   int64    // sequence number of the first cache event
+	Cache           []uint64 // pairs of (step of sequence number << 2 | kind, block)
 }
 
 const (
@@ -111,26 +111,26 @@
 func (p *poller) digest(now time.Time) EngineDigest {
 	l := p.load
 	e := EngineDigest{
-		Name:    p.engine.Name,
-		Inc:     IncarnationHash(l.Incarnation),
-		Seq:     l.Seq,
-		AgeMs:   now.Sub(p.loadAt).Milliseconds(),
-		StepUs:  l.Step.Microseconds(),
-		Prefill: int64(l.PrefillRate),
-		Decode:  int64(l.DecodeRate * decodeScale),
-		Queued:  int64(l.Queued),
-		QueuedT: l.QueuedPrefill,
-		Running: int64(l.Running),
-		Total:   l.MemoryTotal,
-		Used:    l.MemoryUsed,
-		Block:   int64(l.BlockTokens),
-		Leaving: l.Leaving,
-		Models:  strings.Join(l.Models, modelsDivider),
-		Role:    l.Role,
+		Name:            p.engine.Name,
+		IncarnationHash: IncarnationHash(l.Incarnation),
+		Seq:             l.Seq,
+		AgeMs:           now.Sub(p.loadAt).Milliseconds(),
+		StepUs:          l.Step.Microseconds(),
+		Prefill:         int64(l.PrefillRate),
+		Decode:          int64(l.DecodeRate * decodeScale),
+		Queued:          int64(l.Queued),
+		QueuedTokens:    l.QueuedPrefill,
+		Running:         int64(l.Running),
+		Total:           l.MemoryTotal,
+		Used:            l.MemoryUsed,
+		Block:           int64(l.BlockTokens),
+		Leaving:         l.Leaving,
+		Models:          strings.Join(l.Models, modelsDivider),
+		Role:            l.Role,
 	}
 	if room, ok := p.service.ledger.Room(e.Name, now); ok && !room.ReservedUntil.IsZero() {
-		e.HeldMs = max(1, room.ReservedUntil.Sub(now).Milliseconds())
-		e.HeldT = room.ReservedRoom
+		e.ReservedMs = max(1, room.ReservedUntil.Sub(now).Milliseconds())
+		e.ReservedTokens = room.ReservedRoom
 	}
 	e.setEvents(p.cache)
 	return e
@@ -145,8 +145,8 @@
 	if len(events) == 0 {
 		return
 	}
-	e.First = events[0].Seq
-	last := e.First
+	e.FirstCacheSeq = events[0].Seq
+	last := e.FirstCacheSeq
 	for _, ev := range events {
 		e.Cache = append(e.Cache, uint64(ev.Seq-last)<<kindBits|uint64(ev.Kind), ev.Block)
 		last = ev.Seq
@@ -157,7 +157,7 @@
 // earlier digest ignores those that it knows.
 func (e *EngineDigest) Events() []CacheEvent {
 	events := make([]CacheEvent, 0, len(e.Cache)/2)
-	seq := e.First
+	seq := e.FirstCacheSeq
 	for pair := range slices.Chunk(e.Cache, 2) {
 		if len(pair) < 2 {
 			break
@@ -177,7 +177,7 @@
 		PrefillRate:   float64(e.Prefill),
 		DecodeRate:    float64(e.Decode) / decodeScale,
 		Queued:        int(e.Queued),
-		QueuedPrefill: e.QueuedT,
+		QueuedPrefill: e.QueuedTokens,
 		Running:       int(e.Running),
 		MemoryTotal:   e.Total,
 		MemoryUsed:    e.Used,
--- a/internal/owner/digest_wire.go
+++ b/internal/owner/digest_wire.go
@@ -22,8 +22,8 @@
 // numbers returns the fixed number columns, in their order on the wire.
 func (e *EngineDigest) numbers() []*int64 {
 	return []*int64{
-		&e.Seq, &e.AgeMs, &e.StepUs, &e.Prefill, &e.Decode, &e.Queued, &e.QueuedT, &e.Running,
-		&e.Total, &e.Used, &e.Block, &e.HeldMs, &e.HeldT, &e.First,
+		&e.Seq, &e.AgeMs, &e.StepUs, &e.Prefill, &e.Decode, &e.Queued, &e.QueuedTokens, &e.Running,
+		&e.Total, &e.Used, &e.Block, &e.ReservedMs, &e.ReservedTokens, &e.FirstCacheSeq,
 	}
 }
 
@@ -55,7 +55,7 @@
 	if e.Leaving {
 		leaving = 1
 	}
-	nums = append(nums, int64(e.Inc), leaving, int64(len(e.Cache)))
+	nums = append(nums, int64(e.IncarnationHash), leaving, int64(len(e.Cache)))
 	for _, c := range e.Cache {
 		nums = append(nums, int64(c))
 	}
@@ -109,7 +109,7 @@
 		*n = nums[i]
 	}
 	nums = nums[len(fixed):]
-	e.Inc = uint32(nums[0])
+	e.IncarnationHash = uint32(nums[0])
 	e.Leaving = nums[1] != 0
 	size := nums[2]
 	nums = nums[extraNumbers:]
--- a/internal/owner/engine.go
+++ b/internal/owner/engine.go
@@ -58,7 +58,7 @@
 	case T:
 		return v, nil
 	case *engineapi.RefusalStatusCode:
-		return zero, &Refused{Code: string(v.Response.Code), Message: v.Response.Message}
+		return zero, &RefusedError{Code: string(v.Response.Code), Message: v.Response.Message}
 	default:
 		return zero, merry.Errorf("%s at %s: unexpected answer %T", what, address, res)
 	}
@@ -188,7 +188,7 @@
 
 // goneIsDone takes an engine's "not found" for the end that was asked for.
 func goneIsDone(err error) error {
-	var r *Refused
+	var r *RefusedError
 	if errors.As(err, &r) && r.Code == string(engineapi.RefusalCodeNotFound) {
 		return nil
 	}
--- a/internal/owner/gang.go
+++ b/internal/owner/gang.go
@@ -14,12 +14,12 @@
 // turnKey is the key of the host that keeps a pool's turn.
 func turnKey(pool string) string { return "gang/" + pool }
 
-// GangFailed says why a gang was not gathered. Nothing is held, or its release is
+// GangError says why a gang was not gathered. Nothing is held, or its release is
 // under way.
-type GangFailed struct{ Reason ledger.Reason }
+type GangError struct{ Reason ledger.Reason }
 
 // Error implements error.
-func (g *GangFailed) Error() string { return "gang not gathered: " + string(g.Reason) }
+func (g *GangError) Error() string { return "gang not gathered: " + string(g.Reason) }
 
 // Gather reserves memory on all engines of a gang or on none, and returns the id
 // of the reservations, the same on each. It ends with the gang's deadline or the
@@ -34,7 +34,7 @@
 			return "", merry.Errorf("gang member %s has no address", m.Engine)
 		}
 	}
-	gang.Holder = h.opts.Me
+	gang.Holder = h.opts.Self
 	d.gather = ledger.NewGatherer(opts, gang, gangRand(gang, h.opts.Clock()))
 	return d.run()
 }
@@ -52,7 +52,7 @@
 	gather  *ledger.Gatherer
 	engines map[string]Engine
 	id      string
-	failed  *GangFailed
+	failed  *GangError
 }
 
 func (d *gatherDriver) run() (string, error) {
@@ -106,7 +106,7 @@
 	case ledger.Gathered:
 		d.id = s.ID
 	case ledger.GaveUp:
-		d.failed = &GangFailed{Reason: s.Reason}
+		d.failed = &GangError{Reason: s.Reason}
 	}
 	return nil
 }
--- a/internal/owner/holder.go
+++ b/internal/owner/holder.go
@@ -14,7 +14,7 @@
 
 // HolderOptions are what a Holder needs. Times left zero take the defaults.
 type HolderOptions struct {
-	Me        ledger.Holder
+	Self      ledger.Holder
 	Engines   Engines
 	Peers     Peers
 	Ownership Ownership
@@ -22,28 +22,28 @@
 	Clock     Clock
 	Log       logrus.FieldLogger
 
-	// Gone is called for each reservation that an engine no longer holds though
+	// OnLost is called for each reservation that an engine no longer holds though
 	// this front claims it; nil: nobody hears of it.
-	Gone func(engine, reservation string)
+	OnLost func(engine, reservation string)
 
-	RenewEvery  time.Duration // time between renewals; 5 s, a third of the ledger's soft limit
-	CallTimeout time.Duration // of a call to an owner or engine; 2 s
-	RetryMin    time.Duration // first wait before an end is repeated, doubled each time; 200 ms
-	RetryMax    time.Duration // 5 s
-	EndLimit    time.Duration // an end is left to the engine's owner after it; 10 min
-	Settle      time.Duration // a confirmed cancel is asked for once more after it; 200 ms
-	RenewAfter  time.Duration // owners of engines that were used are told, if only that nothing is held, for it; 2 min
+	RenewEvery        time.Duration // time between renewals; 5 s, a third of the ledger's soft limit
+	CallTimeout       time.Duration // of a call to an owner or engine; 2 s
+	RetryMin          time.Duration // first wait before an end is repeated, doubled each time; 200 ms
+	RetryMax          time.Duration // 5 s
+	EndLimit          time.Duration // an end is left to the engine's owner after it; 10 min
+	CancelRepeatDelay time.Duration // a confirmed cancel is asked for once more after it; 200 ms
+	RenewUnused       time.Duration // owners of engines that were used are told, if only that nothing is held, for it; 2 min
 }
 
 // Defaults of HolderOptions.
 const (
-	DefaultRenewEvery    = 5 * time.Second
-	DefaultHolderTimeout = 2 * time.Second
-	DefaultRetryMin      = 200 * time.Millisecond
-	DefaultRetryMax      = 5 * time.Second
-	DefaultEndLimit      = 10 * time.Minute
-	DefaultSettle        = 200 * time.Millisecond
-	DefaultRenewAfter    = 2 * time.Minute
+	DefaultRenewEvery        = 5 * time.Second
+	DefaultHolderTimeout     = 2 * time.Second
+	DefaultRetryMin          = 200 * time.Millisecond
+	DefaultRetryMax          = 5 * time.Second
+	DefaultEndLimit          = 10 * time.Minute
+	DefaultCancelRepeatDelay = 200 * time.Millisecond
+	DefaultRenewUnused       = 2 * time.Minute
 )
 
 func (o HolderOptions) withDefaults() HolderOptions {
@@ -52,8 +52,8 @@
 	option.Default(&o.RetryMin, DefaultRetryMin)
 	option.Default(&o.RetryMax, DefaultRetryMax)
 	option.Default(&o.EndLimit, DefaultEndLimit)
-	option.Default(&o.Settle, DefaultSettle)
-	option.Default(&o.RenewAfter, DefaultRenewAfter)
+	option.Default(&o.CancelRepeatDelay, DefaultCancelRepeatDelay)
+	option.Default(&o.RenewUnused, DefaultRenewUnused)
 	if o.Clock == nil {
 		o.Clock = time.Now
 	}
@@ -118,9 +118,9 @@
 	}
 }
 
-// Done forgets a holding that the engine has ended by itself: a request that ran
+// Untrack forgets a holding that the engine has ended by itself: a request that ran
 // to its final marker or was never sent.
-func (h *Holder) Done(engine string, id ledger.ID) {
+func (h *Holder) Untrack(engine string, id ledger.ID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	key := held{engine, id}
@@ -149,8 +149,8 @@
 	h.poke()
 }
 
-// Held returns the number of holdings, and of those whose end is not confirmed.
-func (h *Holder) Held() (all, ending int) {
+// Counts returns the number of holdings, and of those whose end is not confirmed.
+func (h *Holder) Counts() (all, ending int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, t := range h.held {
@@ -166,7 +166,7 @@
 // answered: the caller places the request without one or tries later, under a new
 // id, because this one is being released.
 func (h *Holder) Reserve(ctx context.Context, e Engine, ask ledger.ReserveRequest) (ReserveReply, error) {
-	ask.Holder = h.opts.Me
+	ask.Holder = h.opts.Self
 	id := ledger.ID{Kind: ledger.Reservation, Name: ask.ID}
 	h.Track(e, id)
 	h.setAsked(e, id, true)
@@ -197,7 +197,7 @@
 	case ledger.InProgress, ledger.AnswerLost:
 		h.End(e, id)
 	default:
-		h.Done(e.Name, id)
+		h.Untrack(e.Name, id)
 	}
 }
 
--- a/internal/owner/options.go
+++ b/internal/owner/options.go
@@ -29,7 +29,7 @@
 	CallTimeout  time.Duration // of a call to an engine; 2 s
 	DownAfter    int           // calls in a row without an answer after which an engine is down; 3
 	CacheWindow  int           // cache events of an engine in a digest; 8
-	CacheRead    int           // cache events of one read; what is beyond is left out; 32
+	MaxCacheRead int           // cache events of one read; what is beyond is left out; 32
 	TurnLimit    time.Duration // longest time that one gang of a pool may gather alone; 4 s
 }
 
@@ -44,7 +44,7 @@
 	DefaultCallTimeout  = 2 * time.Second
 	DefaultDownAfter    = 3
 	DefaultCacheWindow  = 8
-	DefaultCacheRead    = 32
+	DefaultMaxCacheRead = 32
 	DefaultTurnLimit    = 4 * time.Second
 )
 
@@ -58,7 +58,7 @@
 	option.Default(&o.CallTimeout, DefaultCallTimeout)
 	option.Default(&o.DownAfter, DefaultDownAfter)
 	option.Default(&o.CacheWindow, DefaultCacheWindow)
-	option.Default(&o.CacheRead, DefaultCacheRead)
+	option.Default(&o.MaxCacheRead, DefaultMaxCacheRead)
 	option.Default(&o.TurnLimit, DefaultTurnLimit)
 	if o.Clock == nil {
 		o.Clock = time.Now
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -24,7 +24,7 @@
 // OrderOptions are what Orders needs. Times left zero take the defaults.
 type OrderOptions struct {
 	Domain    string
-	Me        order.Holder
+	Self      order.Holder
 	Log       platform.Log
 	Weights   platform.Weights
 	Engines   Engines
@@ -35,12 +35,12 @@
 
 	Lease       order.Options
 	Plan        order.PlanOptions
-	Every       time.Duration // time between looks at the log and the pools; 2 s
+	Interval    time.Duration // time between looks at the log and the pools; 2 s
 	CallTimeout time.Duration // of a call to the log or an engine; 2 s
 }
 
-// DefaultOrderEvery is the default of OrderOptions.Every.
-const DefaultOrderEvery = 2 * time.Second
+// DefaultOrderInterval is the default of OrderOptions.Every.
+const DefaultOrderInterval = 2 * time.Second
 
 // readLimit bounds the records of one read of the order stream.
 const readLimit = 1000
@@ -63,7 +63,7 @@
 // NewOrders returns Orders that hold no lease.
 func NewOrders(opts OrderOptions) *Orders {
 	opts.Lease = opts.Lease.WithDefaults()
-	option.Default(&opts.Every, DefaultOrderEvery)
+	option.Default(&opts.Interval, DefaultOrderInterval)
 	option.Default(&opts.CallTimeout, DefaultCallTimeout)
 	if opts.Clock == nil {
 		opts.Clock = time.Now
@@ -81,7 +81,7 @@
 
 // Run gives orders until the context ends.
 func (o *Orders) Run(ctx context.Context) error {
-	tick := time.NewTicker(o.opts.Every)
+	tick := time.NewTicker(o.opts.Interval)
 	defer tick.Stop()
 	for {
 		o.step(ctx)
@@ -183,7 +183,7 @@
 	if _, ok := st.keeper.MayOrder(o.opts.Clock()); ok && want {
 		o.bringAbout(ctx, p, st)
 	}
-	if l, ok := o.replay.Lease(p.Name); !want && (!ok || l.Holder != o.opts.Me || l.Dropped) {
+	if l, ok := o.replay.Lease(p.Name); !want && (!ok || l.Holder != o.opts.Self || l.Dropped) {
 		delete(o.pools, p.Name)
 	}
 }
@@ -192,7 +192,7 @@
 	st := o.pools[p.Name]
 	if st == nil {
 		st = &orderPool{
-			keeper:  order.NewLeaseManager(o.opts.Lease, o.opts.Me, p.Name, p.ChecksFencing, p.LongestOrder, uuid.NewString),
+			keeper:  order.NewLeaseManager(o.opts.Lease, o.opts.Self, p.Name, p.ChecksFencing, p.LongestOrder, uuid.NewString),
 			planner: order.NewPlanner(o.opts.Plan),
 		}
 		o.pools[p.Name] = st
--- a/internal/owner/orders_test.go
+++ b/internal/owner/orders_test.go
@@ -54,7 +54,7 @@
 	desired := order.Desired{Models: []order.Model{{Name: model, Version: "2", Urgent: true}, {Name: "other"}}}
 	o := NewOrders(OrderOptions{
 		Domain:    "d",
-		Me:        order.Holder{Host: h.name, Incarnation: "1"},
+		Self:      order.Holder{Host: h.name, Incarnation: "1"},
 		Log:       log,
 		Weights:   weights,
 		Engines:   s.http,
@@ -62,10 +62,10 @@
 		Pools: func() []OrderPool {
 			return []OrderPool{{Name: "p", ChecksFencing: true, Desired: desired, Engines: s.engines}}
 		},
-		Logger: s.quiet,
-		Lease:  order.Options{Lease: lease, RenewInterval: 200 * time.Millisecond, Margin: 100 * time.Millisecond, ReadBackTimeout: 300 * time.Millisecond},
-		Plan:   order.PlanOptions{RetryEvery: 200 * time.Millisecond},
-		Every:  20 * time.Millisecond,
+		Logger:   s.quiet,
+		Lease:    order.Options{Lease: lease, RenewInterval: 200 * time.Millisecond, Margin: 100 * time.Millisecond, ReadBackTimeout: 300 * time.Millisecond},
+		Plan:     order.PlanOptions{RetryEvery: 200 * time.Millisecond},
+		Interval: 20 * time.Millisecond,
 	})
 	s.orders = append(s.orders, o)
 	h.done.Go(func() { _ = o.Run(h.ctx) })
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -106,7 +106,7 @@
 			s.generate(front, s.engines[0], "q")
 			s.fault(0, "/v1/cancel", standin.FaultRefuse, 3)
 			front.holder.End(s.engines[0], ledger.ID{Kind: ledger.Running, Name: "q", Attempt: 1})
-			s.eventually("confirmed", func() bool { all, _ := front.holder.Held(); return all == 0 })
+			s.eventually("confirmed", func() bool { all, _ := front.holder.Counts(); return all == 0 })
 		}},
 	}
 	for _, c := range cases {
@@ -138,7 +138,7 @@
 	blocks := []string{"00000000000000a1", "00000000000000a2"}
 	req := &engineapi.GenerateRequest{
 		RequestID: "q", Attempt: 1, Model: model, Prompt: strings.Repeat("word ", 64), PromptTokens: 64, PrefixBlocks: blocks, MaxTokens: 1,
-		Holder: engineapi.Holder(front.holder.opts.Me),
+		Holder: engineapi.Holder(front.holder.opts.Self),
 	}
 	stream := s.post(e, req)
 	if _, err := io.Copy(io.Discard, stream); err != nil {
@@ -146,7 +146,7 @@
 	}
 	_ = stream.Close()
 	s.eventually("export", func() bool {
-		x := &engineapi.KVExport{ID: "x", Holder: engineapi.Holder(front.holder.opts.Me), PrefixBlocks: blocks}
+		x := &engineapi.KVExport{ID: "x", Holder: engineapi.Holder(front.holder.opts.Self), PrefixBlocks: blocks}
 		res, err := c.ExportKV(context.Background(), x)
 		_, ok := res.(*engineapi.KVExport)
 		return err == nil && ok
@@ -266,7 +266,7 @@
 func TestGangThatCannotFitEndsWithoutMembers(t *testing.T) {
 	s := newSite(t, 2, 2)
 	_, err := s.hosts[0].holder.Gather(s.hosts[0].ctx, ledger.GatherOptions{}, s.gang("g", memory+1), s.engines)
-	var failed *GangFailed
+	var failed *GangError
 	if !errors.As(err, &failed) || failed.Reason != ledger.TooLarge {
 		t.Errorf("got %v, want %s", err, ledger.TooLarge)
 	}
@@ -311,16 +311,16 @@
 	// The engine makes ten times the events that one read takes.
 	end, missed := int64(0), int64(0)
 	for range 1000 {
-		end += 10 * DefaultCacheRead
+		end += 10 * DefaultMaxCacheRead
 		got := CacheEvents{Next: p.next}
-		for got.Next < end && len(got.Events) < DefaultCacheRead {
+		for got.Next < end && len(got.Events) < DefaultMaxCacheRead {
 			got.Events = append(got.Events, CacheEvent{Seq: got.Next})
 			got.Next++
 		}
 		p.next = p.nextAfter(got)
 		missed = max(missed, end-p.next)
 	}
-	if missed > 100*DefaultCacheRead {
+	if missed > 100*DefaultMaxCacheRead {
 		t.Errorf("the reader fell %d events behind", missed)
 	}
 }
--- a/internal/owner/poller.go
+++ b/internal/owner/poller.go
@@ -140,7 +140,7 @@
 	s.mu.Lock()
 	from := p.next
 	s.mu.Unlock()
-	events, err := s.opts.Engines.CacheEvents(ctx, p.engine.Address, from, s.opts.CacheRead)
+	events, err := s.opts.Engines.CacheEvents(ctx, p.engine.Address, from, s.opts.MaxCacheRead)
 	if err != nil {
 		return
 	}
@@ -160,11 +160,11 @@
 // full read it leaves some out, more each time. A read past the engine's last
 // event is empty until the engine gets there.
 func (p *poller) nextAfter(events CacheEvents) int64 {
-	if len(events.Events) < p.service.opts.CacheRead {
+	if len(events.Events) < p.service.opts.MaxCacheRead {
 		p.skip /= 2
 		return events.Next
 	}
 	next := events.Next + p.skip
-	p.skip = min(max(2*p.skip, int64(p.service.opts.CacheRead)), maxCacheSkip)
+	p.skip = min(max(2*p.skip, int64(p.service.opts.MaxCacheRead)), maxCacheSkip)
 	return next
 }
--- a/internal/owner/renew.go
+++ b/internal/owner/renew.go
@@ -57,7 +57,7 @@
 	now := h.opts.Clock()
 	out := map[ownerOf]ledger.Renewal{}
 	for engine, at := range h.used {
-		if now.Sub(at) > h.opts.RenewAfter {
+		if now.Sub(at) > h.opts.RenewUnused {
 			delete(h.used, engine)
 			continue
 		}
@@ -77,7 +77,7 @@
 		h.used[key.engine] = now
 	}
 	for o, r := range out {
-		r.Holder = h.opts.Me
+		r.Holder = h.opts.Self
 		r.Seq = h.seq
 		out[o] = r
 	}
@@ -116,8 +116,8 @@
 		return
 	}
 	h.End(Engine{Name: c.Engine, Address: t.address}, c.ID)
-	if h.opts.Gone != nil {
-		h.opts.Gone(c.Engine, c.ID.Name)
+	if h.opts.OnLost != nil {
+		h.opts.OnLost(c.Engine, c.ID.Name)
 	}
 }
 
@@ -177,7 +177,7 @@
 		// The dispatch may still be under way to an engine that was frozen, and
 		// then comes after its cancel.
 		t.settled = true
-		t.next = h.opts.Clock().Add(h.opts.Settle)
+		t.next = h.opts.Clock().Add(h.opts.CancelRepeatDelay)
 		return
 	}
 	t.next = h.opts.Clock().Add(t.wait)
@@ -190,7 +190,7 @@
 	tick := time.NewTicker(h.opts.RetryMin)
 	defer tick.Stop()
 	for {
-		if _, ending := h.Held(); ending == 0 {
+		if _, ending := h.Counts(); ending == 0 {
 			return nil
 		}
 		select {
@@ -206,7 +206,7 @@
 func (h *Holder) askEnd(ctx context.Context, key held, address string) bool {
 	if key.id.Kind == ledger.Reservation {
 		var reply ReleaseReply
-		args := ReleaseArgs{Engine: key.engine, ID: key.id, Holder: h.opts.Me}
+		args := ReleaseArgs{Engine: key.engine, ID: key.id, Holder: h.opts.Self}
 		if err := h.callOwner(ctx, key.engine, methodRelease, args, &reply); err == nil && reply.Confirmed {
 			return true
 		}
--- a/internal/owner/seams.go
+++ b/internal/owner/seams.go
@@ -22,14 +22,14 @@
 	OrderState(ctx context.Context, address string) (order.State, error)
 }
 
-// Refused is an engine's clear no.
-type Refused struct {
+// RefusedError is an engine's clear no.
+type RefusedError struct {
 	Code    string
 	Message string
 }
 
 // Error implements error.
-func (r *Refused) Error() string { return r.Code + ": " + r.Message }
+func (r *RefusedError) Error() string { return r.Code + ": " + r.Message }
 
 // Load is an engine's load report.
 type Load struct {
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -153,18 +153,18 @@
 	return s.ledger.Room(engine, s.opts.Clock())
 }
 
-// HostGone says that a host has left the site for good: what it holds is ended
+// MarkHostGone says that a host has left the site for good: what it holds is ended
 // soon. It is for a caller that knows from more than a lack of heartbeats, such
 // as the platform's list; a renewal of the host takes it back.
-func (s *Service) HostGone(host string) {
+func (s *Service) MarkHostGone(host string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.MarkHostGone(host, s.opts.Clock())
 }
 
-// HostLives says that a host lives in an incarnation: what its former ones hold
+// ObserveHolder says that a host lives in an incarnation: what its former ones hold
 // is ended at once.
-func (s *Service) HostLives(ctx context.Context, h ledger.Holder) {
+func (s *Service) ObserveHolder(ctx context.Context, h ledger.Holder) {
 	s.mu.Lock()
 	acts := s.ledger.ObserveHolder(h, s.opts.Clock())
 	s.mu.Unlock()
--- a/internal/owner/site_test.go
+++ b/internal/owner/site_test.go
@@ -101,7 +101,7 @@
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.rpc = h.service.RPC(h.ctx)
 	h.holder = NewHolder(HolderOptions{
-		Me: ledger.Holder{Host: name, Incarnation: incarnation}, Engines: s.http, Peers: h, Ownership: h,
+		Self: ledger.Holder{Host: name, Incarnation: incarnation}, Engines: s.http, Peers: h, Ownership: h,
 		Local: h.rpc, Log: s.quiet, RenewEvery: 100 * time.Millisecond, RetryMin: 20 * time.Millisecond,
 	})
 	h.done.Go(func() { _ = h.service.Run(h.ctx) })
@@ -251,7 +251,7 @@
 	h.holder.Track(e, ledger.ID{Kind: ledger.Running, Name: id, Attempt: 1})
 	req := &engineapi.GenerateRequest{
 		RequestID: id, Attempt: 1, Model: model, Prompt: "x", PromptTokens: 100, MaxTokens: 9000,
-		Holder: engineapi.Holder(h.holder.opts.Me),
+		Holder: engineapi.Holder(h.holder.opts.Self),
 	}
 	stream := s.post(e, req)
 	closeBody := sync.OnceFunc(func() { _ = stream.Close() })
--- a/internal/peer/call_test.go
+++ b/internal/peer/call_test.go
@@ -24,7 +24,7 @@
 	o := alone("stranger")
 	o.Key = "another key, also long enough"
 	stranger := newNode(t, o)
-	if err := say(stranger, server.Addr()); !errors.Is(err, ErrStranger) || !NotSent(err) {
+	if err := say(stranger, server.Addr()); !errors.Is(err, ErrUntrustedPeer) || !NotSent(err) {
 		t.Errorf("caller with another key: %v", err)
 	}
 	anyServer := &tls.Config{InsecureSkipVerify: true}
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -8,13 +8,13 @@
 
 // Reasons why a call failed, found by errors.Is.
 var (
-	ErrBackoff    = errors.New("waiting after a failed dial")
-	ErrCut        = errors.New("cut off by a test")
-	ErrClosed     = errors.New("node is closed")
-	ErrStranger   = errors.New("peer does not hold the shared key")
-	ErrNoFaults   = errors.New("test faults are not allowed")
-	errTooLarge   = errors.New("message too large")
-	errSuperseded = errors.New("a newer incarnation of this host runs")
+	ErrBackoff            = errors.New("waiting after a failed dial")
+	ErrCut                = errors.New("cut off by a test")
+	ErrClosed             = errors.New("node is closed")
+	ErrUntrustedPeer      = errors.New("peer does not hold the shared key")
+	ErrTestFaultsDisabled = errors.New("test faults are not allowed")
+	errTooLarge           = errors.New("message too large")
+	errSuperseded         = errors.New("a newer incarnation of this host runs")
 )
 
 // CallError is the error of a failed Call. Err is the cause: the context's
--- a/internal/peer/faults.go
+++ b/internal/peer/faults.go
@@ -29,7 +29,7 @@
 // ErrNoFaults unless Options.TestFaults is set.
 func (n *Node) SetCut(hostsOrDomains []string) error {
 	if !n.opts.TestFaults {
-		return ErrNoFaults
+		return ErrTestFaultsDisabled
 	}
 	n.faults.set(hostsOrDomains)
 	n.pool.closeCut()
@@ -43,7 +43,7 @@
 // unless Options.TestFaults is set.
 func (n *Node) SilenceConnections() error {
 	if !n.opts.TestFaults {
-		return ErrNoFaults
+		return ErrTestFaultsDisabled
 	}
 	n.pool.silence()
 	n.server.silence()
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -266,8 +266,8 @@
 	return n.members.Sections(time.Now(), section)
 }
 
-// News tells that some host's section may be new since the last look.
-func (n *Node) News() <-chan struct{} { return n.news }
+// SectionsChanged tells that some host's section may be new since the last look.
+func (n *Node) SectionsChanged() <-chan struct{} { return n.news }
 
 // Traffic returns the bytes sent and received so far over all connections, TLS
 // included.
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -262,10 +262,10 @@
 	o := testOptions("h", "a")
 	o.TestFaults = false
 	n := newNode(t, o)
-	if err := n.SetCut([]string{"b"}); !errors.Is(err, ErrNoFaults) {
+	if err := n.SetCut([]string{"b"}); !errors.Is(err, ErrTestFaultsDisabled) {
 		t.Errorf("SetCut: %v", err)
 	}
-	if err := n.SilenceConnections(); !errors.Is(err, ErrNoFaults) {
+	if err := n.SilenceConnections(); !errors.Is(err, ErrTestFaultsDisabled) {
 		t.Errorf("SilenceConnections: %v", err)
 	}
 }
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -70,11 +70,11 @@
 func verifier(pinned ed25519.PublicKey) func(tls.ConnectionState) error {
 	return func(s tls.ConnectionState) error {
 		if len(s.PeerCertificates) == 0 {
-			return ErrStranger
+			return ErrUntrustedPeer
 		}
 		key, ok := s.PeerCertificates[0].PublicKey.(ed25519.PublicKey)
 		if !ok || !pinned.Equal(key) {
-			return ErrStranger
+			return ErrUntrustedPeer
 		}
 		return nil
 	}
--- a/internal/suspects/share.go
+++ b/internal/suspects/share.go
@@ -15,8 +15,8 @@
 	Members() []membership.Member
 	Sections(name string) []membership.SectionView
 	PublishWide(name string, data []byte) error
-	// News tells that some daemon has published something.
-	News() <-chan struct{}
+	// SectionsChanged tells that some daemon has published something.
+	SectionsChanged() <-chan struct{}
 }
 
 const (
@@ -52,7 +52,7 @@
 		s.exchange()
 		select {
 		case <-t.changed:
-		case <-node.News():
+		case <-node.SectionsChanged():
 		case <-ticker.C:
 		case <-ctx.Done():
 		}
--- a/test/wire/stored_test.go
+++ b/test/wire/stored_test.go
@@ -73,8 +73,8 @@
 // the order of their first use.
 func TestOwnerDigestKeepsItsColumns(t *testing.T) {
 	digest := owner.Digest{Engines: []owner.EngineDigest{{
-		Name: "e1", Models: "m1 m2", Role: "long", Inc: 1, Seq: 2, AgeMs: 3, StepUs: 4, Prefill: 5, Decode: 6, Queued: 7, QueuedT: 8,
-		Running: 9, Total: 10, Used: 11, Block: 12, Leaving: true, HeldMs: 13, HeldT: 14, First: 15, Cache: []uint64{16, 17},
+		Name: "e1", Models: "m1 m2", Role: "long", IncarnationHash: 1, Seq: 2, AgeMs: 3, StepUs: 4, Prefill: 5, Decode: 6, Queued: 7, QueuedTokens: 8,
+		Running: 9, Total: 10, Used: 11, Block: 12, Leaving: true, ReservedMs: 13, ReservedTokens: 14, FirstCacheSeq: 15, Cache: []uint64{16, 17},
 	}}}
 	golden, err := hex.DecodeString("16ffb3020101085b5d737472696e6701ffb400010c000012ffb40003026531056d31206d32046c6f6e67" +
 		"0efe0131020102fe0132000104000018fe013200130406080a0c0e10121416181a1c1e0202042022")
