--- a/internal/owner/orders_test.go
+++ b/internal/owner/orders_test.go
@@ -167,7 +167,7 @@
 	models := []settings.Model{{Name: "m", Pool: "p", Version: "2", Adapters: []string{"a"}, Urgent: true}}
 	got := OrderPoolsOf(pools, models, "d")
 	want := []OrderPool{{
-		Name: "p", LongestOrder: 3 * time.Second,
+		Name: "p", MaxOrderTime: 3 * time.Second,
 		Desired: order.Desired{Models: []order.Model{{Name: "m", Version: "2", Adapters: []string{"a"}, Urgent: true}}},
 		Engines: []Engine{{Name: "here", Address: "127.0.0.1:1", Pool: "p"}},
 	}}
--- a/internal/owner/pools.go
+++ b/internal/owner/pools.go
@@ -43,7 +43,7 @@
 		out = append(out, OrderPool{
 			Name:          p.Name,
 			ChecksFencing: p.ChecksFencing,
-			LongestOrder:  longest,
+			MaxOrderTime:  longest,
 			Desired:       desired,
 			Engines:       engines,
 		})
