--- a/internal/httpwire/conn.go
+++ b/internal/httpwire/conn.go
@@ -16,22 +16,24 @@
 	br      *bufio.Reader
 	bw      *bufio.Writer
 	address string
-	expires time.Time // while idle: not to be used from then on
+	expires time.Time // while idle: not used from then on
 }
 
+// Buffer sizes of a connection, in bytes.
 const (
 	readBuffer  = 4 << 10
 	writeBuffer = 4 << 10
 )
 
+// dial opens a connection with the pool's timeouts.
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	dialer := net.Dialer{
 		Timeout: p.opts.DialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
 			Idle:     p.opts.ProbeIdle,
-			Interval: p.opts.ProbeEvery,
-			Count:    p.opts.Probes,
+			Interval: p.opts.ProbeInterval,
+			Count:    p.opts.ProbeCount,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, p.opts.UserTimeout) },
 	}
@@ -47,22 +49,22 @@
 	}, nil
 }
 
-// setUserTimeout bounds how long written bytes may stay unacknowledged before the
-// connection counts as broken.
+// setUserTimeout sets how long written bytes may stay unacknowledged before the kernel
+// breaks the connection.
 func setUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
-	var set error
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return set
+	return sockErr
 }
 
-// quiet reports whether an idle connection is open and has no bytes waiting. Bytes
-// there belong to no request that is still to be sent.
-func (c *conn) quiet() bool {
+// isUsable reports whether an idle connection is open and has no unread bytes. Such
+// bytes cannot be the answer to a request that is not sent yet.
+func (c *conn) isUsable() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -74,12 +76,12 @@
 	if err != nil {
 		return false
 	}
-	nothing := false
+	noData := false
 	err = rc.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		nothing = err == unix.EAGAIN || err == unix.EWOULDBLOCK
+		noData = err == unix.EAGAIN || err == unix.EWOULDBLOCK
 		return true
 	})
-	return err == nil && nothing
+	return err == nil && noData
 }
