--- a/internal/core/settings/cache.go
+++ b/internal/core/settings/cache.go
@@ -16,9 +16,9 @@
 
 // cacheEntry is what is known of one path.
 type cacheEntry struct {
-	version  int64        // of the text that was parsed last
-	findings finding.List // of that text
-	good     Source       // last readable form; its Document is nil without one
+	version   int64        // of the text that was parsed last
+	findings  finding.List // of that text
+	lastValid Source       // last readable form; its Document is nil without one
 }
 
 // NewCache returns an empty cache.
@@ -33,11 +33,11 @@
 	var sources []Source
 	var unreadable finding.List
 	for _, d := range documents {
-		e := c.entry(d)
+		e := c.lookup(d)
 		entries[d.Path] = e
 		unreadable = append(unreadable, e.findings...)
-		if e.good.Document != nil {
-			sources = append(sources, e.good)
+		if e.lastValid.Document != nil {
+			sources = append(sources, e.lastValid)
 		}
 	}
 	c.entries = entries
@@ -47,7 +47,7 @@
 	return snapshot, findings
 }
 
-func (c *Cache) entry(d StoredDocument) cacheEntry {
+func (c *Cache) lookup(d StoredDocument) cacheEntry {
 	e := c.entries[d.Path]
 	if e.version == d.Version {
 		return e
@@ -56,7 +56,7 @@
 	doc, findings := ParseDocument(d.Path, []byte(d.YAML))
 	e.findings = findings
 	if doc != nil {
-		e.good = Source{Path: d.Path, Version: d.Version, Document: doc}
+		e.lastValid = Source{Path: d.Path, Version: d.Version, Document: doc}
 	}
 	return e
 }
--- a/internal/core/settings/check.go
+++ b/internal/core/settings/check.go
@@ -89,14 +89,14 @@
 	}
 }
 
-func (c *checker) word(key, v string, allowed ...string) {
+func (c *checker) oneOf(key, v string, allowed ...string) {
 	if c.present(key) && !slices.Contains(allowed, v) {
 		c.addf(key, "%q is not one of %s", v, strings.Join(allowed, ", "))
 	}
 }
 
 func (c *checker) priority(key, v string) {
-	c.word(key, v, request.Urgent.String(), request.Normal.String(), request.Bulk.String())
+	c.oneOf(key, v, request.Urgent.String(), request.Normal.String(), request.Bulk.String())
 }
 
 // name checks a name that stands in logs, headers and URLs.
@@ -134,8 +134,8 @@
 	if r == nil {
 		return
 	}
-	c.word("routing.policy", r.Policy, PolicyRandom, PolicyLeastLoaded, PolicyLeastLoadedPriority, PolicyLengthAware)
-	c.word("routing.spill", r.Spill, SpillNever, SpillDead, SpillOverload)
+	c.oneOf("routing.policy", r.Policy, PolicyRandom, PolicyLeastLoaded, PolicyLeastLoadedPriority, PolicyLengthAware)
+	c.oneOf("routing.spill", r.Spill, SpillNever, SpillDead, SpillOverload)
 	c.positive("routing.long_from_tokens", r.LongFromTokens, MaxCount)
 	c.positive("routing.queue_tokens", r.QueueTokens, MaxCount)
 	c.positive("routing.queue_requests", r.QueueRequests, MaxCount)
@@ -202,7 +202,7 @@
 		key := fmt.Sprintf("pools[%d]", i)
 		c.name(key+".name", p.Name, "")
 		c.required(key+".kind", p.Kind)
-		c.word(key+".kind", p.Kind, PoolEngine, PoolService)
+		c.oneOf(key+".kind", p.Kind, PoolEngine, PoolService)
 		c.positive(key+".longest_order_ms", p.OrderMs, MaxDurationMs)
 		for j, u := range p.Upstreams {
 			c.upstream(fmt.Sprintf("%s.upstreams[%d]", key, j), u)
@@ -219,7 +219,7 @@
 func (c *checker) upstream(key string, u Upstream) {
 	c.name(key+".name", u.Name, "")
 	c.name(key+".domain", u.Domain, "")
-	c.word(key+".state", u.State, StateLeaving)
+	c.oneOf(key+".state", u.State, StateLeaving)
 	if u.Address == "" {
 		c.addf(key+".address", "is missing")
 		return
@@ -230,16 +230,16 @@
 	}
 }
 
-// nameExtra holds what a model's name may have beside a plain name's letters.
-const nameExtra = "/:"
+// modelNameExtra holds what a model's name may have beside a plain name's letters.
+const modelNameExtra = "/:"
 
 func (c *checker) models(list []Model) {
 	for i, m := range list {
 		key := fmt.Sprintf("models[%d]", i)
-		c.name(key+".name", m.Name, nameExtra)
+		c.name(key+".name", m.Name, modelNameExtra)
 		c.name(key+".pool", m.Pool, "")
 		for j, a := range m.Adapters {
-			c.name(fmt.Sprintf("%s.adapters[%d]", key, j), a, nameExtra)
+			c.name(fmt.Sprintf("%s.adapters[%d]", key, j), a, modelNameExtra)
 		}
 		if c.present(key+".bytes_per_token") && (m.BytesPerToken < 0.1 || m.BytesPerToken > 100) {
 			c.addf(key+".bytes_per_token", "must be between 0.1 and 100")
--- a/internal/core/settings/compile.go
+++ b/internal/core/settings/compile.go
@@ -21,13 +21,13 @@
 // that a later change never takes over what is in force.
 func Compile(sources []Source) (*Snapshot, finding.List) {
 	c := newCompiler(sources)
-	c.each(c.addTokenHolders)
-	c.each(c.addPools)
-	c.each(c.evacuate)
-	c.each(c.addModels)
-	c.each(c.addServices)
-	c.each(c.checkDeadlines)
-	c.snapshot.seal()
+	c.forEachSource(c.addTokenHolders)
+	c.forEachSource(c.addPools)
+	c.forEachSource(c.evacuate)
+	c.forEachSource(c.addModels)
+	c.forEachSource(c.addServices)
+	c.forEachSource(c.checkRequestDefaults)
+	c.snapshot.sortLists()
 	c.findings.Sort()
 	return c.snapshot, c.findings
 }
@@ -83,7 +83,7 @@
 	return false
 }
 
-func (c *compiler) each(step func(Source)) {
+func (c *compiler) forEachSource(step func(Source)) {
 	for _, s := range c.sources {
 		step(s)
 	}
@@ -140,13 +140,13 @@
 			c.addf(s, key+".name", "customer %q exists already at %s", u.Name, other.Path)
 			continue
 		}
-		view := c.customer(s.Path, u)
+		view := c.newCustomerView(s.Path, u)
 		view.hashes = c.claimHashes(s, key, "customer "+u.Name, u.TokenSHA256)
 		c.snapshot.customers[u.Name] = view
 	}
 }
 
-func (c *compiler) customer(path string, u Customer) *CustomerView {
+func (c *compiler) newCustomerView(path string, u Customer) *CustomerView {
 	here := c.tree.at(path)
 	view := &CustomerView{
 		Name:     u.Name,
@@ -306,8 +306,8 @@
 	}
 }
 
-// checkDeadlines reports defaults that the bound in force would always cut.
-func (c *compiler) checkDeadlines(s Source) {
+// checkRequestDefaults reports defaults that the bound in force would always cut.
+func (c *compiler) checkRequestDefaults(s Source) {
 	here := c.tree.at(s.Path).requests
 	if here.DeadlineMs > here.MaxDeadlineMs {
 		c.addf(s, "requests", "deadline_ms %d is above max_deadline_ms %d", here.DeadlineMs, here.MaxDeadlineMs)
--- a/internal/core/settings/export.go
+++ b/internal/core/settings/export.go
@@ -9,8 +9,8 @@
 
 const exportFormat = 1
 
-// exported is the form of a State that peers and the snapshot stream carry.
-type exported struct {
+// stateRecord is the form of a State that peers and the snapshot stream carry.
+type stateRecord struct {
 	Format      int              `json:"format"`
 	Era         int64            `json:"era,omitempty"`
 	Offset      int64            `json:"offset"`
@@ -22,7 +22,7 @@
 
 // Export returns the state as bytes. Equal states give equal bytes.
 func (s *State) Export() ([]byte, error) {
-	data, err := json.Marshal(exported{
+	data, err := json.Marshal(stateRecord{
 		Format:      exportFormat,
 		Era:         s.era,
 		Offset:      s.offset,
@@ -37,7 +37,7 @@
 // ImportState reads what Export wrote. It refuses bytes that break an invariant
 // of State.
 func ImportState(data []byte) (*State, error) {
-	var e exported
+	var e stateRecord
 	if err := json.Unmarshal(data, &e); err != nil {
 		return nil, merry.Prepend(err, "import settings")
 	}
--- a/internal/core/settings/path.go
+++ b/internal/core/settings/path.go
@@ -49,15 +49,17 @@
 	return c >= 'a' && c <= 'z' || c >= '0' && c <= '9'
 }
 
-// evacuations is the path above the documents of evacuations.
-const evacuations = "/evacuations"
+// evacuationsPath is the path above the documents of evacuations.
+const evacuationsPath = "/evacuations"
 
 // EvacuationPath returns the path of the only document that may ask for the evacuation of a
 // failure domain.
-func EvacuationPath(domain string) string { return evacuations + "/" + domain }
+func EvacuationPath(domain string) string { return evacuationsPath + "/" + domain }
 
 // IsEvacuation reports whether a path is that of an evacuation.
-func IsEvacuation(path string) bool { return path != evacuations && Contains(evacuations, path) }
+func IsEvacuation(path string) bool {
+	return path != evacuationsPath && Contains(evacuationsPath, path)
+}
 
 // Contains reports whether path is ancestor or lies below it.
 func Contains(ancestor, path string) bool {
--- a/internal/core/settings/replay.go
+++ b/internal/core/settings/replay.go
@@ -69,7 +69,7 @@
 		return Verdict{Offset: offset, AtMs: at.UnixMilli(), Outcome: OutOfOrder}
 	}
 	s.offset = offset
-	s.forget()
+	s.dropExpired()
 	v := s.decide(offset, at.UnixMilli(), data)
 	s.extendDigest(v, data)
 	return v
@@ -92,17 +92,17 @@
 		v.Rival = first
 		return v
 	}
-	s.judge(change, &v)
+	s.evaluate(change, &v)
 	if v.Accepted() {
-		s.put(change, offset)
+		s.applyEdits(change, offset)
 	}
 	s.history = append(s.history, v)
 	s.byID[change.ID] = offset
 	return v
 }
 
-// judge decides a change that was not decided before.
-func (s *State) judge(c *Change, v *Verdict) {
+// evaluate decides a change that was not decided before.
+func (s *State) evaluate(c *Change, v *Verdict) {
 	v.Outcome = Accepted
 	// Within the window every earlier record of the same id is remembered. So a
 	// doubled append can never be accepted twice, however late it comes.
@@ -134,7 +134,7 @@
 			continue
 		}
 		for _, e := range c.Edits {
-			if slices.ContainsFunc(h.Paths, func(p string) bool { return related(p, e.Path) }) {
+			if slices.ContainsFunc(h.Paths, func(p string) bool { return sameOrNested(p, e.Path) }) {
 				return e.Path, h.Offset
 			}
 		}
@@ -142,11 +142,11 @@
 	return "", 0
 }
 
-func related(a, b string) bool {
+func sameOrNested(a, b string) bool {
 	return Contains(a, b) || Contains(b, a)
 }
 
-func (s *State) put(c *Change, offset int64) {
+func (s *State) applyEdits(c *Change, offset int64) {
 	for _, e := range c.Edits {
 		if e.YAML == nil {
 			delete(s.documents, e.Path)
@@ -156,8 +156,8 @@
 	}
 }
 
-// forget drops the verdicts that have left the window.
-func (s *State) forget() {
+// dropExpired drops the verdicts that have left the window.
+func (s *State) dropExpired() {
 	gone := 0
 	for gone < len(s.history) && s.history[gone].Offset <= s.offset-HistoryWindow {
 		delete(s.byID, s.history[gone].ChangeID)
--- a/internal/core/settings/replay_test.go
+++ b/internal/core/settings/replay_test.go
@@ -17,10 +17,10 @@
 
 var testPaths = []string{"/", "/a", "/a/b", "/ab", "/c"}
 
-// racyLog turns random words into a log as racing operators give: changes checked
+// randomLog turns random words into a log as racing operators give: changes checked
 // against states of different age, doubled records and garbage. It also returns
 // the state after the last record.
-func racyLog(words []uint16) (log [][]byte, changes []*Change, last *State) {
+func randomLog(words []uint16) (log [][]byte, changes []*Change, last *State) {
 	last = NewState()
 	versions := []map[string]int64{{}}
 	for i, w := range words {
@@ -75,17 +75,17 @@
 func TestReplayProperties(t *testing.T) {
 	p := properties()
 	words := gen.SliceOf(gen.UInt16())
-	p.Property("any delivery of the same records gives the same state", prop.ForAll(sameState, words, words))
-	p.Property("a change is accepted exactly when nothing near it came first", prop.ForAll(oneWinner, words))
-	p.Property("a change survives the log as it was, or is refused before", prop.ForAll(sameChange, gen.AnyString(), gen.SliceOf(gen.UInt8())))
-	p.Property("versions never go backwards", prop.ForAll(neverBackwards, words))
+	p.Property("any delivery of the same records gives the same state", prop.ForAll(sameStateForAnyDelivery, words, words))
+	p.Property("a change is accepted exactly when nothing near it came first", prop.ForAll(matchesIndependentRule, words))
+	p.Property("a change survives the log as it was, or is refused before", prop.ForAll(changeRoundTrips, gen.AnyString(), gen.SliceOf(gen.UInt8())))
+	p.Property("versions never go backwards", prop.ForAll(versionsNeverDecrease, words))
 	p.TestingRun(t)
 }
 
-// sameState delivers records out of order, doubled and across an export, as the
+// sameStateForAnyDelivery delivers records out of order, doubled and across an export, as the
 // second list says, and compares with delivery in order.
-func sameState(words, delivery []uint16) bool {
-	log, _, want := racyLog(words)
+func sameStateForAnyDelivery(words, delivery []uint16) bool {
+	log, _, want := randomLog(words)
 	got := NewState()
 	deliver := func(i int) {
 		before := export(got)
@@ -113,10 +113,10 @@
 	return got.Digest() == want.Digest() && bytes.Equal(export(got), export(want))
 }
 
-// oneWinner replays against a rule written down independently: an undecided
+// matchesIndependentRule replays against a rule written down independently: an undecided
 // change wins unless an accepted one since its check is above, at or below it.
-func oneWinner(words []uint16) bool {
-	log, changes, _ := racyLog(words)
+func matchesIndependentRule(words []uint16) bool {
+	log, changes, _ := randomLog(words)
 	s := NewState()
 	decided := map[string]bool{}
 	accepted := map[int64]string{}
@@ -147,7 +147,7 @@
 	return true
 }
 
-func sameChange(author string, yaml []uint8) bool {
+func changeRoundTrips(author string, yaml []uint8) bool {
 	text := string(yaml)
 	c := &Change{ID: "id", Author: author, Edits: []Edit{{Path: "/", YAML: &text}}}
 	data, err := c.Encode()
@@ -158,8 +158,8 @@
 	return err == nil && reflect.DeepEqual(decoded, c) && decoded.Content() == c.Content()
 }
 
-func neverBackwards(words []uint16) bool {
-	log, _, _ := racyLog(words)
+func versionsNeverDecrease(words []uint16) bool {
+	log, _, _ := randomLog(words)
 	s := NewState()
 	newest := map[string]int64{}
 	for i := range log {
--- a/internal/core/settings/snapshot.go
+++ b/internal/core/settings/snapshot.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// seal sorts what Compile has filled in.
-func (s *Snapshot) seal() {
+// sortLists sorts what Compile has filled in.
+func (s *Snapshot) sortLists() {
 	s.customerList = sortedByName(s.customers, func(v *CustomerView) string { return v.Name })
 	s.poolList = sortedByName(s.pools, func(v *PoolView) string { return v.Name })
 	s.upstreamList = sortedByName(s.upstreams, func(v *UpstreamView) string { return v.Name })
--- a/internal/core/stream/assembler.go
+++ b/internal/core/stream/assembler.go
@@ -122,7 +122,7 @@
 // Accept takes one chunk and returns what to hand to the caller. It never fails:
 // a chunk that has no place here is dropped and counted.
 func (a *Assembler) Accept(c Chunk) Step {
-	if a.drop(c) {
+	if a.dropped(c) {
 		return Step{State: a.state}
 	}
 	if c.Done {
@@ -143,8 +143,8 @@
 
 func (a *Assembler) ended() bool { return a.state == Complete || a.state == Faulty }
 
-// drop counts and reports chunks that must not change the answer.
-func (a *Assembler) drop(c Chunk) bool {
+// dropped counts and reports chunks that must not change the answer.
+func (a *Assembler) dropped(c Chunk) bool {
 	switch {
 	case c.RequestID != a.opts.RequestID:
 		a.counts.ForeignRequest++
@@ -185,7 +185,7 @@
 		return a.fault(FaultTooLong, c)
 	}
 	a.total = c.Total
-	a.finishIfWhole()
+	a.completeIfAll()
 	if a.state == Streaming {
 		// A marker ends its stream, so what is missing comes only by a resume.
 		a.state = Gap
@@ -224,13 +224,13 @@
 	a.next++
 	text, tokens := c.Text, 1
 	if len(a.held) > 0 {
-		text, tokens = a.drain(c.Text)
+		text, tokens = a.emitHeld(c.Text)
 	}
-	a.finishIfWhole()
+	a.completeIfAll()
 	return Step{Text: text, Tokens: tokens, State: a.state}
 }
 
-func (a *Assembler) drain(first string) (string, int) {
+func (a *Assembler) emitHeld(first string) (string, int) {
 	var b strings.Builder
 	b.WriteString(first)
 	tokens := 1
@@ -246,7 +246,7 @@
 	}
 }
 
-func (a *Assembler) finishIfWhole() {
+func (a *Assembler) completeIfAll() {
 	if a.total == a.next {
 		a.state = Complete
 	}
--- a/internal/core/stream/assembler_test.go
+++ b/internal/core/stream/assembler_test.go
@@ -25,7 +25,7 @@
 	return b.String()
 }
 
-func honest(attempt, from, total int) []Chunk {
+func validChunks(attempt, from, total int) []Chunk {
 	var cs []Chunk
 	for i := from; i < total; i++ {
 		cs = append(cs, Chunk{RequestID: id, Attempt: attempt, Index: i, Text: token(i)})
@@ -76,7 +76,7 @@
 					attempts--
 				}
 				a.StartAttempt(n)
-				for _, c := range distort(rng, honest(n, a.NextIndex(), total), n) {
+				for _, c := range distort(rng, validChunks(n, a.NextIndex(), total), n) {
 					s := a.Accept(c)
 					got.WriteString(s.Text)
 					if !strings.HasPrefix(answer(total), got.String()) || got.String() != answer(a.NextIndex()) {
@@ -97,7 +97,7 @@
 			unfinished++
 			// An honest stream from NextIndex always ends it.
 			a.StartAttempt(attempts + 1)
-			for _, c := range honest(attempts+1, a.NextIndex(), total) {
+			for _, c := range validChunks(attempts+1, a.NextIndex(), total) {
 				got.WriteString(a.Accept(c).Text)
 			}
 			return a.State() == Complete && got.String() == answer(total)
--- a/internal/follow/apply.go
+++ b/internal/follow/apply.go
@@ -42,7 +42,7 @@
 		}
 	}
 	if f.state.Offset() > before {
-		settled := f.settleLost()
+		settled := f.dropDecidedLost()
 		f.publish(changed || settled)
 		signal(f.pushDue)
 	}
@@ -110,14 +110,14 @@
 	}).Error("settings_divergence")
 }
 
-// recentRecords keeps the latest records, without gaps, within a size.
-type recentRecords struct {
+// recordBuffer keeps the latest records, without gaps, within a size.
+type recordBuffer struct {
 	records []Record
 	bytes   int
 	limit   int
 }
 
-func (r *recentRecords) add(record Record) {
+func (r *recordBuffer) add(record Record) {
 	r.records = append(r.records, record)
 	r.bytes += len(record.Data)
 	for r.bytes > r.limit && len(r.records) > 1 {
@@ -126,13 +126,13 @@
 	}
 }
 
-func (r *recentRecords) clear() {
+func (r *recordBuffer) clear() {
 	r.records, r.bytes = nil, 0
 }
 
 // from returns the records from an offset on; ok is false when the first of them
 // is no longer kept. The slice must not be changed.
-func (r *recentRecords) from(offset int64) (records []Record, ok bool) {
+func (r *recordBuffer) from(offset int64) (records []Record, ok bool) {
 	if len(r.records) == 0 || r.records[0].Offset > offset {
 		return nil, false
 	}
--- a/internal/follow/bench_test.go
+++ b/internal/follow/bench_test.go
@@ -46,8 +46,8 @@
 	return text
 }
 
-// fill gives a follower the settings of a whole site and returns the offset.
-func fill(b *testing.B, f *Follower) int64 {
+// applySiteSettings gives a follower the settings of a whole site and returns the offset.
+func applySiteSettings(b *testing.B, f *Follower) int64 {
 	put := func(path, yaml string) {
 		offset := f.Offset()
 		change := settings.Change{ID: path, Seen: offset, Edits: []settings.Edit{{Path: path, YAML: &yaml}}}
@@ -74,7 +74,7 @@
 // BenchmarkApplyChange is one team's change at a host that has a whole site.
 func BenchmarkApplyChange(b *testing.B) {
 	h := newSite(b).add(false)
-	offset := fill(b, h.Follower)
+	offset := applySiteSettings(b, h.Follower)
 	yaml := teamYAML(0)
 	base := h.state.Documents("/team0")[0].Version
 	size := 0
@@ -119,7 +119,7 @@
 // bytes of the peer messages.
 func BenchmarkSnapshot(b *testing.B) {
 	h := newSite(b).add(false)
-	fill(b, h.Follower)
+	applySiteSettings(b, h.Follower)
 	h.ready.Store(true)
 	b.ReportAllocs()
 	packed := 0
@@ -169,15 +169,15 @@
 	b.ReportMetric(all[len(all)/2], "s-p50")
 	b.ReportMetric(all[len(all)*95/100], "s-p95")
 	b.ReportMetric(all[len(all)-1], "s-max")
-	b.ReportMetric(s.lag95(b), "s-lag-p95")
+	b.ReportMetric(s.lagP95(b), "s-lag-p95")
 }
 
-// lagRun is how long the site runs without a change before lags are looked at.
-const lagRun = 30 * time.Second
+// lagSettleTime is how long the site runs without a change before lags are looked at.
+const lagSettleTime = 30 * time.Second
 
-// lag95 returns the lag, in seconds, that 95 in 100 hosts are within.
-func (s *site) lag95(b *testing.B) float64 {
-	time.Sleep(lagRun)
+// lagP95 returns the lag, in seconds, that 95 in 100 hosts are within.
+func (s *site) lagP95(b *testing.B) float64 {
+	time.Sleep(lagSettleTime)
 	lags := make([]float64, len(s.hosts))
 	for i, h := range s.hosts {
 		lags[i] = h.Lag(time.Now()).Seconds()
--- a/internal/follow/change.go
+++ b/internal/follow/change.go
@@ -41,7 +41,7 @@
 	if verdict, decided, err := f.decided(&change); decided || err != nil {
 		return verdict, err
 	}
-	verdict, err := f.check(&change)
+	verdict, err := f.checkChange(&change)
 	if err != nil || verdict.Outcome != "" {
 		return verdict, err
 	}
@@ -56,8 +56,8 @@
 // some 100 ms. A change that comes before waits for them: its operator would have to find out
 // that it was never appended.
 const (
-	readyWait = 2 * time.Second
-	readyLook = 10 * time.Millisecond
+	readyWait         = 2 * time.Second
+	readyPollInterval = 10 * time.Millisecond
 )
 
 // waitReady waits until the host has settings, for a while. It returns false when it has none.
@@ -65,7 +65,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readyWait)
 	defer cancel()
 	for !f.Ready() {
-		if !wait.For(ctx, readyLook) {
+		if !wait.For(ctx, readyPollInterval) {
 			return f.Ready()
 		}
 	}
@@ -83,17 +83,17 @@
 	return verdict, decided, nil
 }
 
-// check looks at bases and documents. An empty outcome lets the change through.
-func (f *Follower) check(change *settings.Change) (settings.Verdict, error) {
+// checkChange looks at bases and documents. An empty outcome lets the change through.
+func (f *Follower) checkChange(change *settings.Change) (settings.Verdict, error) {
 	documents, offset := f.Documents(settings.Root)
 	change.Seen = offset
-	if verdict := conflictOf(documents, change); verdict.Outcome != "" {
+	if verdict := findConflict(documents, change); verdict.Outcome != "" {
 		return verdict, nil
 	}
 	return settings.Verdict{}, settings.Check(documents, change).Err()
 }
 
-func conflictOf(documents []settings.StoredDocument, change *settings.Change) settings.Verdict {
+func findConflict(documents []settings.StoredDocument, change *settings.Change) settings.Verdict {
 	versions := make(map[string]int64, len(documents))
 	for _, d := range documents {
 		versions[d.Path] = d.Version
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -42,7 +42,7 @@
 	defer cancel()
 	accept(t, s.hosts[6], edit("a", "/t", 0, 77))
 	accept(t, s.hosts[0], edit("b", "/t", 1, 78))
-	s.agree(2)
+	s.awaitAgreement(2)
 	for _, h := range s.hosts {
 		if got := h.Current().RoutingAt("/t").IdleMs; got != 78 {
 			t.Errorf("host %s has idle_ms %d", h.name, got)
@@ -73,7 +73,7 @@
 		eventually(t, "ready", h.Ready)
 	}
 	accept(t, s.hosts[2], edit("a", "/t", 0, 77))
-	s.agree(1)
+	s.awaitAgreement(1)
 }
 
 func TestRaceHasOneWinner(t *testing.T) {
@@ -129,9 +129,9 @@
 
 func TestAppendAnswerLost(t *testing.T) {
 	for name, fault := range map[string]func(*memoryLog){
-		"after the effect":  func(l *memoryLog) { l.lose = 1 },
-		"before the effect": func(l *memoryLog) { l.drop = 2 },
-		"reads lost":        func(l *memoryLog) { l.deaf = 3 },
+		"after the effect":  func(l *memoryLog) { l.loseAnswers = 1 },
+		"before the effect": func(l *memoryLog) { l.dropAppends = 2 },
+		"reads lost":        func(l *memoryLog) { l.failReads = 3 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t)
@@ -161,7 +161,7 @@
 	if v, err := h.Change(context.Background(), edit("b", "/t", 9, 1)); err != nil || v.Outcome != settings.Conflict {
 		t.Errorf("wrong base: %+v, %v", v, err)
 	}
-	h.noLog.Store(true)
+	h.logUnreachable.Store(true)
 	if _, err := h.Change(context.Background(), edit("c", "/t", 0, 1)); !errors.Is(err, ErrLogAway) {
 		t.Errorf("log away: %v", err)
 	}
@@ -177,9 +177,9 @@
 	s := newSite(t)
 	a, b := s.run(true), s.run(true)
 	accept(t, a, edit("a", "/t", 0, 1))
-	s.agree(1)
-	b.noLog.Store(true)
-	b.cut.Store(true)
+	s.awaitAgreement(1)
+	b.logUnreachable.Store(true)
+	b.isolated.Store(true)
 	// More than the records that are kept for peers, so that a snapshot is due too.
 	a.mu.Lock()
 	a.recent.limit = 1
@@ -190,8 +190,8 @@
 	if b.Offset() != 1 || b.Current().RoutingAt("/t").IdleMs != 1 {
 		t.Errorf("cut host is at %d", b.Offset())
 	}
-	b.cut.Store(false) // the platform stays out of its reach
-	s.agree(6)
+	b.isolated.Store(false) // the platform stays out of its reach
+	s.awaitAgreement(6)
 	if b.Current().RoutingAt("/t").IdleMs != 14 {
 		t.Error("healed host has old settings")
 	}
@@ -201,19 +201,19 @@
 	s := newSite(t)
 	a := s.run(true)
 	accept(t, a, edit("a", "/t", 0, 9))
-	a.noLog.Store(true)
-	a.cut.Store(true)
+	a.logUnreachable.Store(true)
+	a.isolated.Store(true)
 	fresh := s.add(true)
-	fresh.noLog.Store(true)
+	fresh.logUnreachable.Store(true)
 	fresh.start()
 	other := s.add(true) // as fresh: the two must not take each other's nothing for settings
-	other.noLog.Store(true)
+	other.logUnreachable.Store(true)
 	other.start()
 	time.Sleep(20 * time.Millisecond)
 	if fresh.Ready() || other.Ready() {
 		t.Error("ready without any settings")
 	}
-	a.cut.Store(false)
+	a.isolated.Store(false)
 	eventually(t, "fresh host ready", fresh.Ready)
 	if fresh.Offset() != 1 || fresh.Current().RoutingAt("/t").IdleMs != 9 {
 		t.Errorf("fresh host at %d", fresh.Offset())
@@ -228,7 +228,7 @@
 	}
 	s.log.trim(Stream, 3)
 	a.stop()
-	a.cut.Store(true)
+	a.isolated.Store(true)
 	fresh := s.run(true)
 	time.Sleep(20 * time.Millisecond)
 	if fresh.Ready() {
@@ -272,7 +272,7 @@
 	s := newSite(t)
 	stale, a := s.run(true), s.run(true)
 	accept(t, stale, edit("a", "/t", 0, 1))
-	s.agree(1)
+	s.awaitAgreement(1)
 	stale.stop()
 	old, _, err := stale.exportState()
 	if err != nil {
@@ -280,8 +280,8 @@
 	}
 	accept(t, a, edit("b", "/t", 1, 2))
 	digest := a.Digest()
-	a.takeReply(PeerRef{Name: "stale"}, &PullReply{Ready: true, Offset: 1, Snapshot: old})
-	a.takeReply(PeerRef{Name: "stale"}, &PullReply{Ready: true, Snapshot: []byte("garbage")})
+	a.applyReply(PeerRef{Name: "stale"}, &PullReply{Ready: true, Offset: 1, Snapshot: old})
+	a.applyReply(PeerRef{Name: "stale"}, &PullReply{Ready: true, Snapshot: []byte("garbage")})
 	records, _ := a.recent.from(1)
 	a.apply(0, []Record{records[1], records[0], records[0], records[1]})
 	if a.Offset() != 2 || a.Digest() != digest || a.Current().RoutingAt("/t").IdleMs != 2 {
@@ -302,7 +302,7 @@
 		t.Fatal(err)
 	}
 	accept(t, s.hosts[2], edit("a", "/t", 0, 3))
-	s.agree(5)
+	s.awaitAgreement(5)
 	if s.hosts[1].state.Undecodable() != 4 || s.hosts[1].Current().RoutingAt("/t").IdleMs != 3 {
 		t.Error("garbage was not passed over")
 	}
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -25,16 +25,16 @@
 	mu          sync.Mutex
 	state       *settings.State // replaced as a whole or stepped, under mu
 	cache       *settings.Cache
-	recent      recentRecords
-	accepted    recentRecords // of whatever era, in the order in which they were read
+	recent      recordBuffer
+	accepted    recordBuffer // of whatever era, in the order in which they were read
 	lost        lostChanges
 	currentAt   time.Time // the state was the newest there was at this time; zero: never known
 	subscribers map[chan struct{}]struct{}
 
-	pushDue   chan struct{} // new records wait to be pushed
-	pullDue   chan struct{} // a gap was seen
-	lostDue   chan struct{} // changes are to be written again
-	snapshots snapshotCursor
+	pushDue     chan struct{} // new records wait to be pushed
+	pullDue     chan struct{} // a gap was seen
+	reappendDue chan struct{} // changes are to be written again
+	snapshots   snapshotCursor
 }
 
 // view is one consistent answer to readers.
@@ -53,12 +53,12 @@
 		o:           o,
 		state:       settings.NewState(),
 		cache:       settings.NewCache(),
-		recent:      recentRecords{limit: o.RecentBytes},
-		accepted:    recentRecords{limit: o.RecentBytes},
+		recent:      recordBuffer{limit: o.RecentBytes},
+		accepted:    recordBuffer{limit: o.RecentBytes},
 		subscribers: map[chan struct{}]struct{}{},
 		pushDue:     make(chan struct{}, 1),
 		pullDue:     make(chan struct{}, 1),
-		lostDue:     make(chan struct{}, 1),
+		reappendDue: make(chan struct{}, 1),
 	}
 	f.publish(true)
 	return f
@@ -68,7 +68,7 @@
 func (f *Follower) Run(ctx context.Context) error {
 	f.bootstrap(ctx)
 	group, ctx := errgroup.WithContext(ctx)
-	for _, loop := range []func(context.Context){f.tail, f.pullLoop, f.pushLoop, f.snapshotLoop, f.rewriteLoop} {
+	for _, loop := range []func(context.Context){f.tailLoop, f.pullLoop, f.pushLoop, f.snapshotLoop, f.reappendLoop} {
 		group.Go(func() error {
 			loop(ctx)
 			return nil
@@ -140,7 +140,7 @@
 // publish shows the state to readers. The caller holds mu, or is New.
 func (f *Follower) publish(changed bool) {
 	next := &view{era: f.state.Era(), offset: f.state.Offset(), digest: f.state.Digest()}
-	if last := f.view.Load(); last != nil && (!changed || f.lost.holds()) {
+	if last := f.view.Load(); last != nil && (!changed || f.lost.pending()) {
 		next.snapshot, next.findings = last.snapshot, last.findings
 		f.view.Store(next)
 		return
--- a/internal/follow/restored.go
+++ b/internal/follow/restored.go
@@ -26,12 +26,12 @@
 	since   time.Time
 }
 
-// mostHeld bounds for how long lost changes that nobody can write again keep what has been written
+// maxReappendTime bounds for how long lost changes that nobody can write again keep what has been written
 // since out of force.
-const mostHeld = 30 * time.Second
+const maxReappendTime = 30 * time.Second
 
-// holds reports whether the settings of the earlier era are kept in force.
-func (l *lostChanges) holds() bool { return len(l.changes) > 0 }
+// pending reports whether the settings of the earlier era are kept in force.
+func (l *lostChanges) pending() bool { return len(l.changes) > 0 }
 
 // findLost returns the changes in force, of those that are kept, that a later state has not decided.
 func (f *Follower) findLost(next *settings.State) []settings.Change {
@@ -49,8 +49,8 @@
 	return undecided(lost, next)
 }
 
-// keep remembers an accepted record, so that its change can be written again.
-func (f *Follower) keep(r Record) {
+// addAccepted remembers an accepted record, so that its change can be written again.
+func (f *Follower) addAccepted(r Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.accepted.add(r)
@@ -73,7 +73,7 @@
 		return false
 	}
 	before := f.state
-	if f.lost.holds() {
+	if f.lost.pending() {
 		before = f.lost.before
 	}
 	lost := f.findLost(next)
@@ -88,41 +88,41 @@
 	f.cache = settings.NewCache() // a version stands for another text in another era
 	f.lost = lostChanges{before: before, changes: lost, since: f.o.Now()}
 	f.publish(true)
-	if f.lost.holds() {
-		signal(f.lostDue)
+	if f.lost.pending() {
+		signal(f.reappendDue)
 	}
 	return true
 }
 
-// settleLost drops the lost changes that the state has decided. The caller holds mu. It reports
+// dropDecidedLost drops the lost changes that the state has decided. The caller holds mu. It reports
 // whether these were the last.
-func (f *Follower) settleLost() bool {
-	if !f.lost.holds() {
+func (f *Follower) dropDecidedLost() bool {
+	if !f.lost.pending() {
 		return false
 	}
 	f.lost.changes = undecided(f.lost.changes, f.state)
-	if f.lost.holds() && f.o.Now().Sub(f.lost.since) > mostHeld {
+	if f.lost.pending() && f.o.Now().Sub(f.lost.since) > maxReappendTime {
 		f.o.Logger.WithField("changes", len(f.lost.changes)).Error("settings_lost")
 		f.lost.changes = nil
 	}
-	return !f.lost.holds()
+	return !f.lost.pending()
 }
 
-// rewriteLoop appends lost changes again. Each host that knows of one does so: an id is decided
+// reappendLoop appends lost changes again. Each host that knows of one does so: an id is decided
 // once. Hosts that do not read the log come later, when it was not done.
-func (f *Follower) rewriteLoop(ctx context.Context) {
+func (f *Follower) reappendLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.lostDue:
+		case <-f.reappendDue:
 		}
 		if !f.o.Peers.Tailer() {
 			wait.For(ctx, jitter(f.o.PullEvery))
 		}
 		retry := f.retry()
-		for ctx.Err() == nil && f.holdsLost() {
-			if err := f.rewrite(ctx); err != nil {
+		for ctx.Err() == nil && f.hasLostChanges() {
+			if err := f.reappendLost(ctx); err != nil {
 				f.logFailure(err)
 			}
 			wait.For(ctx, retry.NextBackOff())
@@ -130,17 +130,17 @@
 	}
 }
 
-func (f *Follower) holdsLost() bool {
+func (f *Follower) hasLostChanges() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.settleLost() {
+	if f.dropDecidedLost() {
 		f.publish(true)
 	}
-	return f.lost.holds()
+	return f.lost.pending()
 }
 
-// rewrite appends the lost changes that are still wanted, and reads them back.
-func (f *Follower) rewrite(ctx context.Context) error {
+// reappendLost appends the lost changes that are still wanted, and reads them back.
+func (f *Follower) reappendLost(ctx context.Context) error {
 	for {
 		change, ok := f.nextLost()
 		if !ok {
@@ -172,7 +172,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lost.changes = undecided(f.lost.changes, f.state)
-	for f.lost.holds() {
+	for f.lost.pending() {
 		change := f.lost.changes[0]
 		if !f.overtakenSince(&change) {
 			change.Edits = slices.Clone(change.Edits)
@@ -246,7 +246,7 @@
 		}
 		for _, r := range recordsOf(page) {
 			if v := state.Apply(r.Offset, time.UnixMilli(r.AtMs), r.Data); v.Accepted() {
-				f.keep(r)
+				f.addAccepted(r)
 			}
 		}
 		if len(page.Records) == 0 || state.Offset() >= page.Next-1 {
@@ -255,8 +255,8 @@
 	}
 }
 
-// followEra takes in a page of another era than the state's.
-func (f *Follower) followEra(ctx context.Context, page platform.Page, present int64) error {
+// switchEra takes in a page of another era than the state's.
+func (f *Follower) switchEra(ctx context.Context, page platform.Page, present int64) error {
 	if page.Era < present {
 		return merry.Wrap(errEarlierEra)
 	}
--- a/internal/follow/restored_test.go
+++ b/internal/follow/restored_test.go
@@ -10,22 +10,22 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// idle returns the value that is in force for the tests' documents.
-func (h *host) idle(path string) int { return h.Current().RoutingAt(path).IdleMs }
+// idleMs returns the value that is in force for the tests' documents.
+func (h *host) idleMs(path string) int { return h.Current().RoutingAt(path).IdleMs }
 
-// forget takes the first hosts out of the site.
-func (s *site) forget(n int) {
+// removeFirst takes the first hosts out of the site.
+func (s *site) removeFirst(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hosts = s.hosts[n:]
 }
 
-// inForce waits until all hosts have a value in force, in an era of the log.
-func (s *site) inForce(era int64, path string, want int) {
+// awaitInForce waits until all hosts have a value in force, in an era of the log.
+func (s *site) awaitInForce(era int64, path string, want int) {
 	s.t.Helper()
 	for _, h := range s.hosts {
 		what := fmt.Sprintf("host %s has %d at %s in era %d", h.name, want, path, era)
-		eventually(s.t, what, func() bool { return h.view.Load().era == era && h.idle(path) == want })
+		eventually(s.t, what, func() bool { return h.view.Load().era == era && h.idleMs(path) == want })
 	}
 }
 
@@ -41,23 +41,23 @@
 	accept(t, s.hosts[1], edit("b", "/t", 1, 72))
 	accept(t, s.hosts[2], edit("c", "/t", 2, 73))
 	accept(t, s.hosts[0], edit("d", "/u", 0, 81))
-	s.agree(4)
+	s.awaitAgreement(4)
 	s.log.restore(1)
 	eventually(t, "the era is read", func() bool {
-		if got := s.hosts[1].idle("/t"); got != 73 {
+		if got := s.hosts[1].idleMs("/t"); got != 73 {
 			t.Fatalf("the value went to %d", got)
 		}
 		return s.hosts[1].view.Load().era == 1 && s.hosts[1].Offset() == 4
 	})
-	s.inForce(1, "/t", 73)
-	s.inForce(1, "/u", 81)
-	s.agree(4)
+	s.awaitInForce(1, "/t", 73)
+	s.awaitInForce(1, "/u", 81)
+	s.awaitAgreement(4)
 	for _, h := range s.hosts {
 		h.stop()
 	}
-	s.forget(len(s.hosts))
+	s.removeFirst(len(s.hosts))
 	late := s.run(true)
-	eventually(t, "a host that starts from the log alone", func() bool { return late.Ready() && late.idle("/t") == 73 && late.idle("/u") == 81 })
+	eventually(t, "a host that starts from the log alone", func() bool { return late.Ready() && late.idleMs("/t") == 73 && late.idleMs("/u") == 81 })
 }
 
 // TestSettingsWrittenAfterTheLogWentBackWinOverLostOnes: they are newer, and the lost ones of
@@ -68,15 +68,15 @@
 	accept(t, knows, edit("a", "/t", 0, 71))
 	accept(t, knows, edit("b", "/t", 1, 72))
 	accept(t, knows, edit("c", "/u", 0, 81))
-	knows.cut.Store(true)
-	knows.noLog.Store(true)
+	knows.isolated.Store(true)
+	knows.logUnreachable.Store(true)
 	s.log.restore(1)
 	other := s.run(true) // knows the older copy only
 	accept(t, other, edit("d", "/t", 1, 75))
-	knows.cut.Store(false)
-	knows.noLog.Store(false)
-	s.inForce(1, "/t", 75)
-	s.inForce(1, "/u", 81)
+	knows.isolated.Store(false)
+	knows.logUnreachable.Store(false)
+	s.awaitInForce(1, "/t", 75)
+	s.awaitInForce(1, "/u", 81)
 }
 
 // TestSettingsAreInForceWhenAllLostOnesAreOvertaken: nothing is written again, after which they
@@ -86,14 +86,14 @@
 	knows := s.run(true)
 	accept(t, knows, edit("a", "/t", 0, 71))
 	accept(t, knows, edit("b", "/t", 1, 72))
-	knows.cut.Store(true)
-	knows.noLog.Store(true)
+	knows.isolated.Store(true)
+	knows.logUnreachable.Store(true)
 	s.log.restore(1)
 	other := s.run(true)
 	accept(t, other, edit("d", "/t", 1, 75))
-	knows.cut.Store(false)
-	knows.noLog.Store(false)
-	s.inForce(1, "/t", 75)
+	knows.isolated.Store(false)
+	knows.logUnreachable.Store(false)
+	s.awaitInForce(1, "/t", 75)
 }
 
 // TestHostCutOffFromTheLogEntersItsEraByItsPeers: and what it alone knows comes back by it.
@@ -102,13 +102,13 @@
 	s.run(true)
 	cut := s.run(false)
 	accept(t, s.hosts[0], edit("a", "/t", 0, 71))
-	s.agree(1)
+	s.awaitAgreement(1)
 	s.hosts[0].stop()
 	accept(t, cut, edit("b", "/t", 1, 72))
 	s.log.restore(1)
 	s.run(true)
-	s.forget(1)
-	s.inForce(1, "/t", 72)
+	s.removeFirst(1)
+	s.awaitInForce(1, "/t", 72)
 }
 
 // TestLastAcceptedChangeIsInForceAfterRestoresInAnyOrder plays changes at any host and restores:
@@ -131,7 +131,7 @@
 	last, era := 0, int64(0)
 	agreed := func() bool {
 		for _, h := range s.hosts {
-			if h.view.Load().era != era || h.holdsLost() || h.Offset() != s.hosts[0].Offset() || last > 0 && h.idle("/t") != last {
+			if h.view.Load().era != era || h.hasLostChanges() || h.Offset() != s.hosts[0].Offset() || last > 0 && h.idleMs("/t") != last {
 				return false
 			}
 		}
--- a/internal/follow/site_test.go
+++ b/internal/follow/site_test.go
@@ -19,18 +19,18 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-var errAway = errors.New("out of reach")
+var errUnreachable = errors.New("out of reach")
 
 // memoryLog is an append-only log in memory.
 type memoryLog struct {
-	mu      sync.Mutex
-	streams map[string]*memoryStream
-	lose    int // appends whose answer is lost after the effect
-	drop    int // appends that are lost before it
-	deaf    int // reads that fail after the next append
-	failing int // reads that fail from now on
-	grown   chan struct{}
-	era     int64
+	mu           sync.Mutex
+	streams      map[string]*memoryStream
+	loseAnswers  int // appends whose answer is lost after the effect
+	dropAppends  int // appends that are lost before it
+	failReads    int // reads that fail after the next append
+	failingReads int // reads that fail from now on
+	grown        chan struct{}
+	era          int64
 }
 
 // restore goes back to a copy with so many records of the settings, and no snapshot.
@@ -66,21 +66,21 @@
 func (l *memoryLog) Append(_ context.Context, name string, records [][]byte) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.drop > 0 {
-		l.drop--
-		return 0, errAway
+	if l.dropAppends > 0 {
+		l.dropAppends--
+		return 0, errUnreachable
 	}
 	s := l.stream(name)
-	l.failing, l.deaf = l.deaf, 0
+	l.failingReads, l.failReads = l.failReads, 0
 	first := s.next()
 	for _, data := range records {
 		s.records = append(s.records, platform.Record{Offset: s.next(), At: time.Now(), Data: data})
 	}
 	close(l.grown)
 	l.grown = make(chan struct{})
-	if l.lose > 0 {
-		l.lose--
-		return 0, errAway
+	if l.loseAnswers > 0 {
+		l.loseAnswers--
+		return 0, errUnreachable
 	}
 	return first, nil
 }
@@ -93,10 +93,10 @@
 	l.mu.Unlock()
 	for {
 		l.mu.Lock()
-		if l.failing > 0 {
-			l.failing--
+		if l.failingReads > 0 {
+			l.failingReads--
 			l.mu.Unlock()
-			return platform.Page{}, errAway
+			return platform.Page{}, errUnreachable
 		}
 		s := l.stream(name)
 		page := platform.Page{FirstKept: s.first, Next: s.next(), Era: l.era}
@@ -140,13 +140,13 @@
 // host is one follower's view of the platform and of its peers.
 type host struct {
 	*Follower
-	site   *site
-	name   string
-	tailer bool
-	noLog  atomic.Bool
-	cut    atomic.Bool // from all peers
-	stop   func()
-	server *rpc.Server
+	site           *site
+	name           string
+	tailer         bool
+	logUnreachable atomic.Bool
+	isolated       atomic.Bool // from all peers
+	stop           func()
+	server         *rpc.Server
 }
 
 func newSite(t testing.TB) *site {
@@ -193,19 +193,19 @@
 }
 
 func (h *host) Append(ctx context.Context, stream string, records [][]byte) (int64, error) {
-	if h.noLog.Load() {
-		return 0, errAway
+	if h.logUnreachable.Load() {
+		return 0, errUnreachable
 	}
 	return h.site.log.Append(ctx, stream, records)
 }
 
 func (h *host) Read(ctx context.Context, stream string, from int64, limit int, wait time.Duration) (platform.Page, error) {
-	if h.noLog.Load() {
-		return platform.Page{}, errAway
+	if h.logUnreachable.Load() {
+		return platform.Page{}, errUnreachable
 	}
 	page, err := h.site.log.Read(ctx, stream, from, limit, wait)
-	if h.noLog.Load() { // also a read that was waiting when the log went away
-		return platform.Page{}, errAway
+	if h.logUnreachable.Load() { // also a read that was waiting when the log went away
+		return platform.Page{}, errUnreachable
 	}
 	return page, err
 }
@@ -233,8 +233,8 @@
 		}
 	}
 	h.site.mu.Unlock()
-	if h.cut.Load() || target.cut.Load() {
-		return errAway
+	if h.isolated.Load() || target.isolated.Load() {
+		return errUnreachable
 	}
 	near, far := net.Pipe()
 	go target.server.ServeConn(far)
@@ -254,8 +254,8 @@
 	t.Fatalf("never: %s", what)
 }
 
-// agree waits until all hosts are at an offset, and compares their digests.
-func (s *site) agree(offset int64) {
+// awaitAgreement waits until all hosts are at an offset, and compares their digests.
+func (s *site) awaitAgreement(offset int64) {
 	s.t.Helper()
 	for _, h := range s.hosts {
 		eventually(s.t, fmt.Sprintf("host %s at offset %d", h.name, offset), func() bool { return h.Offset() == offset })
--- a/internal/follow/snapshots.go
+++ b/internal/follow/snapshots.go
@@ -129,7 +129,7 @@
 		return nil
 	}
 	for _, r := range page.Records {
-		f.snapshots.see(r, f.readSnapshot(r))
+		f.snapshots.add(r, f.readSnapshot(r))
 	}
 	f.snapshots.next = page.Next
 	if !f.snapshotDue() {
@@ -138,7 +138,7 @@
 	return f.writeSnapshot(ctx)
 }
 
-func (c *snapshotCursor) see(r platform.Record, state *settings.State) {
+func (c *snapshotCursor) add(r platform.Record, state *settings.State) {
 	if state == nil || state.Era() != c.era || state.Offset() < c.newest {
 		return
 	}
--- a/internal/follow/spread.go
+++ b/internal/follow/spread.go
@@ -116,7 +116,7 @@
 		f.o.Logger.WithField("peer", peer.Name).WithError(err).Debug("settings_pull_failed")
 		return false
 	}
-	if !reply.Ready || reply.Era < at.era || !f.takeReply(peer, &reply) {
+	if !reply.Ready || reply.Era < at.era || !f.applyReply(peer, &reply) {
 		return false
 	}
 	f.compareDigest(peer, reply.Era, reply.Offset, reply.Digest)
@@ -131,8 +131,8 @@
 	return true
 }
 
-// takeReply applies what came; it reports false for a broken snapshot.
-func (f *Follower) takeReply(peer PeerRef, reply *PullReply) bool {
+// applyReply applies what came; it reports false for a broken snapshot.
+func (f *Follower) applyReply(peer PeerRef, reply *PullReply) bool {
 	if len(reply.Snapshot) > 0 {
 		state, err := unpack(reply.Snapshot)
 		if err != nil {
--- a/internal/follow/tail.go
+++ b/internal/follow/tail.go
@@ -56,9 +56,9 @@
 		WithError(err).Warn("settings_log_failure")
 }
 
-// tail reads the log as long as it is this host's turn, or nothing was heard for
+// tailLoop reads the log as long as it is this host's turn, or nothing was heard for
 // so long that the spread between peers must have failed.
-func (f *Follower) tail(ctx context.Context) {
+func (f *Follower) tailLoop(ctx context.Context) {
 	retry := f.retry()
 	for ctx.Err() == nil {
 		switch {
@@ -120,7 +120,7 @@
 		return err
 	}
 	if page.Era != at.era {
-		return f.followEra(ctx, page, at.era)
+		return f.switchEra(ctx, page, at.era)
 	}
 	if page.Next < from {
 		logBehind.Inc()
