--- a/internal/core/settings/bench_test.go
+++ b/internal/core/settings/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// siteSources is a site of the size to design for: 7 domains, 210 customers in 21
-// teams, 7 models, 880 upstreams in 8 pools.
+// siteSources returns the documents of a site of the design size: 7 failure domains, 210
+// customers in 21 teams, 7 models, and 880 upstreams in 8 pools.
 func siteSources(b *testing.B) []Source {
 	var sources []Source
 	add := func(path, text string) {
@@ -24,7 +24,7 @@
 	return sources
 }
 
-// rootText lists all upstreams and models of the site.
+// rootText returns a document that lists all upstreams and models of the site.
 func rootText() string {
 	root := "pools:\n"
 	for p := range 8 {
@@ -70,12 +70,12 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, ok := s.CustomerByToken("not a token of anyone"); ok {
-			b.Fatal("a wrong token was taken")
+			b.Fatal("a wrong token was accepted")
 		}
 	}
 }
 
-// changeLog returns records of changes that spread over 210 documents.
+// changeLog returns n records of changes, spread over 210 documents.
 func changeLog(b *testing.B, n int) (log [][]byte) {
 	versions := map[string]int64{}
 	yaml := "customers:\n"
--- a/internal/core/settings/cache.go
+++ b/internal/core/settings/cache.go
@@ -7,18 +7,18 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/finding"
 )
 
-// Cache compiles the documents of a State and parses only those that changed. A
-// text that this version of the program cannot read leaves the last readable form
-// of its path in force. It is not safe for concurrent use.
+// Cache compiles the documents of a State and parses only those that changed. Where this
+// version of the program cannot parse a text, the last document at that path that it could
+// parse stays in force. A Cache is not safe for concurrent use.
 type Cache struct {
 	entries map[string]cacheEntry
 }
 
-// cacheEntry is what is known of one path.
+// cacheEntry holds the parsed document of one path.
 type cacheEntry struct {
 	version   int64        // of the text that was parsed last
 	findings  finding.List // of that text
-	lastValid Source       // last readable form; its Document is nil without one
+	lastValid Source       // last document without faults; its Document is nil when there was none
 }
 
 // NewCache returns an empty cache.
@@ -26,8 +26,8 @@
 	return &Cache{entries: map[string]cacheEntry{}}
 }
 
-// Compile returns the snapshot of the documents in force and all findings, those
-// of texts that cannot be read among them.
+// Compile returns the snapshot of the documents in force and all findings, including those
+// on texts that cannot be parsed.
 func (c *Cache) Compile(documents []StoredDocument) (*Snapshot, finding.List) {
 	entries := make(map[string]cacheEntry, len(documents))
 	var sources []Source
@@ -61,8 +61,9 @@
 	return e
 }
 
-// Check returns what is wrong with a change in the tree that it would give. What
-// was wrong in the tree before is left out: it must not hold up other teams.
+// Check returns the findings on the documents as the change would leave them. Findings that
+// the documents had before are left out, unless they are on an edited document: a fault of
+// one team must not block the changes of others.
 func Check(documents []StoredDocument, c *Change) finding.List {
 	known := map[finding.Finding]bool{}
 	_, before := NewCache().Compile(documents)
@@ -85,7 +86,8 @@
 	return f
 }
 
-// edited returns the documents after a change, the edited ones as the newest.
+// edited returns the documents as a change would leave them, with the highest version on
+// those that it edits.
 func edited(documents []StoredDocument, c *Change) []StoredDocument {
 	after := slices.DeleteFunc(slices.Clone(documents), func(d StoredDocument) bool {
 		return slices.ContainsFunc(c.Edits, func(e Edit) bool { return e.Path == d.Path })
--- a/internal/core/settings/change.go
+++ b/internal/core/settings/change.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of a change record. Replay depends on them and on the rules of Decode:
-// they must stay the same in every version that reads the same log.
+// Bounds of a change record. Replay depends on them and on the rules of DecodeChange: they
+// must be the same in all versions of the program that read the same log.
 const (
 	changeFormat     = 1
 	maxChangeBytes   = 4 << 20
@@ -18,9 +18,9 @@
 	maxEdits         = 1000
 )
 
-// Change is a set of edits that is accepted or refused as a whole.
+// Change is a set of edits that are accepted or refused together.
 type Change struct {
-	ID     string `json:"id"` // of the change, not of an attempt to append it
+	ID     string `json:"id"` // of the change; the same when it is appended again
 	Author string `json:"author"`
 	Seen   int64  `json:"seen"` // offset of the state that the change was checked against
 	Edits  []Edit `json:"edits"`
@@ -29,18 +29,18 @@
 // Edit sets or deletes the document at one path.
 type Edit struct {
 	Path string  `json:"path"`
-	Base int64   `json:"base"`           // version that the edit starts from, 0 where no document stands
+	Base int64   `json:"base"`           // version that the edit is based on, 0 when there is no document
 	YAML *string `json:"yaml,omitempty"` // nil deletes
 }
 
-// changeRecord is the record as it stands in the log.
+// changeRecord is the JSON form of a log record.
 type changeRecord struct {
 	Format int `json:"format"`
 	Change
 }
 
-// Encode returns the change as a record of the log. The error says which rule of
-// DecodeChange the change breaks.
+// Encode returns the change as a log record. It returns an error when DecodeChange would
+// refuse the change.
 func (c *Change) Encode() ([]byte, error) {
 	if err := c.validate(); err != nil {
 		return nil, err
@@ -55,9 +55,9 @@
 	return data, nil
 }
 
-// DecodeChange reads a record of the log. It checks the structure alone, never
-// the schema of the documents: its verdict must not depend on the version of the
-// program. Fields it does not know are ignored for the same reason.
+// DecodeChange decodes a log record. It checks only the structure, not the schema of the
+// documents, and ignores unknown fields: the result must not depend on the version of the
+// program.
 func DecodeChange(data []byte) (*Change, error) {
 	if len(data) > maxChangeBytes {
 		return nil, merry.Errorf("record has %d bytes, more than %d", len(data), maxChangeBytes)
@@ -95,7 +95,7 @@
 			return merry.Errorf("invalid settings path %q", e.Path)
 		case paths[e.Path]:
 			return merry.Errorf("path %s is edited twice", e.Path)
-		case e.YAML != nil && !utf8.ValidString(*e.YAML): // JSON would change it
+		case e.YAML != nil && !utf8.ValidString(*e.YAML): // JSON encoding would replace invalid bytes
 			return merry.Errorf("document %s is not UTF-8", e.Path)
 		case e.Base < 0:
 			return merry.Errorf("base %d of %s is negative", e.Base, e.Path)
@@ -114,8 +114,8 @@
 	return paths
 }
 
-// Content returns a hash of author and edits, by which a repeat of a change is
-// told from another change under the same id.
+// Content returns a hash of the author and the edits. It distinguishes a repetition of a
+// change from another change with the same id.
 func (c *Change) Content() uint64 {
 	data, err := json.Marshal(Change{Author: c.Author, Edits: c.Edits})
 	if err != nil {
--- a/internal/core/settings/check.go
+++ b/internal/core/settings/check.go
@@ -11,12 +11,12 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// StateLeaving is the state of an upstream that gets no new work.
+// StateLeaving is the state of an upstream that is to get no new work.
 const StateLeaving = "leaving"
 
 const tokenHashBytes = 32
 
-// checker collects the faults of one decoded document that need no other one.
+// checker collects the findings on one decoded document that do not depend on other documents.
 type checker struct {
 	file     string
 	lines    map[string]int
@@ -37,11 +37,12 @@
 	c.models(doc.Models)
 	c.services(doc.Services)
 	if c.present("evacuate") && path != EvacuationPath(doc.Evacuate) {
-		c.addf("evacuate", "may stand only in the document at %s", EvacuationPath(doc.Evacuate))
+		c.addf("evacuate", "is allowed only in the document at %s", EvacuationPath(doc.Evacuate))
 	}
 }
 
-// addf adds a finding, one a key: a value of the wrong type is not also missing.
+// addf adds a finding unless the key has one already, so that a value of the wrong type is
+// not also reported as missing.
 func (c *checker) addf(key, format string, args ...any) {
 	for _, f := range *c.findings {
 		if f.Place.Key == key {
@@ -52,7 +53,7 @@
 	c.findings.Addf(place, format, args...)
 }
 
-// lineFor returns the line of a key, or of its nearest parent that has one.
+// lineFor returns the line of a key or of its nearest parent that has one, else 0.
 func lineFor(lines map[string]int, key string) int {
 	for key != "" {
 		if line := lines[key]; line > 0 {
@@ -67,7 +68,8 @@
 	return c.lines[key] > 0
 }
 
-// positive checks a scalar that is inherited when left out: zero says nothing.
+// positive checks a number that is inherited when the key is absent: a key that is present
+// must have a value above 0.
 func (c *checker) positive(key string, v, most int) {
 	if !c.present(key) {
 		return
@@ -99,7 +101,8 @@
 	c.oneOf(key, v, request.Urgent.String(), request.Normal.String(), request.Bulk.String())
 }
 
-// name checks a name that stands in logs, headers and URLs.
+// name checks a name that is used in logs, headers and URLs. extra holds further allowed
+// characters.
 func (c *checker) name(key, v, extra string) {
 	if v == "" {
 		c.addf(key, "is missing")
@@ -230,7 +233,8 @@
 	}
 }
 
-// modelNameExtra holds what a model's name may have beside a plain name's letters.
+// modelNameExtra holds the characters that are allowed in the names of models and adapters
+// only.
 const modelNameExtra = "/:"
 
 func (c *checker) models(list []Model) {
--- a/internal/core/settings/compile.go
+++ b/internal/core/settings/compile.go
@@ -8,17 +8,17 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/finding"
 )
 
-// Source is one document that is in force.
+// Source is one parsed document that is in force.
 type Source struct {
 	Path     string
 	Version  int64 // offset of the change that set it
 	Document *Document
 }
 
-// Compile joins documents into one snapshot. The snapshot is always usable: an
-// item with a fault across documents is left out and reported. Of two items that
-// want the same name, address or token the one of the older version stands, so
-// that a later change never takes over what is in force.
+// Compile joins documents into one snapshot. The snapshot is always usable: an item that
+// conflicts with another document is left out and reported. Of two items with the same name,
+// address or token, the one in the document of the lower version is kept, so that a later
+// change never takes over what is in force.
 func Compile(sources []Source) (*Snapshot, finding.List) {
 	c := newCompiler(sources)
 	c.forEachSource(c.addTokenHolders)
@@ -32,15 +32,15 @@
 	return c.snapshot, c.findings
 }
 
-// compiler holds the state of one Compile.
+// compiler holds the state of one call of Compile.
 type compiler struct {
 	sources  []Source // by version, then path
 	tree     *tree
 	snapshot *Snapshot
 	findings finding.List
 
-	addresses map[string]string               // upstream by its address
-	hashes    map[[tokenHashBytes]byte]string // holder of a token
+	addresses map[string]string               // name of the upstream by its address
+	hashes    map[[tokenHashBytes]byte]string // owner of a token, for findings, by its hash
 	operators map[string]bool
 }
 
@@ -76,7 +76,7 @@
 	case s.Document == nil:
 		c.findings.Addf(place, "has no document")
 	case documents[s.Path] != nil:
-		c.findings.Addf(place, "is given twice")
+		c.findings.Addf(place, "is listed twice")
 	default:
 		return true
 	}
@@ -94,8 +94,8 @@
 	c.findings.Addf(place, format, args...)
 }
 
-// addTokenHolders is one step, so that the older version keeps its token whatever
-// kind the holder is of.
+// addTokenHolders adds operators and customers in one step, so that of two with the same
+// token the one in the older document keeps it, whichever kind it is.
 func (c *compiler) addTokenHolders(s Source) {
 	c.addOperators(s)
 	c.addCustomers(s)
@@ -115,7 +115,7 @@
 	}
 }
 
-// claimHashes returns the hashes that no one else holds.
+// claimHashes returns the hashes that no other operator or customer has, and reports the rest.
 func (c *compiler) claimHashes(s Source, key, holder string, texts []string) [][tokenHashBytes]byte {
 	var own [][tokenHashBytes]byte
 	for i, text := range texts {
@@ -205,7 +205,7 @@
 	pool.Upstreams = append(pool.Upstreams, view)
 }
 
-// evacuate marks the upstreams of a failure domain.
+// evacuate marks the upstreams of the failure domain that the document evacuates.
 func (c *compiler) evacuate(s Source) {
 	domain := s.Document.Evacuate
 	if domain == "" {
@@ -251,7 +251,8 @@
 	}
 }
 
-// poolFor returns the pool of a kind that is visible at the source's path.
+// poolFor returns the pool of a name if it has the wanted kind and is visible at the source's
+// path. Otherwise it reports why not and returns nil.
 func (c *compiler) poolFor(s Source, key, name, kind string) *PoolView {
 	pool := c.snapshot.pools[name]
 	switch {
@@ -267,8 +268,8 @@
 	return nil
 }
 
-// restriction returns the customers that an item is kept for. A name without a
-// customer is reported and stays: dropping it could open the item to all.
+// restriction returns the names of the customers that may use an item, nil when all may. An
+// unknown customer is reported and kept: without it an empty list could open the item to all.
 func (c *compiler) restriction(s Source, key string, names []string) map[string]bool {
 	if len(names) == 0 {
 		return nil
@@ -306,7 +307,8 @@
 	}
 }
 
-// checkRequestDefaults reports defaults that the bound in force would always cut.
+// checkRequestDefaults reports default deadlines and priorities that exceed the bounds in
+// force at the same path.
 func (c *compiler) checkRequestDefaults(s Source) {
 	here := c.tree.at(s.Path).requests
 	if here.DeadlineMs > here.MaxDeadlineMs {
--- a/internal/core/settings/config_page_test.go
+++ b/internal/core/settings/config_page_test.go
@@ -11,7 +11,8 @@
 
 const configPage = "../../../docs/CONFIG-settings.md"
 
-// schemaKeys adds the keys of a type, in the page's notation, with its kind.
+// schemaKeys adds the keys of a type to keys, in the notation of the page, with the kinds of
+// their values.
 func schemaKeys(prefix string, t reflect.Type, keys map[string]reflect.Kind) {
 	switch {
 	case t.Kind() == reflect.Pointer:
@@ -27,7 +28,7 @@
 	}
 }
 
-// codeDefaults returns the defaults that the code applies, as the page shows them.
+// codeDefaults returns the defaults in the code, formatted as on the page.
 func codeDefaults() map[string]string {
 	defaults := map[string]string{
 		"customers[].weight":       fmt.Sprint(DefaultWeight),
@@ -87,8 +88,8 @@
 	}
 }
 
-// isRequired asks the parser: a document with the key's parents alone must be
-// refused for the want of it.
+// isRequired reports whether the parser refuses a document that has the parents of the key but
+// not the key itself.
 func isRequired(key string) bool {
 	parents := strings.Split(key, ".")
 	var text strings.Builder
@@ -111,7 +112,7 @@
 	return false
 }
 
-// The example of the page must be a document that the program takes.
+// TestConfigPageExample checks that the example on the page parses and compiles without findings.
 func TestConfigPageExample(t *testing.T) {
 	page, err := os.ReadFile(configPage)
 	if err != nil {
--- a/internal/core/settings/decode.go
+++ b/internal/core/settings/decode.go
@@ -14,9 +14,9 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/finding"
 )
 
-// ParseDocument reads the YAML text of the document at a path. All faults of the
-// text are returned together, each with its line and key; a document is returned
-// only when there are none. Checks across documents are those of Compile.
+// ParseDocument parses the YAML text of the document at a path. It returns all faults
+// together, each with its line and key, and a document only when there are none. Compile
+// checks the documents against each other.
 func ParseDocument(path string, text []byte) (*Document, finding.List) {
 	d := &decoder{file: path, lines: map[string]int{}}
 	doc := &Document{}
@@ -32,15 +32,15 @@
 	return doc, nil
 }
 
-// decoder fills typed values from a syntax tree and goes on after a fault, which
-// the decoder of the YAML library does not.
+// decoder fills typed values from a syntax tree. Unlike the decoder of the YAML library, it
+// continues after a fault.
 type decoder struct {
 	file     string
 	lines    map[string]int // by key path
 	findings finding.List
 }
 
-// parse returns the root node, nil for an empty text or one with syntax faults.
+// parse returns the root node, or nil for an empty text or one with syntax errors.
 func (d *decoder) parse(text []byte) ast.Node {
 	if len(text) > MaxDocumentBytes {
 		d.addf(0, "", "document has %d bytes, more than %d", len(text), MaxDocumentBytes)
@@ -69,8 +69,8 @@
 	return body
 }
 
-// parseYAML turns a panic of the library's parser into an error: a text of the log
-// must never stop a daemon.
+// parseYAML converts a panic of the library's parser into an error: a text from the log must
+// never stop a daemon.
 func parseYAML(text []byte) (file *ast.File, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -80,9 +80,9 @@
 	return parser.ParseBytes(text, 0)
 }
 
-// nestedTooDeep returns the line at which brackets, or dashes on one line, nest
-// deeper than MaxNesting, else 0. It protects the stack of the YAML parser, which
-// is recursive.
+// nestedTooDeep returns the line at which brackets, or dashes or question marks on one line,
+// nest deeper than MaxNesting, else 0. It protects the stack of the YAML parser, which is
+// recursive.
 func nestedTooDeep(text []byte) int {
 	brackets := 0
 	for i, row := range strings.Split(string(text), "\n") {
@@ -126,7 +126,7 @@
 	return t.Position.Line
 }
 
-// decode fills v, a settable value, from the node under the key path.
+// decode sets v from the node at the key path. v must be settable.
 func (d *decoder) decode(key string, n ast.Node, v reflect.Value) {
 	switch n.(type) {
 	case *ast.AnchorNode, *ast.AliasNode, *ast.TagNode, *ast.MergeKeyNode:
@@ -240,7 +240,7 @@
 	}
 }
 
-// decodeString takes numbers too, as they are written: 1.10 is a fine version.
+// decodeString also accepts numbers, as they are written: 1.10 is a valid version.
 func (d *decoder) decodeString(key string, n ast.Node, v reflect.Value) {
 	switch s := n.(type) {
 	case *ast.StringNode:
--- a/internal/core/settings/defaults.go
+++ b/internal/core/settings/defaults.go
@@ -1,13 +1,13 @@
 package settings
 
-// Defaults of the scalars that no document on the way to the root sets.
+// Defaults of the values that no document on the path to the root sets.
 const (
 	DefaultPolicy            = PolicyLengthAware
 	DefaultLongFromTokens    = 32_000    // prompt tokens
-	DefaultSpill             = SpillDead // other domains serve when the own has no live upstream
-	DefaultRetryBudget       = 0.2       // retries a recent success
-	DefaultQueueTokens       = 8_000_000 // prompt tokens a daemon and pool
-	DefaultQueueRequests     = 2_000     // requests a daemon and pool
+	DefaultSpill             = SpillDead // other failure domains serve when the own one has no live upstream
+	DefaultRetryBudget       = 0.2       // retries per recent success
+	DefaultQueueTokens       = 8_000_000 // prompt tokens per daemon and pool
+	DefaultQueueRequests     = 2_000     // requests per daemon and pool
 	DefaultIdleMs            = 2_000     // milliseconds
 	DefaultQuarantineCrashes = 2         // engine deaths
 	DefaultQuarantineS       = 600       // seconds
@@ -21,7 +21,7 @@
 
 	DefaultWeight         = 1      // share of a full queue
 	DefaultLongestOrderMs = 30_000 // milliseconds
-	DefaultBytesPerToken  = 4.0    // bytes of prompt a token
+	DefaultBytesPerToken  = 4.0    // prompt bytes per token
 )
 
 // Bounds of every document.
--- a/internal/core/settings/export.go
+++ b/internal/core/settings/export.go
@@ -9,7 +9,7 @@
 
 const exportFormat = 1
 
-// stateRecord is the form of a State that peers and the snapshot stream carry.
+// stateRecord is the JSON form of a State, as sent to peers and written to the snapshot stream.
 type stateRecord struct {
 	Format      int              `json:"format"`
 	Era         int64            `json:"era,omitempty"`
@@ -20,7 +20,7 @@
 	History     []Verdict        `json:"history,omitempty"`   // by offset
 }
 
-// Export returns the state as bytes. Equal states give equal bytes.
+// Export encodes the state. Equal states give equal bytes.
 func (s *State) Export() ([]byte, error) {
 	data, err := json.Marshal(stateRecord{
 		Format:      exportFormat,
@@ -34,8 +34,8 @@
 	return data, merry.Prepend(err, "export settings")
 }
 
-// ImportState reads what Export wrote. It refuses bytes that break an invariant
-// of State.
+// ImportState decodes what Export has encoded. It returns an error when the data violates an
+// invariant of State.
 func ImportState(data []byte) (*State, error) {
 	var e stateRecord
 	if err := json.Unmarshal(data, &e); err != nil {
@@ -45,7 +45,7 @@
 		return nil, merry.Errorf("settings snapshot has format %d, not %d", e.Format, exportFormat)
 	}
 	if e.Offset < 0 || e.Undecodable < 0 || e.Era < 0 {
-		return nil, merry.Errorf("settings snapshot has offset %d", e.Offset)
+		return nil, merry.Errorf("settings snapshot has offset %d, undecodable count %d and era %d; none may be negative", e.Offset, e.Undecodable, e.Era)
 	}
 	s := NewStateIn(e.Era)
 	s.offset, s.digest, s.undecodable = e.Offset, e.Digest, e.Undecodable
@@ -62,7 +62,7 @@
 	for _, d := range documents {
 		_, twice := s.documents[d.Path]
 		if !ValidPath(d.Path) || twice || d.Version < 1 || d.Version > s.offset {
-			return merry.Errorf("settings snapshot has a bad document %q of version %d", d.Path, d.Version)
+			return merry.Errorf("settings snapshot has an invalid or repeated document %q of version %d", d.Path, d.Version)
 		}
 		s.documents[d.Path] = d
 	}
@@ -74,7 +74,7 @@
 	for _, v := range history {
 		_, twice := s.byID[v.ChangeID]
 		if v.Offset <= last || v.Offset > s.offset || twice {
-			return merry.Errorf("settings snapshot has a bad verdict at offset %d", v.Offset)
+			return merry.Errorf("settings snapshot has an invalid or repeated verdict at offset %d", v.Offset)
 		}
 		last = v.Offset
 		s.byID[v.ChangeID] = v.Offset
--- a/internal/core/settings/inherit.go
+++ b/internal/core/settings/inherit.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// scope is what holds at one path after inheritance.
+// scope holds the values in force at one path after inheritance.
 type scope struct {
 	routing  Routing
 	requests Requests
 	limits   []LimitNode
 }
 
-// tree answers what holds at a path. Only paths with a document have an own
-// scope; all others have that of their nearest ancestor.
+// tree gives the scope of each path. Only paths with a document have a scope of their own;
+// all others have that of their nearest ancestor.
 type tree struct {
 	documents map[string]*Document
 	scopes    map[string]*scope
@@ -31,7 +31,8 @@
 	return t
 }
 
-// at returns the scope of a path: that of the nearest document on the way up.
+// at returns the scope of a path: that of the nearest document at the path or above, or the
+// defaults.
 func (t *tree) at(path string) *scope {
 	lineage := Lineage(path)
 	for i := len(lineage) - 1; i >= 0; i-- {
@@ -42,7 +43,7 @@
 	return &scope{routing: defaultRouting(), requests: defaultRequests()}
 }
 
-// derive returns the parent's scope overlaid with the document's own scalars.
+// derive returns the parent's scope with the document's own values applied.
 func (t *tree) derive(path string, doc *Document) *scope {
 	parent := t.at(path)
 	own := &scope{
@@ -58,7 +59,8 @@
 	return own
 }
 
-// set overwrites an inherited scalar with an own one; the zero value is unset.
+// set replaces an inherited value by an own one unless that is the zero value, which means
+// unset.
 func set[T comparable](inherited *T, own T) {
 	var unset T
 	if own != unset {
--- a/internal/core/settings/path.go
+++ b/internal/core/settings/path.go
@@ -13,7 +13,7 @@
 
 // ValidPath reports whether a path is "/" or "/a/b" with segments of lower-case
 // letters, digits, dots, underscores and dashes that start with a letter or a
-// digit. Replay depends on it: it must stay the same in every version.
+// digit. Replay depends on this rule: it must be the same in all versions of the program.
 func ValidPath(path string) bool {
 	if path == Root {
 		return true
@@ -49,19 +49,19 @@
 	return c >= 'a' && c <= 'z' || c >= '0' && c <= '9'
 }
 
-// evacuationsPath is the path above the documents of evacuations.
+// evacuationsPath is the parent path of the documents that evacuate failure domains.
 const evacuationsPath = "/evacuations"
 
-// EvacuationPath returns the path of the only document that may ask for the evacuation of a
-// failure domain.
+// EvacuationPath returns the path of the document that can evacuate a failure domain; no other
+// document can.
 func EvacuationPath(domain string) string { return evacuationsPath + "/" + domain }
 
-// IsEvacuation reports whether a path is that of an evacuation.
+// IsEvacuation reports whether path is below the parent path of evacuations.
 func IsEvacuation(path string) bool {
 	return path != evacuationsPath && Contains(evacuationsPath, path)
 }
 
-// Contains reports whether path is ancestor or lies below it.
+// Contains reports whether path equals ancestor or is below it.
 func Contains(ancestor, path string) bool {
 	if ancestor == Root || ancestor == path {
 		return true
--- a/internal/core/settings/replay.go
+++ b/internal/core/settings/replay.go
@@ -9,9 +9,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// HistoryWindow is the number of offsets for which verdicts are remembered, and
-// the most by which a change may lag behind the state it was checked against.
-// Replay depends on it: it must stay the same in every version.
+// HistoryWindow is the number of latest offsets whose verdicts are kept. It also bounds the
+// distance, in offsets, between a change and the state that it was checked against. Replay
+// depends on it: it must be the same in all versions of the program.
 const HistoryWindow = 1024
 
 // StoredDocument is the text in force at a path.
@@ -22,12 +22,12 @@
 }
 
 // State is the result of replaying the change log from its start. It depends on
-// nothing but the records: equal prefixes give equal states, on every host and in
-// every version of the program. It is not safe for concurrent use.
+// the records alone: equal prefixes of the log give equal states, on every host and in every
+// version of the program. It is not safe for concurrent use.
 //
-// Invariants: offset only grows, by one a record. A change id is decided once.
-// history holds the verdict of each decodable record, repeats left out, of the
-// last HistoryWindow offsets, oldest first.
+// Invariants: offset grows by one with each record. A change id is decided once. history
+// holds the verdicts of the decodable records among the last HistoryWindow offsets, without
+// repetitions, oldest first.
 type State struct {
 	era         int64 // of the log
 	offset      int64
@@ -38,19 +38,21 @@
 	undecodable int64
 }
 
-// NewState returns the state before the first record of a log that has never lost any.
+// NewState returns the state before the first record of a log in era 0, that is of a log that
+// was never restored from an older copy.
 func NewState() *State { return NewStateIn(0) }
 
-// NewStateIn returns the state before the first record of a log in an era: each time that the
-// log has come back from an older copy of itself, its offsets stand for other records.
+// NewStateIn returns the state before the first record of a log in an era. Each restore of the
+// log from an older copy of itself starts a new era, in which the same offsets may hold other
+// records.
 func NewStateIn(era int64) *State {
 	return &State{era: era, documents: map[string]StoredDocument{}, byID: map[string]int64{}}
 }
 
-// Era returns the era of the log that the state is of.
+// Era returns the era of the log that the state was replayed from.
 func (s *State) Era() int64 { return s.era }
 
-// EnterEra makes the state one of a later era, in which the log has the same records up to it.
+// EnterEra sets the era to a later one, in which the log has the same records up to Offset.
 func (s *State) EnterEra(era int64) { s.era = era }
 
 // Offset returns the offset of the last record applied, 0 before the first.
@@ -59,11 +61,11 @@
 // Digest returns a hash over all records applied and their verdicts.
 func (s *State) Digest() uint64 { return s.digest }
 
-// Undecodable returns the number of records that were not changes.
+// Undecodable returns the number of applied records that could not be decoded as changes.
 func (s *State) Undecodable() int64 { return s.undecodable }
 
-// Apply steps the state by the next record. A record of any other offset gives
-// OutOfOrder and changes nothing.
+// Apply applies the next record and returns its verdict. A record of any other offset gives
+// OutOfOrder and leaves the state unchanged.
 func (s *State) Apply(offset int64, at time.Time, data []byte) Verdict {
 	if offset != s.offset+1 {
 		return Verdict{Offset: offset, AtMs: at.UnixMilli(), Outcome: OutOfOrder}
@@ -101,11 +103,11 @@
 	return v
 }
 
-// evaluate decides a change that was not decided before.
+// evaluate sets the outcome of a change whose id was not decided before.
 func (s *State) evaluate(c *Change, v *Verdict) {
 	v.Outcome = Accepted
-	// Within the window every earlier record of the same id is remembered. So a
-	// doubled append can never be accepted twice, however late it comes.
+	// Within the window the verdicts of all earlier records of the same id are kept, so a
+	// change that was appended twice cannot be accepted twice, however late the second one is.
 	if c.Seen >= v.Offset || v.Offset-c.Seen > HistoryWindow {
 		v.Outcome = Stale
 		v.Base = c.Seen
@@ -124,9 +126,10 @@
 	}
 }
 
-// overtaken returns an edited path and the offset of an accepted change that,
-// after the change's check, touched that path, an ancestor or a descendant. The
-// tree that the change was checked in is then no longer the one it would land in.
+// overtaken returns an edited path and the offset of an accepted change that edited this
+// path, an ancestor or a descendant after the change was checked. The documents that the
+// change would apply to are then not those that it was checked against. The offset is 0 when
+// there is no such change.
 func (s *State) overtaken(c *Change) (path string, rival int64) {
 	for i := len(s.history) - 1; i >= 0 && s.history[i].Offset > c.Seen; i-- {
 		h := &s.history[i]
@@ -156,7 +159,7 @@
 	}
 }
 
-// dropExpired drops the verdicts that have left the window.
+// dropExpired drops the verdicts that are no longer within HistoryWindow.
 func (s *State) dropExpired() {
 	gone := 0
 	for gone < len(s.history) && s.history[gone].Offset <= s.offset-HistoryWindow {
@@ -166,7 +169,7 @@
 	s.history = s.history[gone:]
 }
 
-// extendDigest chains the record and its verdict to the digest so far.
+// extendDigest replaces the digest by a hash of itself, the record and its verdict.
 func (s *State) extendDigest(v Verdict, data []byte) {
 	var head [24]byte
 	binary.LittleEndian.PutUint64(head[0:], s.digest)
@@ -179,11 +182,11 @@
 	s.digest = d.Sum64()
 }
 
-// VersionOf returns the version of the document at a path, 0 where none stands.
+// VersionOf returns the version of the document at a path, 0 when there is none.
 func (s *State) VersionOf(path string) int64 { return s.documents[path].Version }
 
-// LastAccepted returns the verdict on the newest accepted change of the document at a path, if it
-// was decided within the window.
+// LastAccepted returns the verdict on the newest accepted change of the document at a path, if
+// it is within HistoryWindow.
 func (s *State) LastAccepted(path string) (Verdict, bool) {
 	for i := len(s.history) - 1; i >= 0; i-- {
 		if v := s.history[i]; v.Accepted() && slices.Contains(v.Paths, path) {
@@ -193,7 +196,7 @@
 	return Verdict{}, false
 }
 
-// Documents returns the documents at a path and below, by path.
+// Documents returns the documents at a path and below, sorted by path.
 func (s *State) Documents(prefix string) []StoredDocument {
 	var documents []StoredDocument
 	for _, path := range slices.Sorted(maps.Keys(s.documents)) {
@@ -204,8 +207,8 @@
 	return documents
 }
 
-// History returns up to limit verdicts, newest first, of changes that touch the
-// path or its subtree.
+// History returns up to limit verdicts, newest first, on changes that edit the path or its
+// subtree.
 func (s *State) History(path string, limit int) []Verdict {
 	var verdicts []Verdict
 	for i := len(s.history) - 1; i >= 0 && len(verdicts) < limit; i-- {
@@ -217,7 +220,7 @@
 	return verdicts
 }
 
-// Find returns the verdict on a change id, if it was decided within the window.
+// Find returns the verdict on a change id, if it is within HistoryWindow.
 func (s *State) Find(id string) (Verdict, bool) {
 	offset, known := s.byID[id]
 	if !known {
--- a/internal/core/settings/replay_test.go
+++ b/internal/core/settings/replay_test.go
@@ -17,9 +17,9 @@
 
 var testPaths = []string{"/", "/a", "/a/b", "/ab", "/c"}
 
-// randomLog turns random words into a log as racing operators give: changes checked
-// against states of different age, doubled records and garbage. It also returns
-// the state after the last record.
+// randomLog makes a log from random words, as concurrent operators could: changes checked
+// against states of different age, repeated records and records that are not changes. It also
+// returns the decoded changes, nil where there is none, and the state after the last record.
 func randomLog(words []uint16) (log [][]byte, changes []*Change, last *State) {
 	last = NewState()
 	versions := []map[string]int64{{}}
@@ -76,14 +76,14 @@
 	p := properties()
 	words := gen.SliceOf(gen.UInt16())
 	p.Property("any delivery of the same records gives the same state", prop.ForAll(sameStateForAnyDelivery, words, words))
-	p.Property("a change is accepted exactly when nothing near it came first", prop.ForAll(matchesIndependentRule, words))
-	p.Property("a change survives the log as it was, or is refused before", prop.ForAll(changeRoundTrips, gen.AnyString(), gen.SliceOf(gen.UInt8())))
-	p.Property("versions never go backwards", prop.ForAll(versionsNeverDecrease, words))
+	p.Property("a change is accepted exactly when no related change was accepted since its check", prop.ForAll(matchesIndependentRule, words))
+	p.Property("a change is decoded as it was encoded, or is not encoded", prop.ForAll(changeRoundTrips, gen.AnyString(), gen.SliceOf(gen.UInt8())))
+	p.Property("versions never decrease", prop.ForAll(versionsNeverDecrease, words))
 	p.TestingRun(t)
 }
 
-// sameStateForAnyDelivery delivers records out of order, doubled and across an export, as the
-// second list says, and compares with delivery in order.
+// sameStateForAnyDelivery applies records out of order, repeatedly and across an export and
+// import, as delivery says, and compares the state with that of records applied in order.
 func sameStateForAnyDelivery(words, delivery []uint16) bool {
 	log, _, want := randomLog(words)
 	got := NewState()
@@ -113,8 +113,9 @@
 	return got.Digest() == want.Digest() && bytes.Equal(export(got), export(want))
 }
 
-// matchesIndependentRule replays against a rule written down independently: an undecided
-// change wins unless an accepted one since its check is above, at or below it.
+// matchesIndependentRule compares the verdicts with an independent form of the rule: a change
+// whose id is undecided is accepted unless, since its check, a change at its path, an ancestor
+// or a descendant was accepted.
 func matchesIndependentRule(words []uint16) bool {
 	log, changes, _ := randomLog(words)
 	s := NewState()
@@ -196,9 +197,9 @@
 		reason string
 	}{
 		{setChange("a", 0, "/t", 0), Accepted, ""},
-		{setChange("b", 0, "/t", 0), Conflict, "/t has version 1, the edit starts from 0"},
-		{setChange("c", 0, "/t/x", 0), Overtaken, "change at offset 1, near /t/x, came first"},
-		{setChange("d", 0, "/", 0), Overtaken, "change at offset 1, near /, came first"},
+		{setChange("b", 0, "/t", 0), Conflict, "/t has version 1, the edit is based on 0"},
+		{setChange("c", 0, "/t/x", 0), Overtaken, "the change at offset 1, at, above or below /t/x, was accepted first"},
+		{setChange("d", 0, "/", 0), Overtaken, "the change at offset 1, at, above or below /, was accepted first"},
 		{setChange("a", 4, "/u", 0), Repeated, "repeats the change at offset 1"},
 		{setChange("e", 5, "/t/x", 0), Accepted, ""},
 		{setChange("f", 7, "/v", 0), Stale, "checked against offset 7, too far from offset 7"},
@@ -220,7 +221,8 @@
 	}
 }
 
-// A doubled append must not bring a deleted document back, however late it comes.
+// TestDoubledAppendAfterTheWindow checks that a change that is appended again, however late,
+// does not bring back the document that was deleted after the first append.
 func TestDoubledAppendAfterTheWindow(t *testing.T) {
 	for _, late := range []int{1, HistoryWindow - 2, HistoryWindow - 1, HistoryWindow, 3 * HistoryWindow} {
 		s := NewState()
@@ -234,12 +236,13 @@
 			s.Apply(s.Offset()+1, time.UnixMilli(1), fmt.Append(nil, "garbage", i))
 		}
 		if v := applyChange(t, s, create); v.Accepted() || len(s.Documents("/")) > 0 {
-			t.Errorf("doubled append after %d records: %s", late, v.Outcome)
+			t.Errorf("repeated append after %d records: %s", late, v.Outcome)
 		}
 	}
 }
 
-// A change checked before a rival near it must lose, however late it comes.
+// TestOvertakenAtTheEndOfTheWindow checks that a change is not accepted, however late it is
+// appended, when a change of an ancestor was accepted after its check.
 func TestOvertakenAtTheEndOfTheWindow(t *testing.T) {
 	for _, late := range []int{0, HistoryWindow - 2, HistoryWindow - 1, HistoryWindow} {
 		s := NewState()
@@ -248,7 +251,7 @@
 			s.Apply(s.Offset()+1, time.UnixMilli(1), fmt.Append(nil, "garbage", i))
 		}
 		if v := applyChange(t, s, setChange("child", 0, "/t/x", 0)); v.Accepted() {
-			t.Errorf("accepted %d records after its rival", late)
+			t.Errorf("accepted %d records after the change of its ancestor", late)
 		}
 	}
 }
--- a/internal/core/settings/snapshot.go
+++ b/internal/core/settings/snapshot.go
@@ -10,8 +10,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// Snapshot is all that is in force at one time. It is immutable and safe for
-// concurrent use; so are the views that it returns.
+// Snapshot holds the compiled settings in force at one time. It is immutable and safe for
+// concurrent use, and so are the views that it returns.
 type Snapshot struct {
 	version   int64
 	tree      *tree
@@ -21,9 +21,9 @@
 	upstreams map[string]*UpstreamView
 	models    map[string]*ModelView
 	services  map[string]*ServiceView
-	evacuated []string // failure domains, by name
+	evacuated []string // failure domains, sorted by name
 
-	customerList []*CustomerView // the lists are by name
+	customerList []*CustomerView // the lists are sorted by name
 	poolList     []*PoolView
 	upstreamList []*UpstreamView
 	modelList    []*ModelView
@@ -40,7 +40,7 @@
 	}
 }
 
-// sortLists sorts what Compile has filled in.
+// sortLists fills the sorted lists from the maps.
 func (s *Snapshot) sortLists() {
 	s.customerList = sortedByName(s.customers, func(v *CustomerView) string { return v.Name })
 	s.poolList = sortedByName(s.pools, func(v *PoolView) string { return v.Name })
@@ -57,10 +57,10 @@
 	return slices.SortedFunc(maps.Values(m), func(a, b V) int { return cmp.Compare(name(a), name(b)) })
 }
 
-// Version returns the highest version among the documents, 0 without any.
+// Version returns the highest version among the documents, 0 when there are none.
 func (s *Snapshot) Version() int64 { return s.version }
 
-// CustomerByToken returns the customer whose bearer token it is.
+// CustomerByToken returns the customer with the bearer token.
 func (s *Snapshot) CustomerByToken(token string) (*CustomerView, bool) {
 	hash := sha256.Sum256([]byte(token))
 	var found *CustomerView
@@ -72,7 +72,7 @@
 	return found, found != nil
 }
 
-// OperatorByToken returns the operator whose bearer token it is.
+// OperatorByToken returns the operator with the bearer token.
 func (s *Snapshot) OperatorByToken(token string) (*OperatorView, bool) {
 	hash := sha256.Sum256([]byte(token))
 	var found *OperatorView
@@ -84,8 +84,8 @@
 	return found, found != nil
 }
 
-// matches compares in constant time; so that the time does not tell which holder
-// matched either, callers look at all of them.
+// matches reports whether one of the hashes equals hash, in constant time. Callers compare all
+// customers or operators, so that the time does not reveal either which of them matched.
 func matches(hashes [][tokenHashBytes]byte, hash *[tokenHashBytes]byte) bool {
 	equal := 0
 	for i := range hashes {
@@ -97,23 +97,23 @@
 // Customer returns the customer of a name, nil when there is none.
 func (s *Snapshot) Customer(name string) *CustomerView { return s.customers[name] }
 
-// Customers returns all customers by name. The slice must not be changed.
+// Customers returns all customers, sorted by name. The slice must not be changed.
 func (s *Snapshot) Customers() []*CustomerView { return s.customerList }
 
 // Pool returns the pool of a name, nil when there is none.
 func (s *Snapshot) Pool(name string) *PoolView { return s.pools[name] }
 
-// Pools returns all pools by name. The slice must not be changed.
+// Pools returns all pools, sorted by name. The slice must not be changed.
 func (s *Snapshot) Pools() []*PoolView { return s.poolList }
 
 // Upstream returns the upstream of a name, nil when there is none.
 func (s *Snapshot) Upstream(name string) *UpstreamView { return s.upstreams[name] }
 
-// Upstreams returns all upstreams by name. The slice must not be changed.
+// Upstreams returns all upstreams, sorted by name. The slice must not be changed.
 func (s *Snapshot) Upstreams() []*UpstreamView { return s.upstreamList }
 
-// Evacuated returns the failure domains whose upstreams are to get nothing new, by name. The
-// slice must not be changed.
+// Evacuated returns the failure domains whose upstreams are to get no new requests, sorted by
+// name. The slice must not be changed.
 func (s *Snapshot) Evacuated() []string { return s.evacuated }
 
 // RoutingAt returns the routing in force at a path.
@@ -123,8 +123,8 @@
 func (s *Snapshot) LimitsAt(path string) []LimitNode { return slices.Clone(s.tree.at(path).limits) }
 
 // Model returns a model that the customer may use. The error is a
-// *request.Refusal: CodeUnknownTarget when the customer's path does not see the
-// model, CodeForbidden when the model is kept for other customers.
+// *request.Refusal: CodeUnknownTarget when the model is not visible at the customer's path,
+// CodeForbidden when the model is restricted to other customers.
 func (s *Snapshot) Model(c *CustomerView, name string) (*ModelView, error) {
 	m := s.models[name]
 	if m == nil || !Contains(m.Path, c.Path) {
@@ -136,7 +136,7 @@
 	return m, nil
 }
 
-// Models returns the models that the customer may use, by name.
+// Models returns the models that the customer may use, sorted by name.
 func (s *Snapshot) Models(c *CustomerView) []*ModelView {
 	var visible []*ModelView
 	for _, m := range s.modelList {
@@ -147,14 +147,14 @@
 	return visible
 }
 
-// AllModels returns all models by name. The slice must not be changed.
+// AllModels returns all models, sorted by name. The slice must not be changed.
 func (s *Snapshot) AllModels() []*ModelView { return s.modelList }
 
-// AllServices returns all services by name. The slice must not be changed.
+// AllServices returns all services, sorted by name. The slice must not be changed.
 func (s *Snapshot) AllServices() []*ServiceView { return s.serviceList }
 
-// Service returns an operation that the customer may call. Errors are those of
-// Model; an operation that the service does not have is CodeUnknownTarget.
+// Service returns an operation that the customer may call. The errors are those of Model, and
+// CodeUnknownTarget when the service has no such operation.
 func (s *Snapshot) Service(c *CustomerView, name, operation string) (*OperationView, error) {
 	v := s.services[name]
 	if v == nil || !Contains(v.Path, c.Path) {
--- a/internal/core/settings/verdict.go
+++ b/internal/core/settings/verdict.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// Outcome is what replay made of a record.
+// Outcome is the result of replaying a record.
 type Outcome string
 
 // Outcomes of a record.
 const (
 	// Accepted: all edits of the change are in force.
 	Accepted Outcome = "accepted"
-	// Conflict: a base is not the version of its path.
+	// Conflict: the base of an edit is not the current version at its path.
 	Conflict Outcome = "conflict"
-	// Overtaken: an ancestor or descendant of an edited path changed after the
-	// state that the change was checked against.
+	// Overtaken: a change at, above or below an edited path was accepted after the state that
+	// the change was checked against.
 	Overtaken Outcome = "overtaken"
-	// Stale: the change was checked against a state out of the window.
+	// Stale: the state that the change was checked against is more than HistoryWindow offsets
+	// back, or does not precede the record.
 	Stale Outcome = "stale"
-	// Repeated: a change of this id was decided before; that verdict holds.
+	// Repeated: a change of this id was decided before, and that verdict stands.
 	Repeated Outcome = "repeated"
-	// Undecodable: the record is not a change.
+	// Undecodable: the record could not be decoded as a change.
 	Undecodable Outcome = "undecodable"
-	// OutOfOrder: the record is not the next one; the state did not change.
+	// OutOfOrder: the record is not the next one, and was not applied.
 	OutOfOrder Outcome = "out_of_order"
 )
 
-// Verdict is what replay made of one record. It holds no prose, so that states of
-// different program versions stay equal; Reason renders it.
+// Verdict is the result of replaying one record. Its text is made by Reason and not stored, so
+// that the states of different program versions stay equal.
 type Verdict struct {
 	Offset   int64    `json:"offset"`
 	AtMs     int64    `json:"at_ms"` // Unix time by the log's clock
@@ -37,26 +38,26 @@
 	Content  uint64   `json:"content"` // Change.Content
 	Paths    []string `json:"paths"`
 	Outcome  Outcome  `json:"outcome"`
-	Path     string   `json:"path,omitempty"`  // of the edit that lost
-	Rival    int64    `json:"rival,omitempty"` // version or offset that it lost to
-	Base     int64    `json:"base,omitempty"`  // base or seen offset of the loser
+	Path     string   `json:"path,omitempty"`  // of the edit that was refused
+	Rival    int64    `json:"rival,omitempty"` // offset of the earlier change that was in the way, which is also the version that it set
+	Base     int64    `json:"base,omitempty"`  // Base of the refused edit, or Seen of the refused change
 }
 
-// At returns when the log took the record, by the log's clock.
+// At returns when the record was appended, by the log's clock.
 func (v *Verdict) At() time.Time { return time.UnixMilli(v.AtMs) }
 
 // Accepted reports whether the change is in force.
 func (v *Verdict) Accepted() bool { return v.Outcome == Accepted }
 
-// Reason says in one line why the record was not accepted; empty when it was.
+// Reason returns one line that says why the record was not accepted, empty when it was.
 func (v *Verdict) Reason() string {
 	switch v.Outcome {
 	case Accepted:
 		return ""
 	case Conflict:
-		return fmt.Sprintf("%s has version %d, the edit starts from %d", v.Path, v.Rival, v.Base)
+		return fmt.Sprintf("%s has version %d, the edit is based on %d", v.Path, v.Rival, v.Base)
 	case Overtaken:
-		return fmt.Sprintf("change at offset %d, near %s, came first", v.Rival, v.Path)
+		return fmt.Sprintf("the change at offset %d, at, above or below %s, was accepted first", v.Rival, v.Path)
 	case Stale:
 		return fmt.Sprintf("checked against offset %d, too far from offset %d", v.Base, v.Offset)
 	case Repeated:
--- a/internal/core/settings/view.go
+++ b/internal/core/settings/view.go
@@ -6,11 +6,11 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// CustomerView is a customer with all that is in force for it. It is immutable.
+// CustomerView is a customer with the settings in force for it. It is immutable.
 type CustomerView struct {
 	Name     string
-	Path     string      // of the document that lists it
-	Weight   int         // share of a full queue, at least 1
+	Path     string      // path of the document that lists it
+	Weight   int         // relative share of a full queue, at least 1
 	Routing  Routing     // effective, no field empty
 	Requests Requests    // effective, no field empty
 	Limits   []LimitNode // from the root to the customer itself; only those with a limit
@@ -18,16 +18,16 @@
 	hashes [][tokenHashBytes]byte
 }
 
-// LimitNode is one place of the tree whose limits a request must fit.
+// LimitNode holds limits that a request must fit, and the path or customer that they are set at.
 type LimitNode struct {
 	Name   string // a settings path, or "customer:" and a customer's name
 	Limits Limits
 }
 
-// customerNode prefixes the limit node of a customer; no path starts with it.
+// customerNode is the prefix of the names of customers' limit nodes; no path starts with it.
 const customerNode = "customer:"
 
-// OperatorView is an operator and the subtree it is in charge of.
+// OperatorView is an operator and the path of the subtree that it manages.
 type OperatorView struct {
 	Name string
 	Path string
@@ -45,8 +45,8 @@
 	Name          string
 	Kind          string // a Pool* constant
 	Path          string
-	ChecksFencing bool          // engines refuse an order with an old fencing number
-	LongestOrder  time.Duration // an order acts within it, or never
+	ChecksFencing bool          // engines refuse orders with an outdated fencing number
+	LongestOrder  time.Duration // an order takes effect within this time, or never
 	Routing       Routing       // effective at the pool's path
 	Upstreams     []*UpstreamView
 	Models        []*ModelView // served by this pool, by name
@@ -57,8 +57,8 @@
 	Name    string
 	Address string // IP:port
 	Domain  string // failure domain
-	Leaving bool   // the settings want no new work on it
-	// Evacuated says that operators want nothing new sent to its failure domain.
+	Leaving bool   // it is to get no new work, by its own State
+	// Evacuated means that its failure domain is being evacuated: it is to get no new requests.
 	Evacuated bool
 	Pool      *PoolView
 }
@@ -69,7 +69,7 @@
 	Path          string
 	Version       string
 	Adapters      []string
-	BytesPerToken float64 // first guess, above 0
+	BytesPerToken float64 // initial estimate, above 0
 	Urgent        bool    // its weights are loaded first
 	Routing       Routing // effective at the model's path
 	Pool          *PoolView
@@ -90,23 +90,23 @@
 
 // OperationView is one operation of a service.
 type OperationView struct {
-	Operation // Priority and DeadlineMs are empty where the customer's defaults hold
+	Operation // Priority and DeadlineMs are zero when the customer's defaults apply
 	Service   *ServiceView
 }
 
-// Idle returns the silence on a stream that starts a probe.
+// Idle returns the time without data on a stream after which its upstream is probed.
 func (r *Routing) Idle() time.Duration { return milliseconds(r.IdleMs) }
 
-// Quarantine returns how long a request that crashed upstreams is refused.
+// Quarantine returns how long a request that crashed engines is refused.
 func (r *Routing) Quarantine() time.Duration { return time.Duration(r.QuarantineS) * time.Second }
 
-// Deadline returns the time a request gets that asks for none.
+// Deadline returns the time that a request without a deadline of its own gets.
 func (r *Requests) Deadline() time.Duration { return milliseconds(r.DeadlineMs) }
 
-// MaxDeadline returns the most time a request can get.
+// MaxDeadline returns the longest time that a request can get.
 func (r *Requests) MaxDeadline() time.Duration { return milliseconds(r.MaxDeadlineMs) }
 
-// DefaultPriority returns the priority of a request that asks for none.
+// DefaultPriority returns the priority of a request without one of its own.
 func (r *Requests) DefaultPriority() request.Priority {
 	return priorityOf(r.Priority, request.Normal)
 }
@@ -116,13 +116,13 @@
 	return priorityOf(r.HighestPriority, request.Urgent)
 }
 
-// Deadline returns the operation's own default, zero when it has none.
+// Deadline returns the default deadline of the operation, zero when it has none.
 func (o *Operation) Deadline() time.Duration { return milliseconds(o.DeadlineMs) }
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// priorityOf never meets a word that ParseDocument has not checked; the fallback
-// keeps a document built in code harmless.
+// priorityOf parses a priority, and returns fallback for an invalid one. ParseDocument has
+// refused invalid ones, so the fallback is used only for documents that are built in code.
 func priorityOf(word string, fallback request.Priority) request.Priority {
 	if p, ok := request.ParsePriority(word); ok {
 		return p
