--- a/internal/cli/settings_apply.go
+++ b/internal/cli/settings_apply.go
@@ -166,7 +166,7 @@
 		return edits
 	}
 	for _, d := range view.Documents {
-		if !wanted[d.Path] && !settings.IsEvacuation(d.Path) {
+		if !wanted[d.Path] && !settings.IsEvacuationPath(d.Path) {
 			edits = append(edits, callerapi.SettingsEdit{Path: d.Path, Base: bases[d.Path]})
 		}
 	}
--- a/internal/core/settings/bench_test.go
+++ b/internal/core/settings/bench_test.go
@@ -84,7 +84,7 @@
 	}
 	for i := range n {
 		path := fmt.Sprintf("/team%d", i%210)
-		c := Change{ID: fmt.Sprintf("%036d", i), Author: "operator", Seen: int64(i)}
+		c := Change{ID: fmt.Sprintf("%036d", i), Author: "operator", CheckedOffset: int64(i)}
 		c.Edits = []Edit{{Path: path, Base: versions[path], YAML: &yaml}}
 		data, err := c.Encode()
 		if err != nil {
--- a/internal/core/settings/cache.go
+++ b/internal/core/settings/cache.go
@@ -61,10 +61,10 @@
 	return e
 }
 
-// Check returns the findings on the documents as the change would leave them. Findings that
+// CheckChange returns the findings on the documents as the change would leave them. Findings that
 // the documents had before are left out, unless they are on an edited document: a fault of
 // one team must not block the changes of others.
-func Check(documents []StoredDocument, c *Change) finding.List {
+func CheckChange(documents []StoredDocument, c *Change) finding.List {
 	known := map[finding.Finding]bool{}
 	_, before := NewCache().Compile(documents)
 	for _, f := range before {
--- a/internal/core/settings/cache_test.go
+++ b/internal/core/settings/cache_test.go
@@ -36,16 +36,16 @@
 	change := func(path, yaml string) *Change {
 		return &Change{ID: "x", Edits: []Edit{{Path: path, YAML: &yaml}}}
 	}
-	if f := Check(documents, change("/", "limits: {}")); len(f) != 1 || f[0].Place.File != "/t" {
+	if f := CheckChange(documents, change("/", "limits: {}")); len(f) != 1 || f[0].Place.File != "/t" {
 		t.Errorf("removing a pool that is in use was not reported: %v", f)
 	}
-	if f := Check(documents, change("/t", "models: [{name: chat2, pool: eng}]")); len(f) > 0 {
+	if f := CheckChange(documents, change("/t", "models: [{name: chat2, pool: eng}]")); len(f) > 0 {
 		t.Errorf("an existing fault in another document was reported: %v", f)
 	}
-	if f := Check(documents, change("/u", "models: [{name: lost, pool: none}, {name: m, pool: eng}]")); len(f) == 0 {
+	if f := CheckChange(documents, change("/u", "models: [{name: lost, pool: none}, {name: m, pool: eng}]")); len(f) == 0 {
 		t.Error("a fault in the edited document was not reported")
 	}
-	if f := Check(documents, change("/v", "models: [{name: chat, pool: eng}]")); len(f) != 1 || f[0].Place.File != "/v" {
+	if f := CheckChange(documents, change("/v", "models: [{name: chat, pool: eng}]")); len(f) != 1 || f[0].Place.File != "/v" {
 		t.Errorf("a duplicate name was not reported: %v", f)
 	}
 }
--- a/internal/core/settings/change.go
+++ b/internal/core/settings/change.go
@@ -20,10 +20,10 @@
 
 // Change is a set of edits that are accepted or refused together.
 type Change struct {
-	ID     string `json:"id"` // of the change; the same when it is appended again
-	Author string `json:"author"`
-	Seen   int64  `json:"seen"` // offset of the state that the change was checked against
-	Edits  []Edit `json:"edits"`
+	ID            string `json:"id"` // of the change; the same when it is appended again
+	Author        string `json:"author"`
+	CheckedOffset int64  `json:"seen"` // offset of the state that the change was checked against
+	Edits         []Edit `json:"edits"`
 }
 
 // Edit sets or deletes the document at one path.
@@ -83,8 +83,8 @@
 		return merry.Errorf("author has more than %d bytes", maxAuthorBytes)
 	case !utf8.ValidString(c.ID) || !utf8.ValidString(c.Author):
 		return merry.New("change id and author must be UTF-8")
-	case c.Seen < 0:
-		return merry.Errorf("seen offset %d is negative", c.Seen)
+	case c.CheckedOffset < 0:
+		return merry.Errorf("seen offset %d is negative", c.CheckedOffset)
 	case len(c.Edits) == 0 || len(c.Edits) > maxEdits:
 		return merry.Errorf("change must have 1 to %d edits", maxEdits)
 	}
@@ -114,9 +114,9 @@
 	return paths
 }
 
-// Content returns a hash of the author and the edits. It distinguishes a repetition of a
+// ContentHash returns a hash of the author and the edits. It distinguishes a repetition of a
 // change from another change with the same id.
-func (c *Change) Content() uint64 {
+func (c *Change) ContentHash() uint64 {
 	data, err := json.Marshal(Change{Author: c.Author, Edits: c.Edits})
 	if err != nil {
 		panic("settings: a change always encodes: " + err.Error())
--- a/internal/core/settings/check.go
+++ b/internal/core/settings/check.go
@@ -206,7 +206,7 @@
 		c.name(key+".name", p.Name, "")
 		c.required(key+".kind", p.Kind)
 		c.oneOf(key+".kind", p.Kind, PoolEngine, PoolService)
-		c.positive(key+".longest_order_ms", p.OrderMs, MaxDurationMs)
+		c.positive(key+".longest_order_ms", p.MaxOrderMs, MaxDurationMs)
 		for j, u := range p.Upstreams {
 			c.upstream(fmt.Sprintf("%s.upstreams[%d]", key, j), u)
 		}
--- a/internal/core/settings/compile.go
+++ b/internal/core/settings/compile.go
@@ -174,7 +174,7 @@
 			Kind:          p.Kind,
 			Path:          s.Path,
 			ChecksFencing: p.ChecksFencing,
-			LongestOrder:  milliseconds(cmp.Or(p.OrderMs, DefaultLongestOrderMs)),
+			MaxOrderTime:  milliseconds(cmp.Or(p.MaxOrderMs, DefaultMaxOrderMs)),
 			Routing:       c.tree.at(s.Path).routing,
 		}
 		c.snapshot.pools[p.Name] = view
@@ -322,7 +322,7 @@
 			}
 		}
 	}
-	if here.DefaultPriority() < here.MostUrgent() {
+	if here.DefaultPriority() < here.MaxPriority() {
 		c.addf(s, "requests", "priority %s is more urgent than highest_priority %s", here.Priority, here.HighestPriority)
 	}
 }
--- a/internal/core/settings/compile_test.go
+++ b/internal/core/settings/compile_test.go
@@ -94,7 +94,7 @@
 		if c.operation == "" {
 			_, err = s.Model(s.Customer(c.customer), c.model)
 		} else {
-			_, err = s.Service(s.Customer(c.customer), c.model, c.operation)
+			_, err = s.Operation(s.Customer(c.customer), c.model, c.operation)
 		}
 		var refusal *request.Refusal
 		errors.As(err, &refusal)
--- a/internal/core/settings/config_page_test.go
+++ b/internal/core/settings/config_page_test.go
@@ -32,7 +32,7 @@
 func codeDefaults() map[string]string {
 	defaults := map[string]string{
 		"customers[].weight":       fmt.Sprint(DefaultWeight),
-		"pools[].longest_order_ms": fmt.Sprint(DefaultLongestOrderMs),
+		"pools[].longest_order_ms": fmt.Sprint(DefaultMaxOrderMs),
 		"models[].bytes_per_token": fmt.Sprint(DefaultBytesPerToken),
 	}
 	for prefix, inherited := range map[string]any{
--- a/internal/core/settings/defaults.go
+++ b/internal/core/settings/defaults.go
@@ -19,9 +19,9 @@
 	DefaultMaxTokens       = 256      // answer tokens
 	DefaultMaxBodyBytes    = 16 << 20 // bytes
 
-	DefaultWeight         = 1      // share of a full queue
-	DefaultLongestOrderMs = 30_000 // milliseconds
-	DefaultBytesPerToken  = 4.0    // prompt bytes per token
+	DefaultWeight        = 1      // share of a full queue
+	DefaultMaxOrderMs    = 30_000 // milliseconds
+	DefaultBytesPerToken = 4.0    // prompt bytes per token
 )
 
 // Bounds of every document.
--- a/internal/core/settings/path.go
+++ b/internal/core/settings/path.go
@@ -56,8 +56,8 @@
 // document can.
 func EvacuationPath(domain string) string { return evacuationsPath + "/" + domain }
 
-// IsEvacuation reports whether path is below the parent path of evacuations.
-func IsEvacuation(path string) bool {
+// IsEvacuationPath reports whether path is below the parent path of evacuations.
+func IsEvacuationPath(path string) bool {
 	return path != evacuationsPath && Contains(evacuationsPath, path)
 }
 
--- a/internal/core/settings/replay.go
+++ b/internal/core/settings/replay.go
@@ -52,8 +52,8 @@
 // Era returns the era of the log that the state was replayed from.
 func (s *State) Era() int64 { return s.era }
 
-// EnterEra sets the era to a later one, in which the log has the same records up to Offset.
-func (s *State) EnterEra(era int64) { s.era = era }
+// SetEra sets the era to a later one, in which the log has the same records up to Offset.
+func (s *State) SetEra(era int64) { s.era = era }
 
 // Offset returns the offset of the last record applied, 0 before the first.
 func (s *State) Offset() int64 { return s.offset }
@@ -87,11 +87,11 @@
 	}
 	v.ChangeID = change.ID
 	v.Author = change.Author
-	v.Content = change.Content()
+	v.ContentHash = change.ContentHash()
 	v.Paths = change.Paths()
 	if first, known := s.byID[change.ID]; known {
 		v.Outcome = Repeated
-		v.Rival = first
+		v.PriorOffset = first
 		return v
 	}
 	s.evaluate(change, &v)
@@ -108,21 +108,21 @@
 	v.Outcome = Accepted
 	// Within the window the verdicts of all earlier records of the same id are kept, so a
 	// change that was appended twice cannot be accepted twice, however late the second one is.
-	if c.Seen >= v.Offset || v.Offset-c.Seen > HistoryWindow {
+	if c.CheckedOffset >= v.Offset || v.Offset-c.CheckedOffset > HistoryWindow {
 		v.Outcome = Stale
-		v.Base = c.Seen
+		v.Base = c.CheckedOffset
 		return
 	}
 	for _, e := range c.Edits {
 		if version := s.documents[e.Path].Version; version != e.Base {
 			v.Outcome = Conflict
-			v.Path, v.Rival, v.Base = e.Path, version, e.Base
+			v.Path, v.PriorOffset, v.Base = e.Path, version, e.Base
 			return
 		}
 	}
 	if path, rival := s.overtaken(c); rival > 0 {
 		v.Outcome = Overtaken
-		v.Path, v.Rival, v.Base = path, rival, c.Seen
+		v.Path, v.PriorOffset, v.Base = path, rival, c.CheckedOffset
 	}
 }
 
@@ -131,7 +131,7 @@
 // change would apply to are then not those that it was checked against. The offset is 0 when
 // there is no such change.
 func (s *State) overtaken(c *Change) (path string, rival int64) {
-	for i := len(s.history) - 1; i >= 0 && s.history[i].Offset > c.Seen; i-- {
+	for i := len(s.history) - 1; i >= 0 && s.history[i].Offset > c.CheckedOffset; i-- {
 		h := &s.history[i]
 		if !h.Accepted() {
 			continue
@@ -220,8 +220,8 @@
 	return verdicts
 }
 
-// Find returns the verdict on a change id, if it is within HistoryWindow.
-func (s *State) Find(id string) (Verdict, bool) {
+// FindVerdict returns the verdict on a change id, if it is within HistoryWindow.
+func (s *State) FindVerdict(id string) (Verdict, bool) {
 	offset, known := s.byID[id]
 	if !known {
 		return Verdict{}, false
--- a/internal/core/settings/replay_test.go
+++ b/internal/core/settings/replay_test.go
@@ -33,7 +33,7 @@
 		default:
 			seen := max(0, i-int(w>>6)%4)
 			path := testPaths[int(w>>3)%len(testPaths)]
-			c := Change{ID: fmt.Sprint("c", i), Author: "op", Seen: int64(seen)}
+			c := Change{ID: fmt.Sprint("c", i), Author: "op", CheckedOffset: int64(seen)}
 			c.Edits = []Edit{{Path: path, Base: versions[seen][path]}}
 			if w>>8&3 > 0 {
 				yaml := fmt.Sprintf("routing: {idle_ms: %d}", w+1)
@@ -134,7 +134,7 @@
 		want := true
 		for rival, path := range accepted {
 			mine, other := strings.TrimSuffix(c.Edits[0].Path, "/")+"/", strings.TrimSuffix(path, "/")+"/"
-			if rival > c.Seen && (strings.HasPrefix(mine, other) || strings.HasPrefix(other, mine)) {
+			if rival > c.CheckedOffset && (strings.HasPrefix(mine, other) || strings.HasPrefix(other, mine)) {
 				want = false
 			}
 		}
@@ -156,7 +156,7 @@
 		return !utf8.ValidString(text) || !utf8.ValidString(author) || len(author) > maxAuthorBytes
 	}
 	decoded, err := DecodeChange(data)
-	return err == nil && reflect.DeepEqual(decoded, c) && decoded.Content() == c.Content()
+	return err == nil && reflect.DeepEqual(decoded, c) && decoded.ContentHash() == c.ContentHash()
 }
 
 func versionsNeverDecrease(words []uint16) bool {
@@ -177,7 +177,7 @@
 
 func setChange(id string, seen int64, path string, base int64) *Change {
 	yaml := "routing: {idle_ms: 5}"
-	return &Change{ID: id, Author: "op", Seen: seen, Edits: []Edit{{Path: path, Base: base, YAML: &yaml}}}
+	return &Change{ID: id, Author: "op", CheckedOffset: seen, Edits: []Edit{{Path: path, Base: base, YAML: &yaml}}}
 }
 
 func applyChange(t *testing.T, s *State, c *Change) Verdict {
@@ -209,7 +209,7 @@
 			t.Errorf("%s: %s, %q", step.change.ID, v.Outcome, v.Reason())
 		}
 	}
-	if v, ok := s.Find("a"); !ok || v.Offset != 1 || !v.Accepted() {
+	if v, ok := s.FindVerdict("a"); !ok || v.Offset != 1 || !v.Accepted() {
 		t.Errorf("found %+v, %v", v, ok)
 	}
 	offsets := []int64{}
@@ -228,7 +228,7 @@
 		s := NewState()
 		create := setChange("create", 0, "/t", 0)
 		applyChange(t, s, create)
-		remove := &Change{ID: "remove", Seen: 1, Edits: []Edit{{Path: "/t", Base: 1}}}
+		remove := &Change{ID: "remove", CheckedOffset: 1, Edits: []Edit{{Path: "/t", Base: 1}}}
 		if v := applyChange(t, s, remove); !v.Accepted() {
 			t.Fatal(v.Reason())
 		}
--- a/internal/core/settings/schema.go
+++ b/internal/core/settings/schema.go
@@ -90,7 +90,7 @@
 	Name          string     `yaml:"name"`
 	Kind          string     `yaml:"kind"` // a Pool* constant
 	ChecksFencing bool       `yaml:"checks_fencing,omitempty"`
-	OrderMs       int        `yaml:"longest_order_ms,omitempty"` // longest time in milliseconds until an order takes effect
+	MaxOrderMs    int        `yaml:"longest_order_ms,omitempty"` // longest time in milliseconds until an order takes effect
 	Upstreams     []Upstream `yaml:"upstreams"`
 }
 
--- a/internal/core/settings/snapshot.go
+++ b/internal/core/settings/snapshot.go
@@ -112,9 +112,9 @@
 // Upstreams returns all upstreams, sorted by name. The slice must not be changed.
 func (s *Snapshot) Upstreams() []*UpstreamView { return s.upstreamList }
 
-// Evacuated returns the failure domains whose upstreams are to get no new requests, sorted by
+// EvacuatedDomains returns the failure domains whose upstreams are to get no new requests, sorted by
 // name. The slice must not be changed.
-func (s *Snapshot) Evacuated() []string { return s.evacuated }
+func (s *Snapshot) EvacuatedDomains() []string { return s.evacuated }
 
 // RoutingAt returns the routing in force at a path.
 func (s *Snapshot) RoutingAt(path string) Routing { return s.tree.at(path).routing }
@@ -153,9 +153,9 @@
 // AllServices returns all services, sorted by name. The slice must not be changed.
 func (s *Snapshot) AllServices() []*ServiceView { return s.serviceList }
 
-// Service returns an operation that the customer may call. The errors are those of Model, and
+// Operation returns an operation that the customer may call. The errors are those of Model, and
 // CodeUnknownTarget when the service has no such operation.
-func (s *Snapshot) Service(c *CustomerView, name, operation string) (*OperationView, error) {
+func (s *Snapshot) Operation(c *CustomerView, name, operation string) (*OperationView, error) {
 	v := s.services[name]
 	if v == nil || !Contains(v.Path, c.Path) {
 		return nil, request.Refuse(request.CodeUnknownTarget, 0, "no service %q for this customer", name)
--- a/internal/core/settings/verdict.go
+++ b/internal/core/settings/verdict.go
@@ -31,16 +31,16 @@
 // Verdict is the result of replaying one record. Its text is made by Reason and not stored, so
 // that the states of different program versions stay equal.
 type Verdict struct {
-	Offset   int64    `json:"offset"`
-	AtMs     int64    `json:"at_ms"` // Unix time by the log's clock
-	ChangeID string   `json:"id"`
-	Author   string   `json:"author"`
-	Content  uint64   `json:"content"` // Change.Content
-	Paths    []string `json:"paths"`
-	Outcome  Outcome  `json:"outcome"`
-	Path     string   `json:"path,omitempty"`  // of the edit that was refused
-	Rival    int64    `json:"rival,omitempty"` // offset of the earlier change that was in the way, which is also the version that it set
-	Base     int64    `json:"base,omitempty"`  // Base of the refused edit, or Seen of the refused change
+	Offset      int64    `json:"offset"`
+	AtMs        int64    `json:"at_ms"` // Unix time by the log's clock
+	ChangeID    string   `json:"id"`
+	Author      string   `json:"author"`
+	ContentHash uint64   `json:"content"` // Change.Content
+	Paths       []string `json:"paths"`
+	Outcome     Outcome  `json:"outcome"`
+	Path        string   `json:"path,omitempty"`  // of the edit that was refused
+	PriorOffset int64    `json:"rival,omitempty"` // offset of the earlier change that was in the way, which is also the version that it set
+	Base        int64    `json:"base,omitempty"`  // Base of the refused edit, or Seen of the refused change
 }
 
 // At returns when the record was appended, by the log's clock.
@@ -55,13 +55,13 @@
 	case Accepted:
 		return ""
 	case Conflict:
-		return fmt.Sprintf("%s has version %d, the edit is based on %d", v.Path, v.Rival, v.Base)
+		return fmt.Sprintf("%s has version %d, the edit is based on %d", v.Path, v.PriorOffset, v.Base)
 	case Overtaken:
-		return fmt.Sprintf("the change at offset %d, at, above or below %s, was accepted first", v.Rival, v.Path)
+		return fmt.Sprintf("the change at offset %d, at, above or below %s, was accepted first", v.PriorOffset, v.Path)
 	case Stale:
 		return fmt.Sprintf("checked against offset %d, too far from offset %d", v.Base, v.Offset)
 	case Repeated:
-		return fmt.Sprintf("repeats the change at offset %d", v.Rival)
+		return fmt.Sprintf("repeats the change at offset %d", v.PriorOffset)
 	case Undecodable:
 		return "not a change record"
 	}
--- a/internal/core/settings/view.go
+++ b/internal/core/settings/view.go
@@ -35,8 +35,8 @@
 	hashes [][tokenHashBytes]byte
 }
 
-// May reports whether the operator may read and change the settings at a path.
-func (o *OperatorView) May(path string) bool {
+// MayAccess reports whether the operator may read and change the settings at a path.
+func (o *OperatorView) MayAccess(path string) bool {
 	return Contains(o.Path, path)
 }
 
@@ -46,7 +46,7 @@
 	Kind          string // a Pool* constant
 	Path          string
 	ChecksFencing bool          // engines refuse orders with an outdated fencing number
-	LongestOrder  time.Duration // an order takes effect within this time, or never
+	MaxOrderTime  time.Duration // an order takes effect within this time, or never
 	Routing       Routing       // effective at the pool's path
 	Upstreams     []*UpstreamView
 	Models        []*ModelView // served by this pool, by name
@@ -94,11 +94,11 @@
 	Service   *ServiceView
 }
 
-// Idle returns the time without data on a stream after which its upstream is probed.
-func (r *Routing) Idle() time.Duration { return milliseconds(r.IdleMs) }
+// IdleTimeout returns the time without data on a stream after which its upstream is probed.
+func (r *Routing) IdleTimeout() time.Duration { return milliseconds(r.IdleMs) }
 
-// Quarantine returns how long a request that crashed engines is refused.
-func (r *Routing) Quarantine() time.Duration { return time.Duration(r.QuarantineS) * time.Second }
+// QuarantineTime returns how long a request that crashed engines is refused.
+func (r *Routing) QuarantineTime() time.Duration { return time.Duration(r.QuarantineS) * time.Second }
 
 // Deadline returns the time that a request without a deadline of its own gets.
 func (r *Requests) Deadline() time.Duration { return milliseconds(r.DeadlineMs) }
@@ -111,8 +111,8 @@
 	return priorityOf(r.Priority, request.Normal)
 }
 
-// MostUrgent returns the most urgent priority that a request can get.
-func (r *Requests) MostUrgent() request.Priority {
+// MaxPriority returns the most urgent priority that a request can get.
+func (r *Requests) MaxPriority() request.Priority {
 	return priorityOf(r.HighestPriority, request.Urgent)
 }
 
--- a/internal/core/stream/assembler.go
+++ b/internal/core/stream/assembler.go
@@ -10,10 +10,10 @@
 
 // Options configures an Assembler.
 type Options struct {
-	RequestID string
-	MaxHeld   int // chunks held out of order; DefaultMaxHeld when zero
-	MaxTokens int // longest answer that was asked for; no bound when zero
-	From      int // index of the first token that is wanted
+	RequestID  string
+	MaxHeld    int // chunks held out of order; DefaultMaxHeld when zero
+	MaxTokens  int // longest answer that was asked for; no bound when zero
+	FirstIndex int // index of the first token that is wanted
 }
 
 // Chunk is one token of an answer, or its final marker.
@@ -47,19 +47,19 @@
 	return stateNames[s]
 }
 
-// Step is what a chunk led to.
-type Step struct {
+// Output is what a chunk led to.
+type Output struct {
 	Text   string // to hand to the caller now; may be empty
 	Tokens int    // tokens in Text
 	State  State
 }
 
-// Counts tells what was dropped, since the answer began.
-type Counts struct {
+// DropCounts tells what was dropped, since the answer began.
+type DropCounts struct {
 	ForeignRequest int // another request's id
 	ForeignAttempt int // another attempt of this request
 	Duplicate      int // already handed out or held
-	BeyondBound    int // too far ahead to be held
+	TooFarAhead    int // too far ahead to be held
 	AfterEnd       int // after the answer was complete or faulty
 }
 
@@ -72,7 +72,7 @@
 	held    map[int]string
 	state   State
 	err     error
-	counts  Counts
+	counts  DropCounts
 }
 
 // New returns an Assembler without a running attempt: all chunks are foreign
@@ -81,7 +81,7 @@
 	if o.MaxHeld <= 0 {
 		o.MaxHeld = DefaultMaxHeld
 	}
-	return &Assembler{opts: o, next: o.From, total: unknownTotal}
+	return &Assembler{opts: o, next: o.FirstIndex, total: unknownTotal}
 }
 
 // StartAttempt makes an attempt, numbered from 1, the only one whose chunks are
@@ -113,17 +113,17 @@
 // State returns where the answer stands.
 func (a *Assembler) State() State { return a.state }
 
-// Counts returns what was dropped.
-func (a *Assembler) Counts() Counts { return a.counts }
+// DropCounts returns what was dropped.
+func (a *Assembler) DropCounts() DropCounts { return a.counts }
 
 // Err returns a *FaultError when the state is Faulty, else nil.
 func (a *Assembler) Err() error { return a.err }
 
 // Accept takes one chunk and returns what to hand to the caller. It never fails:
 // a chunk that has no place here is dropped and counted.
-func (a *Assembler) Accept(c Chunk) Step {
+func (a *Assembler) Accept(c Chunk) Output {
 	if a.dropped(c) {
-		return Step{State: a.state}
+		return Output{State: a.state}
 	}
 	if c.Done {
 		return a.acceptFinal(c)
@@ -134,7 +134,7 @@
 	switch {
 	case c.Index < a.next:
 		a.counts.Duplicate++
-		return Step{State: a.state}
+		return Output{State: a.state}
 	case c.Index > a.next:
 		return a.hold(c)
 	}
@@ -173,7 +173,7 @@
 	return FaultNone
 }
 
-func (a *Assembler) acceptFinal(c Chunk) Step {
+func (a *Assembler) acceptFinal(c Chunk) Output {
 	switch {
 	case c.Text != "":
 		return a.fault(FaultMarker, c)
@@ -190,7 +190,7 @@
 		// A marker ends its stream, so what is missing comes only by a resume.
 		a.state = Gap
 	}
-	return Step{State: a.state}
+	return Output{State: a.state}
 }
 
 func (a *Assembler) heldBeyond(total int) bool {
@@ -202,32 +202,32 @@
 	return false
 }
 
-func (a *Assembler) hold(c Chunk) Step {
+func (a *Assembler) hold(c Chunk) Output {
 	if _, ok := a.held[c.Index]; ok {
 		a.counts.Duplicate++
-		return Step{State: a.state}
+		return Output{State: a.state}
 	}
 	if c.Index > a.next+a.opts.MaxHeld {
-		a.counts.BeyondBound++
+		a.counts.TooFarAhead++
 		a.state = Gap
-		return Step{State: a.state}
+		return Output{State: a.state}
 	}
 	if a.held == nil {
 		a.held = make(map[int]string)
 	}
 	a.held[c.Index] = c.Text
-	return Step{State: a.state}
+	return Output{State: a.state}
 }
 
 // emit hands out the next token and all held ones that follow it.
-func (a *Assembler) emit(c Chunk) Step {
+func (a *Assembler) emit(c Chunk) Output {
 	a.next++
 	text, tokens := c.Text, 1
 	if len(a.held) > 0 {
 		text, tokens = a.emitHeld(c.Text)
 	}
 	a.completeIfAll()
-	return Step{Text: text, Tokens: tokens, State: a.state}
+	return Output{Text: text, Tokens: tokens, State: a.state}
 }
 
 func (a *Assembler) emitHeld(first string) (string, int) {
@@ -252,9 +252,9 @@
 	}
 }
 
-func (a *Assembler) fault(f Fault, c Chunk) Step {
+func (a *Assembler) fault(f Fault, c Chunk) Output {
 	a.state = Faulty
 	a.err = &FaultError{Fault: f, Attempt: c.Attempt, Index: c.Index, Next: a.next, Total: a.total, ChunkTotal: c.Total}
 	clear(a.held)
-	return Step{State: a.state}
+	return Output{State: a.state}
 }
--- a/internal/core/stream/assembler_test.go
+++ b/internal/core/stream/assembler_test.go
@@ -192,9 +192,9 @@
 	a.Accept(Chunk{RequestID: id, Attempt: 2, Index: 99, Text: "z"})
 	a.Accept(Chunk{RequestID: id, Attempt: 2, Done: true, Total: 1})
 	a.Accept(Chunk{RequestID: id, Attempt: 2, Done: true, Total: 7})
-	want := Counts{ForeignRequest: 1, ForeignAttempt: 2, Duplicate: 1, BeyondBound: 1, AfterEnd: 1}
-	if a.Counts() != want || a.State() != Complete {
-		t.Errorf("counts %+v in state %s, want %+v, complete", a.Counts(), a.State(), want)
+	want := DropCounts{ForeignRequest: 1, ForeignAttempt: 2, Duplicate: 1, TooFarAhead: 1, AfterEnd: 1}
+	if a.DropCounts() != want || a.State() != Complete {
+		t.Errorf("counts %+v in state %s, want %+v, complete", a.DropCounts(), a.State(), want)
 	}
 	if a.StartAttempt(1) {
 		t.Error("went back to a lower attempt")
@@ -212,7 +212,7 @@
 
 // Of a joined answer the first tokens were handed out by another run.
 func TestAnswerWantedFromTheMiddle(t *testing.T) {
-	a := New(Options{RequestID: "r", MaxTokens: 4, From: 2})
+	a := New(Options{RequestID: "r", MaxTokens: 4, FirstIndex: 2})
 	a.StartAttempt(1)
 	if a.NextIndex() != 2 {
 		t.Fatalf("next index %d", a.NextIndex())
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -32,7 +32,7 @@
 		op := owner.OrderPool{
 			Name:          pool.Name,
 			ChecksFencing: pool.ChecksFencing,
-			LongestOrder:  pool.LongestOrder,
+			MaxOrderTime:  pool.MaxOrderTime,
 			Desired:       desiredOf(pool),
 		}
 		for _, u := range pool.Upstreams {
--- a/internal/follow/bench_test.go
+++ b/internal/follow/bench_test.go
@@ -50,7 +50,7 @@
 func applySiteSettings(b *testing.B, f *Follower) int64 {
 	put := func(path, yaml string) {
 		offset := f.Offset()
-		change := settings.Change{ID: path, Seen: offset, Edits: []settings.Edit{{Path: path, YAML: &yaml}}}
+		change := settings.Change{ID: path, CheckedOffset: offset, Edits: []settings.Edit{{Path: path, YAML: &yaml}}}
 		f.apply(0, []Record{encodeRecord(b, change, offset+1)})
 	}
 	put("/", rootYAML())
@@ -80,7 +80,7 @@
 	size := 0
 	b.ReportAllocs()
 	for b.Loop() {
-		change := settings.Change{ID: fmt.Sprint("x", offset), Seen: offset, Edits: []settings.Edit{{Path: "/team0", Base: base, YAML: &yaml}}}
+		change := settings.Change{ID: fmt.Sprint("x", offset), CheckedOffset: offset, Edits: []settings.Edit{{Path: "/team0", Base: base, YAML: &yaml}}}
 		offset++
 		record := encodeRecord(b, change, offset)
 		h.apply(0, []Record{record})
--- a/internal/follow/change.go
+++ b/internal/follow/change.go
@@ -15,8 +15,8 @@
 var (
 	// ErrNotReady: this host has no settings yet; nothing was appended.
 	ErrNotReady = errors.New("settings are not there yet")
-	// ErrLogAway: the log could not be read before the change; nothing was appended.
-	ErrLogAway = errors.New("settings log is out of reach")
+	// ErrLogUnreachable: the log could not be read before the change; nothing was appended.
+	ErrLogUnreachable = errors.New("settings log is out of reach")
 	// ErrUndecided: the change may or may not be in force, now or soon. The same
 	// change with the same id may be sent again, to any host.
 	ErrUndecided = errors.New("outcome of the change is unknown; send it again with the same id")
@@ -36,7 +36,7 @@
 		return settings.Verdict{}, ErrNotReady
 	}
 	if err := f.catchUp(ctx); err != nil {
-		return settings.Verdict{}, merry.Wrap(ErrLogAway, merry.WithCause(err))
+		return settings.Verdict{}, merry.Wrap(ErrLogUnreachable, merry.WithCause(err))
 	}
 	if verdict, decided, err := f.decided(&change); decided || err != nil {
 		return verdict, err
@@ -75,9 +75,9 @@
 // decided looks for a verdict on the change's id.
 func (f *Follower) decided(change *settings.Change) (verdict settings.Verdict, decided bool, err error) {
 	f.mu.Lock()
-	verdict, decided = f.state.Find(change.ID)
+	verdict, decided = f.state.FindVerdict(change.ID)
 	f.mu.Unlock()
-	if decided && verdict.Content != change.Content() {
+	if decided && verdict.ContentHash != change.ContentHash() {
 		return settings.Verdict{}, false, merry.Wrap(ErrIDReused)
 	}
 	return verdict, decided, nil
@@ -86,11 +86,11 @@
 // checkChange looks at bases and documents. An empty outcome lets the change through.
 func (f *Follower) checkChange(change *settings.Change) (settings.Verdict, error) {
 	documents, offset := f.Documents(settings.Root)
-	change.Seen = offset
+	change.CheckedOffset = offset
 	if verdict := findConflict(documents, change); verdict.Outcome != "" {
 		return verdict, nil
 	}
-	return settings.Verdict{}, settings.Check(documents, change).Err()
+	return settings.Verdict{}, settings.CheckChange(documents, change).Err()
 }
 
 func findConflict(documents []settings.StoredDocument, change *settings.Change) settings.Verdict {
@@ -103,13 +103,13 @@
 			continue
 		}
 		return settings.Verdict{
-			ChangeID: change.ID,
-			Author:   change.Author,
-			Paths:    change.Paths(),
-			Outcome:  settings.Conflict,
-			Path:     e.Path,
-			Rival:    versions[e.Path],
-			Base:     e.Base,
+			ChangeID:    change.ID,
+			Author:      change.Author,
+			Paths:       change.Paths(),
+			Outcome:     settings.Conflict,
+			Path:        e.Path,
+			PriorOffset: versions[e.Path],
+			Base:        e.Base,
 		}
 	}
 	return settings.Verdict{}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -162,7 +162,7 @@
 		t.Errorf("wrong base: %+v, %v", v, err)
 	}
 	h.logUnreachable.Store(true)
-	if _, err := h.Change(context.Background(), edit("c", "/t", 0, 1)); !errors.Is(err, ErrLogAway) {
+	if _, err := h.Change(context.Background(), edit("c", "/t", 0, 1)); !errors.Is(err, ErrLogUnreachable) {
 		t.Errorf("log away: %v", err)
 	}
 	if _, err := s.add(false).Change(context.Background(), edit("d", "/t", 0, 1)); !errors.Is(err, ErrNotReady) {
@@ -234,7 +234,7 @@
 	if fresh.Ready() {
 		t.Error("ready although records are missing")
 	}
-	a.o.SnapshotEvery = 3
+	a.o.RecordsPerSnapshot = 3
 	for range 2 {
 		if err := a.snapshotOnce(context.Background()); err != nil {
 			t.Fatal(err)
--- a/internal/follow/restored.go
+++ b/internal/follow/restored.go
@@ -42,7 +42,7 @@
 			continue // no change: nothing of it was in force
 		}
 		known := slices.ContainsFunc(lost, func(c settings.Change) bool { return c.ID == change.ID })
-		if _, ok := f.state.Find(change.ID); ok && !known {
+		if _, ok := f.state.FindVerdict(change.ID); ok && !known {
 			lost = append(lost, *change)
 		}
 	}
@@ -59,7 +59,7 @@
 // undecided returns the changes that a state has not decided.
 func undecided(changes []settings.Change, state *settings.State) []settings.Change {
 	return slices.DeleteFunc(changes, func(c settings.Change) bool {
-		_, decided := state.Find(c.ID)
+		_, decided := state.FindVerdict(c.ID)
 		return decided
 	})
 }
@@ -118,7 +118,7 @@
 		case <-f.reappendDue:
 		}
 		if !f.o.Peers.Tailer() {
-			wait.For(ctx, jitter(f.o.PullEvery))
+			wait.For(ctx, jitter(f.o.PullInterval))
 		}
 		retry := f.retry()
 		for ctx.Err() == nil && f.hasLostChanges() {
@@ -157,7 +157,7 @@
 			return err
 		}
 		f.mu.Lock()
-		_, decided := f.state.Find(change.ID)
+		_, decided := f.state.FindVerdict(change.ID)
 		f.mu.Unlock()
 		if !decided {
 			return merry.Errorf("change %s is not in the log yet", change.ID)
@@ -179,7 +179,7 @@
 			for i, e := range change.Edits {
 				change.Edits[i].Base = f.state.VersionOf(e.Path)
 			}
-			change.Seen = f.state.Offset()
+			change.CheckedOffset = f.state.Offset()
 			return change, true
 		}
 		f.o.Logger.WithField("change_id", change.ID).Warn("settings_lost_overtaken")
@@ -192,13 +192,13 @@
 // overtakenSince reports whether a document of a lost change was last changed by a newer one: one
 // that the earlier era did not know, or had after it.
 func (f *Follower) overtakenSince(change *settings.Change) bool {
-	own, _ := f.lost.before.Find(change.ID)
+	own, _ := f.lost.before.FindVerdict(change.ID)
 	return slices.ContainsFunc(change.Edits, func(e settings.Edit) bool {
 		v, ok := f.state.LastAccepted(e.Path)
 		if !ok {
 			return false
 		}
-		other, known := f.lost.before.Find(v.ChangeID)
+		other, known := f.lost.before.FindVerdict(v.ChangeID)
 		return !known || other.Offset > own.Offset
 	})
 }
@@ -224,7 +224,7 @@
 			newest = s
 		}
 	}
-	newest.EnterEra(era)
+	newest.SetEra(era)
 	return newest, nil
 }
 
--- a/internal/follow/site_test.go
+++ b/internal/follow/site_test.go
@@ -160,7 +160,7 @@
 	h := &host{site: s, tailer: tailer, stop: func() {}}
 	h.Follower = New(Options{
 		Log: h, Peers: h, Logger: logrus.NewEntry(logger),
-		PollWait: s.poll, PullEvery: s.pull, TailAfter: time.Hour,
+		PollWait: s.poll, PullInterval: s.pull, MaxLag: time.Hour,
 		RetryMin: time.Millisecond, RetryMax: 5 * time.Millisecond, CallTimeout: time.Second,
 	})
 	h.server = rpc.NewServer()
--- a/internal/follow/snapshots.go
+++ b/internal/follow/snapshots.go
@@ -107,8 +107,8 @@
 // may do so at once; their snapshots are equal. The first look comes soon, or
 // hosts that are replaced often would never get to write one.
 func (f *Follower) snapshotLoop(ctx context.Context) {
-	pause := f.o.SnapshotFirst
-	for ; wait.For(ctx, jitter(pause)); pause = f.o.SnapshotCheck {
+	pause := f.o.FirstSnapshotCheck
+	for ; wait.For(ctx, jitter(pause)); pause = f.o.SnapshotCheckInterval {
 		if !f.o.Peers.Tailer() {
 			continue
 		}
@@ -156,7 +156,7 @@
 		return false
 	}
 	old := f.o.Now().Sub(f.snapshots.at) >= f.o.Retention/snapshotsInRetention
-	return old || offset-f.snapshots.newest >= f.o.SnapshotEvery
+	return old || offset-f.snapshots.newest >= f.o.RecordsPerSnapshot
 }
 
 func (f *Follower) writeSnapshot(ctx context.Context) error {
--- a/internal/follow/spread.go
+++ b/internal/follow/spread.go
@@ -61,7 +61,7 @@
 // pullLoop compares with one random peer at a time, at once after a gap.
 func (f *Follower) pullLoop(ctx context.Context) {
 	for {
-		timer := time.NewTimer(jitter(f.o.PullEvery))
+		timer := time.NewTimer(jitter(f.o.PullInterval))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
--- a/internal/follow/tail.go
+++ b/internal/follow/tail.go
@@ -68,7 +68,7 @@
 			if err := f.readOnce(ctx, 0); err != nil {
 				f.logFailure(err)
 			}
-			wait.For(ctx, jitter(f.o.TailAfter)) // all hosts come here while the log is away
+			wait.For(ctx, jitter(f.o.MaxLag)) // all hosts come here while the log is away
 		default:
 			wait.For(ctx, tailCheck)
 		}
@@ -92,7 +92,7 @@
 
 func (f *Follower) lagging() bool {
 	lag := f.Lag(f.o.Now())
-	return lag < 0 || lag > f.o.TailAfter
+	return lag < 0 || lag > f.o.MaxLag
 }
 
 // catchUp reads the log until nothing newer is in it.
--- a/internal/front/build.go
+++ b/internal/front/build.go
@@ -69,7 +69,7 @@
 		ID:         id,
 		Customer:   c.Name,
 		Path:       c.Path,
-		Priority:   askedPriority(p.priority, def.priority, c.Requests.MostUrgent()),
+		Priority:   askedPriority(p.priority, def.priority, c.Requests.MaxPriority()),
 		Arrived:    now,
 		Deadline:   now.Add(deadline),
 		Repeatable: p.repeatable.Or(true) && def.repeatable,
@@ -135,7 +135,7 @@
 // newCall builds the job of a plain service's call.
 func (s *Server) newCall(id string, c *settings.CustomerView, p callParams, service, operation string, body []byte) (*job, *request.Refusal) {
 	snap := s.opts.Settings.Current()
-	op, err := snap.Service(c, service, operation)
+	op, err := snap.Operation(c, service, operation)
 	if err != nil {
 		return nil, asRefusal(err)
 	}
--- a/internal/front/generate.go
+++ b/internal/front/generate.go
@@ -40,7 +40,7 @@
 	g := &generation{
 		s:       s,
 		job:     j,
-		asm:     stream.New(stream.Options{RequestID: j.req.ID, MaxTokens: j.req.MaxTokens, From: j.answered}),
+		asm:     stream.New(stream.Options{RequestID: j.req.ID, MaxTokens: j.req.MaxTokens, FirstIndex: j.answered}),
 		attempt: 1,
 	}
 	g.text.WriteString(j.passed.String())
--- a/internal/front/operator.go
+++ b/internal/front/operator.go
@@ -48,7 +48,7 @@
 		Queued:         s.Queued(),
 		Peers:          []callerapi.PeerStatus{},
 		Upstreams:      []callerapi.UpstreamStatus{},
-		Evacuated:      s.opts.Settings.Current().Evacuated(),
+		Evacuated:      s.opts.Settings.Current().EvacuatedDomains(),
 	}
 	now := time.Now()
 	for _, m := range s.opts.Operator.Members() {
@@ -86,7 +86,7 @@
 	op := identityOf(ctx).operator
 	list := &callerapi.PlacementList{Placements: []callerapi.Placement{}}
 	for _, e := range s.opts.Journal.List(p.RequestID.Or(""), p.Limit.Or(defaultPlacements)) {
-		if op.May(e.Request.Path) {
+		if op.MayAccess(e.Request.Path) {
 			list.Placements = append(list.Placements, placementView(e))
 		}
 	}
@@ -141,7 +141,7 @@
 	offset, digest := s.opts.Operator.SettingsState()
 	view := &callerapi.SettingsView{Offset: offset, Digest: digestText(digest), Documents: []callerapi.SettingsDocument{}}
 	for _, d := range s.opts.Operator.Documents(prefix) {
-		if op.May(d.Path) {
+		if op.MayAccess(d.Path) {
 			view.Documents = append(view.Documents, callerapi.SettingsDocument{Path: d.Path, Version: d.Version, Yaml: d.YAML})
 		}
 	}
@@ -166,7 +166,7 @@
 
 func mayAll(op *settings.OperatorView, paths []string) bool {
 	for _, p := range paths {
-		if !op.May(p) {
+		if !op.MayAccess(p) {
 			return false
 		}
 	}
@@ -178,7 +178,7 @@
 	op := identityOf(ctx).operator
 	change := settings.Change{ID: req.ChangeID, Author: op.Name + "/" + req.Author}
 	for _, e := range req.Edits {
-		if !op.May(e.Path) {
+		if !op.MayAccess(e.Path) {
 			refusal := request.Refuse(request.CodeForbidden, 0, "operator %s may not change %s", op.Name, e.Path)
 			return errorResponse(refusal), nil
 		}
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -44,14 +44,14 @@
 	arrivals := make(chan arrival)
 	go pump(dispatch, g.s.opts.Client, t.address(), g.engineRequest(t), arrivals)
 
-	idle := time.NewTimer(g.job.routing.Idle())
+	idle := time.NewTimer(g.job.routing.IdleTimeout())
 	defer idle.Stop()
 	doubt := time.NewTicker(doubtEvery)
 	defer doubt.Stop()
 	for {
 		select {
 		case a := <-arrivals:
-			idle.Reset(g.job.routing.Idle())
+			idle.Reset(g.job.routing.IdleTimeout())
 			doubt.Reset(doubtEvery)
 			if res, ended := g.arrived(ctx, t, a); ended {
 				return res
@@ -60,7 +60,7 @@
 			if res, ended := g.silent(ctx, t); ended {
 				return res
 			}
-			idle.Reset(g.job.routing.Idle())
+			idle.Reset(g.job.routing.IdleTimeout())
 		case <-doubt.C:
 			if res, ended := g.doubtful(ctx, t); ended {
 				return res
@@ -131,7 +131,7 @@
 var errGap = merry.Sentinel("tokens are missing from the stream")
 
 // deliver hands text to the caller and notes the first token.
-func (g *generation) deliver(t *target, step stream.Step, cached int) error {
+func (g *generation) deliver(t *target, step stream.Output, cached int) error {
 	g.resumes = 0
 	if g.first.IsZero() {
 		g.first = time.Now()
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -16,7 +16,7 @@
 type OrderPool struct {
 	Name          string
 	ChecksFencing bool
-	LongestOrder  time.Duration
+	MaxOrderTime  time.Duration
 	Desired       order.Desired
 	Engines       []Engine
 }
@@ -192,7 +192,7 @@
 	st := o.pools[p.Name]
 	if st == nil {
 		st = &orderPool{
-			keeper:  order.NewKeeper(o.opts.Lease, o.opts.Me, p.Name, p.ChecksFencing, p.LongestOrder, uuid.NewString),
+			keeper:  order.NewKeeper(o.opts.Lease, o.opts.Me, p.Name, p.ChecksFencing, p.MaxOrderTime, uuid.NewString),
 			planner: order.NewPlanner(o.opts.Plan),
 		}
 		o.pools[p.Name] = st
--- a/internal/owner/orders_test.go
+++ b/internal/owner/orders_test.go
@@ -158,7 +158,7 @@
 
 func TestOrderPoolsOfSettings(t *testing.T) {
 	pools := []settings.Pool{
-		{Name: "p", Kind: settings.PoolEngine, OrderMs: 3000, Upstreams: []settings.Upstream{
+		{Name: "p", Kind: settings.PoolEngine, MaxOrderMs: 3000, Upstreams: []settings.Upstream{
 			{Name: "here", Address: "127.0.0.1:1", Domain: "d"}, {Name: "there", Domain: "x"},
 		}},
 		{Name: "empty", Kind: settings.PoolEngine, Upstreams: []settings.Upstream{{Name: "idle", Domain: "d"}}},
@@ -167,7 +167,7 @@
 	models := []settings.Model{{Name: "m", Pool: "p", Version: "2", Adapters: []string{"a"}, Urgent: true}}
 	got := OrderPoolsOf(pools, models, "d")
 	want := []OrderPool{{
-		Name: "p", LongestOrder: 3 * time.Second,
+		Name: "p", MaxOrderTime: 3 * time.Second,
 		Desired: order.Desired{Models: []order.Model{{Name: "m", Version: "2", Adapters: []string{"a"}, Urgent: true}}},
 		Engines: []Engine{{Name: "here", Address: "127.0.0.1:1", Pool: "p"}},
 	}}
--- a/internal/owner/pools.go
+++ b/internal/owner/pools.go
@@ -8,9 +8,9 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// DefaultLongestOrder is the longest time of an order of pools whose settings do
+// DefaultMaxOrderTime is the longest time of an order of pools whose settings do
 // not say.
-const DefaultLongestOrder = 5 * time.Minute
+const DefaultMaxOrderTime = 5 * time.Minute
 
 // EnginesOf returns the engines of a failure domain, for a Catalog.
 func EnginesOf(pools []settings.Pool, domain string) []Engine {
@@ -38,12 +38,12 @@
 		if len(engines) == 0 || len(desired.Models) == 0 {
 			continue
 		}
-		longest := time.Duration(p.OrderMs) * time.Millisecond
-		option.Default(&longest, DefaultLongestOrder)
+		longest := time.Duration(p.MaxOrderMs) * time.Millisecond
+		option.Default(&longest, DefaultMaxOrderTime)
 		out = append(out, OrderPool{
 			Name:          p.Name,
 			ChecksFencing: p.ChecksFencing,
-			LongestOrder:  longest,
+			MaxOrderTime:  longest,
 			Desired:       desired,
 			Engines:       engines,
 		})
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -75,7 +75,7 @@
 	t.core.SetOptions(quarantine.Options{
 		Host:           t.host,
 		CrashThreshold: routing.QuarantineCrashes,
-		QuarantineTime: routing.Quarantine(),
+		QuarantineTime: routing.QuarantineTime(),
 	})
 }
 
--- a/test/wire/stored_test.go
+++ b/test/wire/stored_test.go
@@ -58,7 +58,7 @@
 
 func TestSettingsChangesStayAsStored(t *testing.T) {
 	yaml := "requests:\n  deadline_ms: 5000\n"
-	change := settings.Change{ID: "c1", Author: "kim", Seen: 17, Edits: []settings.Edit{{Path: "/frigolijst", Base: 18, YAML: &yaml}, {Path: "/kuopio", Base: 19}}}
+	change := settings.Change{ID: "c1", Author: "kim", CheckedOffset: 17, Edits: []settings.Edit{{Path: "/frigolijst", Base: 18, YAML: &yaml}, {Path: "/kuopio", Base: 19}}}
 	const text = `{"format":1,"id":"c1","author":"kim","seen":17,"edits":[{"path":"/frigolijst","base":18,"yaml":"requests:\n  deadline_ms: 5000\n"},{"path":"/kuopio","base":19}]}`
 	data, err := change.Encode()
 	if err != nil || string(data) != text {
