--- a/internal/core/settings/cache_test.go
+++ b/internal/core/settings/cache_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestCacheKeepsTheLastReadableForm(t *testing.T) {
+func TestCacheKeepsTheLastValidDocument(t *testing.T) {
 	c := NewCache()
 	good := StoredDocument{Path: "/t", Version: 1, YAML: "routing: {idle_ms: 70}"}
 	if _, findings := c.Compile([]StoredDocument{good}); len(findings) > 0 {
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestCheckSeesTheWholeTree(t *testing.T) {
+func TestCheckChangeCoversAllDocuments(t *testing.T) {
 	documents := []StoredDocument{
 		{Path: "/", Version: 1, YAML: "pools: [{name: eng, kind: engine, upstreams: []}]"},
 		{Path: "/t", Version: 2, YAML: "models: [{name: chat, pool: eng}]"},
--- a/internal/core/settings/check.go
+++ b/internal/core/settings/check.go
@@ -70,15 +70,15 @@
 
 // positive checks a number that is inherited when the key is absent: a key that is present
 // must have a value above 0.
-func (c *checker) positive(key string, v, most int) {
+func (c *checker) positive(key string, v, maxValue int) {
 	if !c.present(key) {
 		return
 	}
 	if v <= 0 {
 		c.addf(key, "must be above 0; leave it out to inherit")
 	}
-	if v > most {
-		c.addf(key, "must be at most %d", most)
+	if v > maxValue {
+		c.addf(key, "must be at most %d", maxValue)
 	}
 }
 
--- a/internal/core/settings/compile_test.go
+++ b/internal/core/settings/compile_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestCompileLeavesOutTheLaterOfTwoAndReportsIt(t *testing.T) {
+func TestCompileReportsAndLeavesOutTheLaterDuplicate(t *testing.T) {
 	s, findings := compile(t,
 		"/team", teamDocument,
 		"/aaa", teamDocument+"requests: {deadline_ms: 5000, max_deadline_ms: 10}\n")
--- a/internal/core/settings/config_page_test.go
+++ b/internal/core/settings/config_page_test.go
@@ -20,8 +20,8 @@
 	case t.Kind() == reflect.Slice && t.Elem().Kind() == reflect.Struct:
 		schemaKeys(prefix+"[]", t.Elem(), keys)
 	case t.Kind() == reflect.Struct:
-		for word, i := range fieldsByKey(t) {
-			schemaKeys(joinKey(prefix, word), t.Field(i).Type, keys)
+		for name, i := range fieldsByKey(t) {
+			schemaKeys(joinKey(prefix, name), t.Field(i).Type, keys)
 		}
 	default:
 		keys[prefix] = t.Kind()
@@ -39,8 +39,8 @@
 		"routing": defaultRouting(), "requests": defaultRequests(),
 	} {
 		v := reflect.ValueOf(inherited)
-		for word, i := range fieldsByKey(v.Type()) {
-			defaults[prefix+"."+word] = fmt.Sprint(v.Field(i).Interface())
+		for name, i := range fieldsByKey(v.Type()) {
+			defaults[prefix+"."+name] = fmt.Sprint(v.Field(i).Interface())
 		}
 	}
 	return defaults
--- a/internal/core/settings/decode.go
+++ b/internal/core/settings/decode.go
@@ -157,9 +157,9 @@
 	}
 	fields := fieldsByKey(v.Type())
 	for _, pair := range pairs {
-		word := pair.Key.GetToken().Value
-		child := joinKey(key, word)
-		index, known := fields[word]
+		name := pair.Key.GetToken().Value
+		child := joinKey(key, name)
+		index, known := fields[name]
 		if !known {
 			d.addf(lineOf(pair.Key), child, "unknown key")
 			continue
@@ -187,19 +187,19 @@
 func fieldsByKey(t reflect.Type) map[string]int {
 	fields := make(map[string]int, t.NumField())
 	for i := range t.NumField() {
-		word, _, _ := strings.Cut(t.Field(i).Tag.Get("yaml"), ",")
-		if word != "" {
-			fields[word] = i
+		name, _, _ := strings.Cut(t.Field(i).Tag.Get("yaml"), ",")
+		if name != "" {
+			fields[name] = i
 		}
 	}
 	return fields
 }
 
-func joinKey(parent, word string) string {
+func joinKey(parent, name string) string {
 	if parent == "" {
-		return word
+		return name
 	}
-	return parent + "." + word
+	return parent + "." + name
 }
 
 func (d *decoder) decodeSlice(key string, n ast.Node, v reflect.Value) {
--- a/internal/core/settings/doc.go
+++ b/internal/core/settings/doc.go
@@ -5,5 +5,5 @@
 // ParseDocument parses one text, and Compile joins all documents into a Snapshot, which the
 // other packages query. State replays the log; its rules depend on the records alone, so that
 // all versions of the program reach the same state. Cache compiles the documents of a State,
-// and Check validates a change before it is appended to the log.
+// and CheckChange validates a change before it is appended to the log.
 package settings
--- a/internal/core/settings/export.go
+++ b/internal/core/settings/export.go
@@ -60,8 +60,8 @@
 
 func (s *State) importDocuments(documents []StoredDocument) error {
 	for _, d := range documents {
-		_, twice := s.documents[d.Path]
-		if !ValidPath(d.Path) || twice || d.Version < 1 || d.Version > s.offset {
+		_, repeated := s.documents[d.Path]
+		if !ValidPath(d.Path) || repeated || d.Version < 1 || d.Version > s.offset {
 			return merry.Errorf("settings snapshot has an invalid or repeated document %q of version %d", d.Path, d.Version)
 		}
 		s.documents[d.Path] = d
@@ -72,8 +72,8 @@
 func (s *State) importHistory(history []Verdict) error {
 	last := max(s.offset-HistoryWindow, 0)
 	for _, v := range history {
-		_, twice := s.byID[v.ChangeID]
-		if v.Offset <= last || v.Offset > s.offset || twice {
+		_, repeated := s.byID[v.ChangeID]
+		if v.Offset <= last || v.Offset > s.offset || repeated {
 			return merry.Errorf("settings snapshot has an invalid or repeated verdict at offset %d", v.Offset)
 		}
 		last = v.Offset
--- a/internal/core/settings/parse_test.go
+++ b/internal/core/settings/parse_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestParseDocumentTakesWhatIsRight(t *testing.T) {
+func TestParseDocumentAcceptsValidText(t *testing.T) {
 	doc := mustParse(t, "/a", `# a comment
 models: [{name: org/m:1, pool: eng, version: 1.10, adapters: [x], bytes_per_token: 3.5, urgent: true}]
 pools:
--- a/internal/core/settings/verdict.go
+++ b/internal/core/settings/verdict.go
@@ -35,12 +35,12 @@
 	AtMs        int64    `json:"at_ms"` // Unix time by the log's clock
 	ChangeID    string   `json:"id"`
 	Author      string   `json:"author"`
-	ContentHash uint64   `json:"content"` // Change.Content
+	ContentHash uint64   `json:"content"` // Change.ContentHash
 	Paths       []string `json:"paths"`
 	Outcome     Outcome  `json:"outcome"`
 	Path        string   `json:"path,omitempty"`  // of the edit that was refused
 	PriorOffset int64    `json:"rival,omitempty"` // offset of the earlier change that was in the way, which is also the version that it set
-	Base        int64    `json:"base,omitempty"`  // Base of the refused edit, or Seen of the refused change
+	Base        int64    `json:"base,omitempty"`  // Base of the refused edit, or CheckedOffset of the refused change
 }
 
 // At returns when the record was appended, by the log's clock.
--- a/internal/core/settings/view.go
+++ b/internal/core/settings/view.go
@@ -123,8 +123,8 @@
 
 // priorityOf parses a priority, and returns fallback for an invalid one. ParseDocument has
 // refused invalid ones, so the fallback is used only for documents that are built in code.
-func priorityOf(word string, fallback request.Priority) request.Priority {
-	if p, ok := request.ParsePriority(word); ok {
+func priorityOf(text string, fallback request.Priority) request.Priority {
+	if p, ok := request.ParsePriority(text); ok {
 		return p
 	}
 	return fallback
