--- a/internal/core/stream/assembler.go
+++ b/internal/core/stream/assembler.go
@@ -2,44 +2,44 @@
 
 import "strings"
 
-// DefaultMaxHeld is the default bound of chunks held out of order.
+// DefaultMaxHeld is the default of Options.MaxHeld, in chunks.
 const DefaultMaxHeld = 16
 
-// unknownTotal says that no final marker has been seen.
+// unknownTotal is the total while no final marker has been received.
 const unknownTotal = -1
 
 // Options configures an Assembler.
 type Options struct {
 	RequestID  string
-	MaxHeld    int // chunks held out of order; DefaultMaxHeld when zero
-	MaxTokens  int // longest answer that was asked for; no bound when zero
-	FirstIndex int // index of the first token that is wanted
+	MaxHeld    int // max chunks held, and how far ahead of NextIndex; DefaultMaxHeld when zero
+	MaxTokens  int // max tokens of the answer; no bound when zero
+	FirstIndex int // index of the first token to hand out
 }
 
-// Chunk is one token of an answer, or its final marker.
+// Chunk is one token of an answer or the final marker of its stream.
 type Chunk struct {
 	RequestID string
 	Attempt   int
 	Index     int    // position of the token in the answer, from 0
 	Text      string // empty in a final marker
-	Done      bool   // the final marker
-	Total     int    // with Done: tokens of the whole answer, counted from index 0
+	Done      bool   // this is the final marker
+	Total     int    // with Done: number of tokens of the whole answer, counted from index 0
 }
 
-// State is where an answer stands.
+// State is the progress of an answer.
 type State uint8
 
 // States of an answer.
 const (
-	Streaming State = iota // more is to come
-	Gap                    // tokens are missing: resume from NextIndex; chunks are still taken
+	Streaming State = iota // more chunks are expected
+	Gap                    // tokens are missing: resume from NextIndex; chunks are still accepted
 	Complete               // the whole answer was handed out
-	Faulty                 // the chunks contradict each other: give up
+	Faulty                 // the chunks contradict each other; no more are accepted
 )
 
 var stateNames = [...]string{"streaming", "gap", "complete", "faulty"}
 
-// String returns the state's name for logs.
+// String returns the name of the state for logs, "unknown" for an undefined one.
 func (s State) String() string {
 	if int(s) >= len(stateNames) {
 		return "unknown"
@@ -47,35 +47,35 @@
 	return stateNames[s]
 }
 
-// Output is what a chunk led to.
+// Output is the result of accepting a chunk.
 type Output struct {
-	Text   string // to hand to the caller now; may be empty
-	Tokens int    // tokens in Text
+	Text   string // text to hand to the caller now; may be empty
+	Tokens int    // number of tokens in Text
 	State  State
 }
 
-// DropCounts tells what was dropped, since the answer began.
+// DropCounts holds the numbers of chunks dropped since the start of the answer, by reason.
 type DropCounts struct {
-	ForeignRequest int // another request's id
-	ForeignAttempt int // another attempt of this request
+	ForeignRequest int // the id is that of another request
+	ForeignAttempt int // not of the running attempt
 	Duplicate      int // already handed out or held
-	TooFarAhead    int // too far ahead to be held
-	AfterEnd       int // after the answer was complete or faulty
+	TooFarAhead    int // more than MaxHeld tokens ahead of NextIndex
+	AfterEnd       int // received when the answer was complete or faulty
 }
 
-// Assembler puts one answer together. It is not safe for concurrent use.
+// Assembler assembles one answer from chunks. It is not safe for concurrent use.
 type Assembler struct {
 	opts    Options
 	attempt int
-	next    int // index of the next token to hand out
-	total   int // of the running attempt, or unknownTotal
-	held    map[int]string
+	next    int            // index of the next token to hand out
+	total   int            // total tokens by the final marker of the running attempt, or unknownTotal
+	held    map[int]string // texts of chunks ahead of next, by index
 	state   State
 	err     error
 	counts  DropCounts
 }
 
-// New returns an Assembler without a running attempt: all chunks are foreign
+// New returns an Assembler without a running attempt. It drops all chunks as ForeignAttempt
 // until StartAttempt is called.
 func New(o Options) *Assembler {
 	if o.MaxHeld <= 0 {
@@ -84,12 +84,11 @@
 	return &Assembler{opts: o, next: o.FirstIndex, total: unknownTotal}
 }
 
-// StartAttempt makes an attempt, numbered from 1, the only one whose chunks are
-// taken. What the one before left out of order is forgotten, for another
-// attempt's tokens may differ. Starting the running attempt again, to resume its
-// stream on a new connection, keeps the total it has told. It returns false, and
-// changes nothing, when the number is lower than the running one or the answer
-// has ended.
+// StartAttempt makes attempt, numbered from 1, the only one whose chunks are accepted. It
+// discards the chunks held out of order, as the tokens of another attempt may differ. Starting
+// the running attempt again, to resume its stream on a new connection, keeps the total from its
+// final marker. StartAttempt returns false, and changes nothing, when the number is below 1 or
+// lower than that of the running attempt, or when the answer has ended.
 func (a *Assembler) StartAttempt(attempt int) bool {
 	if attempt < 1 || attempt < a.attempt || a.ended() {
 		return false
@@ -103,24 +102,24 @@
 	return true
 }
 
-// NextIndex returns the index to resume from: that of the first token not yet
-// handed out.
+// NextIndex returns the index of the first token not yet handed out, from which to resume.
 func (a *Assembler) NextIndex() int { return a.next }
 
-// Attempt returns the number of the running attempt, zero before the first.
+// Attempt returns the number of the running attempt, 0 before the first.
 func (a *Assembler) Attempt() int { return a.attempt }
 
-// State returns where the answer stands.
+// State returns the state of the answer.
 func (a *Assembler) State() State { return a.state }
 
-// DropCounts returns what was dropped.
+// DropCounts returns the numbers of dropped chunks.
 func (a *Assembler) DropCounts() DropCounts { return a.counts }
 
-// Err returns a *FaultError when the state is Faulty, else nil.
+// Err returns a *FaultError when the state is Faulty, and otherwise nil.
 func (a *Assembler) Err() error { return a.err }
 
-// Accept takes one chunk and returns what to hand to the caller. It never fails:
-// a chunk that has no place here is dropped and counted.
+// Accept processes one chunk and returns the text to hand to the caller. It never fails: a
+// chunk that does not belong to the answer is dropped and counted, and a contradiction makes
+// the state Faulty.
 func (a *Assembler) Accept(c Chunk) Output {
 	if a.dropped(c) {
 		return Output{State: a.state}
@@ -143,7 +142,7 @@
 
 func (a *Assembler) ended() bool { return a.state == Complete || a.state == Faulty }
 
-// dropped counts and reports chunks that must not change the answer.
+// dropped reports whether the chunk must not change the answer, and counts it if so.
 func (a *Assembler) dropped(c Chunk) bool {
 	switch {
 	case c.RequestID != a.opts.RequestID:
@@ -158,6 +157,7 @@
 	return true
 }
 
+// checkToken returns the contradiction between a token and what is known of the answer.
 func (a *Assembler) checkToken(c Chunk) Fault {
 	switch {
 	case c.Index < 0:
@@ -177,7 +177,7 @@
 	switch {
 	case c.Text != "":
 		return a.fault(FaultMarker, c)
-	case c.Total < a.next || a.heldBeyond(c.Total):
+	case c.Total < a.next || a.hasHeldFrom(c.Total):
 		return a.fault(FaultTotal, c)
 	case a.total != unknownTotal && a.total != c.Total:
 		return a.fault(FaultTotal, c)
@@ -187,13 +187,14 @@
 	a.total = c.Total
 	a.completeIfAll()
 	if a.state == Streaming {
-		// A marker ends its stream, so what is missing comes only by a resume.
+		// A final marker ends its stream, so missing tokens arrive only after a resume.
 		a.state = Gap
 	}
 	return Output{State: a.state}
 }
 
-func (a *Assembler) heldBeyond(total int) bool {
+// hasHeldFrom reports whether a held chunk has an index of total or above.
+func (a *Assembler) hasHeldFrom(total int) bool {
 	for i := range a.held {
 		if i >= total {
 			return true
@@ -202,6 +203,7 @@
 	return false
 }
 
+// hold stores a chunk that is ahead of the next one.
 func (a *Assembler) hold(c Chunk) Output {
 	if _, ok := a.held[c.Index]; ok {
 		a.counts.Duplicate++
@@ -219,7 +221,7 @@
 	return Output{State: a.state}
 }
 
-// emit hands out the next token and all held ones that follow it.
+// emit returns the next token and all held ones that follow it.
 func (a *Assembler) emit(c Chunk) Output {
 	a.next++
 	text, tokens := c.Text, 1
@@ -230,6 +232,8 @@
 	return Output{Text: text, Tokens: tokens, State: a.state}
 }
 
+// emitHeld returns first and the texts of the held chunks that follow it, and their number of
+// tokens.
 func (a *Assembler) emitHeld(first string) (string, int) {
 	var b strings.Builder
 	b.WriteString(first)
--- a/internal/core/stream/assembler_test.go
+++ b/internal/core/stream/assembler_test.go
@@ -14,7 +14,7 @@
 
 const id = "r1"
 
-// token is what every honest attempt of the same request says at an index.
+// token is the text at an index that all valid attempts of the test request give.
 func token(i int) string { return fmt.Sprintf("<%d>", i) }
 
 func answer(n int) string {
@@ -33,18 +33,19 @@
 	return append(cs, Chunk{RequestID: id, Attempt: attempt, Index: total, Done: true, Total: total})
 }
 
-// distort crosses, doubles, truncates and reorders honest chunks.
+// distort loses, repeats, truncates and reorders valid chunks, and mixes in chunks of other
+// requests and attempts.
 func distort(rng *rand.Rand, cs []Chunk, attempt int) []Chunk {
 	var out []Chunk
 	for _, c := range cs {
 		switch rng.IntN(12) {
 		case 0: // lost
 			continue
-		case 1: // doubled
+		case 1: // repeated
 			out = append(out, c, c)
-		case 2: // crossed with another request
+		case 2: // preceded by a chunk of another request
 			out = append(out, Chunk{RequestID: "r2", Attempt: attempt, Index: c.Index, Text: "!", Done: c.Done, Total: 1}, c)
-		case 3: // crossed with another attempt
+		case 3: // preceded by a chunk of another attempt
 			out = append(out, Chunk{RequestID: id, Attempt: attempt + 1 - 2*rng.IntN(2), Index: c.Index, Text: "!", Done: c.Done, Total: 1}, c)
 		default:
 			out = append(out, c)
@@ -59,7 +60,7 @@
 	return out[:len(out)-rng.IntN(2)*rng.IntN(len(out)+1)]
 }
 
-func TestDistortedAttemptsNeverGiveAWrongAnswer(t *testing.T) {
+func TestDistortedChunksNeverGiveAWrongAnswer(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(20)
 	params.MinSuccessfulTests = 500
 	props := gopter.NewProperties(params)
@@ -95,7 +96,7 @@
 				return true
 			}
 			unfinished++
-			// An honest stream from NextIndex always ends it.
+			// A valid stream from NextIndex always completes the answer.
 			a.StartAttempt(attempts + 1)
 			for _, c := range validChunks(attempts+1, a.NextIndex(), total) {
 				got.WriteString(a.Accept(c).Text)
@@ -104,7 +105,7 @@
 		}, gen.UInt64(), gen.IntRange(0, 40), gen.IntRange(1, 4)))
 	props.TestingRun(t)
 	if complete < 50 || unfinished < 50 {
-		t.Errorf("cases are lopsided: %d complete, %d unfinished", complete, unfinished)
+		t.Errorf("too few cases of one kind: %d complete, %d unfinished", complete, unfinished)
 	}
 }
 
@@ -157,7 +158,7 @@
 	if s := b.Accept(Chunk{RequestID: id, Attempt: 1, Done: true, Total: 1}); s.State != Gap {
 		t.Fatalf("truncated stream with a marker: %s, want gap", s.State)
 	}
-	// The total told before the resume still binds the same attempt.
+	// The total received before the resume still holds for the same attempt.
 	b.StartAttempt(1)
 	b.Accept(Chunk{RequestID: id, Attempt: 1, Index: 0, Text: "a"})
 	if b.State() != Complete {
@@ -165,7 +166,7 @@
 	}
 }
 
-func TestNextAttemptMayAnswerOtherwise(t *testing.T) {
+func TestNextAttemptMayGiveOtherTokens(t *testing.T) {
 	a := New(Options{RequestID: id})
 	a.StartAttempt(1)
 	a.Accept(Chunk{RequestID: id, Attempt: 1, Index: 1, Text: "x"})
@@ -197,7 +198,7 @@
 		t.Errorf("counts %+v in state %s, want %+v, complete", a.DropCounts(), a.State(), want)
 	}
 	if a.StartAttempt(1) {
-		t.Error("went back to a lower attempt")
+		t.Error("a lower attempt was started")
 	}
 }
 
@@ -210,8 +211,8 @@
 	}
 }
 
-// Of a joined answer the first tokens were handed out by another run.
-func TestAnswerWantedFromTheMiddle(t *testing.T) {
+// TestFirstIndexAboveZero checks an answer whose first tokens were handed out by another run.
+func TestFirstIndexAboveZero(t *testing.T) {
 	a := New(Options{RequestID: "r", MaxTokens: 4, FirstIndex: 2})
 	a.StartAttempt(1)
 	if a.NextIndex() != 2 {
--- a/internal/core/stream/doc.go
+++ b/internal/core/stream/doc.go
@@ -1,14 +1,13 @@
-// Package stream puts one answer together from the chunks of one or several
-// attempts, so that its caller gets each token once, in order, and is told
-// "complete" only when the whole answer is there. It is pure: no I/O, goroutines
-// or clocks.
+// Package stream assembles one answer from the chunks of one or several attempts, so that the
+// caller gets each token once and in order, and the answer is complete only when all its tokens
+// were handed out. It is pure: no I/O, goroutines or clocks.
 //
 // Invariants:
-//   - only chunks of the request's id and of the running attempt are taken;
-//   - the text handed out is the tokens 0..NextIndex()-1, each once, in order;
-//   - a token handed out is never replaced: a later attempt continues after it;
-//   - complete means: the running attempt gave a final marker, and its total
+//   - only chunks with the id of the request and of the running attempt are accepted;
+//   - the text handed out is the tokens Options.FirstIndex to NextIndex()-1, each once, in order;
+//   - a token that was handed out is never replaced: a later attempt continues after it;
+//   - the answer is complete when the running attempt has sent a final marker and its total
 //     equals NextIndex();
-//   - a disagreement (two totals, more tokens than the total, two texts for one
-//     index) ends the answer as faulty, for good.
+//   - a contradiction (two totals, more tokens than the total, two texts for one index) makes
+//     the answer faulty, which is final.
 package stream
--- a/internal/core/stream/fault.go
+++ b/internal/core/stream/fault.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Fault names a contradiction between the chunks of one answer.
+// Fault is a kind of contradiction between the chunks of one answer.
 type Fault uint8
 
 // Faults of an answer.
@@ -11,13 +11,13 @@
 	FaultIndex         // a negative index
 	FaultTotal         // two totals, or more tokens than the total
 	FaultText          // two texts for one index
-	FaultTooLong       // more tokens than were asked for
+	FaultTooLong       // more tokens than Options.MaxTokens
 	FaultMarker        // a final marker with text
 )
 
-var faultNames = [...]string{"none", "negative index", "total disagrees", "text disagrees", "longer than asked for", "final marker with text"}
+var faultNames = [...]string{"none", "negative index", "total disagrees", "text disagrees", "more tokens than requested", "final marker with text"}
 
-// String returns a short description.
+// String returns a short description, "unknown" for an undefined fault.
 func (f Fault) String() string {
 	if int(f) >= len(faultNames) {
 		return "unknown"
@@ -25,14 +25,14 @@
 	return faultNames[f]
 }
 
-// FaultError tells which chunk contradicted the answer.
+// FaultError describes the chunk that contradicted the answer.
 type FaultError struct {
 	Fault      Fault
 	Attempt    int
-	Index      int // of the chunk
-	Next       int // first index not handed out
-	Total      int // known before the chunk, -1 when none
-	ChunkTotal int // told by the chunk
+	Index      int // index of the chunk
+	Next       int // NextIndex when the chunk came
+	Total      int // total known before the chunk, -1 when none
+	ChunkTotal int // Total of the chunk
 }
 
 // Error implements error.
