--- a/internal/follow/apply.go
+++ b/internal/follow/apply.go
@@ -8,15 +8,16 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// Record is one record of the settings stream on its way between peers.
+// Record is a record of the settings stream as peers exchange it.
 type Record struct {
 	Offset int64
 	AtMs   int64 // Unix time by the log's clock
 	Data   []byte
 }
 
-// apply steps the state by those records of an era that come next and skips the known ones.
-// It reports whether a gap stopped it, or a later era.
+// apply applies the records of an era in order and skips those already applied. It reports
+// whether a gap before a record stopped it, or whether the records are of a later era than the
+// state, in which case it applies none.
 func (f *Follower) apply(era int64, records []Record) (gap bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -49,6 +50,7 @@
 	return gap
 }
 
+// logVerdict logs and counts the verdict on an applied record.
 func (f *Follower) logVerdict(v *settings.Verdict) {
 	countVerdict(v.Outcome)
 	entry := f.o.Logger.WithFields(logrus.Fields{
@@ -68,8 +70,9 @@
 	}
 }
 
-// adopt replaces the state by an imported one if that is newer. Going back would
-// revert accepted settings, so an older one is refused, whoever offers it.
+// adopt replaces the state by an imported one of the same era if that has a higher offset, and
+// reports whether it did. An older state is refused from any source: it would revert accepted
+// settings.
 func (f *Follower) adopt(next *settings.State, source string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,7 +92,7 @@
 	return true
 }
 
-// markCurrent notes that the state up to an offset of an era was the newest at a time.
+// markCurrent records that offset was the last one of the log in an era at a time.
 func (f *Follower) markCurrent(era, offset int64, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,7 +101,8 @@
 	}
 }
 
-// compareDigest reports a peer that reached another state by the same offset.
+// compareDigest logs and counts a divergence when a peer has another digest than this host at
+// the same offset.
 func (f *Follower) compareDigest(peer PeerRef, era, offset int64, digest uint64) {
 	v := f.view.Load()
 	if v.era != era || v.offset != offset || v.digest == digest {
@@ -110,11 +114,11 @@
 	}).Error("settings_divergence")
 }
 
-// recordBuffer keeps the latest records, without gaps, within a size.
+// recordBuffer keeps the latest records, up to a total size of their data.
 type recordBuffer struct {
 	records []Record
 	bytes   int
-	limit   int
+	limit   int // max bytes, exceeded only by a single record
 }
 
 func (r *recordBuffer) add(record Record) {
@@ -130,8 +134,8 @@
 	r.records, r.bytes = nil, 0
 }
 
-// from returns the records from an offset on; ok is false when the first of them
-// is no longer kept. The slice must not be changed.
+// from returns the records from an offset on; ok is false when the first of them is not kept.
+// The kept records must have no gaps. The returned slice must not be changed.
 func (r *recordBuffer) from(offset int64) (records []Record, ok bool) {
 	if len(r.records) == 0 || r.records[0].Offset > offset {
 		return nil, false
--- a/internal/follow/bench_test.go
+++ b/internal/follow/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// Sizes to design for.
+// Sizes of the site that the software is designed for.
 const (
 	siteHosts     = 420
 	siteTailers   = 21 // three in each of seven domains
@@ -20,7 +20,7 @@
 	siteUpstreams = 880
 )
 
-// rootYAML lists all upstreams and models of the site.
+// rootYAML returns a document that lists all upstreams and models of the site.
 func rootYAML() string {
 	var b strings.Builder
 	b.WriteString("pools:\n")
@@ -37,7 +37,7 @@
 	return b.String()
 }
 
-// teamYAML lists ten customers.
+// teamYAML returns the document of a team, which lists ten customers.
 func teamYAML(team int) string {
 	text := "customers:\n"
 	for c := range 10 {
@@ -46,7 +46,7 @@
 	return text
 }
 
-// applySiteSettings gives a follower the settings of a whole site and returns the offset.
+// applySiteSettings applies the settings of a whole site to a follower and returns its offset.
 func applySiteSettings(b *testing.B, f *Follower) int64 {
 	put := func(path, yaml string) {
 		offset := f.Offset()
@@ -71,7 +71,8 @@
 	return Record{Offset: offset, Data: data}
 }
 
-// BenchmarkApplyChange is one team's change at a host that has a whole site.
+// BenchmarkApplyChange measures the application of one team's change at a host that has the
+// settings of a whole site.
 func BenchmarkApplyChange(b *testing.B) {
 	h := newSite(b).add(false)
 	offset := applySiteSettings(b, h.Follower)
@@ -93,7 +94,7 @@
 	b.ReportMetric(float64(size), "B/change")
 }
 
-// countingWriter counts what gob writes.
+// countingWriter counts the bytes written to it.
 type countingWriter int
 
 func (w *countingWriter) Write(p []byte) (int, error) {
@@ -101,8 +102,8 @@
 	return len(p), nil
 }
 
-// gobBytes returns the size of a value on a connection that has carried its type
-// before.
+// gobBytes returns the encoded size of a value on a connection on which its type was already
+// sent.
 func gobBytes(b *testing.B, value any) float64 {
 	var w countingWriter
 	e := gob.NewEncoder(&w)
@@ -115,8 +116,8 @@
 	return float64(w)
 }
 
-// BenchmarkSnapshot packs and unpacks the state of a whole site, and reports the
-// bytes of the peer messages.
+// BenchmarkSnapshot measures packing and unpacking the state of a whole site, and reports the
+// sizes of the peer messages in bytes.
 func BenchmarkSnapshot(b *testing.B) {
 	h := newSite(b).add(false)
 	applySiteSettings(b, h.Follower)
@@ -143,8 +144,8 @@
 	b.ReportMetric(gobBytes(b, args), "B/push")
 }
 
-// BenchmarkSpread420 measures, in one process and without network delay, how long
-// an accepted change takes to be in force at all hosts of the site.
+// BenchmarkSpread420 measures, in one process and without network delay, how long an accepted
+// change takes to come into force at all hosts of the site.
 func BenchmarkSpread420(b *testing.B) {
 	s := newSite(b)
 	s.pull, s.poll = 3*time.Second, 4*time.Second
@@ -172,10 +173,10 @@
 	b.ReportMetric(s.lagP95(b), "s-lag-p95")
 }
 
-// lagSettleTime is how long the site runs without a change before lags are looked at.
+// lagSettleTime is how long the site runs without a change before the lags are read.
 const lagSettleTime = 30 * time.Second
 
-// lagP95 returns the lag, in seconds, that 95 in 100 hosts are within.
+// lagP95 returns the 95th percentile of the lags of the hosts, in seconds.
 func (s *site) lagP95(b *testing.B) float64 {
 	time.Sleep(lagSettleTime)
 	lags := make([]float64, len(s.hosts))
@@ -189,7 +190,8 @@
 	return lags[len(lags)*95/100]
 }
 
-// spreadTimes waits for all hosts and returns when each was seen at the offset.
+// spreadTimes waits until all hosts have reached the offset and returns the seconds from start
+// until each was observed there.
 func (s *site) spreadTimes(b *testing.B, offset int64, start time.Time) []float64 {
 	times := make([]float64, 0, len(s.hosts))
 	left := append([]*host(nil), s.hosts...)
--- a/internal/follow/change.go
+++ b/internal/follow/change.go
@@ -14,23 +14,23 @@
 // Errors of Change.
 var (
 	// ErrNotReady: this host has no settings yet; nothing was appended.
-	ErrNotReady = errors.New("settings are not there yet")
+	ErrNotReady = errors.New("settings are not available yet")
 	// ErrLogUnreachable: the log could not be read before the change; nothing was appended.
-	ErrLogUnreachable = errors.New("settings log is out of reach")
-	// ErrUndecided: the change may or may not be in force, now or soon. The same
-	// change with the same id may be sent again, to any host.
+	ErrLogUnreachable = errors.New("settings log is unreachable")
+	// ErrUndecided: the change may be in force, now or soon, or not at all. It can be sent
+	// again with the same id, to any host.
 	ErrUndecided = errors.New("outcome of the change is unknown; send it again with the same id")
-	// ErrIDReused: another change was decided under this id.
+	// ErrIDReused: the id was already used by another change.
 	ErrIDReused = errors.New("change id belongs to another change")
 )
 
-// Change checks a change, appends it and reads it back. Seen of the change is set
-// here. The verdict is that of the log, Accepted only when the change is in force
-// at this host; a change that cannot win any more is refused without an append,
-// with an Offset of 0. A change whose id was decided before gets that verdict.
+// Change checks a change, appends it to the log and reads it back. It sets CheckedOffset of the
+// change. The verdict is that of replaying the log, and Accepted only when the change is in
+// force at this host. A change whose base is outdated is refused without an append, by a
+// verdict with Offset 0. A change whose id was decided before gets that verdict.
 //
-// The error is a finding.List when documents are wrong, an error about the
-// change's form, or one of those above.
+// The error is a finding.List when a document has faults, the error of Change.Encode, or one of
+// the errors above.
 func (f *Follower) Change(ctx context.Context, change settings.Change) (settings.Verdict, error) {
 	if !f.waitReady(ctx) {
 		return settings.Verdict{}, ErrNotReady
@@ -52,15 +52,15 @@
 	return f.appendUntilDecided(ctx, &change, data)
 }
 
-// A host that has just started has the settings within some 10 ms, on a busy machine within
-// some 100 ms. A change that comes before waits for them: its operator would have to find out
-// that it was never appended.
+// A host has its settings about 10 ms after its start, on a busy machine about 100 ms. A change
+// that comes earlier waits for them: otherwise its operator would have to find out that it was
+// never appended.
 const (
 	readyWait         = 2 * time.Second
 	readyPollInterval = 10 * time.Millisecond
 )
 
-// waitReady waits until the host has settings, for a while. It returns false when it has none.
+// waitReady waits up to readyWait until the follower is ready, and reports whether it is.
 func (f *Follower) waitReady(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, readyWait)
 	defer cancel()
@@ -72,7 +72,8 @@
 	return true
 }
 
-// decided looks for a verdict on the change's id.
+// decided returns the verdict on the id of the change, if there is one. The error is
+// ErrIDReused when the verdict is on a change with other content.
 func (f *Follower) decided(change *settings.Change) (verdict settings.Verdict, decided bool, err error) {
 	f.mu.Lock()
 	verdict, decided = f.state.FindVerdict(change.ID)
@@ -83,7 +84,8 @@
 	return verdict, decided, nil
 }
 
-// checkChange looks at bases and documents. An empty outcome lets the change through.
+// checkChange checks the bases and documents of a change. An empty outcome and no error mean
+// that it can be appended.
 func (f *Follower) checkChange(change *settings.Change) (settings.Verdict, error) {
 	documents, offset := f.Documents(settings.Root)
 	change.CheckedOffset = offset
@@ -93,6 +95,8 @@
 	return settings.Verdict{}, settings.CheckChange(documents, change).Err()
 }
 
+// findConflict returns a verdict with the first edit whose base is not the version in force, and
+// the zero Verdict when there is none.
 func findConflict(documents []settings.StoredDocument, change *settings.Change) settings.Verdict {
 	versions := make(map[string]int64, len(documents))
 	for _, d := range documents {
@@ -115,10 +119,9 @@
 	return settings.Verdict{}
 }
 
-// appendUntilDecided appends the record and reads the log until its verdict is
-// there. An error of Append does not say that nothing was appended, so the log is
-// read first, and a further append carries the same bytes: replay decides an id
-// once.
+// appendUntilDecided appends the record and reads the log until the verdict on it is known. An
+// append may have taken effect although it returned an error. So the log is read before each
+// further append, which has the same bytes: replay decides an id only once.
 func (f *Follower) appendUntilDecided(ctx context.Context, change *settings.Change, data []byte) (settings.Verdict, error) {
 	retry := f.retry()
 	appended := false
@@ -140,6 +143,7 @@
 	return settings.Verdict{}, merry.Wrap(ErrUndecided)
 }
 
+// append appends one record to the settings stream.
 func (f *Follower) append(ctx context.Context, data []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, f.o.CallTimeout)
 	defer cancel()
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -21,7 +21,7 @@
 	return settings.Change{ID: id, Author: "op", Edits: []settings.Edit{{Path: path, Base: base, YAML: &yaml}}}
 }
 
-// accept makes a change that must be accepted.
+// accept makes a change through a host and fails the test unless it is accepted.
 func accept(t testing.TB, h *host, c settings.Change) settings.Verdict {
 	t.Helper()
 	eventually(t, "host "+h.name+" ready", h.Ready)
@@ -66,7 +66,7 @@
 func TestPushAloneReachesAllHosts(t *testing.T) {
 	s := newSite(t)
 	s.pull = time.Hour
-	for i := range 5 { // as many as the fan-out and one
+	for i := range 5 { // the default fan-out plus one
 		s.run(i == 0)
 	}
 	for _, h := range s.hosts {
@@ -76,7 +76,7 @@
 	s.awaitAgreement(1)
 }
 
-func TestRaceHasOneWinner(t *testing.T) {
+func TestConcurrentChangesAcceptOnePerPath(t *testing.T) {
 	for name, paths := range map[string][]string{
 		"one path":         {"/t"},
 		"parent and child": {"/t", "/t/x", "/"},
@@ -100,14 +100,15 @@
 				})
 			}
 			wg.Wait()
-			s.checkRace(paths, verdicts)
+			s.checkConcurrentVerdicts(paths, verdicts)
 		})
 	}
 }
 
-// checkRace demands a winner, a reason for each loser, and on one path no second
-// winner. On several paths a later change may win that saw the earlier.
-func (s *site) checkRace(paths []string, verdicts []settings.Verdict) {
+// checkConcurrentVerdicts requires that some change was accepted, at most one on each path, and
+// that each refused one has a reason. On several paths a change may also be accepted that was
+// checked after another was accepted.
+func (s *site) checkConcurrentVerdicts(paths []string, verdicts []settings.Verdict) {
 	s.t.Helper()
 	winners := map[string]int{}
 	for _, v := range verdicts {
@@ -118,11 +119,11 @@
 		}
 	}
 	if len(winners) == 0 {
-		s.t.Error("no winner")
+		s.t.Error("no change was accepted")
 	}
 	for path, n := range winners {
 		if n > 1 {
-			s.t.Errorf("%d winners on %s", n, path)
+			s.t.Errorf("%d changes were accepted on %s", n, path)
 		}
 	}
 }
@@ -163,7 +164,7 @@
 	}
 	h.logUnreachable.Store(true)
 	if _, err := h.Change(context.Background(), edit("c", "/t", 0, 1)); !errors.Is(err, ErrLogUnreachable) {
-		t.Errorf("log away: %v", err)
+		t.Errorf("log unreachable: %v", err)
 	}
 	if _, err := s.add(false).Change(context.Background(), edit("d", "/t", 0, 1)); !errors.Is(err, ErrNotReady) {
 		t.Errorf("not ready: %v", err)
@@ -173,14 +174,14 @@
 	}
 }
 
-func TestCutHostCatchesUp(t *testing.T) {
+func TestIsolatedHostCatchesUp(t *testing.T) {
 	s := newSite(t)
 	a, b := s.run(true), s.run(true)
 	accept(t, a, edit("a", "/t", 0, 1))
 	s.awaitAgreement(1)
 	b.logUnreachable.Store(true)
 	b.isolated.Store(true)
-	// More than the records that are kept for peers, so that a snapshot is due too.
+	// Keep fewer records for peers than are missing, so that a snapshot is needed too.
 	a.mu.Lock()
 	a.recent.limit = 1
 	a.mu.Unlock()
@@ -188,12 +189,12 @@
 		accept(t, a, edit(fmt.Sprint(i), "/t", int64(i+1), i+10))
 	}
 	if b.Offset() != 1 || b.Current().RoutingAt("/t").IdleMs != 1 {
-		t.Errorf("cut host is at %d", b.Offset())
+		t.Errorf("isolated host is at %d", b.Offset())
 	}
-	b.isolated.Store(false) // the platform stays out of its reach
+	b.isolated.Store(false) // the log stays unreachable for it
 	s.awaitAgreement(6)
 	if b.Current().RoutingAt("/t").IdleMs != 14 {
-		t.Error("healed host has old settings")
+		t.Error("reconnected host has old settings")
 	}
 }
 
@@ -206,7 +207,7 @@
 	fresh := s.add(true)
 	fresh.logUnreachable.Store(true)
 	fresh.start()
-	other := s.add(true) // as fresh: the two must not take each other's nothing for settings
+	other := s.add(true) // also new: neither may become ready by the empty state of the other
 	other.logUnreachable.Store(true)
 	other.start()
 	time.Sleep(20 * time.Millisecond)
@@ -220,7 +221,7 @@
 	}
 }
 
-func TestRetentionPassed(t *testing.T) {
+func TestStartAfterRecordsWereTrimmed(t *testing.T) {
 	s := newSite(t)
 	a := s.run(true)
 	for i := range 4 {
@@ -285,14 +286,14 @@
 	records, _ := a.recent.from(1)
 	a.apply(0, []Record{records[1], records[0], records[0], records[1]})
 	if a.Offset() != 2 || a.Digest() != digest || a.Current().RoutingAt("/t").IdleMs != 2 {
-		t.Errorf("reverted to offset %d", a.Offset())
+		t.Errorf("state is reverted, at offset %d", a.Offset())
 	}
 	if gap := a.apply(0, []Record{{Offset: 9}}); !gap || a.Offset() != 2 {
 		t.Error("a record after a gap was applied")
 	}
 }
 
-func TestGarbageRecordsAreCountedAndPassedOver(t *testing.T) {
+func TestUndecodableRecordsAreCountedAndSkipped(t *testing.T) {
 	s := newSite(t)
 	for i := range 3 {
 		s.run(i == 0)
@@ -304,7 +305,7 @@
 	accept(t, s.hosts[2], edit("a", "/t", 0, 3))
 	s.awaitAgreement(5)
 	if s.hosts[1].state.Undecodable() != 4 || s.hosts[1].Current().RoutingAt("/t").IdleMs != 3 {
-		t.Error("garbage was not passed over")
+		t.Error("undecodable records were not skipped")
 	}
 }
 
@@ -326,9 +327,9 @@
 	})
 }
 
-// TestChangeWaitsForAHostThatHasJustStarted: an operator's change that comes a moment before
-// the settings are there is decided like any other.
-func TestChangeWaitsForAHostThatHasJustStarted(t *testing.T) {
+// TestChangeWaitsUntilTheHostIsReady guards against ErrNotReady for a change that comes a moment
+// before the host has its settings.
+func TestChangeWaitsUntilTheHostIsReady(t *testing.T) {
 	s := newSite(t)
 	h := s.add(false)
 	started := time.AfterFunc(50*time.Millisecond, func() { h.ready.Store(true) })
--- a/internal/follow/metrics.go
+++ b/internal/follow/metrics.go
@@ -21,8 +21,8 @@
 	spreadBytes      = metrics.NewCounter("buckthorndock_settings_spread_bytes_total")
 )
 
-// RegisterMetrics adds the gauges of this follower to a set. A set takes those of
-// one follower.
+// RegisterMetrics adds the gauges of this follower to a set, which can hold those of only one
+// follower.
 func (f *Follower) RegisterMetrics(set *metrics.Set) {
 	set.NewGauge("buckthorndock_settings_offset", func() float64 { return float64(f.Offset()) })
 	set.NewGauge("buckthorndock_settings_findings", func() float64 { return float64(len(f.Findings())) })
--- a/internal/follow/restored.go
+++ b/internal/follow/restored.go
@@ -18,28 +18,31 @@
 	errEraChanged = merry.Sentinel("the settings log was restored while it was read")
 )
 
-// lostChanges are changes that were in force when the log came back from an older copy of itself,
-// which lacks them. What was in force before stays so until each of them is decided once more.
+// lostChanges holds changes that were in force when the log was restored from an older copy
+// that lacks them. The settings in force before stay so until each of these changes is decided
+// again.
 type lostChanges struct {
-	before  *settings.State // the last one of the earlier era
+	before  *settings.State // the last state of the earlier era
 	changes []settings.Change
-	since   time.Time
+	since   time.Time // when the new era was entered
 }
 
-// maxReappendTime bounds for how long lost changes that nobody can write again keep what has been written
-// since out of force.
+// maxReappendTime bounds for how long lost changes that no host can append again keep newer
+// changes from coming into force.
 const maxReappendTime = 30 * time.Second
 
-// pending reports whether the settings of the earlier era are kept in force.
+// pending reports whether there are lost changes, so that the settings of the earlier era stay in
+// force.
 func (l *lostChanges) pending() bool { return len(l.changes) > 0 }
 
-// findLost returns the changes in force, of those that are kept, that a later state has not decided.
+// findLost returns the changes on which next has no verdict: those already lost before, and those
+// that the present state has accepted, as far as their records are still kept.
 func (f *Follower) findLost(next *settings.State) []settings.Change {
 	lost := slices.Clone(f.lost.changes)
 	for _, r := range f.accepted.records {
 		change, err := settings.DecodeChange(r.Data)
 		if err != nil {
-			continue // no change: nothing of it was in force
+			continue // not a change, so it had no effect
 		}
 		known := slices.ContainsFunc(lost, func(c settings.Change) bool { return c.ID == change.ID })
 		if _, ok := f.state.FindVerdict(change.ID); ok && !known {
@@ -49,14 +52,14 @@
 	return undecided(lost, next)
 }
 
-// addAccepted remembers an accepted record, so that its change can be written again.
+// addAccepted keeps an accepted record, so that its change can be appended again.
 func (f *Follower) addAccepted(r Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.accepted.add(r)
 }
 
-// undecided returns the changes that a state has not decided.
+// undecided returns the changes on which a state has no verdict. It reuses the slice.
 func undecided(changes []settings.Change, state *settings.State) []settings.Change {
 	return slices.DeleteFunc(changes, func(c settings.Change) bool {
 		_, decided := state.FindVerdict(c.ID)
@@ -64,8 +67,8 @@
 	})
 }
 
-// enterEra replaces the state by that of a later era of the log. It reports false when the state
-// is of none.
+// enterEra replaces the state by next when that is of a later era of the log, and reports whether
+// it did. Changes that next lacks become lost changes.
 func (f *Follower) enterEra(next *settings.State, source string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,7 +88,7 @@
 	}
 	f.state = next
 	f.recent.clear()
-	f.cache = settings.NewCache() // a version stands for another text in another era
+	f.cache = settings.NewCache() // the same version may be of another text in another era
 	f.lost = lostChanges{before: before, changes: lost, since: f.o.Now()}
 	f.publish(true)
 	if f.lost.pending() {
@@ -94,8 +97,8 @@
 	return true
 }
 
-// dropDecidedLost drops the lost changes that the state has decided. The caller holds mu. It reports
-// whether these were the last.
+// dropDecidedLost drops the lost changes that the state has decided, and all of them after
+// maxReappendTime. It reports whether it has dropped the last one. The caller holds mu.
 func (f *Follower) dropDecidedLost() bool {
 	if !f.lost.pending() {
 		return false
@@ -108,8 +111,8 @@
 	return !f.lost.pending()
 }
 
-// reappendLoop appends lost changes again. Each host that knows of one does so: an id is decided
-// once. Hosts that do not read the log come later, when it was not done.
+// reappendLoop appends lost changes again. Every host that has one does so, as an id is decided
+// only once. Hosts that do not read the log wait first, so that the others can do it.
 func (f *Follower) reappendLoop(ctx context.Context) {
 	for {
 		select {
@@ -130,6 +133,8 @@
 	}
 }
 
+// hasLostChanges drops the decided lost changes and reports whether any are left. After the last
+// one it publishes the state.
 func (f *Follower) hasLostChanges() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -139,7 +144,7 @@
 	return f.lost.pending()
 }
 
-// reappendLost appends the lost changes that are still wanted, and reads them back.
+// reappendLost appends the lost changes that are not overtaken, and reads them back.
 func (f *Follower) reappendLost(ctx context.Context) error {
 	for {
 		change, ok := f.nextLost()
@@ -160,14 +165,15 @@
 		_, decided := f.state.FindVerdict(change.ID)
 		f.mu.Unlock()
 		if !decided {
-			return merry.Errorf("change %s is not in the log yet", change.ID)
+			return merry.Errorf("change %s was appended but is not in the log yet", change.ID)
 		}
 		f.o.Logger.WithField("change_id", change.ID).Info("settings_written_again")
 	}
 }
 
-// nextLost returns the first lost change as it is to be appended: on what stands in the present
-// era. One of a document that was changed since is given up, for that is newer.
+// nextLost returns the first lost change, with its bases and CheckedOffset set by the state of
+// the present era, and false when none is left. It drops a change of a document that a newer
+// change has edited since.
 func (f *Follower) nextLost() (settings.Change, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -189,8 +195,8 @@
 	return settings.Change{}, false
 }
 
-// overtakenSince reports whether a document of a lost change was last changed by a newer one: one
-// that the earlier era did not know, or had after it.
+// overtakenSince reports whether a document of a lost change was last edited by a newer change:
+// one that is not in the earlier era, or that has a higher offset there.
 func (f *Follower) overtakenSince(change *settings.Change) bool {
 	own, _ := f.lost.before.FindVerdict(change.ID)
 	return slices.ContainsFunc(change.Edits, func(e settings.Edit) bool {
@@ -203,8 +209,9 @@
 	})
 }
 
-// eraSnapshot returns the newest snapshot from which an era can be replayed: one of the era, or one
-// that the older copy had, whose records the log has too. Without any, it is that of no record.
+// eraSnapshot returns the newest snapshot from which an era can be replayed: one of the era
+// itself, or one of an earlier era whose offset is still in the log. Without a snapshot it
+// returns the state before the first record.
 func (f *Follower) eraSnapshot(ctx context.Context, era int64) (*settings.State, error) {
 	head, err := f.o.Log.Read(ctx, Stream, 1, 1, 0)
 	if err != nil {
@@ -228,7 +235,8 @@
 	return newest, nil
 }
 
-// replayEra returns the state of the log's present era, from a snapshot and the records after it.
+// replayEra returns the state of an era, replayed from a snapshot and the log records after it.
+// The era must be the present one of the log.
 func (f *Follower) replayEra(ctx context.Context, era int64) (*settings.State, error) {
 	state, err := f.eraSnapshot(ctx, era)
 	if err != nil {
@@ -242,7 +250,7 @@
 		case page.Era != era:
 			return nil, merry.Wrap(errEraChanged)
 		case page.FirstKept > state.Offset()+1:
-			return nil, merry.Prependf(errTrimmed, "the era's state at %d, log starts at %d", state.Offset(), page.FirstKept)
+			return nil, merry.Prependf(errTrimmed, "state of the new era is at %d, log starts at %d", state.Offset(), page.FirstKept)
 		}
 		for _, r := range recordsOf(page) {
 			if v := state.Apply(r.Offset, time.UnixMilli(r.AtMs), r.Data); v.Accepted() {
@@ -255,7 +263,8 @@
 	}
 }
 
-// switchEra takes in a page of another era than the state's.
+// switchEra replays and enters the era of a page that is not of the present era. It returns an
+// error when the era of the page is an earlier one.
 func (f *Follower) switchEra(ctx context.Context, page platform.Page, present int64) error {
 	if page.Era < present {
 		return merry.Wrap(errEarlierEra)
--- a/internal/follow/restored_test.go
+++ b/internal/follow/restored_test.go
@@ -10,17 +10,17 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// idleMs returns the value that is in force for the tests' documents.
+// idleMs returns the routing.idle_ms in force at a path, which the tests' documents set.
 func (h *host) idleMs(path string) int { return h.Current().RoutingAt(path).IdleMs }
 
-// removeFirst takes the first hosts out of the site.
+// removeFirst removes the first n hosts from the site.
 func (s *site) removeFirst(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hosts = s.hosts[n:]
 }
 
-// awaitInForce waits until all hosts have a value in force, in an era of the log.
+// awaitInForce waits until all hosts are in an era and have a value of idle_ms in force.
 func (s *site) awaitInForce(era int64, path string, want int) {
 	s.t.Helper()
 	for _, h := range s.hosts {
@@ -29,10 +29,10 @@
 	}
 }
 
-// TestSettingsThatTheLogHasLostStayInForceAndAreWrittenAgain guards against confirmed changes that
-// are taken back when the log comes back from an older copy: the hosts keep them, write them
-// again, and hosts that start later have them from the log.
-func TestSettingsThatTheLogHasLostStayInForceAndAreWrittenAgain(t *testing.T) {
+// TestChangesLostInARestoreStayInForceAndAreReappended guards against the loss of accepted changes
+// when the log is restored from an older copy: the hosts keep them in force and append them
+// again, and hosts that start later get them from the log.
+func TestChangesLostInARestoreStayInForceAndAreReappended(t *testing.T) {
 	s := newSite(t)
 	s.run(true)
 	s.run(false)
@@ -60,44 +60,46 @@
 	eventually(t, "a host that starts from the log alone", func() bool { return late.Ready() && late.idleMs("/t") == 73 && late.idleMs("/u") == 81 })
 }
 
-// TestSettingsWrittenAfterTheLogWentBackWinOverLostOnes: they are newer, and the lost ones of
-// other documents come back beside them.
-func TestSettingsWrittenAfterTheLogWentBackWinOverLostOnes(t *testing.T) {
+// TestChangesAfterARestoreOverrideLostOnes checks that a change made after a restore is not
+// overwritten by a lost change of the same document, and that lost changes of other documents
+// come back.
+func TestChangesAfterARestoreOverrideLostOnes(t *testing.T) {
 	s := newSite(t)
-	knows := s.run(true)
-	accept(t, knows, edit("a", "/t", 0, 71))
-	accept(t, knows, edit("b", "/t", 1, 72))
-	accept(t, knows, edit("c", "/u", 0, 81))
-	knows.isolated.Store(true)
-	knows.logUnreachable.Store(true)
+	ahead := s.run(true)
+	accept(t, ahead, edit("a", "/t", 0, 71))
+	accept(t, ahead, edit("b", "/t", 1, 72))
+	accept(t, ahead, edit("c", "/u", 0, 81))
+	ahead.isolated.Store(true)
+	ahead.logUnreachable.Store(true)
 	s.log.restore(1)
-	other := s.run(true) // knows the older copy only
+	other := s.run(true) // has only the records of the older copy
 	accept(t, other, edit("d", "/t", 1, 75))
-	knows.isolated.Store(false)
-	knows.logUnreachable.Store(false)
+	ahead.isolated.Store(false)
+	ahead.logUnreachable.Store(false)
 	s.awaitInForce(1, "/t", 75)
 	s.awaitInForce(1, "/u", 81)
 }
 
-// TestSettingsAreInForceWhenAllLostOnesAreOvertaken: nothing is written again, after which they
-// would be.
-func TestSettingsAreInForceWhenAllLostOnesAreOvertaken(t *testing.T) {
+// TestSettingsInForceWhenAllLostChangesAreOvertaken checks that the settings of the new era come
+// into force also when no lost change is appended again.
+func TestSettingsInForceWhenAllLostChangesAreOvertaken(t *testing.T) {
 	s := newSite(t)
-	knows := s.run(true)
-	accept(t, knows, edit("a", "/t", 0, 71))
-	accept(t, knows, edit("b", "/t", 1, 72))
-	knows.isolated.Store(true)
-	knows.logUnreachable.Store(true)
+	ahead := s.run(true)
+	accept(t, ahead, edit("a", "/t", 0, 71))
+	accept(t, ahead, edit("b", "/t", 1, 72))
+	ahead.isolated.Store(true)
+	ahead.logUnreachable.Store(true)
 	s.log.restore(1)
 	other := s.run(true)
 	accept(t, other, edit("d", "/t", 1, 75))
-	knows.isolated.Store(false)
-	knows.logUnreachable.Store(false)
+	ahead.isolated.Store(false)
+	ahead.logUnreachable.Store(false)
 	s.awaitInForce(1, "/t", 75)
 }
 
-// TestHostCutOffFromTheLogEntersItsEraByItsPeers: and what it alone knows comes back by it.
-func TestHostCutOffFromTheLogEntersItsEraByItsPeers(t *testing.T) {
+// TestHostWithoutTheLogEntersANewEraThroughPeers checks that a host that does not read the log
+// enters the new era through its peers, and appends the lost change that it alone has.
+func TestHostWithoutTheLogEntersANewEraThroughPeers(t *testing.T) {
 	s := newSite(t)
 	s.run(true)
 	cut := s.run(false)
@@ -111,8 +113,9 @@
 	s.awaitInForce(1, "/t", 72)
 }
 
-// TestLastAcceptedChangeIsInForceAfterRestoresInAnyOrder plays changes at any host and restores:
-// once lost changes are written again, all have the one in force that was accepted last.
+// TestLastAcceptedChangeIsInForceAfterRestoresInAnyOrder makes changes at random hosts and random
+// restores. Once the lost changes are appended again, the last accepted change must be in force
+// at all hosts.
 func TestLastAcceptedChangeIsInForceAfterRestoresInAnyOrder(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 25
@@ -122,6 +125,7 @@
 	properties.TestingRun(t)
 }
 
+// playRestores runs the changes and restores of a seed.
 func playRestores(t *testing.T, seed uint64) bool {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	s := newSite(t)
--- a/internal/follow/rpc.go
+++ b/internal/follow/rpc.go
@@ -10,38 +10,38 @@
 	methodPull = Service + ".Pull"
 )
 
-// PushArgs carries new records to a peer.
+// PushArgs is the argument of Push: new records for a peer.
 type PushArgs struct {
-	Era     int64    // of the log; hosts of earlier releases tell none
+	Era     int64    // of the log; 0 from hosts of earlier releases
 	Records []Record // without gaps
-	AgeMs   int64    // time since the last of them was known to be the newest, negative: unknown
+	AgeMs   int64    // time since the last record was known to be the newest; negative: unknown
 }
 
-// PushReply is the answer to a push.
+// PushReply is the reply to Push.
 type PushReply struct {
-	Offset int64 // of the peer after it
+	Offset int64 // of the peer's state after the push
 }
 
-// PullArgs asks a peer for what is new.
+// PullArgs is the argument of Pull: the first offset that the caller lacks.
 type PullArgs struct {
 	Era   int64 // of the log, as in PushArgs
 	From  int64 // first offset wanted
-	AgeMs int64 // as in PushArgs, for the offset before From
+	AgeMs int64 // as in PushArgs, for the state at the offset before From
 }
 
-// PullReply is the answer to a pull: records when the peer still has all from the
-// wanted one on, else a snapshot.
+// PullReply is the reply to Pull: the records from the requested offset on when the peer still
+// keeps all of them, otherwise a snapshot.
 type PullReply struct {
-	Ready    bool // false: the peer knows nothing yet, and the rest is empty
+	Ready    bool // false: the peer has no settings yet, and the other fields are empty
 	Era      int64
 	Offset   int64
 	Digest   uint64
 	AgeMs    int64 // as in PushArgs, for Offset
 	Records  []Record
-	Snapshot []byte // packed
+	Snapshot []byte // exported state, compressed by pack
 }
 
-// RPC is the receiver of peers' calls.
+// RPC is the net/rpc receiver for the calls of peers.
 type RPC struct {
 	f *Follower
 }
@@ -49,7 +49,7 @@
 // RPC returns the receiver to register under Service.
 func (f *Follower) RPC() *RPC { return &RPC{f: f} }
 
-// Push takes new records. A gap before them starts a pull.
+// Push applies new records. A gap before them triggers a pull.
 func (r *RPC) Push(args *PushArgs, reply *PushReply) error {
 	start := r.f.o.Now()
 	if r.f.apply(args.Era, args.Records) {
@@ -62,15 +62,16 @@
 	return nil
 }
 
-// markCurrent takes over what the caller knows of its age. The time that the call
-// took on its way is not known here, so the age is understated by it.
+// markCurrent records the age of a state that the caller gave. The age is too low by the transit
+// time of the call, which is unknown here.
 func (r *RPC) markCurrent(era, offset, ageMs int64, received time.Time) {
 	if age, known := ageOf(ageMs); known {
 		r.f.markCurrent(era, offset, received.Add(-age))
 	}
 }
 
-// Pull answers with what the caller lacks.
+// Pull returns the records that the caller lacks, or a snapshot. When the caller's era is later
+// than the own one, it triggers a pull instead.
 func (r *RPC) Pull(args *PullArgs, reply *PullReply) error {
 	f := r.f
 	if !f.Ready() {
@@ -94,8 +95,8 @@
 		reply.Records = records
 		return nil
 	}
-	// The state may have moved on since; the snapshot then is newer than Offset,
-	// which is as good.
+	// The state may have advanced since; the snapshot may then be newer than Offset, which does
+	// not matter.
 	var err error
 	reply.Snapshot, _, err = f.exportState()
 	return err
--- a/internal/follow/site_test.go
+++ b/internal/follow/site_test.go
@@ -19,21 +19,22 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-var errUnreachable = errors.New("out of reach")
+var errUnreachable = errors.New("unreachable")
 
 // memoryLog is an append-only log in memory.
 type memoryLog struct {
 	mu           sync.Mutex
 	streams      map[string]*memoryStream
-	loseAnswers  int // appends whose answer is lost after the effect
-	dropAppends  int // appends that are lost before it
-	failReads    int // reads that fail after the next append
-	failingReads int // reads that fail from now on
+	loseAnswers  int // number of next appends that take effect and return an error
+	dropAppends  int // number of next appends that return an error without effect
+	failReads    int // number of reads that fail after the next append
+	failingReads int // number of next reads that fail
 	grown        chan struct{}
 	era          int64
 }
 
-// restore goes back to a copy with so many records of the settings, and no snapshot.
+// restore replaces the log by an older copy with length settings records and no snapshot, and
+// starts a new era.
 func (l *memoryLog) restore(length int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,18 +127,18 @@
 	s.first = below
 }
 
-// site is a set of followers with a network that can be cut.
+// site is a set of followers with a log and a network that can be made unreachable per host.
 type site struct {
 	t     testing.TB
 	log   *memoryLog
 	mu    sync.Mutex
 	hosts []*host
 	rng   *rand.Rand
-	pull  time.Duration // Options.PullEvery of the hosts
+	pull  time.Duration // Options.PullInterval of the hosts
 	poll  time.Duration // Options.PollWait of the hosts
 }
 
-// host is one follower's view of the platform and of its peers.
+// host is one follower with its access to the log and to its peers.
 type host struct {
 	*Follower
 	site           *site
@@ -153,7 +154,7 @@
 	return &site{t: t, log: newMemoryLog(), rng: rand.New(rand.NewPCG(1, 2)), pull: 20 * time.Millisecond, poll: 50 * time.Millisecond}
 }
 
-// add makes a host and does not run it.
+// add adds a host without running it.
 func (s *site) add(tailer bool) *host {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
@@ -204,7 +205,7 @@
 		return platform.Page{}, errUnreachable
 	}
 	page, err := h.site.log.Read(ctx, stream, from, limit, wait)
-	if h.logUnreachable.Load() { // also a read that was waiting when the log went away
+	if h.logUnreachable.Load() { // also a read that was waiting when the log became unreachable
 		return platform.Page{}, errUnreachable
 	}
 	return page, err
@@ -243,7 +244,7 @@
 	return client.Call(method, args, reply)
 }
 
-// eventually waits for a condition, generously.
+// eventually waits up to 30 s for a condition and fails the test if it is not met.
 func eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -254,7 +255,7 @@
 	t.Fatalf("never: %s", what)
 }
 
-// awaitAgreement waits until all hosts are at an offset, and compares their digests.
+// awaitAgreement waits until all hosts are at an offset, and checks that their digests are equal.
 func (s *site) awaitAgreement(offset int64) {
 	s.t.Helper()
 	for _, h := range s.hosts {
--- a/internal/follow/snapshots.go
+++ b/internal/follow/snapshots.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// maxSnapshotBytes bounds an unpacked snapshot.
+	// maxSnapshotBytes is the max size of an unpacked snapshot.
 	maxSnapshotBytes = 64 << 20
-	// latestSnapshots is how many of the newest snapshots are looked at. Any host
-	// may write one, also late, so the last one need not be the newest.
+	// latestSnapshots is how many of the last snapshot records are read. Any host may write
+	// one, with delay, so the last record need not have the newest state.
 	latestSnapshots = 4
-	// snapshotsInRetention is how often a snapshot is written again within the
-	// log's retention when nothing changes.
+	// snapshotsInRetention is how many times per retention time of the log a snapshot is
+	// rewritten when nothing changes.
 	snapshotsInRetention = 4
 )
 
-// snapshotCursor is what the host knows of the snapshot stream. It is used by
-// snapshotLoop alone.
+// snapshotCursor holds the position in the snapshot stream and the newest snapshot read. Only
+// snapshotLoop uses it.
 type snapshotCursor struct {
-	era    int64     // of the log
-	next   int64     // offset of the stream to read on from, 0: not read yet
-	newest int64     // settings offset of the newest snapshot seen
-	at     time.Time // when it was written
+	era    int64     // era of the log
+	next   int64     // next offset to read from the stream; 0: not read yet
+	newest int64     // settings offset of the newest snapshot read
+	at     time.Time // when the newest snapshot was last written
 }
 
-// pack compresses an exported state; gzip's checksum shows damage on the way.
+// pack compresses an exported state with gzip, whose checksum detects corruption.
 func pack(data []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
@@ -47,7 +47,7 @@
 	return b.Bytes(), nil
 }
 
-// unpack reads what pack wrote.
+// unpack decompresses and imports a state that pack has compressed.
 func unpack(packed []byte) (*settings.State, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
@@ -63,8 +63,8 @@
 	return settings.ImportState(data)
 }
 
-// loadSnapshot adopts the newest readable snapshot of the stream, if it is newer
-// than the state. A stream without one is no error.
+// loadSnapshot adopts the newest valid snapshot among the last of the stream, if it is newer
+// than the state. It is no error when there is none.
 func (f *Follower) loadSnapshot(ctx context.Context) error {
 	page, err := f.latestSnapshots(ctx, 0)
 	if err != nil {
@@ -78,7 +78,8 @@
 	return nil
 }
 
-// latestSnapshots reads the stream from an offset on, 0 meaning the last few.
+// latestSnapshots reads the snapshot stream from an offset on; 0 means the last latestSnapshots
+// records.
 func (f *Follower) latestSnapshots(ctx context.Context, from int64) (platform.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.o.CallTimeout)
 	defer cancel()
@@ -92,7 +93,7 @@
 	return f.o.Log.Read(ctx, SnapshotStream, from, readLimit, 0)
 }
 
-// readSnapshot returns nil for a record that is no snapshot.
+// readSnapshot returns the state in a snapshot record, nil when the record is invalid.
 func (f *Follower) readSnapshot(r platform.Record) *settings.State {
 	state, err := unpack(r.Data)
 	if err != nil {
@@ -103,9 +104,9 @@
 	return state
 }
 
-// snapshotLoop lets the hosts that read the log also write snapshots. Two hosts
-// may do so at once; their snapshots are equal. The first look comes soon, or
-// hosts that are replaced often would never get to write one.
+// snapshotLoop writes snapshots on the hosts that read the log. Two hosts may write at the same
+// time; their snapshots are equal. The first check comes soon after the start, as hosts that
+// are replaced often would otherwise never write one.
 func (f *Follower) snapshotLoop(ctx context.Context) {
 	pause := f.o.FirstSnapshotCheck
 	for ; wait.For(ctx, jitter(pause)); pause = f.o.SnapshotCheckInterval {
@@ -118,14 +119,15 @@
 	}
 }
 
-// snapshotOnce looks at the stream and writes a snapshot when one is due.
+// snapshotOnce reads the new records of the snapshot stream and writes a snapshot when one is
+// due. After a change of era it only resets the cursor.
 func (f *Follower) snapshotOnce(ctx context.Context) error {
 	page, err := f.latestSnapshots(ctx, f.snapshots.next)
 	if err != nil {
 		return err
 	}
 	if era := f.view.Load().era; page.Era != era || f.snapshots.era != era {
-		f.snapshots = snapshotCursor{era: era} // its offsets, and those of the snapshots, are of another era
+		f.snapshots = snapshotCursor{era: era} // stream and settings offsets of another era are void
 		return nil
 	}
 	for _, r := range page.Records {
@@ -138,6 +140,7 @@
 	return f.writeSnapshot(ctx)
 }
 
+// add updates the cursor by a snapshot record and its state, nil when invalid.
 func (c *snapshotCursor) add(r platform.Record, state *settings.State) {
 	if state == nil || state.Era() != c.era || state.Offset() < c.newest {
 		return
@@ -148,8 +151,8 @@
 	c.newest = state.Offset()
 }
 
-// snapshotDue reports whether many records were added since the newest snapshot,
-// or whether it is on its way out of the log.
+// snapshotDue reports whether RecordsPerSnapshot records were added since the newest snapshot,
+// or whether a 1/snapshotsInRetention part of the retention has passed since it was written.
 func (f *Follower) snapshotDue() bool {
 	offset := f.Offset()
 	if offset == 0 {
@@ -159,6 +162,7 @@
 	return old || offset-f.snapshots.newest >= f.o.RecordsPerSnapshot
 }
 
+// writeSnapshot appends a snapshot of the state to the snapshot stream.
 func (f *Follower) writeSnapshot(ctx context.Context) error {
 	packed, offset, err := f.exportState()
 	if err != nil {
--- a/internal/follow/spread.go
+++ b/internal/follow/spread.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// pushLoop passes new records on to a few random peers. Each host that learns of
-// a record does so once, so a change reaches nearly all in a few hops; pullLoop
-// takes care of the rest.
+// pushLoop pushes new records to a few random peers. Each host pushes a record once, so a change
+// reaches nearly all hosts in a few hops; the others get it by pullLoop.
 func (f *Follower) pushLoop(ctx context.Context) {
 	next := f.Offset() + 1
 	for {
@@ -19,7 +18,7 @@
 		case <-f.pushDue:
 		}
 		args, ok := f.pushArgs(next)
-		if !ok { // an adopted snapshot stepped over the records
+		if !ok { // an adopted snapshot has skipped the records
 			next = f.Offset() + 1
 			continue
 		}
@@ -32,8 +31,8 @@
 	}
 }
 
-// pushArgs returns what is new from an offset on; ok is false when there is
-// nothing, or when it is no longer kept.
+// pushArgs returns the arguments of a push of the records from an offset on; ok is false when
+// there are none or the first of them is no longer kept.
 func (f *Follower) pushArgs(from int64) (args *PushArgs, ok bool) {
 	age := f.Lag(f.o.Now())
 	f.mu.Lock()
@@ -45,6 +44,7 @@
 	return &PushArgs{Era: f.state.Era(), Records: records, AgeMs: age.Milliseconds()}, true
 }
 
+// push sends records to a peer. A failure is only logged: the peer gets them by a pull.
 func (f *Follower) push(ctx context.Context, peer PeerRef, args *PushArgs) {
 	ctx, cancel := context.WithTimeout(ctx, f.o.CallTimeout)
 	defer cancel()
@@ -58,7 +58,7 @@
 	}
 }
 
-// pullLoop compares with one random peer at a time, at once after a gap.
+// pullLoop pulls from a random peer at intervals, and at once after a gap.
 func (f *Follower) pullLoop(ctx context.Context) {
 	for {
 		timer := time.NewTimer(jitter(f.o.PullInterval))
@@ -76,16 +76,17 @@
 	}
 }
 
-// jitter returns a time between three and five quarters of d, so that hosts that
-// started together do not stay in step.
+// jitter returns a random time between 3/4 and 5/4 of d, so that hosts that started together do
+// not act at the same time.
 func jitter(d time.Duration) time.Duration {
 	return d*3/4 + rand.N(d/2+1)
 }
 
-// bootstrapPeers is the number of peers that a fresh host asks at once.
+// bootstrapPeers is the number of peers that a new host pulls from at once.
 const bootstrapPeers = 3
 
-// pullAny pulls from a few peers and reports whether one that is ready answered.
+// pullAny pulls from bootstrapPeers random peers at once and reports whether one of these pulls
+// succeeded.
 func (f *Follower) pullAny(ctx context.Context) bool {
 	peers := f.o.Peers.Sample(bootstrapPeers)
 	answered := make([]bool, len(peers))
@@ -102,8 +103,9 @@
 	return false
 }
 
-// pull gets what a peer has more, and gives it what it has less. It reports
-// whether the peer answered and is ready.
+// pull fetches and applies what this host lacks from a peer, and pushes to the peer what it
+// lacks. It reports whether the peer answered, is ready and not in an earlier era, and sent a
+// valid reply.
 func (f *Follower) pull(ctx context.Context, peer PeerRef) bool {
 	ctx, cancel := context.WithTimeout(ctx, f.o.CallTimeout)
 	defer cancel()
@@ -131,7 +133,8 @@
 	return true
 }
 
-// applyReply applies what came; it reports false for a broken snapshot.
+// applyReply applies the snapshot and the records of a reply. It returns false when the snapshot
+// is invalid.
 func (f *Follower) applyReply(peer PeerRef, reply *PullReply) bool {
 	if len(reply.Snapshot) > 0 {
 		state, err := unpack(reply.Snapshot)
@@ -147,11 +150,12 @@
 	return true
 }
 
+// ageOf converts an AgeMs of a message; known is false when it is negative.
 func ageOf(ms int64) (age time.Duration, known bool) {
 	return time.Duration(ms) * time.Millisecond, ms >= 0
 }
 
-// exportState returns the packed state for a peer or for the snapshot stream.
+// exportState returns the packed state and its offset.
 func (f *Follower) exportState() (packed []byte, offset int64, err error) {
 	f.mu.Lock()
 	data, err := f.state.Export()
--- a/internal/follow/tail.go
+++ b/internal/follow/tail.go
@@ -12,21 +12,19 @@
 	"github.com/buckthorndock/buckthorndock/internal/wait"
 )
 
-// tailCheck is the time after which a host looks again whether it has to read
-// the log.
+// tailCheck is the interval at which a host checks whether it has to read the log.
 const tailCheck = time.Second
 
-// emptyReadPause keeps a log that does not wait for a record from being read in a
-// tight loop.
+// emptyReadPause is the pause after an empty read that returned sooner. It prevents a busy loop
+// when the log does not wait for new records.
 const emptyReadPause = 100 * time.Millisecond
 
-// errTrimmed says that records between the state and the log's first one are
-// gone from the log.
+// errTrimmed means that the log no longer has all the records after the state.
 var errTrimmed = errors.New("settings records were trimmed before they were read")
 
-// bootstrap returns when the follower is ready or the context has ended. A peer
-// comes first, because its state spares the log; the log then tells what is
-// missing. A peer's state is enough while the log is out of reach.
+// bootstrap gets the first settings, and returns when the follower is ready or ctx has ended. It
+// pulls from peers first, which saves load on the log, and then reads from the log only what is
+// missing. The state of a peer suffices while the log is unreachable.
 func (f *Follower) bootstrap(ctx context.Context) {
 	retry := f.retry()
 	for ctx.Err() == nil {
@@ -43,6 +41,7 @@
 	}
 }
 
+// retry returns the backoff for retries of log calls.
 func (f *Follower) retry() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = f.o.RetryMin
@@ -56,8 +55,8 @@
 		WithError(err).Warn("settings_log_failure")
 }
 
-// tailLoop reads the log as long as it is this host's turn, or nothing was heard for
-// so long that the spread between peers must have failed.
+// tailLoop reads the log while this host is a tailer, and also when its lag exceeds MaxLag, as
+// the exchange between peers must then have failed.
 func (f *Follower) tailLoop(ctx context.Context) {
 	retry := f.retry()
 	for ctx.Err() == nil {
@@ -68,14 +67,15 @@
 			if err := f.readOnce(ctx, 0); err != nil {
 				f.logFailure(err)
 			}
-			wait.For(ctx, jitter(f.o.MaxLag)) // all hosts come here while the log is away
+			wait.For(ctx, jitter(f.o.MaxLag)) // all hosts do this while the log is unreachable
 		default:
 			wait.For(ctx, tailCheck)
 		}
 	}
 }
 
-// poll does one long poll, and waits when that failed or came back at once.
+// poll reads the log once, waiting for new records. It pauses when the read failed or returned
+// at once without a record.
 func (f *Follower) poll(ctx context.Context, retry *backoff.ExponentialBackOff) {
 	before, start := f.Offset(), time.Now()
 	err := f.readOnce(ctx, f.o.PollWait)
@@ -90,12 +90,13 @@
 	}
 }
 
+// lagging reports whether the lag is unknown or exceeds MaxLag.
 func (f *Follower) lagging() bool {
 	lag := f.Lag(f.o.Now())
 	return lag < 0 || lag > f.o.MaxLag
 }
 
-// catchUp reads the log until nothing newer is in it.
+// catchUp reads and applies the log up to its end.
 func (f *Follower) catchUp(ctx context.Context) error {
 	for {
 		before := f.Offset()
@@ -108,7 +109,7 @@
 	}
 }
 
-// readOnce reads and applies one page of the log.
+// readOnce reads and applies one page of the log, waiting up to wait for a new record.
 func (f *Follower) readOnce(ctx context.Context, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait+f.o.CallTimeout)
 	defer cancel()
@@ -131,12 +132,13 @@
 		return f.bridgeGap(ctx, page.FirstKept)
 	}
 	f.apply(at.era, recordsOf(page))
-	// What the page ended with was the newest when the log answered. That is
-	// after start, so start understates how recent the state is.
+	// The end of the page was the newest offset when the log answered, which is after start. So
+	// start is a safe, slightly early time.
 	f.markCurrent(at.era, page.Next-1, start)
 	return nil
 }
 
+// recordsOf converts the records of a page.
 func recordsOf(page platform.Page) []Record {
 	records := make([]Record, len(page.Records))
 	for i, r := range page.Records {
@@ -145,7 +147,8 @@
 	return records
 }
 
-// bridgeGap gets to a state from which the log still has all records.
+// bridgeGap moves the state forward, by a snapshot or by peers, until the log has all records
+// after it. It returns errTrimmed when neither is new enough.
 func (f *Follower) bridgeGap(ctx context.Context, firstKept int64) error {
 	if err := f.loadSnapshot(ctx); err != nil {
 		return err
