--- a/internal/core/settings/check.go
+++ b/internal/core/settings/check.go
@@ -11,12 +11,12 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// StateLeaving is the state of an upstream that gets no new work.
+// StateLeaving is the state of an upstream that is to get no new work.
 const StateLeaving = "leaving"
 
 const tokenHashBytes = 32
 
-// checker collects the faults of one decoded document that need no other one.
+// checker collects the findings on one decoded document that do not depend on other documents.
 type checker struct {
 	file     string
 	lines    map[string]int
@@ -37,11 +37,12 @@
 	c.models(doc.Models)
 	c.services(doc.Services)
 	if c.present("evacuate") && path != EvacuationPath(doc.Evacuate) {
-		c.addf("evacuate", "may stand only in the document at %s", EvacuationPath(doc.Evacuate))
+		c.addf("evacuate", "is allowed only in the document at %s", EvacuationPath(doc.Evacuate))
 	}
 }
 
-// addf adds a finding, one a key: a value of the wrong type is not also missing.
+// addf adds a finding unless the key has one already, so that a value of the wrong type is
+// not also reported as missing.
 func (c *checker) addf(key, format string, args ...any) {
 	for _, f := range *c.findings {
 		if f.Place.Key == key {
@@ -52,7 +53,7 @@
 	c.findings.Addf(place, format, args...)
 }
 
-// lineFor returns the line of a key, or of its nearest parent that has one.
+// lineFor returns the line of a key or of its nearest parent that has one, else 0.
 func lineFor(lines map[string]int, key string) int {
 	for key != "" {
 		if line := lines[key]; line > 0 {
@@ -67,16 +68,17 @@
 	return c.lines[key] > 0
 }
 
-// positive checks a scalar that is inherited when left out: zero says nothing.
-func (c *checker) positive(key string, v, most int) {
+// positive checks a number that is inherited when the key is absent: a key that is present
+// must have a value above 0.
+func (c *checker) positive(key string, v, maxValue int) {
 	if !c.present(key) {
 		return
 	}
 	if v <= 0 {
 		c.addf(key, "must be above 0; leave it out to inherit")
 	}
-	if v > most {
-		c.addf(key, "must be at most %d", most)
+	if v > maxValue {
+		c.addf(key, "must be at most %d", maxValue)
 	}
 }
 
@@ -89,17 +91,18 @@
 	}
 }
 
-func (c *checker) word(key, v string, allowed ...string) {
+func (c *checker) oneOf(key, v string, allowed ...string) {
 	if c.present(key) && !slices.Contains(allowed, v) {
 		c.addf(key, "%q is not one of %s", v, strings.Join(allowed, ", "))
 	}
 }
 
 func (c *checker) priority(key, v string) {
-	c.word(key, v, request.Urgent.String(), request.Normal.String(), request.Bulk.String())
+	c.oneOf(key, v, request.Urgent.String(), request.Normal.String(), request.Bulk.String())
 }
 
-// name checks a name that stands in logs, headers and URLs.
+// name checks a name that is used in logs, headers and URLs. extra holds further allowed
+// characters.
 func (c *checker) name(key, v, extra string) {
 	if v == "" {
 		c.addf(key, "is missing")
@@ -134,8 +137,8 @@
 	if r == nil {
 		return
 	}
-	c.word("routing.policy", r.Policy, PolicyRandom, PolicyLeastLoaded, PolicyLeastLoadedPriority, PolicyLengthAware)
-	c.word("routing.spill", r.Spill, SpillNever, SpillDead, SpillOverload)
+	c.oneOf("routing.policy", r.Policy, PolicyRandom, PolicyLeastLoaded, PolicyLeastLoadedPriority, PolicyLengthAware)
+	c.oneOf("routing.spill", r.Spill, SpillNever, SpillDead, SpillOverload)
 	c.positive("routing.long_from_tokens", r.LongFromTokens, MaxCount)
 	c.positive("routing.queue_tokens", r.QueueTokens, MaxCount)
 	c.positive("routing.queue_requests", r.QueueRequests, MaxCount)
@@ -202,7 +205,7 @@
 		key := fmt.Sprintf("pools[%d]", i)
 		c.name(key+".name", p.Name, "")
 		c.required(key+".kind", p.Kind)
-		c.word(key+".kind", p.Kind, PoolEngine, PoolService)
+		c.oneOf(key+".kind", p.Kind, PoolEngine, PoolService)
 		c.positive(key+".longest_order_ms", p.MaxOrderMs, MaxDurationMs)
 		for j, u := range p.Upstreams {
 			c.upstream(fmt.Sprintf("%s.upstreams[%d]", key, j), u)
@@ -219,7 +222,7 @@
 func (c *checker) upstream(key string, u Upstream) {
 	c.name(key+".name", u.Name, "")
 	c.name(key+".domain", u.Domain, "")
-	c.word(key+".state", u.State, StateLeaving)
+	c.oneOf(key+".state", u.State, StateLeaving)
 	if u.Address == "" {
 		c.addf(key+".address", "is missing")
 		return
@@ -230,16 +233,17 @@
 	}
 }
 
-// nameExtra holds what a model's name may have beside a plain name's letters.
-const nameExtra = "/:"
+// modelNameExtra holds the characters that are allowed in the names of models and adapters
+// only.
+const modelNameExtra = "/:"
 
 func (c *checker) models(list []Model) {
 	for i, m := range list {
 		key := fmt.Sprintf("models[%d]", i)
-		c.name(key+".name", m.Name, nameExtra)
+		c.name(key+".name", m.Name, modelNameExtra)
 		c.name(key+".pool", m.Pool, "")
 		for j, a := range m.Adapters {
-			c.name(fmt.Sprintf("%s.adapters[%d]", key, j), a, nameExtra)
+			c.name(fmt.Sprintf("%s.adapters[%d]", key, j), a, modelNameExtra)
 		}
 		if c.present(key+".bytes_per_token") && (m.BytesPerToken < 0.1 || m.BytesPerToken > 100) {
 			c.addf(key+".bytes_per_token", "must be between 0.1 and 100")
--- a/internal/core/settings/compile.go
+++ b/internal/core/settings/compile.go
@@ -8,39 +8,39 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/finding"
 )
 
-// Source is one document that is in force.
+// Source is one parsed document that is in force.
 type Source struct {
 	Path     string
 	Version  int64 // offset of the change that set it
 	Document *Document
 }
 
-// Compile joins documents into one snapshot. The snapshot is always usable: an
-// item with a fault across documents is left out and reported. Of two items that
-// want the same name, address or token the one of the older version stands, so
-// that a later change never takes over what is in force.
+// Compile joins documents into one snapshot. The snapshot is always usable: an item that
+// conflicts with another document is left out and reported. Of two items with the same name,
+// address or token, the one in the document of the lower version is kept, so that a later
+// change never takes over what is in force.
 func Compile(sources []Source) (*Snapshot, finding.List) {
 	c := newCompiler(sources)
-	c.each(c.addTokenHolders)
-	c.each(c.addPools)
-	c.each(c.evacuate)
-	c.each(c.addModels)
-	c.each(c.addServices)
-	c.each(c.checkDeadlines)
-	c.snapshot.seal()
+	c.forEachSource(c.addTokenHolders)
+	c.forEachSource(c.addPools)
+	c.forEachSource(c.evacuate)
+	c.forEachSource(c.addModels)
+	c.forEachSource(c.addServices)
+	c.forEachSource(c.checkRequestDefaults)
+	c.snapshot.sortLists()
 	c.findings.Sort()
 	return c.snapshot, c.findings
 }
 
-// compiler holds the state of one Compile.
+// compiler holds the state of one call of Compile.
 type compiler struct {
 	sources  []Source // by version, then path
 	tree     *tree
 	snapshot *Snapshot
 	findings finding.List
 
-	addresses map[string]string               // upstream by its address
-	hashes    map[[tokenHashBytes]byte]string // holder of a token
+	addresses map[string]string               // name of the upstream by its address
+	hashes    map[[tokenHashBytes]byte]string // owner of a token, for findings, by its hash
 	operators map[string]bool
 }
 
@@ -76,14 +76,14 @@
 	case s.Document == nil:
 		c.findings.Addf(place, "has no document")
 	case documents[s.Path] != nil:
-		c.findings.Addf(place, "is given twice")
+		c.findings.Addf(place, "is listed twice")
 	default:
 		return true
 	}
 	return false
 }
 
-func (c *compiler) each(step func(Source)) {
+func (c *compiler) forEachSource(step func(Source)) {
 	for _, s := range c.sources {
 		step(s)
 	}
@@ -94,8 +94,8 @@
 	c.findings.Addf(place, format, args...)
 }
 
-// addTokenHolders is one step, so that the older version keeps its token whatever
-// kind the holder is of.
+// addTokenHolders adds operators and customers in one step, so that of two with the same
+// token the one in the older document keeps it, whichever kind it is.
 func (c *compiler) addTokenHolders(s Source) {
 	c.addOperators(s)
 	c.addCustomers(s)
@@ -115,7 +115,7 @@
 	}
 }
 
-// claimHashes returns the hashes that no one else holds.
+// claimHashes returns the hashes that no other operator or customer has, and reports the rest.
 func (c *compiler) claimHashes(s Source, key, holder string, texts []string) [][tokenHashBytes]byte {
 	var own [][tokenHashBytes]byte
 	for i, text := range texts {
@@ -140,13 +140,13 @@
 			c.addf(s, key+".name", "customer %q exists already at %s", u.Name, other.Path)
 			continue
 		}
-		view := c.customer(s.Path, u)
+		view := c.newCustomerView(s.Path, u)
 		view.hashes = c.claimHashes(s, key, "customer "+u.Name, u.TokenSHA256)
 		c.snapshot.customers[u.Name] = view
 	}
 }
 
-func (c *compiler) customer(path string, u Customer) *CustomerView {
+func (c *compiler) newCustomerView(path string, u Customer) *CustomerView {
 	here := c.tree.at(path)
 	view := &CustomerView{
 		Name:     u.Name,
@@ -205,7 +205,7 @@
 	pool.Upstreams = append(pool.Upstreams, view)
 }
 
-// evacuate marks the upstreams of a failure domain.
+// evacuate marks the upstreams of the failure domain that the document evacuates.
 func (c *compiler) evacuate(s Source) {
 	domain := s.Document.Evacuate
 	if domain == "" {
@@ -251,7 +251,8 @@
 	}
 }
 
-// poolFor returns the pool of a kind that is visible at the source's path.
+// poolFor returns the pool of a name if it has the wanted kind and is visible at the source's
+// path. Otherwise it reports why not and returns nil.
 func (c *compiler) poolFor(s Source, key, name, kind string) *PoolView {
 	pool := c.snapshot.pools[name]
 	switch {
@@ -267,8 +268,8 @@
 	return nil
 }
 
-// restriction returns the customers that an item is kept for. A name without a
-// customer is reported and stays: dropping it could open the item to all.
+// restriction returns the names of the customers that may use an item, nil when all may. An
+// unknown customer is reported and kept: without it an empty list could open the item to all.
 func (c *compiler) restriction(s Source, key string, names []string) map[string]bool {
 	if len(names) == 0 {
 		return nil
@@ -306,8 +307,9 @@
 	}
 }
 
-// checkDeadlines reports defaults that the bound in force would always cut.
-func (c *compiler) checkDeadlines(s Source) {
+// checkRequestDefaults reports default deadlines and priorities that exceed the bounds in
+// force at the same path.
+func (c *compiler) checkRequestDefaults(s Source) {
 	here := c.tree.at(s.Path).requests
 	if here.DeadlineMs > here.MaxDeadlineMs {
 		c.addf(s, "requests", "deadline_ms %d is above max_deadline_ms %d", here.DeadlineMs, here.MaxDeadlineMs)
--- a/internal/core/settings/config_page_test.go
+++ b/internal/core/settings/config_page_test.go
@@ -11,7 +11,8 @@
 
 const configPage = "../../../docs/CONFIG-settings.md"
 
-// schemaKeys adds the keys of a type, in the page's notation, with its kind.
+// schemaKeys adds the keys of a type to keys, in the notation of the page, with the kinds of
+// their values.
 func schemaKeys(prefix string, t reflect.Type, keys map[string]reflect.Kind) {
 	switch {
 	case t.Kind() == reflect.Pointer:
@@ -19,15 +20,15 @@
 	case t.Kind() == reflect.Slice && t.Elem().Kind() == reflect.Struct:
 		schemaKeys(prefix+"[]", t.Elem(), keys)
 	case t.Kind() == reflect.Struct:
-		for word, i := range fieldsByKey(t) {
-			schemaKeys(joinKey(prefix, word), t.Field(i).Type, keys)
+		for name, i := range fieldsByKey(t) {
+			schemaKeys(joinKey(prefix, name), t.Field(i).Type, keys)
 		}
 	default:
 		keys[prefix] = t.Kind()
 	}
 }
 
-// codeDefaults returns the defaults that the code applies, as the page shows them.
+// codeDefaults returns the defaults in the code, formatted as on the page.
 func codeDefaults() map[string]string {
 	defaults := map[string]string{
 		"customers[].weight":       fmt.Sprint(DefaultWeight),
@@ -38,8 +39,8 @@
 		"routing": defaultRouting(), "requests": defaultRequests(),
 	} {
 		v := reflect.ValueOf(inherited)
-		for word, i := range fieldsByKey(v.Type()) {
-			defaults[prefix+"."+word] = fmt.Sprint(v.Field(i).Interface())
+		for name, i := range fieldsByKey(v.Type()) {
+			defaults[prefix+"."+name] = fmt.Sprint(v.Field(i).Interface())
 		}
 	}
 	return defaults
@@ -87,8 +88,8 @@
 	}
 }
 
-// isRequired asks the parser: a document with the key's parents alone must be
-// refused for the want of it.
+// isRequired reports whether the parser refuses a document that has the parents of the key but
+// not the key itself.
 func isRequired(key string) bool {
 	parents := strings.Split(key, ".")
 	var text strings.Builder
@@ -111,7 +112,7 @@
 	return false
 }
 
-// The example of the page must be a document that the program takes.
+// TestConfigPageExample checks that the example on the page parses and compiles without findings.
 func TestConfigPageExample(t *testing.T) {
 	page, err := os.ReadFile(configPage)
 	if err != nil {
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -21,7 +21,7 @@
 	return settings.Change{ID: id, Author: "op", Edits: []settings.Edit{{Path: path, Base: base, YAML: &yaml}}}
 }
 
-// accept makes a change that must be accepted.
+// accept makes a change through a host and fails the test unless it is accepted.
 func accept(t testing.TB, h *host, c settings.Change) settings.Verdict {
 	t.Helper()
 	eventually(t, "host "+h.name+" ready", h.Ready)
@@ -42,7 +42,7 @@
 	defer cancel()
 	accept(t, s.hosts[6], edit("a", "/t", 0, 77))
 	accept(t, s.hosts[0], edit("b", "/t", 1, 78))
-	s.agree(2)
+	s.awaitAgreement(2)
 	for _, h := range s.hosts {
 		if got := h.Current().RoutingAt("/t").IdleMs; got != 78 {
 			t.Errorf("host %s has idle_ms %d", h.name, got)
@@ -66,17 +66,17 @@
 func TestPushAloneReachesAllHosts(t *testing.T) {
 	s := newSite(t)
 	s.pull = time.Hour
-	for i := range 5 { // as many as the fan-out and one
+	for i := range 5 { // the default fan-out plus one
 		s.run(i == 0)
 	}
 	for _, h := range s.hosts {
 		eventually(t, "ready", h.Ready)
 	}
 	accept(t, s.hosts[2], edit("a", "/t", 0, 77))
-	s.agree(1)
+	s.awaitAgreement(1)
 }
 
-func TestRaceHasOneWinner(t *testing.T) {
+func TestConcurrentChangesAcceptOnePerPath(t *testing.T) {
 	for name, paths := range map[string][]string{
 		"one path":         {"/t"},
 		"parent and child": {"/t", "/t/x", "/"},
@@ -100,14 +100,15 @@
 				})
 			}
 			wg.Wait()
-			s.checkRace(paths, verdicts)
+			s.checkConcurrentVerdicts(paths, verdicts)
 		})
 	}
 }
 
-// checkRace demands a winner, a reason for each loser, and on one path no second
-// winner. On several paths a later change may win that saw the earlier.
-func (s *site) checkRace(paths []string, verdicts []settings.Verdict) {
+// checkConcurrentVerdicts requires that some change was accepted, at most one on each path, and
+// that each refused one has a reason. On several paths a change may also be accepted that was
+// checked after another was accepted.
+func (s *site) checkConcurrentVerdicts(paths []string, verdicts []settings.Verdict) {
 	s.t.Helper()
 	winners := map[string]int{}
 	for _, v := range verdicts {
@@ -118,20 +119,20 @@
 		}
 	}
 	if len(winners) == 0 {
-		s.t.Error("no winner")
+		s.t.Error("no change was accepted")
 	}
 	for path, n := range winners {
 		if n > 1 {
-			s.t.Errorf("%d winners on %s", n, path)
+			s.t.Errorf("%d changes were accepted on %s", n, path)
 		}
 	}
 }
 
 func TestAppendAnswerLost(t *testing.T) {
 	for name, fault := range map[string]func(*memoryLog){
-		"after the effect":  func(l *memoryLog) { l.lose = 1 },
-		"before the effect": func(l *memoryLog) { l.drop = 2 },
-		"reads lost":        func(l *memoryLog) { l.deaf = 3 },
+		"after the effect":  func(l *memoryLog) { l.loseAnswers = 1 },
+		"before the effect": func(l *memoryLog) { l.dropAppends = 2 },
+		"reads lost":        func(l *memoryLog) { l.failReads = 3 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t)
@@ -161,9 +162,9 @@
 	if v, err := h.Change(context.Background(), edit("b", "/t", 9, 1)); err != nil || v.Outcome != settings.Conflict {
 		t.Errorf("wrong base: %+v, %v", v, err)
 	}
-	h.noLog.Store(true)
+	h.logUnreachable.Store(true)
 	if _, err := h.Change(context.Background(), edit("c", "/t", 0, 1)); !errors.Is(err, ErrLogUnreachable) {
-		t.Errorf("log away: %v", err)
+		t.Errorf("log unreachable: %v", err)
 	}
 	if _, err := s.add(false).Change(context.Background(), edit("d", "/t", 0, 1)); !errors.Is(err, ErrNotReady) {
 		t.Errorf("not ready: %v", err)
@@ -173,14 +174,14 @@
 	}
 }
 
-func TestCutHostCatchesUp(t *testing.T) {
+func TestIsolatedHostCatchesUp(t *testing.T) {
 	s := newSite(t)
 	a, b := s.run(true), s.run(true)
 	accept(t, a, edit("a", "/t", 0, 1))
-	s.agree(1)
-	b.noLog.Store(true)
-	b.cut.Store(true)
-	// More than the records that are kept for peers, so that a snapshot is due too.
+	s.awaitAgreement(1)
+	b.logUnreachable.Store(true)
+	b.isolated.Store(true)
+	// Keep fewer records for peers than are missing, so that a snapshot is needed too.
 	a.mu.Lock()
 	a.recent.limit = 1
 	a.mu.Unlock()
@@ -188,12 +189,12 @@
 		accept(t, a, edit(fmt.Sprint(i), "/t", int64(i+1), i+10))
 	}
 	if b.Offset() != 1 || b.Current().RoutingAt("/t").IdleMs != 1 {
-		t.Errorf("cut host is at %d", b.Offset())
+		t.Errorf("isolated host is at %d", b.Offset())
 	}
-	b.cut.Store(false) // the platform stays out of its reach
-	s.agree(6)
+	b.isolated.Store(false) // the log stays unreachable for it
+	s.awaitAgreement(6)
 	if b.Current().RoutingAt("/t").IdleMs != 14 {
-		t.Error("healed host has old settings")
+		t.Error("reconnected host has old settings")
 	}
 }
 
@@ -201,26 +202,26 @@
 	s := newSite(t)
 	a := s.run(true)
 	accept(t, a, edit("a", "/t", 0, 9))
-	a.noLog.Store(true)
-	a.cut.Store(true)
+	a.logUnreachable.Store(true)
+	a.isolated.Store(true)
 	fresh := s.add(true)
-	fresh.noLog.Store(true)
+	fresh.logUnreachable.Store(true)
 	fresh.start()
-	other := s.add(true) // as fresh: the two must not take each other's nothing for settings
-	other.noLog.Store(true)
+	other := s.add(true) // also new: neither may become ready by the empty state of the other
+	other.logUnreachable.Store(true)
 	other.start()
 	time.Sleep(20 * time.Millisecond)
 	if fresh.Ready() || other.Ready() {
 		t.Error("ready without any settings")
 	}
-	a.cut.Store(false)
+	a.isolated.Store(false)
 	eventually(t, "fresh host ready", fresh.Ready)
 	if fresh.Offset() != 1 || fresh.Current().RoutingAt("/t").IdleMs != 9 {
 		t.Errorf("fresh host at %d", fresh.Offset())
 	}
 }
 
-func TestRetentionPassed(t *testing.T) {
+func TestStartAfterRecordsWereTrimmed(t *testing.T) {
 	s := newSite(t)
 	a := s.run(true)
 	for i := range 4 {
@@ -228,7 +229,7 @@
 	}
 	s.log.trim(Stream, 3)
 	a.stop()
-	a.cut.Store(true)
+	a.isolated.Store(true)
 	fresh := s.run(true)
 	time.Sleep(20 * time.Millisecond)
 	if fresh.Ready() {
@@ -272,7 +273,7 @@
 	s := newSite(t)
 	stale, a := s.run(true), s.run(true)
 	accept(t, stale, edit("a", "/t", 0, 1))
-	s.agree(1)
+	s.awaitAgreement(1)
 	stale.stop()
 	old, _, err := stale.exportState()
 	if err != nil {
@@ -280,19 +281,19 @@
 	}
 	accept(t, a, edit("b", "/t", 1, 2))
 	digest := a.Digest()
-	a.takeReply(PeerRef{Name: "stale"}, &PullReply{Ready: true, Offset: 1, Snapshot: old})
-	a.takeReply(PeerRef{Name: "stale"}, &PullReply{Ready: true, Snapshot: []byte("garbage")})
+	a.applyReply(PeerRef{Name: "stale"}, &PullReply{Ready: true, Offset: 1, Snapshot: old})
+	a.applyReply(PeerRef{Name: "stale"}, &PullReply{Ready: true, Snapshot: []byte("garbage")})
 	records, _ := a.recent.from(1)
 	a.apply(0, []Record{records[1], records[0], records[0], records[1]})
 	if a.Offset() != 2 || a.Digest() != digest || a.Current().RoutingAt("/t").IdleMs != 2 {
-		t.Errorf("reverted to offset %d", a.Offset())
+		t.Errorf("state is reverted, at offset %d", a.Offset())
 	}
 	if gap := a.apply(0, []Record{{Offset: 9}}); !gap || a.Offset() != 2 {
 		t.Error("a record after a gap was applied")
 	}
 }
 
-func TestGarbageRecordsAreCountedAndPassedOver(t *testing.T) {
+func TestUndecodableRecordsAreCountedAndSkipped(t *testing.T) {
 	s := newSite(t)
 	for i := range 3 {
 		s.run(i == 0)
@@ -302,9 +303,9 @@
 		t.Fatal(err)
 	}
 	accept(t, s.hosts[2], edit("a", "/t", 0, 3))
-	s.agree(5)
+	s.awaitAgreement(5)
 	if s.hosts[1].state.Undecodable() != 4 || s.hosts[1].Current().RoutingAt("/t").IdleMs != 3 {
-		t.Error("garbage was not passed over")
+		t.Error("undecodable records were not skipped")
 	}
 }
 
@@ -326,9 +327,9 @@
 	})
 }
 
-// TestChangeWaitsForAHostThatHasJustStarted: an operator's change that comes a moment before
-// the settings are there is decided like any other.
-func TestChangeWaitsForAHostThatHasJustStarted(t *testing.T) {
+// TestChangeWaitsUntilTheHostIsReady guards against ErrNotReady for a change that comes a moment
+// before the host has its settings.
+func TestChangeWaitsUntilTheHostIsReady(t *testing.T) {
 	s := newSite(t)
 	h := s.add(false)
 	started := time.AfterFunc(50*time.Millisecond, func() { h.ready.Store(true) })
