--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DefaultPoll is how often a pool with a queue is tried without a Kick.
+// DefaultPoll is the interval at which a queue is processed without a Kick.
 const DefaultPoll = 50 * time.Millisecond
 
 // Options configures a Gate.
@@ -20,27 +20,27 @@
 	Limits admission.LimiterOptions
 	Poll   time.Duration    // DefaultPoll when zero
 	Now    func() time.Time // time.Now when nil
-	Seed   uint64           // of the jitter; a random one when zero
+	Seed   uint64           // of the jitter; random when zero
 }
 
-// PoolOptions configures a pool. The functions are called with the pool locked:
-// they must be quick and must not call the Gate.
+// PoolOptions configures a pool. The functions are called with the pool's lock
+// held: they must be quick and must not call the Gate.
 type PoolOptions struct {
 	Queue admission.QueueOptions
-	// TryPlace reports whether the request may start now, and takes the place if
-	// so: after true the request is let in for certain. It must be monotone as
-	// admission.Queue.Pop says, within a lane. Nil lets all in.
+	// TryPlace reports whether the request may start now, and takes its place if
+	// so: after true the request is always admitted. Within a lane it must be
+	// monotone as described at admission.Queue.Pop. Nil admits every request.
 	TryPlace func(*request.Request) bool
-	// Lane returns which kind of capacity the request needs: requests that can
-	// find a place when others do not belong in another lane, as short prompts
-	// beside long ones. Nil makes a lane of each target.
+	// Lane identifies the kind of capacity that the request needs. Requests that
+	// can be placed while others cannot, such as short prompts beside long ones,
+	// must be in different lanes. Nil makes a lane of each target.
 	Lane func(*request.Request) uint64
-	// MinService returns the least time from start to end. A request is given up
-	// when less is left. Nil means none.
+	// MinService returns the minimum time from start to end. A request with less
+	// time left before its deadline is refused. Nil means zero.
 	MinService func(*request.Request) time.Duration
-	// PlacedWait returns the longest wait with which TryPlace still takes a place. A
-	// request that had to queue is given up that much earlier, for it finds all
-	// places as full. Nil means none.
+	// PlacedWait returns the maximum wait after placement with which TryPlace still
+	// takes a place. A queued request is refused that much earlier, because it must
+	// expect this wait when a place becomes free. Nil means zero.
 	PlacedWait func(*request.Request) time.Duration
 }
 
@@ -73,7 +73,7 @@
 	}
 }
 
-// SetPool adds a pool or changes its options; what waits in it goes on waiting.
+// SetPool adds a pool or changes its options. Requests queued in it stay queued.
 func (g *Gate) SetPool(name string, o PoolOptions) {
 	if o.TryPlace == nil {
 		o.TryPlace = func(*request.Request) bool { return true }
@@ -97,7 +97,7 @@
 	p.setOptions(o)
 }
 
-// RemovePool drops a pool and refuses what waits in it.
+// RemovePool removes a pool and refuses the requests queued in it.
 func (g *Gate) RemovePool(name string) {
 	g.poolsMu.Lock()
 	p := g.pools[name]
@@ -108,14 +108,14 @@
 	}
 }
 
-// Enter admits a request: it must fit the limits of each node of chain, its
-// deadline must be within reach, and the pool must have a place for it now or
-// within time. It blocks while the request waits in the pool's queue. Exactly one
+// Enter admits a request: it must fit the limits of each node of chain, there must
+// be enough time before its deadline, and the pool must have a place for it now or
+// in time. Enter blocks while the request waits in the pool's queue. Exactly one
 // of the results is nil. With a Ticket the request may start, and the caller must
-// call Done, also when ctx has ended meanwhile. A Refusal is final: nothing is
-// held, and the request was not run.
+// call Done, also when ctx has ended in the meantime. A Refusal is final: the
+// request was not run and holds no share of the limits.
 func (g *Gate) Enter(ctx context.Context, r *request.Request, chain []admission.Node, weight int, pool string) (*Ticket, *request.Refusal) {
-	ticket, refusal := g.enter(ctx, r, chain, weight, pool)
+	ticket, refusal := g.admit(ctx, r, chain, weight, pool)
 	if refusal != nil {
 		countRefused(refusal.Code)
 		return nil, refusal
@@ -124,25 +124,26 @@
 	return ticket, nil
 }
 
-func (g *Gate) enter(ctx context.Context, r *request.Request, chain []admission.Node, weight int, name string) (*Ticket, *request.Refusal) {
+func (g *Gate) admit(ctx context.Context, r *request.Request, chain []admission.Node, weight int, name string) (*Ticket, *request.Refusal) {
 	p := g.pool(name)
 	if p == nil {
 		return nil, g.refuse(request.CodeNoUpstream, time.Second, "no pool %s", name)
 	}
 	cost := admission.Cost{PromptTokens: r.PromptTokens, TotalTokens: r.TotalTokens()}
-	if refusal := g.admit(r, chain, cost); refusal != nil {
+	if refusal := g.chargeLimits(r, chain, cost); refusal != nil {
 		return nil, refusal
 	}
 	t := &Ticket{gate: g, pool: p, chain: chain, cost: cost}
-	if refusal := p.enter(ctx, r, weight, t); refusal != nil {
+	if refusal := p.admit(ctx, r, weight, t); refusal != nil {
 		t.release(0)
 		return nil, refusal
 	}
 	return t, nil
 }
 
-// admit takes the request from the limits.
-func (g *Gate) admit(r *request.Request, chain []admission.Node, cost admission.Cost) *request.Refusal {
+// chargeLimits counts the request against the limits of each node of chain, or
+// refuses it.
+func (g *Gate) chargeLimits(r *request.Request, chain []admission.Node, cost admission.Cost) *request.Refusal {
 	now := g.opts.Now()
 	g.mu.Lock()
 	v := g.limiter.Admit(chain, cost, now)
@@ -151,34 +152,35 @@
 	case v.OK:
 		return nil
 	case v.RetryAfter == 0:
-		return request.Refuse(request.CodeLimit, 0, "%s of %s is less than this request alone", v.Limit, v.Node)
+		return request.Refuse(request.CodeLimit, 0, "%s of %s is too low for this request alone", v.Limit, v.Node)
 	default:
 		return g.refuse(request.CodeLimit, v.RetryAfter, "%s of %s reached", v.Limit, v.Node)
 	}
 }
 
-// refuse returns a Refusal whose RetryAfter is spread beyond backlog.
+// refuse returns a Refusal whose RetryAfter is a random time after backlog.
 func (g *Gate) refuse(code request.Code, backlog time.Duration, format string, args ...any) *request.Refusal {
-	return request.Refuse(code, g.spread(backlog), format, args...)
+	return request.Refuse(code, g.spreadRetryAfter(backlog), format, args...)
 }
 
-// spread returns a time to come back in after a backlog has been worked off,
-// spread at random so that a fleet that was refused together does not come back
-// together.
-func (g *Gate) spread(backlog time.Duration) time.Duration {
+// spreadRetryAfter returns a time to retry after, beyond the time backlog that the
+// present work takes. It is random so that callers that were refused together do
+// not retry together.
+func (g *Gate) spreadRetryAfter(backlog time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return admission.RetryAfter(backlog, g.rng)
 }
 
-// ComeBack returns when a request that was let in, and could not be placed after
-// all, may come back: after the backlog given or that of the pool, whichever is
-// longer, spread as for those that the gate itself refuses, and counted with them.
+// ComeBack returns the time to retry after of a request that was admitted but then
+// could not be placed: a random time after backlog or the pool's own backlog,
+// whichever is longer. The request counts as refused in the pool's drain rate, as
+// those that the Gate itself refuses.
 func (g *Gate) ComeBack(pool string, r *request.Request, backlog time.Duration) time.Duration {
 	if p := g.pool(pool); p != nil {
-		backlog = max(backlog, p.comeBack(r))
+		backlog = max(backlog, p.recordRefused(r))
 	}
-	return g.spread(backlog)
+	return g.spreadRetryAfter(backlog)
 }
 
 func (g *Gate) pool(name string) *pool {
@@ -187,18 +189,18 @@
 	return g.pools[name]
 }
 
-// Kick tries the waiting requests of a pool, as after its capacity has grown.
+// Kick processes the queue of a pool. It is called when capacity may have grown.
 func (g *Gate) Kick(pool string) {
 	if p := g.pool(pool); p != nil {
-		p.kick()
+		p.retryQueued()
 	}
 }
 
 // Stats is the state of a pool's queue.
 type Stats struct {
-	Requests int           // waiting
-	Tokens   int           // of their prompts
-	Backlog  time.Duration // until they are served, at the measured rate; zero when unknown
+	Requests int           // queued
+	Tokens   int           // prompt tokens of the queued requests
+	Backlog  time.Duration // time until all are admitted, at the measured rate; zero when unknown
 }
 
 // Stats returns the state of a pool's queue, zero for an unknown pool.
@@ -210,10 +212,10 @@
 	return p.stats()
 }
 
-// Exchange takes the digests that peers sent since the last call, divides the
-// limits anew, and returns this host's digest to be sent to its peers and the sum
-// of its domain, which a gateway sends to other domains. To be called once an
-// interval of some seconds, well under LimiterOptions.StaleAfter.
+// Exchange applies the usage digests that peers sent since the last call and
+// divides the limits again. It returns this host's digest, to be sent to its peers,
+// and the sum of its domain, which a gateway sends to other domains. It must be
+// called every few seconds, at an interval well under LimiterOptions.StaleAfter.
 func (g *Gate) Exchange(heard []admission.Usage) (own, domain admission.Usage) {
 	now := g.opts.Now()
 	g.mu.Lock()
@@ -224,14 +226,14 @@
 	return own, g.limiter.DomainUsage()
 }
 
-// SetExpectedHosts tells how many hosts the site has.
+// SetExpectedHosts sets the number of hosts of the site.
 func (g *Gate) SetExpectedHosts(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limiter.SetExpectedHosts(n)
 }
 
-// Forget drops a host that has left for good from the division of the limits.
+// Forget removes a host that has left for good from the division of the limits.
 func (g *Gate) Forget(domain, host string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -14,12 +14,12 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-const lists = "lists"
+const testPool = "lists"
 
-// places is a pool's capacity.
-type places struct{ free atomic.Int64 }
+// freePlaces is the number of free places of a pool.
+type freePlaces struct{ free atomic.Int64 }
 
-func (p *places) take(*request.Request) bool {
+func (p *freePlaces) tryPlace(*request.Request) bool {
 	for {
 		n := p.free.Load()
 		if n <= 0 {
@@ -38,30 +38,32 @@
 	return &request.Request{ID: fmt.Sprint(ids.Add(1)), Customer: customer, Target: "m", Priority: priority, PromptTokens: 100, MaxTokens: 10, Arrived: now, Deadline: now.Add(within)}
 }
 
-func newGate(free int64, o PoolOptions) (*Gate, *places) {
-	p := &places{}
+func newGate(free int64, o PoolOptions) (*Gate, *freePlaces) {
+	p := &freePlaces{}
 	p.free.Store(free)
-	o.TryPlace = p.take
-	// No poll within a test: each let in shows that something ran the queue.
+	o.TryPlace = p.tryPlace
+	// The poll interval exceeds any test: a request leaves the queue only when an
+	// event causes the queue to be processed.
 	g := New(Options{Seed: 1, Poll: time.Hour, Limits: admission.LimiterOptions{Host: "a", Domain: "hal-a"}})
-	g.SetPool(lists, o)
+	g.SetPool(testPool, o)
 	return g, p
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(30 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting: %s", what)
 		}
 	}
 }
 
-// later starts Enter and returns where its end is told.
-func later(ctx context.Context, g *Gate, r *request.Request, order chan<- string) <-chan *request.Refusal {
+// admitAsync calls Enter in a goroutine and returns the channel of its refusal, nil
+// when admitted. The customers of admitted requests are sent to order.
+func admitAsync(ctx context.Context, g *Gate, r *request.Request, order chan<- string) <-chan *request.Refusal {
 	end := make(chan *request.Refusal, 1)
 	go func() {
-		_, refusal := g.Enter(ctx, r, nil, 1, lists)
+		_, refusal := g.Enter(ctx, r, nil, 1, testPool)
 		if refusal == nil {
 			order <- r.Customer
 		}
@@ -78,14 +80,14 @@
 		newRequest("normal", request.Normal, time.Hour),
 		newRequest("urgent", request.Urgent, time.Hour),
 	} {
-		later(context.Background(), g, r, order)
-		until(t, "queued", func() bool { return g.Stats(lists).Requests == i+1 })
+		admitAsync(context.Background(), g, r, order)
+		waitFor(t, "queued", func() bool { return g.Stats(testPool).Requests == i+1 })
 	}
 	for _, want := range []string{"urgent", "normal", "bulk"} {
 		p.free.Store(1)
-		g.Kick(lists)
+		g.Kick(testPool)
 		if got := <-order; got != want {
-			t.Errorf("%s was let in, want %s", got, want)
+			t.Errorf("%s was admitted, want %s", got, want)
 		}
 	}
 }
@@ -93,23 +95,23 @@
 func TestPlaceGoesToTheFirstInOrder(t *testing.T) {
 	g, p := newGate(1, PoolOptions{})
 	order := make(chan string, 3)
-	ticket, refusal := g.Enter(context.Background(), newRequest("first", 0, time.Hour), nil, 1, lists)
+	ticket, refusal := g.Enter(context.Background(), newRequest("first", 0, time.Hour), nil, 1, testPool)
 	if refusal != nil {
 		t.Fatal(refusal)
 	}
 	for i, customer := range []string{"second", "third"} {
-		later(context.Background(), g, newRequest(customer, 0, time.Hour), order)
-		until(t, "queued", func() bool { return g.Stats(lists).Requests == i+1 })
+		admitAsync(context.Background(), g, newRequest(customer, 0, time.Hour), order)
+		waitFor(t, "queued", func() bool { return g.Stats(testPool).Requests == i+1 })
 	}
 	p.free.Store(1)
 	ticket.Done(request.Complete, 1)
 	if got := <-order; got != "second" {
-		t.Errorf("Done let in %s", got)
+		t.Errorf("Done admitted %s, want second", got)
 	}
-	p.free.Store(1) // not told to the gate: the newcomer finds it
-	later(context.Background(), g, newRequest("bulk", request.Bulk, time.Hour), order)
+	p.free.Store(1) // without a Kick: the next request to arrive processes the queue
+	admitAsync(context.Background(), g, newRequest("bulk", request.Bulk, time.Hour), order)
 	if got := <-order; got != "third" {
-		t.Errorf("%s overtook", got)
+		t.Errorf("%s was admitted, want third", got)
 	}
 }
 
@@ -117,89 +119,89 @@
 	ctx := context.Background()
 	g, p := newGate(0, PoolOptions{Queue: admission.QueueOptions{MaxRequests: 2}, MinService: func(*request.Request) time.Duration { return time.Second }})
 	chain := []admission.Node{{Name: "c", Limits: settings.Limits{RequestsInFlight: 1, PromptTokensInFlight: 500}}}
-	want := func(refusal *request.Refusal, code request.Code, comeBack bool) {
+	want := func(refusal *request.Refusal, code request.Code, wantRetry bool) {
 		t.Helper()
-		if refusal == nil || refusal.Code != code || refusal.Outcome != request.NotRun || (refusal.RetryAfter > 0) != comeBack {
-			t.Fatalf("got %+v, want %s, come back %v", refusal, code, comeBack)
+		if refusal == nil || refusal.Code != code || refusal.Outcome != request.NotRun || (refusal.RetryAfter > 0) != wantRetry {
+			t.Fatalf("got %+v, want %s, with RetryAfter %v", refusal, code, wantRetry)
 		}
 	}
-	_, refusal := g.Enter(ctx, newRequest("c", 0, 500*time.Millisecond), chain, 1, lists)
+	_, refusal := g.Enter(ctx, newRequest("c", 0, 500*time.Millisecond), chain, 1, testPool)
 	want(refusal, request.CodeDeadline, true)
 	_, refusal = g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, "none")
 	want(refusal, request.CodeNoUpstream, true)
 	archive := newRequest("c", 0, time.Hour)
 	archive.PromptTokens = 501
-	_, refusal = g.Enter(ctx, archive, chain, 1, lists)
+	_, refusal = g.Enter(ctx, archive, chain, 1, testPool)
 	want(refusal, request.CodeLimit, false)
 
 	gone, cancel := context.WithCancel(ctx)
 	order := make(chan string, 1)
-	waiting := later(gone, g, newRequest("other", 0, time.Hour), order)
-	until(t, "queued", func() bool { return g.Stats(lists).Requests == 1 })
-	_, refusal = g.Enter(ctx, newRequest("c", request.Bulk, time.Hour), chain, 1, lists)
+	waiting := admitAsync(gone, g, newRequest("other", 0, time.Hour), order)
+	waitFor(t, "queued", func() bool { return g.Stats(testPool).Requests == 1 })
+	_, refusal = g.Enter(ctx, newRequest("c", request.Bulk, time.Hour), chain, 1, testPool)
 	want(refusal, request.CodeQueueFull, true)
 	cancel()
 	want(<-waiting, request.CodeCallerGone, false)
 
-	expiring := later(ctx, g, newRequest("other", 0, 1100*time.Millisecond), order)
+	expiring := admitAsync(ctx, g, newRequest("other", 0, 1100*time.Millisecond), order)
 	want(<-expiring, request.CodeDeadline, true)
 
-	removed := later(ctx, g, newRequest("other", 0, time.Hour), order)
-	until(t, "queued", func() bool { return g.Stats(lists).Requests == 1 })
-	g.RemovePool(lists)
+	removed := admitAsync(ctx, g, newRequest("other", 0, time.Hour), order)
+	waitFor(t, "queued", func() bool { return g.Stats(testPool).Requests == 1 })
+	g.RemovePool(testPool)
 	want(<-removed, request.CodeNoUpstream, true)
 
-	// None of the refused holds the one place that the limit has.
-	g.SetPool(lists, PoolOptions{TryPlace: p.take})
+	// None of the refused requests counts against the limit of one in flight.
+	g.SetPool(testPool, PoolOptions{TryPlace: p.tryPlace})
 	p.free.Store(2)
-	ticket, refusal := g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, lists)
+	ticket, refusal := g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, testPool)
 	if refusal != nil {
 		t.Fatal(refusal)
 	}
-	_, refusal = g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, lists)
+	_, refusal = g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, testPool)
 	want(refusal, request.CodeLimit, true)
 	ticket.Done(request.Complete, 110)
 	ticket.Done(request.Complete, 110) // counts once
-	if _, refusal = g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, lists); refusal != nil {
+	if _, refusal = g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, testPool); refusal != nil {
 		t.Fatal(refusal)
 	}
-	_, refusal = g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, lists)
+	_, refusal = g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, testPool)
 	want(refusal, request.CodeLimit, true)
 }
 
-// TestHopelessDeadlineIsRefusedAtOnce: after the pool has shown its rate, a
-// request that would wait longer than it has is not queued.
-func TestHopelessDeadlineIsRefusedAtOnce(t *testing.T) {
+// A request whose expected wait, at the measured rate, exceeds its deadline is
+// refused instead of queued.
+func TestUnreachableDeadlineIsRefusedAtOnce(t *testing.T) {
 	var now atomic.Int64
 	begin := time.Now()
 	now.Store(begin.UnixNano())
-	p := &places{}
+	p := &freePlaces{}
 	g := New(Options{Seed: 1, Now: func() time.Time { return time.Unix(0, now.Load()) }})
-	g.SetPool(lists, PoolOptions{TryPlace: p.take})
+	g.SetPool(testPool, PoolOptions{TryPlace: p.tryPlace})
 	order := make(chan string, 20)
 	for i := range 20 {
-		later(context.Background(), g, newRequest("a", 0, time.Hour), order)
-		until(t, "queued", func() bool { return g.Stats(lists).Requests == i+1 })
+		admitAsync(context.Background(), g, newRequest("a", 0, time.Hour), order)
+		waitFor(t, "queued", func() bool { return g.Stats(testPool).Requests == i+1 })
 	}
-	for range 10 { // one a second
+	for range 10 { // one per second
 		now.Add(int64(time.Second))
 		p.free.Store(1)
-		g.Kick(lists)
+		g.Kick(testPool)
 		<-order
 	}
-	if b := g.Stats(lists).Backlog; b < 9*time.Second || b > 11*time.Second {
-		t.Errorf("backlog of ten at one a second: %v", b)
+	if b := g.Stats(testPool).Backlog; b < 9*time.Second || b > 11*time.Second {
+		t.Errorf("backlog of ten at one per second: %v", b)
 	}
-	_, refusal := g.Enter(context.Background(), newRequest("a", 0, 15*time.Second), nil, 1, lists)
+	_, refusal := g.Enter(context.Background(), newRequest("a", 0, 15*time.Second), nil, 1, testPool)
 	if refusal == nil || refusal.Code != request.CodeDeadline || refusal.RetryAfter < 9*time.Second {
-		t.Errorf("5 s left behind ten seconds of work: %+v", refusal)
+		t.Errorf("5 s left behind 10 s of backlog: %+v", refusal)
 	}
-	// Another customer passes most of it.
-	later(context.Background(), g, newRequest("b", 0, 15*time.Second), order)
-	until(t, "queued", func() bool { return g.Stats(lists).Requests == 11 })
+	// Fair queueing puts another customer ahead of most of the backlog.
+	admitAsync(context.Background(), g, newRequest("b", 0, 15*time.Second), order)
+	waitFor(t, "queued", func() bool { return g.Stats(testPool).Requests == 11 })
 }
 
-func TestManyCallersRace(t *testing.T) {
+func TestConcurrentCallers(t *testing.T) {
 	const capacity, callers, each = 4, 48, 40
 	g, p := newGate(capacity, PoolOptions{Queue: admission.QueueOptions{MaxRequests: 30}})
 	chain := []admission.Node{{Name: "c", Limits: settings.Limits{RequestsInFlight: 40}}}
@@ -211,10 +213,10 @@
 			for range each {
 				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(rng.IntN(20000))*time.Microsecond)
 				r := newRequest(fmt.Sprint(c%7), request.Priority(rng.IntN(3)), time.Duration(1+rng.IntN(15))*time.Millisecond)
-				ticket, refusal := g.Enter(ctx, r, chain, 1, lists)
+				ticket, refusal := g.Enter(ctx, r, chain, 1, testPool)
 				cancel()
 				if (ticket == nil) == (refusal == nil) {
-					t.Error("not exactly one result")
+					t.Error("Enter did not return exactly one result")
 				}
 				if refusal != nil {
 					refused.Add(1)
@@ -222,7 +224,7 @@
 				}
 				entered.Add(1)
 				if n := running.Add(1); n > capacity {
-					t.Errorf("%d run at once", n)
+					t.Errorf("%d running at once, capacity %d", n, capacity)
 				}
 				time.Sleep(time.Duration(rng.IntN(200)) * time.Microsecond)
 				running.Add(-1)
@@ -235,13 +237,13 @@
 	if entered.Load()+refused.Load() != callers*each || entered.Load() == 0 || refused.Load() == 0 {
 		t.Errorf("%d entered, %d refused of %d", entered.Load(), refused.Load(), callers*each)
 	}
-	if s := g.Stats(lists); s.Requests != 0 || p.free.Load() != capacity {
+	if s := g.Stats(testPool); s.Requests != 0 || p.free.Load() != capacity {
 		t.Errorf("left behind: %+v, %d places free", s, p.free.Load())
 	}
-	g.SetPool(lists, PoolOptions{})
+	g.SetPool(testPool, PoolOptions{})
 	for i := range 40 {
-		if _, refusal := g.Enter(context.Background(), newRequest("x", 0, time.Hour), chain, 1, lists); refusal != nil {
-			t.Fatalf("limits are not given back: request %d: %v", i, refusal)
+		if _, refusal := g.Enter(context.Background(), newRequest("x", 0, time.Hour), chain, 1, testPool); refusal != nil {
+			t.Fatalf("limits were not released: request %d: %v", i, refusal)
 		}
 	}
 }
@@ -252,7 +254,7 @@
 	for i, host := range []string{"a", "b"} {
 		gates[i] = New(Options{Seed: 1, Limits: admission.LimiterOptions{Host: host, Domain: "hal-a"}})
 		gates[i].SetExpectedHosts(2)
-		gates[i].SetPool(lists, PoolOptions{})
+		gates[i].SetPool(testPool, PoolOptions{})
 	}
 	ownA, _ := gates[0].Exchange(nil)
 	ownB, _ := gates[1].Exchange([]admission.Usage{ownA})
@@ -262,18 +264,18 @@
 	entered := 0
 	for range 20 {
 		for _, g := range gates {
-			if _, refusal := g.Enter(context.Background(), newRequest("c", 0, time.Hour), chain, 1, lists); refusal == nil {
+			if _, refusal := g.Enter(context.Background(), newRequest("c", 0, time.Hour), chain, 1, testPool); refusal == nil {
 				entered++
 			}
 		}
 	}
 	if entered != 10 {
-		t.Errorf("two hosts let in %d under a limit of 10", entered)
+		t.Errorf("two hosts admitted %d under a limit of 10", entered)
 	}
 	gates[0].Forget("hal-a", "b")
 	gates[0].Exchange(nil)
-	if _, refusal := gates[0].Enter(context.Background(), newRequest("c", 0, time.Hour), chain, 1, lists); refusal != nil {
-		t.Errorf("after the other has left: %v", refusal)
+	if _, refusal := gates[0].Enter(context.Background(), newRequest("c", 0, time.Hour), chain, 1, testPool); refusal != nil {
+		t.Errorf("after the other host has left: %v", refusal)
 	}
 }
 
@@ -283,7 +285,7 @@
 	r := newRequest("c", 0, time.Hour)
 	b.ReportAllocs()
 	for b.Loop() {
-		t, refusal := g.Enter(context.Background(), r, chain, 1, lists)
+		t, refusal := g.Enter(context.Background(), r, chain, 1, testPool)
 		if refusal != nil {
 			b.Fatal(refusal)
 		}
@@ -291,40 +293,41 @@
 	}
 }
 
-// BenchmarkRefuseQueueFull refuses beside 2000 waiting requests of 210 customers.
+// BenchmarkRefuseQueueFull measures a refusal while 2000 requests of 210 customers
+// are queued.
 func BenchmarkRefuseQueueFull(b *testing.B) {
 	g, p := newGate(0, PoolOptions{Queue: admission.QueueOptions{MaxRequests: 2000}})
 	order := make(chan string, 2000)
 	for i := range 2000 {
-		later(context.Background(), g, newRequest(fmt.Sprint("customer-", i%210), 0, time.Hour), order)
+		admitAsync(context.Background(), g, newRequest(fmt.Sprint("customer-", i%210), 0, time.Hour), order)
 	}
-	for g.Stats(lists).Requests < 1990 {
+	for g.Stats(testPool).Requests < 1990 {
 		time.Sleep(time.Millisecond)
 	}
 	r := newRequest("late", request.Bulk, time.Hour)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, refusal := g.Enter(context.Background(), r, nil, 1, lists); refusal == nil {
-			b.Fatal("entered a full queue")
+		if _, refusal := g.Enter(context.Background(), r, nil, 1, testPool); refusal == nil {
+			b.Fatal("admitted with a full queue")
 		}
 	}
 	b.StopTimer()
 	p.free.Store(1 << 40)
-	g.Kick(lists)
+	g.Kick(testPool)
 }
 
-// TestPlacedWaitCountsOnlyForTheQueue: a request with little time left starts where
-// a place is free, and is refused at once where it would have to queue.
-func TestPlacedWaitCountsOnlyForTheQueue(t *testing.T) {
+// A request with less time left than PlacedWait starts when a place is free, and is
+// refused at once when it would have to queue.
+func TestMaxPlacedWaitAppliesOnlyToQueued(t *testing.T) {
 	g, p := newGate(1, PoolOptions{PlacedWait: func(*request.Request) time.Duration { return time.Hour }})
-	if _, refusal := g.Enter(context.Background(), newRequest("a", 0, time.Minute), nil, 1, lists); refusal != nil {
+	if _, refusal := g.Enter(context.Background(), newRequest("a", 0, time.Minute), nil, 1, testPool); refusal != nil {
 		t.Fatalf("a place was free: %v", refusal)
 	}
-	_, refusal := g.Enter(context.Background(), newRequest("a", 0, time.Minute), nil, 1, lists)
+	_, refusal := g.Enter(context.Background(), newRequest("a", 0, time.Minute), nil, 1, testPool)
 	if refusal == nil || refusal.Code != request.CodeDeadline || refusal.RetryAfter == 0 {
 		t.Errorf("without a free place: %+v", refusal)
 	}
-	if n := g.Stats(lists).Requests; n != 0 || p.free.Load() != 0 {
-		t.Errorf("%d are queued, %d places free", n, p.free.Load())
+	if n := g.Stats(testPool).Requests; n != 0 || p.free.Load() != 0 {
+		t.Errorf("%d queued, %d places free", n, p.free.Load())
 	}
 }
--- a/internal/gate/pool.go
+++ b/internal/gate/pool.go
@@ -10,7 +10,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// pool is the queue of one pool. Lock order: pool.mu before Gate.mu.
+// pool holds the queue of one pool. Lock order: pool.mu before Gate.mu.
 type pool struct {
 	gate *Gate
 
@@ -18,21 +18,21 @@
 	opts   PoolOptions
 	queue  *admission.Queue
 	drain  admission.DrainRate
-	timer  *time.Timer // runs kick; armed exactly while something waits
+	timer  *time.Timer // runs retryQueued; set exactly while requests are queued
 	closed bool
 }
 
 // farFuture is after any deadline.
 var farFuture = time.Unix(1<<40, 0)
 
-// waiter is a request in the queue. Its result is set under the pool's lock, once,
-// before ready is closed.
+// waiter is a queued request. Its result is set once, under the pool's lock, before
+// ready is closed.
 type waiter struct {
-	entry   admission.Entry
-	request *request.Request
-	since   time.Time
-	ready   chan struct{}
-	refusal *request.Refusal // nil when it was let in
+	entry    admission.Entry
+	request  *request.Request
+	queuedAt time.Time
+	ready    chan struct{}
+	refusal  *request.Refusal // nil when it was admitted
 }
 
 func newPool(g *Gate, o PoolOptions) *pool {
@@ -44,10 +44,10 @@
 	defer p.mu.Unlock()
 	p.opts = o
 	p.queue.SetOptions(o.Queue)
-	p.run(p.gate.opts.Now())
+	p.processQueue(p.gate.opts.Now())
 }
 
-// close refuses all that wait and all that still come.
+// close refuses all queued requests and all that arrive later.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,30 +57,31 @@
 		w := e.Value.(*waiter)
 		p.finish(w, p.refuse(w.request, request.CodeNoUpstream, now, "the pool was removed"))
 	}
-	p.run(now)
+	p.processQueue(now)
 }
 
-// enter lets the request in or returns why not.
-func (p *pool) enter(ctx context.Context, r *request.Request, weight int, t *Ticket) *request.Refusal {
-	w, refusal := p.arrive(ctx, r, weight)
+// admit admits the request, at once or from the queue, or returns why it is refused.
+func (p *pool) admit(ctx context.Context, r *request.Request, weight int, t *Ticket) *request.Refusal {
+	w, refusal := p.admitOrQueue(ctx, r, weight)
 	if w == nil {
 		return refusal
 	}
 	select {
 	case <-w.ready:
 	case <-ctx.Done():
-		p.abandon(ctx, w)
+		p.removeWaiter(ctx, w)
 	}
 	if w.refusal != nil {
 		return w.refusal
 	}
-	t.Waited = p.gate.opts.Now().Sub(w.since)
+	t.Waited = p.gate.opts.Now().Sub(w.queuedAt)
 	queueTime.Update(t.Waited.Seconds())
 	return nil
 }
 
-// arrive decides at once, or queues the request and returns its waiter.
-func (p *pool) arrive(ctx context.Context, r *request.Request, weight int) (*waiter, *request.Refusal) {
+// admitOrQueue admits or refuses the request at once, or queues it and returns its
+// waiter. Both results are nil when it is admitted.
+func (p *pool) admitOrQueue(ctx context.Context, r *request.Request, weight int) (*waiter, *request.Refusal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.gate.opts.Now()
@@ -89,18 +90,18 @@
 	case p.closed:
 		return nil, p.refuse(r, request.CodeNoUpstream, now, "the pool was removed")
 	case ctx.Err() != nil:
-		return nil, gone(ctx)
+		return nil, contextRefusal(ctx)
 	case !now.Before(latest):
-		return nil, p.refuse(r, request.CodeDeadline, now, "less time left than it takes")
+		return nil, p.refuse(r, request.CodeDeadline, now, "too little time left before the deadline")
 	case p.queue.Len() == 0 && p.opts.TryPlace(r):
 		return nil, nil
 	}
 	latest = latest.Add(-p.opts.PlacedWait(r))
 	if !now.Before(latest) {
-		return nil, p.refuse(r, request.CodeDeadline, now, "no place is free in time")
+		return nil, p.refuse(r, request.CodeDeadline, now, "no place will be free in time for the deadline")
 	}
 	w := p.newWaiter(r, weight, latest)
-	w.since = now
+	w.queuedAt = now
 	if wait, ok := p.drain.DrainTime(p.queue.CostAhead(&w.entry), now); ok && now.Add(wait).After(latest) {
 		return nil, p.refuse(r, request.CodeDeadline, now, "the queue ahead takes about %s", wait.Round(time.Millisecond))
 	}
@@ -108,7 +109,7 @@
 		return nil, p.refuse(r, pushCode(err), now, "%v", err)
 	}
 	p.drain.SetBacklogged(true, now)
-	p.run(now)
+	p.processQueue(now)
 	return w, nil
 }
 
@@ -135,8 +136,9 @@
 	return w
 }
 
-// abandon takes a waiter out whose caller has gone, unless it has its result.
-func (p *pool) abandon(ctx context.Context, w *waiter) {
+// removeWaiter removes a waiter whose context has ended from the queue, unless it
+// already has a result.
+func (p *pool) removeWaiter(ctx context.Context, w *waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
@@ -145,33 +147,33 @@
 	default:
 	}
 	p.queue.Remove(w.entry.ID)
-	w.refusal = gone(ctx)
+	w.refusal = contextRefusal(ctx)
 	close(w.ready)
-	p.run(p.gate.opts.Now())
+	p.processQueue(p.gate.opts.Now())
 }
 
-func gone(ctx context.Context) *request.Refusal {
+func contextRefusal(ctx context.Context) *request.Refusal {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return request.Refuse(request.CodeDeadline, 0, "the deadline passed in the queue")
 	}
 	return request.Refuse(request.CodeCallerGone, 0, "the caller has gone")
 }
 
-// kick runs the queue. It costs little when nothing waits.
-func (p *pool) kick() {
+// retryQueued processes the queue. It is cheap when the queue is empty.
+func (p *pool) retryQueued() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.queue.Len() > 0 {
-		p.run(p.gate.opts.Now())
+		p.processQueue(p.gate.opts.Now())
 	}
 }
 
-// run refuses what has become too late, lets in what finds a place, and sets the
-// timer for the rest.
-func (p *pool) run(now time.Time) {
+// processQueue refuses the requests whose latest start has passed, admits those that
+// can be placed, and sets the timer for the rest.
+func (p *pool) processQueue(now time.Time) {
 	for _, e := range p.queue.Expire(now) {
 		w := e.Value.(*waiter)
-		p.finish(w, p.refuse(w.request, request.CodeDeadline, now, "no place was free in time"))
+		p.finish(w, p.refuse(w.request, request.CodeDeadline, now, "no place became free in time for the deadline"))
 	}
 	for {
 		e := p.queue.Pop(p.canPlace, now)
@@ -204,21 +206,22 @@
 	}
 	wait := min(max(next.Sub(now), time.Millisecond), p.gate.opts.Poll)
 	if p.timer == nil {
-		p.timer = time.AfterFunc(wait, p.kick)
+		p.timer = time.AfterFunc(wait, p.retryQueued)
 		return
 	}
 	p.timer.Reset(wait)
 }
 
-// refuse returns a Refusal spread by the pool's backlog and by all who were
-// refused lately.
+// refuse returns a Refusal whose RetryAfter covers the pool's backlog and the
+// requests that were refused lately.
 func (p *pool) refuse(r *request.Request, code request.Code, now time.Time, format string, args ...any) *request.Refusal {
 	p.drain.RecordRefused(r.TotalTokens(), now)
 	return p.gate.refuse(code, p.drain.RetryBacklog(p.queue.Cost(), now), format, args...)
 }
 
-// comeBack counts a refused request and returns the backlog to spread it by.
-func (p *pool) comeBack(r *request.Request) time.Duration {
+// recordRefused counts a refused request and returns the backlog after which its
+// caller may retry.
+func (p *pool) recordRefused(r *request.Request) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.gate.opts.Now()
--- a/internal/gate/ticket.go
+++ b/internal/gate/ticket.go
@@ -11,7 +11,7 @@
 
 // Ticket is the right to work on one admitted request.
 type Ticket struct {
-	Waited time.Duration // in the queue
+	Waited time.Duration // time spent in the queue
 
 	gate  *Gate
 	pool  *pool
@@ -20,9 +20,9 @@
 	done  atomic.Bool
 }
 
-// Done ends the request: its limits are given back, put right by the tokens it
-// used, prompt and answer, and the pool's queue is tried. Only the first call
-// counts.
+// Done ends the request: it releases its share of the limits, corrects the charge to
+// the tokens that were used (prompt and answer; none for request.NotRun), and
+// processes the pool's queue. Only the first call has an effect.
 func (t *Ticket) Done(outcome request.Outcome, tokens int) {
 	if !t.done.CompareAndSwap(false, true) {
 		return
@@ -32,7 +32,7 @@
 	}
 	t.release(tokens)
 	metrics.GetOrCreateCounter(`buckthorndock_gate_done_total{outcome="` + string(outcome) + `"}`).Inc()
-	t.pool.kick()
+	t.pool.retryQueued()
 }
 
 func (t *Ticket) release(tokens int) {
