--- a/internal/front/admit.go
+++ b/internal/front/admit.go
@@ -21,41 +21,41 @@
 // in fair turns and what is late is refused without engine time. Urgent requests
 // always go: the engine serves them first.
 const (
-	engineWaitNormal = 200 * time.Millisecond
-	engineWaitBulk   = 100 * time.Millisecond
+	maxEngineWaitNormal = 200 * time.Millisecond
+	maxEngineWaitBulk   = 100 * time.Millisecond
 )
 
-// kickEvery is the least time between two looks at the queues after capacity may
+// minQueueRetryInterval is the least time between two looks at the queues after capacity may
 // have grown.
-const kickEvery = 2 * time.Millisecond
+const minQueueRetryInterval = 2 * time.Millisecond
 
-// waiting holds the jobs that ask the gate for a place, and the place found.
-type waiting struct {
+// pendingJobs holds the jobs that ask the gate for a place, and the place found.
+type pendingJobs struct {
 	mu   sync.Mutex
-	jobs map[string]*waitingJob // by request id
+	jobs map[string]*pendingJob // by request id
 }
 
-type waitingJob struct {
+type pendingJob struct {
 	job      *job
 	decision *placement.Decision // noted with the router, nil when none was taken
 }
 
-func newWaiting() *waiting { return &waiting{jobs: map[string]*waitingJob{}} }
+func newPendingJobs() *pendingJobs { return &pendingJobs{jobs: map[string]*pendingJob{}} }
 
-func (w *waiting) add(j *job) {
+func (w *pendingJobs) add(j *job) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.jobs[j.req.ID] = &waitingJob{job: j}
+	w.jobs[j.req.ID] = &pendingJob{job: j}
 }
 
-func (w *waiting) get(id string) *waitingJob {
+func (w *pendingJobs) get(id string) *pendingJob {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.jobs[id]
 }
 
-// take removes a job and returns the place that was found for it, if any.
-func (w *waiting) take(id string) *placement.Decision {
+// remove removes a job and returns the place that was found for it, if any.
+func (w *pendingJobs) remove(id string) *placement.Decision {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	wj := w.jobs[id]
@@ -68,13 +68,13 @@
 
 // admit asks the gate for the right to work on a job.
 func (s *Server) admit(ctx context.Context, j *job) (*gate.Ticket, *request.Refusal) {
-	s.waiting.add(j)
+	s.pending.add(j)
 	chain := make([]admission.Node, len(j.customer.Limits))
 	for i, n := range j.customer.Limits {
 		chain[i] = admission.Node{Name: n.Name, Limits: n.Limits}
 	}
 	ticket, refusal := s.opts.Gate.Enter(ctx, j.req, chain, j.customer.Weight, j.pool.Name)
-	j.first = s.waiting.take(j.req.ID)
+	j.gatePlacement = s.pending.remove(j.req.ID)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -85,14 +85,14 @@
 // takes its place at once, so that the next one sees it taken. What can never be
 // placed is let in too, for its refusal is given by the attempt loop.
 func (s *Server) tryPlace(req *request.Request) bool {
-	wj := s.waiting.get(req.ID)
+	wj := s.pending.get(req.ID)
 	if wj == nil || req.Kind != request.Generate {
 		return true
 	}
 	j := wj.job
 	ask := router.NewPlacementRequest(req, j.pool.Name, j.routing)
 	ask.Exclude = s.blocked(j)
-	d, fit, err := s.opts.Router.PlaceWithin(ask, engineWait(j), func(d placement.Decision) placement.Placement {
+	d, fit, err := s.opts.Router.PlaceWithin(ask, maxEngineWait(j), func(d placement.Decision) placement.Placement {
 		return newPlacement(j, 1, d)
 	})
 	if err == nil && fit == router.PlaceRecorded {
@@ -101,28 +101,28 @@
 	return err != nil || fit != router.MustWait
 }
 
-// minService answers the gate: the least time from a request's start to its end.
-func (s *Server) minService(req *request.Request) time.Duration {
-	wj := s.waiting.get(req.ID)
-	if wj == nil || req.Kind != request.Generate || !separates(wj.job) {
+// minServiceTime answers the gate: the least time from a request's start to its end.
+func (s *Server) minServiceTime(req *request.Request) time.Duration {
+	wj := s.pending.get(req.ID)
+	if wj == nil || req.Kind != request.Generate || !isLengthAware(wj.job) {
 		return 0
 	}
 	return s.opts.Router.ServiceTime(router.NewPlacementRequest(req, wj.job.pool.Name, wj.job.routing))
 }
 
-// placedWait answers the gate: how long a request that had to queue waits on its
+// maxPlacedWait answers the gate: how long a request that had to queue waits on its
 // engine, which is then as full as engineWait lets it be.
-func (s *Server) placedWait(req *request.Request) time.Duration {
-	wj := s.waiting.get(req.ID)
-	if wj == nil || req.Kind != request.Generate || !separates(wj.job) || req.Priority == request.Urgent {
+func (s *Server) maxPlacedWait(req *request.Request) time.Duration {
+	wj := s.pending.get(req.ID)
+	if wj == nil || req.Kind != request.Generate || !isLengthAware(wj.job) || req.Priority == request.Urgent {
 		return 0
 	}
-	return engineWait(wj.job)
+	return maxEngineWait(wj.job)
 }
 
-// separates reports whether a job's policy is the product's own. The policies that
+// isLengthAware reports whether a job's policy is the product's own. The policies that
 // it is compared with send at once.
-func separates(j *job) bool {
+func isLengthAware(j *job) bool {
 	return j.routing.Policy == "" || j.routing.Policy == settings.PolicyLengthAware
 }
 
@@ -132,35 +132,35 @@
 	return s.opts.Suspects.Blocked(s.opts.Router.UpstreamNames(j.pool.Name), j.req.Fingerprint, time.Now())
 }
 
-// comeBack returns when the caller of a request that was not placed may try again,
+// retryAfter returns when the caller of a request that was not placed may try again,
 // spread like the gate's refusals so that callers that were refused together do
 // not return together.
-func (s *Server) comeBack(j *job, backlog time.Duration) time.Duration {
+func (s *Server) retryAfter(j *job, backlog time.Duration) time.Duration {
 	return s.opts.Gate.ComeBack(j.pool.Name, j.req, max(backlog, retryElsewhere))
 }
 
-// engineWait returns the longest wait on an engine for a job.
-func engineWait(j *job) time.Duration {
-	if j.req.Priority == request.Urgent || !separates(j) {
+// maxEngineWait returns the longest wait on an engine for a job.
+func maxEngineWait(j *job) time.Duration {
+	if j.req.Priority == request.Urgent || !isLengthAware(j) {
 		return math.MaxInt64
 	}
 	if j.req.Priority == request.Bulk {
-		return engineWaitBulk
+		return maxEngineWaitBulk
 	}
-	return engineWaitNormal
+	return maxEngineWaitNormal
 }
 
 // lane tells the gate which requests need the same kind of capacity.
 func lane(req *request.Request) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(req.Target)
-	_, _ = d.Write([]byte{0, byte(req.Priority), byte(lengthStep(req.PromptTokens))})
+	_, _ = d.Write([]byte{0, byte(req.Priority), byte(lengthClass(req.PromptTokens))})
 	return d.Sum64()
 }
 
-// lengthStep groups prompts of like length: an engine that is closed to long
+// lengthClass groups prompts of like length: an engine that is closed to long
 // ones may be open to shorter ones.
-func lengthStep(tokens int) int {
+func lengthClass(tokens int) int {
 	step := 0
 	for tokens >= 4096 {
 		tokens /= 4
@@ -183,8 +183,8 @@
 			},
 			TryPlace:   s.tryPlace,
 			Lane:       lane,
-			MinService: s.minService,
-			PlacedWait: s.placedWait,
+			MinService: s.minServiceTime,
+			PlacedWait: s.maxPlacedWait,
 		})
 	}
 	for name := range s.pools {
@@ -199,17 +199,17 @@
 func (s *Server) Run(ctx context.Context) error {
 	for {
 		changed := s.opts.Router.Changed()
-		s.kick()
+		s.retryQueues()
 		select {
 		case <-changed:
 		case <-ctx.Done():
 			return nil
 		}
-		time.Sleep(kickEvery)
+		time.Sleep(minQueueRetryInterval)
 	}
 }
 
-func (s *Server) kick() {
+func (s *Server) retryQueues() {
 	for _, name := range s.poolNames() {
 		s.opts.Gate.Kick(name)
 	}
--- a/internal/front/auth.go
+++ b/internal/front/auth.go
@@ -40,7 +40,7 @@
 // the bound on the body is that of its customer.
 func (s *Server) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		id := s.identify(bearer(r))
+		id := s.identify(bearerToken(r))
 		limit := int64(maxOperatorBody)
 		if id.customer != nil {
 			limit = int64(id.customer.Requests.MaxBodyBytes)
@@ -51,7 +51,7 @@
 	})
 }
 
-func bearer(r *http.Request) string {
+func bearerToken(r *http.Request) string {
 	scheme, token, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") {
 		return ""
--- a/internal/front/blame.go
+++ b/internal/front/blame.go
@@ -9,16 +9,16 @@
 	"github.com/buckthorndock/buckthorndock/internal/upstream"
 )
 
-// blame notes what an attempt's end says of its upstreams and returns those that
+// recordFaults notes what an attempt's end says of its upstreams and returns those that
 // the next attempt is to avoid. When the receiver of a gang reports an error, it
 // may be about another member: each is probed on a new connection.
-func (g *generation) blame(ctx context.Context, t *target, res streamEnd) []string {
-	if res.late {
+func (g *generation) recordFaults(ctx context.Context, t *target, res streamEnd) []string {
+	if res.deadlinePassed {
 		return nil
 	}
 	if len(t.gang) < 2 || !errors.Is(res.err, errEngine) {
-		g.s.noteUpstream(t.name(), res.end, res.reachable)
-		g.s.noteRefusal(t.name(), res.err)
+		g.s.updateUpstreamState(t.name(), res.end, res.reachable)
+		g.s.recordBackOff(t.name(), res.err)
 		return []string{t.name()}
 	}
 	faults := make([]error, len(t.gang))
@@ -31,14 +31,14 @@
 	for i, m := range t.gang {
 		if faults[i] != nil && ctx.Err() == nil {
 			blamed = append(blamed, m.Name)
-			g.s.opts.Router.SetState(m.Name, stateAfter(faults[i]))
+			g.s.opts.Router.SetState(m.Name, stateAfterProbe(faults[i]))
 		}
 	}
 	return blamed
 }
 
-// stateAfter tells a member that is gone from one that is silent.
-func stateAfter(err error) placement.State {
+// stateAfterProbe tells a member that is gone from one that is silent.
+func stateAfterProbe(err error) placement.State {
 	if upstream.IsNotStarted(err) {
 		return placement.Dead
 	}
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -18,26 +18,26 @@
 type pacedBody struct {
 	io.ReadCloser
 	control *http.ResponseController
-	began   time.Time
+	started time.Time
 	read    int64
 }
 
 func newPacedBody(w http.ResponseWriter, body io.ReadCloser) *pacedBody {
-	return &pacedBody{ReadCloser: body, control: http.NewResponseController(w), began: time.Now()}
+	return &pacedBody{ReadCloser: body, control: http.NewResponseController(w), started: time.Now()}
 }
 
 // Read implements io.Reader.
 func (b *pacedBody) Read(p []byte) (int, error) {
 	earned := time.Duration(b.read) * time.Second / bodyMinRate
-	b.deadline(b.began.Add(bodyGrace + earned))
+	b.setReadDeadline(b.started.Add(bodyGrace + earned))
 	n, err := b.ReadCloser.Read(p)
 	b.read += int64(n)
 	if errors.Is(err, io.EOF) {
 		// What is read from now on only tells whether the caller is still there.
-		b.deadline(time.Time{})
+		b.setReadDeadline(time.Time{})
 	}
 	return n, err
 }
 
-// deadline has no effect on writers without deadlines, as in tests.
-func (b *pacedBody) deadline(t time.Time) { _ = b.control.SetReadDeadline(t) }
+// setReadDeadline has no effect on writers without deadlines, as in tests.
+func (b *pacedBody) setReadDeadline(t time.Time) { _ = b.control.SetReadDeadline(t) }
--- a/internal/front/build.go
+++ b/internal/front/build.go
@@ -15,9 +15,9 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// maxAskedDeadline is the longest deadline that is taken for meant; a longer one
+// maxRequestedDeadline is the longest deadline that is taken for meant; a longer one
 // is refused as absurd.
-const maxAskedDeadline = 30 * 24 * time.Hour
+const maxRequestedDeadline = 30 * 24 * time.Hour
 
 // Bounds of the prefix hashes of one prompt.
 const (
@@ -44,12 +44,12 @@
 	body   []byte // of a service's call
 	sink   sink   // of a generation
 
-	first    *placement.Decision  // place taken by the gate, noted with the router
-	answered int                  // tokens delivered
-	passed   strings.Builder      // text delivered from another run
-	permit   *claim.Permit        // to dispatch once, nil when it may be repeated
-	record   *claims.AnswerWriter // keeps the answer for repeats of the key, nil without
-	needed   func() bool          // the answer is kept for somebody else; set with record
+	gatePlacement   *placement.Decision  // place taken by the gate, noted with the router
+	deliveredTokens int                  // tokens delivered
+	relayedText     strings.Builder      // text delivered from another run
+	permit          *claim.Permit        // to dispatch once, nil when it may be repeated
+	recording       *claims.AnswerWriter // keeps the answer for repeats of the key, nil without
+	wantedByOthers  func() bool          // the answer is kept for somebody else; set with record
 }
 
 // defaults of one call, from the settings or the operation.
@@ -61,7 +61,7 @@
 
 // newRequest fills in what generations and calls have in common.
 func newRequest(id string, c *settings.CustomerView, p callParams, def callDefaults, now time.Time) (*request.Request, *request.Refusal) {
-	deadline, refusal := askedDeadline(p.deadlineMs, def.deadline, c.Requests.MaxDeadline())
+	deadline, refusal := effectiveDeadline(p.deadlineMs, def.deadline, c.Requests.MaxDeadline())
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -69,7 +69,7 @@
 		ID:         id,
 		Customer:   c.Name,
 		Path:       c.Path,
-		Priority:   askedPriority(p.priority, def.priority, c.Requests.MostUrgent()),
+		Priority:   effectivePriority(p.priority, def.priority, c.Requests.MostUrgent()),
 		Arrived:    now,
 		Deadline:   now.Add(deadline),
 		Repeatable: p.repeatable.Or(true) && def.repeatable,
@@ -77,18 +77,18 @@
 	}, nil
 }
 
-func askedDeadline(asked callerapi.OptInt64, def, longest time.Duration) (time.Duration, *request.Refusal) {
+func effectiveDeadline(asked callerapi.OptInt64, def, longest time.Duration) (time.Duration, *request.Refusal) {
 	ms, ok := asked.Get()
 	if !ok {
 		return min(def, longest), nil
 	}
-	if ms <= 0 || ms > int64(maxAskedDeadline/time.Millisecond) {
-		return 0, request.Refuse(request.CodeBadRequest, 0, "X-Deadline-Ms: %d is not between 1 and %d", ms, maxAskedDeadline/time.Millisecond)
+	if ms <= 0 || ms > int64(maxRequestedDeadline/time.Millisecond) {
+		return 0, request.Refuse(request.CodeBadRequest, 0, "X-Deadline-Ms: %d is not between 1 and %d", ms, maxRequestedDeadline/time.Millisecond)
 	}
 	return min(time.Duration(ms)*time.Millisecond, longest), nil
 }
 
-func askedPriority(asked callerapi.OptPriority, def, mostUrgent request.Priority) request.Priority {
+func effectivePriority(asked callerapi.OptPriority, def, mostUrgent request.Priority) request.Priority {
 	p := def
 	if word, ok := asked.Get(); ok {
 		p, _ = request.ParsePriority(string(word))
--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -12,22 +12,22 @@
 	"github.com/buckthorndock/buckthorndock/internal/upstream"
 )
 
-// leastCallTime is the least that one attempt of a repeatable call gets.
-const leastCallTime = 100 * time.Millisecond
+// minAttemptTime is the least that one attempt of a repeatable call gets.
+const minAttemptTime = 100 * time.Millisecond
 
 // serviceCall is one call of a plain service on its way through its attempts.
 type serviceCall struct {
-	s       *Server
-	job     *job
-	attempt int
-	wrote   bool
-	exclude []string
+	s              *Server
+	job            *job
+	attempt        int
+	earlierWritten bool
+	exclude        []string
 }
 
 // callService runs a call until its one end and returns the service's answer.
 func (s *Server) callService(ctx context.Context, j *job) ([]byte, *request.Refusal) {
 	c := &serviceCall{s: s, job: j, attempt: 1}
-	ctx = upstream.WithPermit(ctx, s.permit(j))
+	ctx = upstream.WithPermit(ctx, s.dispatchPermit(j))
 	for {
 		d, refusal := c.place()
 		if refusal != nil {
@@ -35,10 +35,10 @@
 		}
 		result, err := c.try(ctx, d)
 		if err == nil {
-			s.retries.success(j.routing, time.Now())
+			s.retries.recordSuccess(j.routing, time.Now())
 			return result, nil
 		}
-		if refusal := c.next(ctx, d, err); refusal != nil {
+		if refusal := c.decideNext(ctx, d, err); refusal != nil {
 			return nil, refusal
 		}
 	}
@@ -51,7 +51,7 @@
 		return d, request.Refuse(request.CodeInternal, retryElsewhere, "placement failed")
 	}
 	if d.Verdict == placement.Placed {
-		c.s.noteDecision(c.job, c.attempt, d, []string{d.Chosen.Name})
+		c.s.recordDecision(c.job, c.attempt, d, []string{d.Chosen.Name})
 		return d, nil
 	}
 	if len(c.exclude) > 0 {
@@ -59,9 +59,9 @@
 		c.exclude = nil
 		return c.place()
 	}
-	c.s.noteDecision(c.job, c.attempt, d, nil)
-	refusal := request.Refuse(request.CodeNoUpstream, c.s.comeBack(c.job, d.Backlog.Drain()), "no live server of service %s", c.job.req.Target)
-	if c.wrote {
+	c.s.recordDecision(c.job, c.attempt, d, nil)
+	refusal := request.Refuse(request.CodeNoUpstream, c.s.retryAfter(c.job, d.Backlog.Drain()), "no live server of service %s", c.job.req.Target)
+	if c.earlierWritten {
 		refusal.Outcome = request.Failed
 	}
 	return d, refusal
@@ -75,27 +75,27 @@
 	defer c.s.opts.Router.Finished(id, placement.End{})
 	if c.job.req.Repeatable {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, max(c.job.req.Remaining(time.Now())/2, leastCallTime))
+		ctx, cancel = context.WithTimeout(ctx, max(c.job.req.Remaining(time.Now())/2, minAttemptTime))
 		defer cancel()
 	}
 	return c.s.opts.Client.Call(ctx, d.Chosen.Address, c.job.req.Operation, c.job.req.ID, c.attempt, c.job.body)
 }
 
-// next decides what follows a failed attempt; nil means to try again.
-func (c *serviceCall) next(ctx context.Context, d placement.Decision, err error) *request.Refusal {
+// decideNext decides what follows a failed attempt; nil means to try again.
+func (c *serviceCall) decideNext(ctx context.Context, d placement.Decision, err error) *request.Refusal {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return callerGone(c.job)
+		return callerGoneRefusal(c.job)
 	}
 	if errors.Is(err, upstream.ErrNotPermitted) {
-		return notPermitted()
+		return notPermittedRefusal()
 	}
 	end := callEnd(err)
-	a := retry.Attempt{Number: c.attempt, End: end, EarlierWritten: c.wrote}
+	a := retry.Attempt{Number: c.attempt, End: end, EarlierWritten: c.earlierWritten}
 	if end != retry.NotWritten {
-		c.wrote = true
+		c.earlierWritten = true
 	}
-	c.s.noteUpstream(d.Chosen.Name, end, false)
-	c.s.noteRefusal(d.Chosen.Name, err)
+	c.s.updateUpstreamState(d.Chosen.Name, end, false)
+	c.s.recordBackOff(d.Chosen.Name, err)
 	decision := c.s.retries.next(a, c.job, time.Now())
 	fields := jobFields(c.job)
 	fields["attempt"] = c.attempt
--- a/internal/front/errors.go
+++ b/internal/front/errors.go
@@ -102,22 +102,22 @@
 	return r.Outcome == request.NotRun && r.RetryAfter > 0
 }
 
-// failed returns a refusal of a request that may have run.
-func failed(code request.Code, retryAfter time.Duration, message string) *request.Refusal {
+// failedRefusal returns a refusal of a request that may have run.
+func failedRefusal(code request.Code, retryAfter time.Duration, message string) *request.Refusal {
 	return &request.Refusal{Outcome: request.Failed, Code: code, RetryAfter: retryAfter, Message: message}
 }
 
-// callerGone ends a job whose caller has left. It may have run.
-func callerGone(j *job) *request.Refusal {
-	refusal := failed(request.CodeCallerGone, 0, "the caller has gone")
+// callerGoneRefusal ends a job whose caller has left. It may have run.
+func callerGoneRefusal(j *job) *request.Refusal {
+	refusal := failedRefusal(request.CodeCallerGone, 0, "the caller has gone")
 	if !j.req.Repeatable {
 		refusal.Outcome = request.Unknown
 	}
 	return refusal
 }
 
-// notPermitted ends a job that came to its dispatch too late. No upstream is to
+// notPermittedRefusal ends a job that came to its dispatch too late. No upstream is to
 // blame and none would be permitted.
-func notPermitted() *request.Refusal {
+func notPermittedRefusal() *request.Refusal {
 	return request.Refuse(request.CodeDeadline, retryElsewhere, "too late to be sent")
 }
--- a/internal/front/generate.go
+++ b/internal/front/generate.go
@@ -23,15 +23,15 @@
 	job *job
 	asm *stream.Assembler
 
-	attempt      int // number of the running attempt, from 1
-	resumes      int // of the running attempt, since its last token
-	asks         int // for reservations so far
-	earlierWrote bool
-	exclude      []string
-	blamed       []string        // for the end of the last attempt
-	first        time.Time       // of the first token, zero before
-	text         strings.Builder // handed out so far
-	trial        *suspects.Trial // under which the next attempt runs; nil: none is needed
+	attempt        int // number of the running attempt, from 1
+	resumes        int // of the running attempt, since its last token
+	reservations   int // for reservations so far
+	earlierWritten bool
+	exclude        []string
+	faulty         []string        // for the end of the last attempt
+	firstTokenAt   time.Time       // of the first token, zero before
+	text           strings.Builder // handed out so far
+	trial          *suspects.Trial // under which the next attempt runs; nil: none is needed
 }
 
 // generate runs a job until its one end. It returns nil when the whole answer
@@ -40,31 +40,31 @@
 	g := &generation{
 		s:       s,
 		job:     j,
-		asm:     stream.New(stream.Options{RequestID: j.req.ID, MaxTokens: j.req.MaxTokens, From: j.answered}),
+		asm:     stream.New(stream.Options{RequestID: j.req.ID, MaxTokens: j.req.MaxTokens, From: j.deliveredTokens}),
 		attempt: 1,
 	}
-	g.text.WriteString(j.passed.String())
+	g.text.WriteString(j.relayedText.String())
 	defer func() { g.trial.End(quarantine.TrialNotSent) }()
 	for {
 		target, refusal := g.place(ctx)
 		if refusal != nil {
 			return refusal
 		}
-		refusal, again := g.onTarget(ctx, target)
+		refusal, again := g.runAttempt(ctx, target)
 		if !again {
 			return refusal
 		}
 	}
 }
 
-// onTarget runs the attempt on one upstream, resuming its stream as often as is
+// runAttempt runs the attempt on one upstream, resuming its stream as often as is
 // worth while. again asks for another upstream.
-func (g *generation) onTarget(ctx context.Context, t *target) (refusal *request.Refusal, again bool) {
+func (g *generation) runAttempt(ctx context.Context, t *target) (refusal *request.Refusal, again bool) {
 	id := placement.ID{Request: g.job.req.ID, Attempt: g.attempt}
 	end := placement.End{}
-	defer g.release(t)
-	g.s.noteGang(t, true)
-	defer g.s.noteGang(t, false)
+	defer g.releaseReservation(t)
+	g.s.recordGangMembers(t, true)
+	defer g.s.recordGangMembers(t, false)
 	g.s.opts.Router.Placed(t.placement)
 	t.incarnation = g.s.opts.Router.Incarnation(t.name())
 	var last streamEnd
@@ -73,29 +73,29 @@
 		g.trial.End(trialOutcome(last))
 	}()
 	g.trial.MarkSent()
-	g.s.opts.Holder.Track(t.engine(g.job), g.running())
+	g.s.opts.Holder.Track(t.engine(g.job), g.runningID())
 	defer func() { g.s.opts.Router.Finished(id, end) }()
 	for {
 		res := g.stream(ctx, t)
 		last = res
 		if res.complete {
 			end = placement.End{Complete: true, AnswerTokens: g.asm.NextIndex()}
-			g.s.opts.Holder.Done(t.name(), g.running())
-			g.s.retries.success(g.job.routing, time.Now())
+			g.s.opts.Holder.Done(t.name(), g.runningID())
+			g.s.retries.recordSuccess(g.job.routing, time.Now())
 			return g.finish(), false
 		}
-		decision := g.next(ctx, t, res)
+		decision := g.decideNext(ctx, t, res)
 		if decision.Action == retry.Resume {
 			g.resumes++
 			continue
 		}
-		g.abandon(t, res)
+		g.cancelAttempt(t, res)
 		if decision.Action == retry.GiveUp {
 			return decision.Refusal, false
 		}
 		g.attempt = decision.Attempt
 		g.resumes = 0
-		g.exclude = append(g.exclude, g.blamed...)
+		g.exclude = append(g.exclude, g.faulty...)
 		return nil, true
 	}
 }
@@ -121,26 +121,26 @@
 	return nil
 }
 
-// next decides what follows an attempt that ended without a whole answer.
-func (g *generation) next(ctx context.Context, t *target, res streamEnd) retry.Decision {
+// decideNext decides what follows an attempt that ended without a whole answer.
+func (g *generation) decideNext(ctx context.Context, t *target, res streamEnd) retry.Decision {
 	now := time.Now()
 	if res.callerGone {
-		return retry.Decision{Action: retry.GiveUp, Refusal: callerGone(g.job)}
+		return retry.Decision{Action: retry.GiveUp, Refusal: callerGoneRefusal(g.job)}
 	}
 	if errors.Is(res.err, upstream.ErrNotPermitted) {
-		return retry.Decision{Action: retry.GiveUp, Refusal: notPermitted()}
+		return retry.Decision{Action: retry.GiveUp, Refusal: notPermittedRefusal()}
 	}
 	a := retry.Attempt{
 		Number:         g.attempt,
 		End:            res.end,
-		EarlierWritten: g.earlierWrote,
+		EarlierWritten: g.earlierWritten,
 		Reachable:      res.reachable,
 		Resumes:        g.resumes,
 	}
 	if res.end != retry.NotWritten {
-		g.earlierWrote = true
+		g.earlierWritten = true
 	}
-	g.blamed = g.blame(ctx, t, res)
+	g.faulty = g.recordFaults(ctx, t, res)
 	if res.end == retry.Died {
 		g.s.opts.Suspects.EngineDied(t.name(), t.incarnation, now)
 	}
@@ -159,18 +159,18 @@
 	return decision
 }
 
-// abandon makes sure that the engine gives up an attempt that may hold memory
+// cancelAttempt makes sure that the engine gives up an attempt that may hold memory
 // there.
-func (g *generation) abandon(t *target, res streamEnd) {
+func (g *generation) cancelAttempt(t *target, res streamEnd) {
 	notStarted := res.end == retry.NotWritten || res.end == retry.Refused
 	if notStarted && !res.callerGone {
-		g.s.opts.Holder.Done(t.name(), g.running())
+		g.s.opts.Holder.Done(t.name(), g.runningID())
 		return
 	}
-	g.s.opts.Holder.End(t.engine(g.job), g.running())
+	g.s.opts.Holder.End(t.engine(g.job), g.runningID())
 }
 
-// running names the running attempt as a holding of its engine.
-func (g *generation) running() ledger.ID {
+// runningID names the running attempt as a holding of its engine.
+func (g *generation) runningID() ledger.ID {
 	return ledger.ID{Kind: ledger.Running, Name: g.job.req.ID, Attempt: g.attempt}
 }
--- a/internal/front/handlers.go
+++ b/internal/front/handlers.go
@@ -12,7 +12,7 @@
 
 // CreateCompletion implements callerapi.RawHandler.
 func (s *Server) CreateCompletion(ctx context.Context, req *callerapi.CompletionRequest, p callerapi.CreateCompletionParams, w http.ResponseWriter) error {
-	ask := generationAsk{
+	ask := generationRequest{
 		shape:     shapeCompletion,
 		params:    callParams{key: p.IdempotencyKey, repeatable: p.XRepeatable, deadlineMs: p.XDeadlineMs, priority: p.XPriority},
 		model:     req.Model,
@@ -26,7 +26,7 @@
 
 // CreateChatCompletion implements callerapi.RawHandler.
 func (s *Server) CreateChatCompletion(ctx context.Context, req *callerapi.ChatCompletionRequest, p callerapi.CreateChatCompletionParams, w http.ResponseWriter) error {
-	ask := generationAsk{
+	ask := generationRequest{
 		shape:     shapeChat,
 		params:    callParams{key: p.IdempotencyKey, repeatable: p.XRepeatable, deadlineMs: p.XDeadlineMs, priority: p.XPriority},
 		model:     req.Model,
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// generationAsk is a decoded request for an answer.
-type generationAsk struct {
+// generationRequest is a decoded request for an answer.
+type generationRequest struct {
 	shape     answerShape
 	params    callParams
 	model     string
@@ -58,13 +58,13 @@
 	writeRefusal(w, id, refusal)
 }
 
-func (s *Server) serveGeneration(ctx context.Context, ask generationAsk, w http.ResponseWriter) {
+func (s *Server) serveGeneration(ctx context.Context, ask generationRequest, w http.ResponseWriter) {
 	id := newID()
-	if refusal := s.enter(); refusal != nil {
+	if refusal := s.beginRequest(); refusal != nil {
 		writeRefusal(w, id, refusal)
 		return
 	}
-	defer s.exit()
+	defer s.endRequest()
 	if ask.err != nil {
 		s.refuseInput(w, id, request.Refuse(request.CodeBadRequest, 0, "%s", ask.err.Error()))
 		return
@@ -85,17 +85,17 @@
 	if refusal != nil {
 		j.sink.refuse(refusal)
 	}
-	s.noteEnd(j, refusal)
+	s.recordEnd(j, refusal)
 }
 
 // CallService implements callerapi.RawHandler.
 func (s *Server) CallService(ctx context.Context, body callerapi.AnyJSON, p callerapi.CallServiceParams, w http.ResponseWriter) error {
 	id := newID()
-	if refusal := s.enter(); refusal != nil {
+	if refusal := s.beginRequest(); refusal != nil {
 		writeRefusal(w, id, refusal)
 		return nil
 	}
-	defer s.exit()
+	defer s.endRequest()
 	params := callParams{key: p.IdempotencyKey, repeatable: p.XRepeatable, deadlineMs: p.XDeadlineMs, priority: p.XPriority}
 	j, refusal := s.newCall(id, identityOf(ctx).customer, params, p.Service, p.Operation, body)
 	if refusal != nil {
@@ -106,8 +106,8 @@
 	do := func(ctx context.Context) *request.Refusal {
 		var refusal *request.Refusal
 		result, refusal = s.callService(ctx, j)
-		if refusal == nil && j.record != nil {
-			_, _ = j.record.Write(result)
+		if refusal == nil && j.recording != nil {
+			_, _ = j.recording.Write(result)
 		}
 		return refusal
 	}
@@ -120,7 +120,7 @@
 		ctx = context.WithoutCancel(ctx)
 	}
 	refusal = s.serve(ctx, j, do, pass)
-	s.noteEnd(j, refusal)
+	s.recordEnd(j, refusal)
 	setWriteDeadline(w, DefaultWriteTimeout)
 	if refusal != nil {
 		writeRefusal(w, id, refusal)
--- a/internal/front/joined.go
+++ b/internal/front/joined.go
@@ -9,10 +9,10 @@
 	"github.com/buckthorndock/buckthorndock/internal/join"
 )
 
-// joined runs a repeatable job with a key, or passes on the answer of the run
+// runOrJoin runs a repeatable job with a key, or passes on the answer of the run
 // under the same key that is in flight. When that one gives no whole answer the
 // job runs by itself, from the first token on that was not passed on.
-func (s *Server) joined(ctx context.Context, j *job, do work, pass relay) *request.Refusal {
+func (s *Server) runOrJoin(ctx context.Context, j *job, do runFunc, pass readAnswerFunc) *request.Refusal {
 	run := join.Run{
 		Customer:    j.req.Customer,
 		Key:         j.req.Key,
@@ -22,31 +22,31 @@
 	}
 	t := s.opts.Join.Enter(ctx, run, "")
 	if t.Other == nil {
-		return s.asJoinable(ctx, j, t, do)
+		return s.runJoinable(ctx, j, t, do)
 	}
 	s.log.WithFields(jobFields(j)).WithField("run", t.Other.ID).WithField("at", t.Other.Host).Info("joined")
-	end, err := s.passOn(ctx, j, pass, func(ctx context.Context, w io.Writer) (claims.Ending, error) {
+	end, err := s.relayAnswer(ctx, j, pass, func(ctx context.Context, w io.Writer) (claims.Ending, error) {
 		return s.opts.Join.Relay(ctx, *t.Other, w)
 	})
 	if err == nil && end.State == claims.AnswerComplete {
 		return nil
 	}
 	s.log.WithFields(jobFields(j)).WithField("state", end.State.String()).Info("joined_in_vain")
-	if j.answered > 0 {
-		return s.admitted(ctx, j, do) // it has no beginning that others could read
+	if j.deliveredTokens > 0 {
+		return s.runAdmitted(ctx, j, do) // it has no beginning that others could read
 	}
 	t = s.opts.Join.Enter(ctx, run, t.Other.ID)
 	if t.Other == nil {
-		return s.asJoinable(ctx, j, t, do)
+		return s.runJoinable(ctx, j, t, do)
 	}
-	return s.admitted(ctx, j, do) // others have come first; one wait is enough
+	return s.runAdmitted(ctx, j, do) // others have come first; one wait is enough
 }
 
-// asJoinable runs a job that others can join. It goes on without its caller when
+// runJoinable runs a job that others can join. It goes on without its caller when
 // somebody has.
-func (s *Server) asJoinable(ctx context.Context, j *job, t *join.Ticket, do work) *request.Refusal {
-	j.record = t.Answer
-	j.needed = t.HasReaders
+func (s *Server) runJoinable(ctx context.Context, j *job, t *join.Ticket, do runFunc) *request.Refusal {
+	j.recording = t.Answer
+	j.wantedByOthers = t.HasReaders
 	wanted, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() {
@@ -55,7 +55,7 @@
 		}
 	})
 	defer stop()
-	refusal := s.admitted(wanted, j, do)
+	refusal := s.runAdmitted(wanted, j, do)
 	if refusal != nil {
 		t.Finish(claims.Ending{State: claims.AnswerFailed, Code: refusal.Code, Message: refusal.Message})
 		return refusal
--- a/internal/front/keyed.go
+++ b/internal/front/keyed.go
@@ -21,23 +21,23 @@
 	supersedeWait = 20 * time.Millisecond // the first, then doubled each time
 )
 
-// work runs an admitted job until its end.
-type work func(ctx context.Context) *request.Refusal
+// runFunc runs an admitted job until its end.
+type runFunc func(ctx context.Context) *request.Refusal
 
-// relay passes on what the holder of a key has recorded.
-type relay func(io.Reader) error
+// readAnswerFunc passes on what the holder of a key has recorded.
+type readAnswerFunc func(io.Reader) error
 
 // serve runs a job from admission to its one end. A job that runs at most once
 // and has a key runs only at the holder of the key; elsewhere the holder's answer
 // is relayed.
-func (s *Server) serve(ctx context.Context, j *job, do work, pass relay) *request.Refusal {
+func (s *Server) serve(ctx context.Context, j *job, do runFunc, pass readAnswerFunc) *request.Refusal {
 	switch {
 	case j.req.Repeatable && j.req.Key == "":
-		return s.admitted(ctx, j, do)
+		return s.runAdmitted(ctx, j, do)
 	case j.req.Repeatable:
-		return s.joined(ctx, j, do, pass)
+		return s.runOrJoin(ctx, j, do, pass)
 	case j.req.Key == "":
-		return s.withoutKey(ctx, j, do)
+		return s.runWithoutKey(ctx, j, do)
 	}
 	for try := range maxSupersedes {
 		res, err := s.opts.Claims.Acquire(ctx, claims.AcquireRequest{
@@ -50,9 +50,9 @@
 			return asRefusal(err)
 		}
 		if res.HoldsKey() {
-			return s.asHolder(ctx, j, res, do)
+			return s.runAsKeyHolder(ctx, j, res, do)
 		}
-		end, err := s.passOn(ctx, j, pass, func(ctx context.Context, w io.Writer) (claims.Ending, error) {
+		end, err := s.relayAnswer(ctx, j, pass, func(ctx context.Context, w io.Writer) (claims.Ending, error) {
 			return s.opts.Claims.Await(ctx, res, w)
 		})
 		if err != nil {
@@ -81,8 +81,8 @@
 	}
 }
 
-// admitted runs a job that the gate lets in.
-func (s *Server) admitted(ctx context.Context, j *job, do work) *request.Refusal {
+// runAdmitted runs a job that the gate lets in.
+func (s *Server) runAdmitted(ctx context.Context, j *job, do runFunc) *request.Refusal {
 	ctx, cancel := context.WithDeadline(ctx, j.req.Deadline)
 	defer cancel()
 	ticket, refusal := s.admit(ctx, j)
@@ -90,7 +90,7 @@
 		return refusal
 	}
 	refusal = do(ctx)
-	outcome, tokens := request.Complete, j.req.PromptTokens+j.answered
+	outcome, tokens := request.Complete, j.req.PromptTokens+j.deliveredTokens
 	if refusal != nil {
 		outcome = refusal.Outcome
 	}
@@ -98,19 +98,19 @@
 	return refusal
 }
 
-// withoutKey runs a job that may be dispatched once and has no key.
-func (s *Server) withoutKey(ctx context.Context, j *job, do work) *request.Refusal {
+// runWithoutKey runs a job that may be dispatched once and has no key.
+func (s *Server) runWithoutKey(ctx context.Context, j *job, do runFunc) *request.Refusal {
 	j.permit = claim.NewPermit(j.req.Deadline)
 	j.permit.Grant(0)
-	refusal := s.admitted(ctx, j, do)
+	refusal := s.runAdmitted(ctx, j, do)
 	if refusal != nil && j.permit.Release() {
-		return neverSent(refusal)
+		return markNotSent(refusal)
 	}
-	return maybeSent(refusal)
+	return markMaybeSent(refusal)
 }
 
-// maybeSent corrects the outcome of a job whose permit was used.
-func maybeSent(r *request.Refusal) *request.Refusal {
+// markMaybeSent corrects the outcome of a job whose permit was used.
+func markMaybeSent(r *request.Refusal) *request.Refusal {
 	if r == nil || r.Outcome != request.NotRun {
 		return r
 	}
@@ -119,9 +119,9 @@
 	return &changed
 }
 
-// neverSent tells what is certain of a job whose permit was given back unused:
+// markNotSent tells what is certain of a job whose permit was given back unused:
 // nothing was sent, and nothing will be.
-func neverSent(r *request.Refusal) *request.Refusal {
+func markNotSent(r *request.Refusal) *request.Refusal {
 	if r.Outcome == request.NotRun {
 		return r
 	}
@@ -132,30 +132,30 @@
 	return request.Refuse(code, retryElsewhere, "it ended before it was sent")
 }
 
-// asHolder runs a job whose key this host holds. It goes on when the caller has
+// runAsKeyHolder runs a job whose key this host holds. It goes on when the caller has
 // gone, for the caller may ask for the answer again.
-func (s *Server) asHolder(ctx context.Context, j *job, res claims.Result, do work) *request.Refusal {
+func (s *Server) runAsKeyHolder(ctx context.Context, j *job, res claims.Result, do runFunc) *request.Refusal {
 	j.permit = res.Permit
-	j.record = res.Answer
-	j.needed = func() bool { return true }
-	refusal := s.admitted(context.WithoutCancel(ctx), j, do)
+	j.recording = res.Answer
+	j.wantedByOthers = func() bool { return true }
+	refusal := s.runAdmitted(context.WithoutCancel(ctx), j, do)
 	switch {
 	case refusal == nil:
 		res.Answer.Finish(claims.Ending{State: claims.AnswerComplete})
 	case s.opts.Claims.Release(res):
 		// Nothing was sent: the key is free again.
-		refusal = neverSent(refusal)
+		refusal = markNotSent(refusal)
 	case refusal.Outcome == request.Failed:
 		res.Answer.Finish(claims.Ending{State: claims.AnswerFailed, Code: refusal.Code, Message: refusal.Message})
 	default:
-		refusal = maybeSent(refusal)
+		refusal = markMaybeSent(refusal)
 		res.Answer.Finish(claims.Ending{State: claims.AnswerUnknown, Code: refusal.Code, Message: refusal.Message})
 	}
 	return refusal
 }
 
-// passOn passes the answer of another run on within the job's time.
-func (s *Server) passOn(ctx context.Context, j *job, pass relay, from func(context.Context, io.Writer) (claims.Ending, error)) (claims.Ending, error) {
+// relayAnswer passes the answer of another run on within the job's time.
+func (s *Server) relayAnswer(ctx context.Context, j *job, pass readAnswerFunc, from func(context.Context, io.Writer) (claims.Ending, error)) (claims.Ending, error) {
 	ctx, cancel := context.WithDeadline(ctx, j.req.Deadline)
 	defer cancel()
 	r, w := io.Pipe()
@@ -167,7 +167,7 @@
 	}()
 	end, err := from(ctx, w)
 	if err == nil && end.State != claims.AnswerComplete {
-		err = errNotWhole
+		err = errAnswerIncomplete
 	}
 	w.CloseWithError(err)
 	passErr := <-passed
@@ -180,8 +180,8 @@
 	return end, err
 }
 
-// errNotWhole ends the relay of an answer that did not become whole.
-var errNotWhole = merry.Sentinel("the holder's answer is not whole")
+// errAnswerIncomplete ends the relay of an answer that did not become whole.
+var errAnswerIncomplete = merry.Sentinel("the holder's answer is not whole")
 
 // awaitRefusal is the end of a repeat whose wait for the holder ended.
 func awaitRefusal(ctx context.Context) *request.Refusal {
@@ -195,45 +195,45 @@
 	}
 }
 
-// recorded is one line of a recorded generation.
-type recorded struct {
+// recordedTokens is one line of a recorded generation.
+type recordedTokens struct {
 	Text   string `json:"t"`
 	Tokens int    `json:"n"`
 }
 
 // recordTokens keeps a piece of the answer for repeats of the key.
 func (j *job) recordTokens(text string, tokens int) {
-	if j.record == nil {
+	if j.recording == nil {
 		return
 	}
-	line, err := json.Marshal(recorded{Text: text, Tokens: tokens})
+	line, err := json.Marshal(recordedTokens{Text: text, Tokens: tokens})
 	if err != nil {
 		return
 	}
-	_, _ = j.record.Write(append(line, '\n'))
+	_, _ = j.recording.Write(append(line, '\n'))
 }
 
 // relayTokens passes a recorded generation on to the job's sink.
-func relayTokens(j *job) relay {
+func relayTokens(j *job) readAnswerFunc {
 	return func(r io.Reader) error {
 		lines := bufio.NewReader(r)
 		for {
 			line, err := lines.ReadBytes('\n')
 			if err == io.EOF {
-				return j.sink.finish(j.answered)
+				return j.sink.finish(j.deliveredTokens)
 			}
 			if err != nil {
 				return err
 			}
-			var rec recorded
+			var rec recordedTokens
 			if err := json.Unmarshal(line, &rec); err != nil {
 				return merry.Prepend(err, "recorded answer")
 			}
 			if err := j.sink.token(rec.Text); err != nil {
 				return err
 			}
-			j.answered += rec.Tokens
-			j.passed.WriteString(rec.Text)
+			j.deliveredTokens += rec.Tokens
+			j.relayedText.WriteString(rec.Text)
 		}
 	}
 }
--- a/internal/front/notes.go
+++ b/internal/front/notes.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// noteDecision logs a routing decision and keeps it for operators.
-func (s *Server) noteDecision(j *job, attempt int, d placement.Decision, chosen []string) {
+// recordDecision logs a routing decision and keeps it for operators.
+func (s *Server) recordDecision(j *job, attempt int, d placement.Decision, chosen []string) {
 	fields := jobFields(j)
 	fields["attempt"] = attempt
 	fields["prompt_tokens"] = j.req.PromptTokens
@@ -61,8 +61,8 @@
 	metrics.GetOrCreateCounter(fmt.Sprintf(`buckthorndock_placements_total{class=%q,verdict=%q}`, d.Class, d.Verdict)).Inc()
 }
 
-// noteGang notes the work of the gang's members besides the receiver, or its end.
-func (s *Server) noteGang(t *target, begin bool) {
+// recordGangMembers notes the work of the gang's members besides the receiver, or its end.
+func (s *Server) recordGangMembers(t *target, begin bool) {
 	if len(t.gang) == 0 {
 		return
 	}
@@ -79,16 +79,16 @@
 	}
 }
 
-// noteFirstToken measures the time to first token.
-func (s *Server) noteFirstToken(j *job, t *target, cached int, now time.Time) {
+// recordFirstToken measures the time to first token.
+func (s *Server) recordFirstToken(j *job, t *target, cached int, now time.Time) {
 	s.opts.Router.FirstToken(t.placement.ID, cached)
 	took := now.Sub(j.req.Arrived)
 	name := fmt.Sprintf(`buckthorndock_first_token_seconds{class=%q,priority=%q}`, t.decision.Class, j.req.Priority)
 	metrics.GetOrCreateHistogram(name).Update(took.Seconds())
 }
 
-// noteUpstream passes on what an attempt's end says of its upstream.
-func (s *Server) noteUpstream(name string, end retry.End, reachable bool) {
+// updateUpstreamState passes on what an attempt's end says of its upstream.
+func (s *Server) updateUpstreamState(name string, end retry.End, reachable bool) {
 	switch {
 	case end == retry.NotWritten, end == retry.Died:
 		s.opts.Router.SetState(name, placement.Dead)
@@ -97,8 +97,8 @@
 	}
 }
 
-// noteEnd logs and counts the one end of a request.
-func (s *Server) noteEnd(j *job, refusal *request.Refusal) {
+// recordEnd logs and counts the one end of a request.
+func (s *Server) recordEnd(j *job, refusal *request.Refusal) {
 	outcome := request.Complete
 	fields := jobFields(j)
 	if refusal != nil {
--- a/internal/front/notices.go
+++ b/internal/front/notices.go
@@ -24,8 +24,8 @@
 
 func newNotices() *notices { return &notices{tracker: notice.New()} }
 
-// noteRefusal keeps what a refusal asks for.
-func (s *Server) noteRefusal(name string, err error) {
+// recordBackOff keeps what a refusal asks for.
+func (s *Server) recordBackOff(name string, err error) {
 	var r *upstream.RefusedError
 	if !errors.As(err, &r) {
 		return
--- a/internal/front/notices_test.go
+++ b/internal/front/notices_test.go
@@ -11,9 +11,9 @@
 	"github.com/buckthorndock/buckthorndock/internal/upstream"
 )
 
-// TestRefusalBarsItsUpstream guards against upstreams that refuse work because they leave, or
+// TestRefusalBarsUpstream guards against upstreams that refuse work because they leave, or
 // for a time, and are sent to all the same.
-func TestRefusalBarsItsUpstream(t *testing.T) {
+func TestRefusalBarsUpstream(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	for name, c := range map[string]struct {
@@ -27,7 +27,7 @@
 		"nothing was wrong (nil)": {nil, false},
 	} {
 		s := &Server{log: logrus.NewEntry(log), notices: newNotices()}
-		s.noteRefusal("u1", c.err)
+		s.recordBackOff("u1", c.err)
 		if got := s.isBarred("u1"); got != c.bars || s.isBarred("u2") {
 			t.Errorf("%s: barred %v", name, got)
 		}
--- a/internal/front/once_test.go
+++ b/internal/front/once_test.go
@@ -12,25 +12,25 @@
 
 // A dispatch that comes too late says nothing of the upstream, and no other one is
 // tried: the test's jobs have no server to tell or to ask.
-func TestTooLateForItsPermit(t *testing.T) {
+func TestDispatchAfterPermitExpired(t *testing.T) {
 	late := &upstream.NotSentError{Err: upstream.ErrNotPermitted}
 	j := &job{req: &request.Request{ID: "r"}}
 	call := &serviceCall{job: j, attempt: 1}
-	got := call.next(context.Background(), placement.Decision{}, late)
+	got := call.decideNext(context.Background(), placement.Decision{}, late)
 	if got.Outcome != request.NotRun || got.RetryAfter == 0 {
 		t.Errorf("call: %v", got)
 	}
 	g := &generation{job: j, attempt: 1}
-	d := g.next(context.Background(), nil, streamEnd{end: retry.NotWritten, err: late})
+	d := g.decideNext(context.Background(), nil, streamEnd{end: retry.NotWritten, err: late})
 	if d.Action != retry.GiveUp || d.Refusal.Outcome != request.NotRun {
 		t.Errorf("generation: %v %v", d.Action, d.Refusal)
 	}
 }
 
-func TestCallerGoneIsUnknownForWhatRunsOnce(t *testing.T) {
+func TestCallerGoneOutcome(t *testing.T) {
 	for repeatable, want := range map[bool]request.Outcome{true: request.Failed, false: request.Unknown} {
 		g := &generation{job: &job{req: &request.Request{Repeatable: repeatable}}}
-		if d := g.next(context.Background(), nil, streamEnd{callerGone: true}); d.Refusal.Outcome != want {
+		if d := g.decideNext(context.Background(), nil, streamEnd{callerGone: true}); d.Refusal.Outcome != want {
 			t.Errorf("repeatable %v: %s", repeatable, d.Refusal.Outcome)
 		}
 	}
--- a/internal/front/operator.go
+++ b/internal/front/operator.go
@@ -153,7 +153,7 @@
 	op := identityOf(ctx).operator
 	history := &callerapi.SettingsHistory{Changes: []callerapi.SettingsHistoryChangesItem{}}
 	for _, v := range s.opts.Operator.History(p.Path.Or(settings.Root), p.Limit.Or(defaultPlacements)) {
-		if !mayAll(op, v.Paths) {
+		if !mayAccessAll(op, v.Paths) {
 			continue
 		}
 		history.Changes = append(history.Changes, callerapi.SettingsHistoryChangesItem{
@@ -164,7 +164,7 @@
 	return history, nil
 }
 
-func mayAll(op *settings.OperatorView, paths []string) bool {
+func mayAccessAll(op *settings.OperatorView, paths []string) bool {
 	for _, p := range paths {
 		if !op.May(p) {
 			return false
--- a/internal/front/place.go
+++ b/internal/front/place.go
@@ -13,58 +13,58 @@
 
 // place waits until the request can be placed, or says why it cannot.
 func (g *generation) place(ctx context.Context) (*target, *request.Refusal) {
-	if t := g.placeTaken(); t != nil {
+	if t := g.useGatePlacement(); t != nil {
 		return t, nil
 	}
 	for {
 		changed := g.s.opts.Router.Changed()
-		t, verdict := g.decide(ctx)
+		t, verdict := g.decidePlacement(ctx)
 		if verdict == nil {
-			ok, refusal := g.begin(ctx, t)
+			ok, refusal := g.prepare(ctx, t)
 			if refusal != nil {
-				return nil, g.refused(refusal)
+				return nil, g.correctOutcome(refusal)
 			}
 			if ok {
-				g.s.noteDecision(g.job, g.attempt, t.decision, t.names())
+				g.s.recordDecision(g.job, g.attempt, t.decision, t.names())
 				return t, nil
 			}
 			verdict = &noPlace{wait: true}
 		}
 		if !verdict.wait {
-			return nil, g.refused(verdict.refusal)
+			return nil, g.correctOutcome(verdict.refusal)
 		}
 		select {
 		case <-changed:
-		case <-time.After(placeRetry):
+		case <-time.After(placeRetryInterval):
 		case <-ctx.Done():
-			return nil, g.refused(g.ended(ctx))
+			return nil, g.correctOutcome(g.contextRefusal(ctx))
 		}
 	}
 }
 
-// placeTaken returns the place that the gate has found, if it still holds.
-func (g *generation) placeTaken() *target {
-	d := g.job.first
+// useGatePlacement returns the place that the gate has found, if it still holds.
+func (g *generation) useGatePlacement() *target {
+	d := g.job.gatePlacement
 	if d == nil {
 		return nil
 	}
-	g.job.first = nil
+	g.job.gatePlacement = nil
 	t := newTarget(g.job, g.attempt, *d)
 	if g.s.isBarred(t.name()) || !g.tryStart(t) {
 		g.s.opts.Router.Finished(t.placement.ID, placement.End{})
 		return nil
 	}
-	g.s.noteDecision(g.job, g.attempt, *d, t.names())
+	g.s.recordDecision(g.job, g.attempt, *d, t.names())
 	return t
 }
 
-// begin makes sure that the attempt may start: that it does not meet another
+// prepare makes sure that the attempt may start: that it does not meet another
 // suspect of crashes, and that its memory is reserved.
-func (g *generation) begin(ctx context.Context, t *target) (bool, *request.Refusal) {
+func (g *generation) prepare(ctx context.Context, t *target) (bool, *request.Refusal) {
 	if !g.tryStart(t) {
 		return false, nil
 	}
-	ok, refusal := g.secure(ctx, t)
+	ok, refusal := g.reserveMemory(ctx, t)
 	if !ok {
 		g.s.opts.Suspects.End(t.run, false)
 	}
@@ -76,22 +76,22 @@
 	return ok
 }
 
-// placeRetry is the longest time between two looks for a place while nothing is
+// placeRetryInterval is the longest time between two looks for a place while nothing is
 // heard of the upstreams.
-const placeRetry = 50 * time.Millisecond
+const placeRetryInterval = 50 * time.Millisecond
 
-// ended returns why the context has ended.
-func (g *generation) ended(ctx context.Context) *request.Refusal {
+// contextRefusal returns why the context has ended.
+func (g *generation) contextRefusal(ctx context.Context) *request.Refusal {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return request.Refuse(request.CodeDeadline, g.s.comeBack(g.job, 0), "no upstream had room within the deadline")
+		return request.Refuse(request.CodeDeadline, g.s.retryAfter(g.job, 0), "no upstream had room within the deadline")
 	}
-	return failed(request.CodeCallerGone, 0, "the caller has gone")
+	return failedRefusal(request.CodeCallerGone, 0, "the caller has gone")
 }
 
-// refused corrects a refusal's outcome: what an earlier attempt wrote may have
+// correctOutcome corrects a refusal's outcome: what an earlier attempt wrote may have
 // run.
-func (g *generation) refused(r *request.Refusal) *request.Refusal {
-	if r == nil || !g.earlierWrote {
+func (g *generation) correctOutcome(r *request.Refusal) *request.Refusal {
+	if r == nil || !g.earlierWritten {
 		return r
 	}
 	changed := *r
@@ -108,9 +108,9 @@
 	refusal *request.Refusal
 }
 
-// decide asks the router once.
-func (g *generation) decide(ctx context.Context) (*target, *noPlace) {
-	if verdict := g.underTrial(ctx); verdict != nil {
+// decidePlacement asks the router once.
+func (g *generation) decidePlacement(ctx context.Context) (*target, *noPlace) {
+	if verdict := g.admitSuspect(ctx); verdict != nil {
 		return nil, verdict
 	}
 	blocked := g.s.blocked(g.job)
@@ -126,14 +126,14 @@
 	case placement.WaitMemory:
 		return nil, &noPlace{wait: true}
 	case placement.NeedsGang:
-		return g.decideGang(ask, d)
+		return g.chooseGang(ask, d)
 	case placement.NeverPossible:
-		g.s.noteDecision(g.job, g.attempt, d, nil)
+		g.s.recordDecision(g.job, g.attempt, d, nil)
 		return nil, &noPlace{refusal: request.Refuse(request.CodeNeverPossible, 0,
 			"needs %d tokens of memory, at most %d can be gathered", ask.MemoryNeeded(), d.MemoryLimit)}
 	case placement.TooLate:
-		g.s.noteDecision(g.job, g.attempt, d, nil)
-		return nil, &noPlace{refusal: request.Refuse(request.CodeDeadline, g.s.comeBack(g.job, d.Backlog.Drain()),
+		g.s.recordDecision(g.job, g.attempt, d, nil)
+		return nil, &noPlace{refusal: request.Refuse(request.CodeDeadline, g.s.retryAfter(g.job, d.Backlog.Drain()),
 			"the deadline cannot be met at the present load")}
 	}
 	if len(blocked) > 0 {
@@ -142,16 +142,16 @@
 	if len(g.exclude) > 0 {
 		// All that is left has failed before; one of them may be back.
 		g.exclude = nil
-		return g.decide(ctx)
+		return g.decidePlacement(ctx)
 	}
-	g.s.noteDecision(g.job, g.attempt, d, nil)
-	return nil, &noPlace{refusal: request.Refuse(request.CodeNoUpstream, g.s.comeBack(g.job, d.Backlog.Drain()),
+	g.s.recordDecision(g.job, g.attempt, d, nil)
+	return nil, &noPlace{refusal: request.Refuse(request.CodeNoUpstream, g.s.retryAfter(g.job, d.Backlog.Drain()),
 		"no upstream of pool %s can take it now", g.job.pool.Name)}
 }
 
-// underTrial makes sure that the request may be placed, under a trial if it needs one. Its turn
+// admitSuspect makes sure that the request may be placed, under a trial if it needs one. Its turn
 // for that is waited for.
-func (g *generation) underTrial(ctx context.Context) *noPlace {
+func (g *generation) admitSuspect(ctx context.Context) *noPlace {
 	trial, refusal := g.s.opts.Suspects.Admit(ctx, g.job.req.Fingerprint, g.trial, time.Until(g.job.req.Deadline))
 	g.trial = trial
 	if refusal == nil {
@@ -160,9 +160,9 @@
 	return &noPlace{wait: refusal.Code == request.CodeSuspect, refusal: refusal}
 }
 
-// decideGang chooses the members of a gang. The first in the order of names
+// chooseGang chooses the members of a gang. The first in the order of names
 // receives the request.
-func (g *generation) decideGang(ask placement.Request, d placement.Decision) (*target, *noPlace) {
+func (g *generation) chooseGang(ask placement.Request, d placement.Decision) (*target, *noPlace) {
 	members := g.s.opts.Router.GangMembers(ask)
 	if len(members) == 0 && len(g.exclude) > 0 {
 		// Those that have failed are needed, if they are back.
--- a/internal/front/points.go
+++ b/internal/front/points.go
@@ -14,21 +14,21 @@
 	PointPermitted Point = "permitted"
 )
 
-// permit returns what a dispatch of a job asks before its first byte. It is asked
+// dispatchPermit returns what a dispatch of a job asks before its first byte. It is asked
 // when a connection is open and nothing has been written, so that an upstream
 // which cannot be reached does not use the permit up.
-func (s *Server) permit(j *job) func() bool {
+func (s *Server) dispatchPermit(j *job) func() bool {
 	return func() bool {
-		s.reach(PointConnected)
+		s.reachPoint(PointConnected)
 		if j.permit != nil && !j.permit.Dispatch(time.Now()) {
 			return false
 		}
-		s.reach(PointPermitted)
+		s.reachPoint(PointPermitted)
 		return true
 	}
 }
 
-func (s *Server) reach(p Point) {
+func (s *Server) reachPoint(p Point) {
 	if s.opts.AtPoint != nil {
 		s.opts.AtPoint(p)
 	}
--- a/internal/front/reserve.go
+++ b/internal/front/reserve.go
@@ -11,13 +11,13 @@
 	"github.com/buckthorndock/buckthorndock/internal/owner"
 )
 
-// secure has the memory of a long prompt reserved before it is sent. It returns
+// reserveMemory has the memory of a long prompt reserved before it is sent. It returns
 // false when the engine has no room now, after a wait that its owner asked for.
 // Without an owner a prompt that fits one engine goes without a reservation; the
 // engine itself refuses what it cannot hold.
-func (g *generation) secure(ctx context.Context, t *target) (bool, *request.Refusal) {
+func (g *generation) reserveMemory(ctx context.Context, t *target) (bool, *request.Refusal) {
 	if len(t.gang) > 0 {
-		return g.gather(ctx, t)
+		return g.reserveGang(ctx, t)
 	}
 	if t.decision.Class != placement.Long {
 		return true, nil
@@ -49,8 +49,8 @@
 // reservationName returns a new name for a reservation. A name is asked for once:
 // one whose answer was lost is being released.
 func (g *generation) reservationName() string {
-	g.asks++
-	return fmt.Sprintf("%s#%d.%d", g.job.req.ID, g.attempt, g.asks)
+	g.reservations++
+	return fmt.Sprintf("%s#%d.%d", g.job.req.ID, g.attempt, g.reservations)
 }
 
 func (g *generation) pause(ctx context.Context, d time.Duration) {
@@ -60,16 +60,16 @@
 	}
 }
 
-// gatherFor is how long one choice of members is gathered. After it they are chosen
+// gangReserveTimeout is how long one choice of members is gathered. After it they are chosen
 // anew: one may have died since.
-const gatherFor = 4 * time.Second
+const gangReserveTimeout = 4 * time.Second
 
-// gather has memory reserved on all members of a gang, or on none.
-func (g *generation) gather(ctx context.Context, t *target) (bool, *request.Refusal) {
+// reserveGang has memory reserved on all members of a gang, or on none.
+func (g *generation) reserveGang(ctx context.Context, t *target) (bool, *request.Refusal) {
 	gang := ledger.Gang{
 		Request:  g.reservationName(),
 		Pool:     g.job.pool.Name,
-		Deadline: time.Now().Add(min(gatherFor, time.Until(g.job.req.Deadline))),
+		Deadline: time.Now().Add(min(gangReserveTimeout, time.Until(g.job.req.Deadline))),
 	}
 	var engines []owner.Engine
 	for _, m := range t.gang {
@@ -83,14 +83,14 @@
 	}
 	g.s.log.WithFields(jobFields(g.job)).WithError(err).Info("gang_not_gathered")
 	if ctx.Err() != nil {
-		return false, g.ended(ctx)
+		return false, g.contextRefusal(ctx)
 	}
-	g.pause(ctx, placeRetry)
+	g.pause(ctx, placeRetryInterval)
 	return false, nil
 }
 
-// release gives back what secure has reserved.
-func (g *generation) release(t *target) {
+// releaseReservation gives back what secure has reserved.
+func (g *generation) releaseReservation(t *target) {
 	if t.reservation == "" {
 		return
 	}
--- a/internal/front/retries.go
+++ b/internal/front/retries.go
@@ -28,8 +28,8 @@
 	return r.policy.Next(a, j.req, now)
 }
 
-// success counts one whole answer.
-func (r *retries) success(routing settings.Routing, now time.Time) {
+// recordSuccess counts one whole answer.
+func (r *retries) recordSuccess(routing settings.Routing, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.budget.SetRatio(routing.RetryBudget)
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -59,7 +59,7 @@
 	opts    Options
 	log     *logrus.Entry
 	retries *retries
-	waiting *waiting
+	pending *pendingJobs
 	notices *notices
 	handler http.Handler
 
@@ -73,7 +73,7 @@
 
 // NewServer returns a Server; Handler serves it.
 func NewServer(opts Options) (*Server, error) {
-	s := &Server{opts: opts, log: opts.Log, retries: newRetries(), waiting: newWaiting(), notices: newNotices()}
+	s := &Server{opts: opts, log: opts.Log, retries: newRetries(), pending: newPendingJobs(), notices: newNotices()}
 	api, err := callerapi.NewServer(s, s, s,
 		callerapi.WithErrorHandler(s.handleAPIError),
 		callerapi.WithNotFound(s.handleNotFound),
@@ -99,9 +99,9 @@
 // InFlight returns the number of requests in progress.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
-// enter counts a request in, or says why the daemon takes none. The caller must
+// beginRequest counts a request in, or says why the daemon takes none. The caller must
 // call exit after a nil return.
-func (s *Server) enter() *request.Refusal {
+func (s *Server) beginRequest() *request.Refusal {
 	s.inFlight.Add(1)
 	if s.refusing.Load() {
 		s.inFlight.Add(-1)
@@ -110,7 +110,7 @@
 	return nil
 }
 
-func (s *Server) exit() { s.inFlight.Add(-1) }
+func (s *Server) endRequest() { s.inFlight.Add(-1) }
 
 // retryElsewhere is the time to come back in when another daemon behind the
 // balancer can be expected to serve.
--- a/internal/front/sink.go
+++ b/internal/front/sink.go
@@ -96,8 +96,8 @@
 	return a
 }
 
-// piece is one chunk; reason is set on the last.
-func (m *answerMeta) piece(text string, reason *string, u *usage) answer {
+// chunk is one chunk; reason is set on the last.
+func (m *answerMeta) chunk(text string, reason *string, u *usage) answer {
 	c := choice{FinishReason: reason}
 	a := answer{ID: m.id, Created: m.created, Model: m.model, Usage: u}
 	if m.shape == shapeChat {
@@ -151,12 +151,12 @@
 const eventDone = "data: [DONE]\n\n"
 
 func (s *eventSink) token(text string) error {
-	return s.send(s.meta.piece(text, nil, nil))
+	return s.send(s.meta.chunk(text, nil, nil))
 }
 
 func (s *eventSink) finish(tokens int) error {
 	reason := finishLength
-	if err := s.send(s.meta.piece("", &reason, s.meta.usage(tokens))); err != nil {
+	if err := s.send(s.meta.chunk("", &reason, s.meta.usage(tokens))); err != nil {
 		return err
 	}
 	return s.write([]byte(eventDone))
--- a/internal/front/sink_test.go
+++ b/internal/front/sink_test.go
@@ -15,13 +15,13 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-func TestEventSinkNeverEndsAPartialAnswerAsWhole(t *testing.T) {
+func TestEventSinkPartialAnswerHasNoFinalMarker(t *testing.T) {
 	w := httptest.NewRecorder()
 	s := &eventSink{w: w, meta: answerMeta{id: "r1", model: "m"}}
 	if err := s.token("half"); err != nil {
 		t.Fatal(err)
 	}
-	s.refuse(failed(request.CodeUpstreamFailed, 0, "the engine is gone"))
+	s.refuse(failedRefusal(request.CodeUpstreamFailed, 0, "the engine is gone"))
 	body := w.Body.String()
 	if strings.Contains(body, "[DONE]") || strings.Contains(body, `"finish_reason":"length"`) {
 		t.Errorf("a partial answer looks whole:\n%s", body)
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestEventSinkRefusesBeforeTheFirstTokenAsAnOrdinaryError(t *testing.T) {
+func TestEventSinkRefusalBeforeFirstToken(t *testing.T) {
 	w := httptest.NewRecorder()
 	s := &eventSink{w: w, meta: answerMeta{id: "r1"}}
 	s.refuse(request.Refuse(request.CodeQueueFull, 1500*time.Millisecond, "full"))
@@ -46,16 +46,16 @@
 	}
 }
 
-// TestClientsAreToldNotToRetryWhatMayHaveRun checks the header that the usual
+// TestShouldRetryHeader checks the header that the usual
 // OpenAI clients obey.
-func TestClientsAreToldNotToRetryWhatMayHaveRun(t *testing.T) {
+func TestShouldRetryHeader(t *testing.T) {
 	cases := []struct {
 		refusal *request.Refusal
 		told    string
 	}{
 		{request.Refuse(request.CodeNoUpstream, time.Second, "x"), ""},
 		{request.Refuse(request.CodeNeverPossible, 0, "x"), "false"},
-		{failed(request.CodeUpstreamFailed, time.Second, "x"), "false"},
+		{failedRefusal(request.CodeUpstreamFailed, time.Second, "x"), "false"},
 		{&request.Refusal{Outcome: request.Unknown, Code: request.CodeOutcomeLost, RetryAfter: time.Second}, "false"},
 	}
 	for _, c := range cases {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestStatusOfWhatMayHaveRun(t *testing.T) {
+func TestRefusalStatusByOutcome(t *testing.T) {
 	cases := map[request.Outcome]int{
 		request.NotRun:  http.StatusServiceUnavailable,
 		request.Failed:  http.StatusBadGateway,
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestCallerThatNeverReadsLosesItsConnection(t *testing.T) {
+func TestSlowReaderIsDisconnected(t *testing.T) {
 	ended := make(chan error, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		s := &eventSink{w: w, meta: answerMeta{id: "r1", writeTimeout: 50 * time.Millisecond}}
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -16,12 +16,12 @@
 
 // streamEnd is how one stream of an attempt ended.
 type streamEnd struct {
-	complete   bool
-	callerGone bool
-	end        retry.End // unless complete or callerGone
-	reachable  bool      // the engine still knows the attempt
-	late       bool      // the request's time was over: no fault of the engine's
-	err        error
+	complete       bool
+	callerGone     bool
+	end            retry.End // unless complete or callerGone
+	reachable      bool      // the engine still knows the attempt
+	deadlinePassed bool      // the request's time was over: no fault of the engine's
+	err            error
 }
 
 // arrival is a chunk or the end of a stream.
@@ -39,41 +39,41 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	// The permit is for the dispatch alone: a look at a silent attempt needs none.
-	dispatch := upstream.WithPermit(ctx, g.s.permit(g.job))
+	dispatch := upstream.WithPermit(ctx, g.s.dispatchPermit(g.job))
 	g.asm.StartAttempt(g.attempt)
 	arrivals := make(chan arrival)
-	go pump(dispatch, g.s.opts.Client, t.address(), g.engineRequest(t), arrivals)
+	go readStream(dispatch, g.s.opts.Client, t.address(), g.engineRequest(t), arrivals)
 
 	idle := time.NewTimer(g.job.routing.Idle())
 	defer idle.Stop()
-	doubt := time.NewTicker(doubtEvery)
+	doubt := time.NewTicker(suspectCheckInterval)
 	defer doubt.Stop()
 	for {
 		select {
 		case a := <-arrivals:
 			idle.Reset(g.job.routing.Idle())
-			doubt.Reset(doubtEvery)
-			if res, ended := g.arrived(ctx, t, a); ended {
+			doubt.Reset(suspectCheckInterval)
+			if res, ended := g.handleArrival(ctx, t, a); ended {
 				return res
 			}
 		case <-idle.C:
-			if res, ended := g.silent(ctx, t); ended {
+			if res, ended := g.checkSilent(ctx, t); ended {
 				return res
 			}
 			idle.Reset(g.job.routing.Idle())
 		case <-doubt.C:
-			if res, ended := g.doubtful(ctx, t); ended {
+			if res, ended := g.checkSuspect(ctx, t); ended {
 				return res
 			}
 		case <-ctx.Done():
-			return g.interrupted(ctx)
+			return g.classifyInterruption(ctx)
 		}
 	}
 }
 
-// pump opens the stream and sends what arrives, its end last. It never blocks
+// readStream opens the stream and sends what arrives, its end last. It never blocks
 // after the context has ended.
-func pump(ctx context.Context, client *upstream.Client, address string, req *upstream.GenerateRequest, out chan<- arrival) {
+func readStream(ctx context.Context, client *upstream.Client, address string, req *upstream.GenerateRequest, out chan<- arrival) {
 	send := func(a arrival) bool {
 		select {
 		case out <- a:
@@ -96,10 +96,10 @@
 	}
 }
 
-// arrived takes one arrival; ended is true when the stream is over.
-func (g *generation) arrived(ctx context.Context, t *target, a arrival) (res streamEnd, ended bool) {
+// handleArrival takes one arrival; ended is true when the stream is over.
+func (g *generation) handleArrival(ctx context.Context, t *target, a arrival) (res streamEnd, ended bool) {
 	if a.err != nil {
-		return g.broken(ctx, t, a.err), true
+		return g.classifyStreamError(ctx, t, a.err), true
 	}
 	if a.chunk.Error != "" {
 		return streamEnd{end: retry.InvalidAnswer, err: merry.Wrap(errEngine, merry.AppendMessage(a.chunk.Error))}, true
@@ -133,24 +133,24 @@
 // deliver hands text to the caller and notes the first token.
 func (g *generation) deliver(t *target, step stream.Step, cached int) error {
 	g.resumes = 0
-	if g.first.IsZero() {
-		g.first = time.Now()
-		g.s.noteFirstToken(g.job, t, cached, g.first)
+	if g.firstTokenAt.IsZero() {
+		g.firstTokenAt = time.Now()
+		g.s.recordFirstToken(g.job, t, cached, g.firstTokenAt)
 	}
-	g.job.answered = g.asm.NextIndex()
+	g.job.deliveredTokens = g.asm.NextIndex()
 	g.text.WriteString(step.Text)
 	g.job.recordTokens(step.Text, step.Tokens)
 	err := g.job.sink.token(step.Text)
-	if g.job.record != nil && g.job.needed() {
+	if g.job.recording != nil && g.job.wantedByOthers() {
 		return nil // the answer is wanted also when its caller has gone
 	}
 	return err
 }
 
-// broken tells why a stream ended with an error or too early.
-func (g *generation) broken(ctx context.Context, t *target, err error) streamEnd {
+// classifyStreamError tells why a stream ended with an error or too early.
+func (g *generation) classifyStreamError(ctx context.Context, t *target, err error) streamEnd {
 	if ctx.Err() != nil {
-		return g.interrupted(ctx)
+		return g.classifyInterruption(ctx)
 	}
 	if upstream.IsNotStarted(err) {
 		return streamEnd{end: retry.NotWritten, err: err}
@@ -169,13 +169,13 @@
 	return streamEnd{end: retry.Broken, reachable: standing.Phase != upstream.PhaseUnknown, err: err}
 }
 
-// silent looks, on a new connection, what has become of an attempt whose stream
+// checkSilent looks, on a new connection, what has become of an attempt whose stream
 // is silent. A request that has not come to its first token yet is left alone.
-func (g *generation) silent(ctx context.Context, t *target) (res streamEnd, ended bool) {
+func (g *generation) checkSilent(ctx context.Context, t *target) (res streamEnd, ended bool) {
 	standing, err := g.s.opts.Client.Probe(ctx, t.address(), g.job.req.ID, g.attempt)
 	switch {
 	case ctx.Err() != nil:
-		return g.interrupted(ctx), true
+		return g.classifyInterruption(ctx), true
 	case upstream.IsNotStarted(err):
 		return streamEnd{end: retry.Died, err: err}, true
 	case err != nil:
@@ -192,23 +192,23 @@
 
 // Times of the look at an engine that others have found silent.
 const (
-	doubtEvery = 250 * time.Millisecond // of silence on this stream before a look
-	doubtProbe = 300 * time.Millisecond // in which the engine has to answer
+	suspectCheckInterval = 250 * time.Millisecond // of silence on this stream before a look
+	suspectProbeTimeout  = 300 * time.Millisecond // in which the engine has to answer
 )
 
-// doubtful ends a stream without waiting for the idle limit when its engine is
+// checkSuspect ends a stream without waiting for the idle limit when its engine is
 // suspect or dead by now and does not answer this attempt's own question either.
-func (g *generation) doubtful(ctx context.Context, t *target) (res streamEnd, ended bool) {
+func (g *generation) checkSuspect(ctx context.Context, t *target) (res streamEnd, ended bool) {
 	state, ok := g.s.opts.Router.State(t.name())
 	if !ok || state != placement.Suspect && state != placement.Dead {
 		return streamEnd{}, false
 	}
-	probe, cancel := context.WithTimeout(ctx, doubtProbe)
+	probe, cancel := context.WithTimeout(ctx, suspectProbeTimeout)
 	defer cancel()
 	_, err := g.s.opts.Client.Probe(probe, t.address(), g.job.req.ID, g.attempt)
 	switch {
 	case ctx.Err() != nil:
-		return g.interrupted(ctx), true
+		return g.classifyInterruption(ctx), true
 	case err == nil:
 		return streamEnd{}, false
 	case upstream.IsNotStarted(err):
@@ -217,10 +217,10 @@
 	return streamEnd{end: retry.Silent, err: err}, true
 }
 
-// interrupted tells a passed deadline from a caller that has gone.
-func (g *generation) interrupted(ctx context.Context) streamEnd {
+// classifyInterruption tells a passed deadline from a caller that has gone.
+func (g *generation) classifyInterruption(ctx context.Context) streamEnd {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) || !time.Now().Before(g.job.req.Deadline) {
-		return streamEnd{end: retry.Silent, late: true, err: context.DeadlineExceeded}
+		return streamEnd{end: retry.Silent, deadlinePassed: true, err: context.DeadlineExceeded}
 	}
 	return streamEnd{callerGone: true, err: ctx.Err()}
 }
