--- a/internal/front/admit.go
+++ b/internal/front/admit.go
@@ -16,20 +16,20 @@
 	"github.com/buckthorndock/buckthorndock/internal/router"
 )
 
-// Longest estimated wait on an engine with which a request is still sent there.
-// What would wait longer stays in this daemon's queue, where customers are served
-// in fair turns and what is late is refused without engine time. Urgent requests
-// always go: the engine serves them first.
+// Maximum estimated wait on an engine with which a request is still sent there.
+// Requests that would wait longer stay in this daemon's queue, which is fair between
+// customers and refuses late requests without using engine time. Urgent requests are
+// always sent: the engine serves them first.
 const (
 	maxEngineWaitNormal = 200 * time.Millisecond
 	maxEngineWaitBulk   = 100 * time.Millisecond
 )
 
-// minQueueRetryInterval is the least time between two looks at the queues after capacity may
-// have grown.
+// minQueueRetryInterval is the minimum time between two passes over the queues.
 const minQueueRetryInterval = 2 * time.Millisecond
 
-// pendingJobs holds the jobs that ask the gate for a place, and the place found.
+// pendingJobs holds the jobs that wait for admission by the gate, with the place
+// found for each.
 type pendingJobs struct {
 	mu   sync.Mutex
 	jobs map[string]*pendingJob // by request id
@@ -37,7 +37,7 @@
 
 type pendingJob struct {
 	job      *job
-	decision *placement.Decision // noted with the router, nil when none was taken
+	decision *placement.Decision // recorded with the router; nil when no place was taken
 }
 
 func newPendingJobs() *pendingJobs { return &pendingJobs{jobs: map[string]*pendingJob{}} }
@@ -66,7 +66,7 @@
 	return wj.decision
 }
 
-// admit asks the gate for the right to work on a job.
+// admit asks the gate to admit a job. It blocks while the job is queued.
 func (s *Server) admit(ctx context.Context, j *job) (*gate.Ticket, *request.Refusal) {
 	s.pending.add(j)
 	chain := make([]admission.Node, len(j.customer.Limits))
@@ -81,18 +81,19 @@
 	return ticket, nil
 }
 
-// tryPlace answers the gate: whether a request may start now. A short prompt
-// takes its place at once, so that the next one sees it taken. What can never be
-// placed is let in too, for its refusal is given by the attempt loop.
+// tryPlace implements gate.PoolOptions.TryPlace: it reports whether a request may
+// start now. The place of a short prompt is recorded with the router at once, so
+// that the next request sees it taken. Requests that can never be placed are
+// admitted too: the attempt loop refuses them.
 func (s *Server) tryPlace(req *request.Request) bool {
 	wj := s.pending.get(req.ID)
 	if wj == nil || req.Kind != request.Generate {
 		return true
 	}
 	j := wj.job
-	ask := router.NewPlacementRequest(req, j.pool.Name, j.routing)
-	ask.Exclude = s.blocked(j)
-	d, fit, err := s.opts.Router.PlaceWithin(ask, maxEngineWait(j), func(d placement.Decision) placement.Placement {
+	placeReq := router.NewPlacementRequest(req, j.pool.Name, j.routing)
+	placeReq.Exclude = s.blocked(j)
+	d, fit, err := s.opts.Router.PlaceWithin(placeReq, maxEngineWait(j), func(d placement.Decision) placement.Placement {
 		return newPlacement(j, 1, d)
 	})
 	if err == nil && fit == router.PlaceRecorded {
@@ -101,7 +102,8 @@
 	return err != nil || fit != router.MustWait
 }
 
-// minServiceTime answers the gate: the least time from a request's start to its end.
+// minServiceTime returns the minimum time from a request's start to its end, for the
+// gate.
 func (s *Server) minServiceTime(req *request.Request) time.Duration {
 	wj := s.pending.get(req.ID)
 	if wj == nil || req.Kind != request.Generate || !isLengthAware(wj.job) {
@@ -110,8 +112,8 @@
 	return s.opts.Router.ServiceTime(router.NewPlacementRequest(req, wj.job.pool.Name, wj.job.routing))
 }
 
-// maxPlacedWait answers the gate: how long a request that had to queue waits on its
-// engine, which is then as full as engineWait lets it be.
+// maxPlacedWait returns how long a request that had to queue still waits on its
+// engine, which by then has as much work as maxEngineWait allows. It is for the gate.
 func (s *Server) maxPlacedWait(req *request.Request) time.Duration {
 	wj := s.pending.get(req.ID)
 	if wj == nil || req.Kind != request.Generate || !isLengthAware(wj.job) || req.Priority == request.Urgent {
@@ -120,26 +122,27 @@
 	return maxEngineWait(wj.job)
 }
 
-// isLengthAware reports whether a job's policy is the product's own. The policies that
-// it is compared with send at once.
+// isLengthAware reports whether a job uses the default, length-aware policy. The
+// other policies, which exist for comparison, send requests at once.
 func isLengthAware(j *job) bool {
 	return j.routing.Policy == "" || j.routing.Policy == settings.PolicyLengthAware
 }
 
-// blocked returns the engines on which a job must not start now, because it or
-// what runs there may be what crashes engines.
+// blocked returns the engines on which a job must not start now, because the job or
+// a request that runs there is suspected of crashing engines.
 func (s *Server) blocked(j *job) []string {
 	return s.opts.Suspects.Blocked(s.opts.Router.UpstreamNames(j.pool.Name), j.req.Fingerprint, time.Now())
 }
 
-// retryAfter returns when the caller of a request that was not placed may try again,
-// spread like the gate's refusals so that callers that were refused together do
-// not return together.
+// retryAfter returns the time after which the caller of a request that was not placed
+// may retry. It is spread like the gate's refusals, so that callers that were refused
+// together do not retry together.
 func (s *Server) retryAfter(j *job, backlog time.Duration) time.Duration {
 	return s.opts.Gate.ComeBack(j.pool.Name, j.req, max(backlog, retryElsewhere))
 }
 
-// maxEngineWait returns the longest wait on an engine for a job.
+// maxEngineWait returns the maximum estimated wait on an engine with which a job is
+// sent there.
 func maxEngineWait(j *job) time.Duration {
 	if j.req.Priority == request.Urgent || !isLengthAware(j) {
 		return math.MaxInt64
@@ -150,7 +153,8 @@
 	return maxEngineWaitNormal
 }
 
-// lane tells the gate which requests need the same kind of capacity.
+// lane implements gate.PoolOptions.Lane: requests of the same target, priority and
+// length class need the same kind of capacity.
 func lane(req *request.Request) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(req.Target)
@@ -158,8 +162,8 @@
 	return d.Sum64()
 }
 
-// lengthClass groups prompts of like length: an engine that is closed to long
-// ones may be open to shorter ones.
+// lengthClass groups prompts of similar length: an engine that takes no long prompt
+// now may still take shorter ones.
 func lengthClass(tokens int) int {
 	step := 0
 	for tokens >= 4096 {
@@ -169,7 +173,7 @@
 	return step
 }
 
-// ApplySettings makes the gate's pools those of a snapshot.
+// ApplySettings sets the gate's pools to those of a snapshot.
 func (s *Server) ApplySettings(snap *settings.Snapshot) {
 	s.poolsMu.Lock()
 	defer s.poolsMu.Unlock()
@@ -195,7 +199,7 @@
 	s.pools = seen
 }
 
-// Run tries the queues whenever capacity may have grown, until the context ends.
+// Run processes the queues whenever capacity may have grown, until the context ends.
 func (s *Server) Run(ctx context.Context) error {
 	for {
 		changed := s.opts.Router.Changed()
@@ -225,7 +229,7 @@
 	return names
 }
 
-// Queued returns the number of requests that wait for a place.
+// Queued returns the number of queued requests.
 func (s *Server) Queued() int {
 	n := 0
 	for _, name := range s.poolNames() {
--- a/internal/front/once_test.go
+++ b/internal/front/attempt_end_test.go
@@ -10,8 +10,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/upstream"
 )
 
-// A dispatch that comes too late says nothing of the upstream, and no other one is
-// tried: the test's jobs have no server to tell or to ask.
+// A dispatch after its permit has expired does not change the upstream's state, and no
+// other upstream is tried: the test's jobs have no server, so either would panic.
 func TestDispatchAfterPermitExpired(t *testing.T) {
 	late := &upstream.NotSentError{Err: upstream.ErrNotPermitted}
 	j := &job{req: &request.Request{ID: "r"}}
--- a/internal/front/auth.go
+++ b/internal/front/auth.go
@@ -17,10 +17,11 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// maxOperatorBody bounds a body that comes from no customer, in bytes.
+// maxOperatorBody is the maximum size of a body that is not sent by a customer, in
+// bytes.
 const maxOperatorBody = 4 << 20
 
-// identity is who sent a request.
+// identity is the sender of a request: a customer, an operator, or unknown (both nil).
 type identity struct {
 	customer *settings.CustomerView
 	operator *settings.OperatorView
@@ -33,11 +34,11 @@
 	return id
 }
 
-// errNotAuthorized is what the API's security handler returns.
+// errNotAuthorized is returned by HandleBearerAuth.
 var errNotAuthorized = merry.Sentinel("the bearer token is missing, unknown or of another kind")
 
-// authenticate finds out who sends a request before its body is read, so that
-// the bound on the body is that of its customer.
+// authenticate identifies the sender of a request before its body is read, so that
+// the customer's own size limit applies to the body.
 func (s *Server) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := s.identify(bearerToken(r))
@@ -108,7 +109,7 @@
 	return ctx, nil
 }
 
-// handleAPIError turns what the generated server found into the typed error body.
+// handleAPIError writes an error of the generated server as a typed error body.
 func (s *Server) handleAPIError(_ context.Context, w http.ResponseWriter, _ *http.Request, err error) {
 	id := newID()
 	refusal := s.refusalOfAPIError(err)
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// A caller's body must come at this pace at least, after a time to begin with.
+// Minimum rate at which a caller must send its body.
 const (
-	bodyGrace   = 10 * time.Second
-	bodyMinRate = 4 << 10 // bytes a second
+	bodyGrace   = 10 * time.Second // allowed in addition
+	bodyMinRate = 4 << 10          // bytes per second
 )
 
-// pacedBody ends the reading of a body that comes too slowly, which would hold a
-// connection for as long as its sender likes.
+// pacedBody sets read deadlines so that a body that arrives too slowly fails to be
+// read, instead of holding its connection indefinitely.
 type pacedBody struct {
 	io.ReadCloser
 	control *http.ResponseController
@@ -33,11 +33,12 @@
 	n, err := b.ReadCloser.Read(p)
 	b.read += int64(n)
 	if errors.Is(err, io.EOF) {
-		// What is read from now on only tells whether the caller is still there.
+		// Further reads only detect whether the caller is still connected.
 		b.setReadDeadline(time.Time{})
 	}
 	return n, err
 }
 
-// setReadDeadline has no effect on writers without deadlines, as in tests.
+// setReadDeadline sets the connection's read deadline. It has no effect on writers
+// without deadlines, as in tests.
 func (b *pacedBody) setReadDeadline(t time.Time) { _ = b.control.SetReadDeadline(t) }
--- a/internal/front/build.go
+++ b/internal/front/build.go
@@ -15,17 +15,17 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// maxRequestedDeadline is the longest deadline that is taken for meant; a longer one
-// is refused as absurd.
+// maxRequestedDeadline is the longest deadline that a caller may request; a longer
+// one is refused as a mistake.
 const maxRequestedDeadline = 30 * 24 * time.Hour
 
-// Bounds of the prefix hashes of one prompt.
+// Block size and maximum number of the prefix hashes of one prompt.
 const (
 	prefixBlockBytes = 2048
 	maxPrefixBlocks  = 64
 )
 
-// callParams are the headers that all calls share.
+// callParams holds the request headers that all operations share.
 type callParams struct {
 	key        callerapi.OptString
 	repeatable callerapi.OptBool
@@ -33,7 +33,7 @@
 	priority   callerapi.OptPriority
 }
 
-// job is one request on its way through the front.
+// job is one request with its state in the front.
 type job struct {
 	req      *request.Request
 	customer *settings.CustomerView
@@ -41,25 +41,26 @@
 	pool     *settings.PoolView
 
 	prompt string // of a generation
-	body   []byte // of a service's call
+	body   []byte // of a service call
 	sink   sink   // of a generation
 
-	gatePlacement   *placement.Decision  // place taken by the gate, noted with the router
-	deliveredTokens int                  // tokens delivered
-	relayedText     strings.Builder      // text delivered from another run
-	permit          *claim.Permit        // to dispatch once, nil when it may be repeated
-	recording       *claims.AnswerWriter // keeps the answer for repeats of the key, nil without
-	wantedByOthers  func() bool          // the answer is kept for somebody else; set with record
+	gatePlacement   *placement.Decision  // place found during admission, recorded with the router
+	deliveredTokens int                  // tokens delivered to the caller
+	relayedText     strings.Builder      // text delivered from the answer of another run
+	permit          *claim.Permit        // to dispatch once; nil when the request is repeatable
+	recording       *claims.AnswerWriter // stores the answer for repeats of the key; nil without a key
+	wantedByOthers  func() bool          // reports whether other requests need the answer; set with recording
 }
 
-// defaults of one call, from the settings or the operation.
+// callDefaults holds the defaults of one request, from the settings or the operation.
 type callDefaults struct {
 	deadline   time.Duration
 	priority   request.Priority
 	repeatable bool
 }
 
-// newRequest fills in what generations and calls have in common.
+// newRequest returns a request with the fields that generations and service calls
+// have in common.
 func newRequest(id string, c *settings.CustomerView, p callParams, def callDefaults, now time.Time) (*request.Request, *request.Refusal) {
 	deadline, refusal := effectiveDeadline(p.deadlineMs, def.deadline, c.Requests.MaxDeadline())
 	if refusal != nil {
@@ -77,8 +78,8 @@
 	}, nil
 }
 
-func effectiveDeadline(asked callerapi.OptInt64, def, longest time.Duration) (time.Duration, *request.Refusal) {
-	ms, ok := asked.Get()
+func effectiveDeadline(requested callerapi.OptInt64, def, longest time.Duration) (time.Duration, *request.Refusal) {
+	ms, ok := requested.Get()
 	if !ok {
 		return min(def, longest), nil
 	}
@@ -88,15 +89,16 @@
 	return min(time.Duration(ms)*time.Millisecond, longest), nil
 }
 
-func effectivePriority(asked callerapi.OptPriority, def, mostUrgent request.Priority) request.Priority {
+func effectivePriority(requested callerapi.OptPriority, def, mostUrgent request.Priority) request.Priority {
 	p := def
-	if word, ok := asked.Get(); ok {
-		p, _ = request.ParsePriority(string(word))
+	if name, ok := requested.Get(); ok {
+		p, _ = request.ParsePriority(string(name))
 	}
 	return max(p, mostUrgent)
 }
 
-// fingerprint tells requests of one customer apart.
+// fingerprint returns a hash of a request's contents: equal for repeats of a request,
+// different for other requests.
 func fingerprint(customer, target, operation, body string, maxTokens int) uint64 {
 	d := xxhash.New()
 	for _, part := range []string{customer, target, operation, body} {
@@ -132,7 +134,7 @@
 	return &job{req: req, customer: c, routing: m.Routing, pool: m.Pool, prompt: text.text}, nil
 }
 
-// newCall builds the job of a plain service's call.
+// newCall builds the job of a service call.
 func (s *Server) newCall(id string, c *settings.CustomerView, p callParams, service, operation string, body []byte) (*job, *request.Refusal) {
 	snap := s.opts.Settings.Current()
 	op, err := snap.Service(c, service, operation)
@@ -143,8 +145,8 @@
 	if def.deadline == 0 {
 		def.deadline = c.Requests.Deadline()
 	}
-	if word, ok := request.ParsePriority(op.Priority); ok {
-		def.priority = word
+	if priority, ok := request.ParsePriority(op.Priority); ok {
+		def.priority = priority
 	}
 	req, refusal := newRequest(id, c, p, def, time.Now())
 	if refusal != nil {
@@ -157,7 +159,8 @@
 	return &job{req: req, customer: c, routing: op.Service.Routing, pool: op.Service.Pool, body: body}, nil
 }
 
-// asRefusal returns the refusal that an error of the settings is.
+// asRefusal returns err as a refusal. An error of another type becomes
+// request.CodeInternal.
 func asRefusal(err error) *request.Refusal {
 	if r, ok := err.(*request.Refusal); ok {
 		return r
--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -12,10 +12,10 @@
 	"github.com/buckthorndock/buckthorndock/internal/upstream"
 )
 
-// minAttemptTime is the least that one attempt of a repeatable call gets.
+// minAttemptTime is the minimum timeout of one attempt of a repeatable service call.
 const minAttemptTime = 100 * time.Millisecond
 
-// serviceCall is one call of a plain service on its way through its attempts.
+// serviceCall is the state of one service call over its attempts.
 type serviceCall struct {
 	s              *Server
 	job            *job
@@ -24,7 +24,8 @@
 	exclude        []string
 }
 
-// callService runs a call until its one end and returns the service's answer.
+// callService runs a service call, with retries, and returns the service's answer or
+// a refusal.
 func (s *Server) callService(ctx context.Context, j *job) ([]byte, *request.Refusal) {
 	c := &serviceCall{s: s, job: j, attempt: 1}
 	ctx = upstream.WithPermit(ctx, s.dispatchPermit(j))
@@ -45,8 +46,8 @@
 }
 
 func (c *serviceCall) place() (placement.Decision, *request.Refusal) {
-	ask := placement.ServiceRequest{Pool: c.job.pool.Name, Exclude: slices.Concat(c.exclude, c.s.barred()), Spill: c.job.routing.Spill}
-	d, err := c.s.opts.Router.PlaceService(ask)
+	placeReq := placement.ServiceRequest{Pool: c.job.pool.Name, Exclude: slices.Concat(c.exclude, c.s.barred()), Spill: c.job.routing.Spill}
+	d, err := c.s.opts.Router.PlaceService(placeReq)
 	if err != nil {
 		return d, request.Refuse(request.CodeInternal, retryElsewhere, "placement failed")
 	}
@@ -55,7 +56,7 @@
 		return d, nil
 	}
 	if len(c.exclude) > 0 {
-		// All that is left has failed before; one of them may be well again.
+		// All remaining upstreams have failed this request; one may have recovered.
 		c.exclude = nil
 		return c.place()
 	}
@@ -67,8 +68,8 @@
 	return d, refusal
 }
 
-// try sends the call once. A call that may be repeated leaves time for another
-// attempt.
+// try sends the call once. The attempt of a repeatable call gets half of the remaining
+// time, which leaves time for another attempt.
 func (c *serviceCall) try(ctx context.Context, d placement.Decision) ([]byte, error) {
 	id := placement.ID{Request: c.job.req.ID, Attempt: c.attempt}
 	c.s.opts.Router.Placed(placement.Placement{ID: id, Upstream: d.Chosen.Name, Deadline: c.job.req.Deadline})
@@ -81,7 +82,8 @@
 	return c.s.opts.Client.Call(ctx, d.Chosen.Address, c.job.req.Operation, c.job.req.ID, c.attempt, c.job.body)
 }
 
-// decideNext decides what follows a failed attempt; nil means to try again.
+// decideNext decides what follows a failed attempt: nil means another attempt, a
+// refusal ends the call.
 func (c *serviceCall) decideNext(ctx context.Context, d placement.Decision, err error) *request.Refusal {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return callerGoneRefusal(c.job)
@@ -111,7 +113,7 @@
 	return nil
 }
 
-// callEnd tells how an attempt of a call ended.
+// callEnd classifies the error of a failed attempt.
 func callEnd(err error) retry.End {
 	if upstream.IsNotStarted(err) {
 		return retry.NotWritten
--- a/internal/front/points.go
+++ b/internal/front/dispatch_points.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Point is a step of a request's way at which a scenario may stop it.
+// Point is a step of a dispatch at which a fault test can stop it.
 type Point string
 
-// Points that Options.AtPoint is told of.
+// Points at which Options.AtPoint is called.
 const (
-	// PointConnected: the connection to the upstream is open, the permit to
-	// dispatch has not been asked for.
+	// PointConnected: the connection to the upstream is open, the dispatch permit has
+	// not been used.
 	PointConnected Point = "connected"
-	// PointPermitted: the permit was given, no byte has been written.
+	// PointPermitted: the dispatch is permitted, no byte has been written.
 	PointPermitted Point = "permitted"
 )
 
-// dispatchPermit returns what a dispatch of a job asks before its first byte. It is asked
-// when a connection is open and nothing has been written, so that an upstream
-// which cannot be reached does not use the permit up.
+// dispatchPermit returns a function that reports whether a job may be dispatched. It is
+// called when a connection is open and nothing has been written, so that an unreachable
+// upstream does not use up the permit.
 func (s *Server) dispatchPermit(j *job) func() bool {
 	return func() bool {
 		s.reachPoint(PointConnected)
--- a/internal/front/errors.go
+++ b/internal/front/errors.go
@@ -54,13 +54,13 @@
 	case !ok:
 		return http.StatusInternalServerError
 	case r.Outcome != request.NotRun && (s == http.StatusServiceUnavailable || s == http.StatusTooManyRequests):
-		// Those two say that nothing was done.
+		// These two statuses tell clients that the request was not processed.
 		return http.StatusBadGateway
 	}
 	return s
 }
 
-// errorBody returns the typed body of a refusal.
+// errorBody returns the response body of a refusal.
 func errorBody(requestID string, r *request.Refusal) *callerapi.ErrorBody {
 	detail := callerapi.ErrorDetail{
 		Code:      string(r.Code),
@@ -75,8 +75,8 @@
 	return &callerapi.ErrorBody{Error: detail}
 }
 
-// writeRefusal writes a refusal as a whole response. The caller must not have
-// written anything.
+// writeRefusal writes a refusal as the complete response. Nothing may have been
+// written to w before.
 func writeRefusal(w http.ResponseWriter, requestID string, r *request.Refusal) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -96,18 +96,19 @@
 	_, _ = w.Write(body)
 }
 
-// worthRetrying reports whether a client that retries by itself should: only
-// when the request was not run and coming back can help.
+// worthRetrying reports whether clients with automatic retries should retry: only
+// when the request was not run and a later try can succeed.
 func worthRetrying(r *request.Refusal) bool {
 	return r.Outcome == request.NotRun && r.RetryAfter > 0
 }
 
-// failedRefusal returns a refusal of a request that may have run.
+// failedRefusal returns a refusal with outcome failed, for a request that may have run.
 func failedRefusal(code request.Code, retryAfter time.Duration, message string) *request.Refusal {
 	return &request.Refusal{Outcome: request.Failed, Code: code, RetryAfter: retryAfter, Message: message}
 }
 
-// callerGoneRefusal ends a job whose caller has left. It may have run.
+// callerGoneRefusal returns the refusal of a job whose caller has disconnected. The
+// job may have run.
 func callerGoneRefusal(j *job) *request.Refusal {
 	refusal := failedRefusal(request.CodeCallerGone, 0, "the caller has gone")
 	if !j.req.Repeatable {
@@ -116,8 +117,8 @@
 	return refusal
 }
 
-// notPermittedRefusal ends a job that came to its dispatch too late. No upstream is to
-// blame and none would be permitted.
+// notPermittedRefusal returns the refusal of a job whose dispatch permit had expired.
+// That is no fault of the upstream, and no other upstream may be tried.
 func notPermittedRefusal() *request.Refusal {
-	return request.Refuse(request.CodeDeadline, retryElsewhere, "too late to be sent")
+	return request.Refuse(request.CodeDeadline, retryElsewhere, "it was too late to send the request")
 }
--- a/internal/front/blame.go
+++ b/internal/front/faults.go
@@ -9,9 +9,10 @@
 	"github.com/buckthorndock/buckthorndock/internal/upstream"
 )
 
-// recordFaults notes what an attempt's end says of its upstreams and returns those that
-// the next attempt is to avoid. When the receiver of a gang reports an error, it
-// may be about another member: each is probed on a new connection.
+// recordFaults updates the state of an attempt's upstreams after its end and returns
+// the upstreams that the next attempt must avoid. An error that the receiver of a
+// gang reports may be about another member, so each member is probed on a new
+// connection.
 func (g *generation) recordFaults(ctx context.Context, t *target, res streamEnd) []string {
 	if res.deadlinePassed {
 		return nil
@@ -27,17 +28,18 @@
 		probes.Go(func() { _, faults[i] = g.s.opts.Client.Probe(ctx, m.Address, g.job.req.ID, g.attempt) })
 	}
 	probes.Wait()
-	var blamed []string
+	var faulty []string
 	for i, m := range t.gang {
 		if faults[i] != nil && ctx.Err() == nil {
-			blamed = append(blamed, m.Name)
+			faulty = append(faulty, m.Name)
 			g.s.opts.Router.SetState(m.Name, stateAfterProbe(faults[i]))
 		}
 	}
-	return blamed
+	return faulty
 }
 
-// stateAfterProbe tells a member that is gone from one that is silent.
+// stateAfterProbe returns the state of a gang member whose probe failed: dead when
+// the probe could not be sent, suspect when it got no good answer.
 func stateAfterProbe(err error) placement.State {
 	if upstream.IsNotStarted(err) {
 		return placement.Dead
--- a/internal/front/generate.go
+++ b/internal/front/generate.go
@@ -16,25 +16,25 @@
 	"github.com/buckthorndock/buckthorndock/internal/upstream"
 )
 
-// generation is one request for an answer on its way through its attempts. One
-// goroutine owns it.
+// generation is the state of one generation request over its attempts. It is owned by
+// one goroutine.
 type generation struct {
 	s   *Server
 	job *job
 	asm *stream.Assembler
 
-	attempt        int // number of the running attempt, from 1
-	resumes        int // of the running attempt, since its last token
-	reservations   int // for reservations so far
+	attempt        int // number of the current attempt, from 1
+	resumes        int // of the current attempt's stream, since its last token
+	reservations   int // reservation names used so far
 	earlierWritten bool
 	exclude        []string
-	faulty         []string        // for the end of the last attempt
-	firstTokenAt   time.Time       // of the first token, zero before
-	text           strings.Builder // handed out so far
-	trial          *suspects.Trial // under which the next attempt runs; nil: none is needed
+	faulty         []string        // upstreams at fault for the end of the last attempt
+	firstTokenAt   time.Time       // zero before the first token
+	text           strings.Builder // answer so far
+	trial          *suspects.Trial // under which the next attempt runs; nil when none is needed
 }
 
-// generate runs a job until its one end. It returns nil when the whole answer
+// generate runs a generation, with retries. It returns nil when the complete answer
 // was delivered.
 func (s *Server) generate(ctx context.Context, j *job) *request.Refusal {
 	g := &generation{
@@ -57,8 +57,8 @@
 	}
 }
 
-// runAttempt runs the attempt on one upstream, resuming its stream as often as is
-// worth while. again asks for another upstream.
+// runAttempt runs one attempt on its target, resuming the stream as often as the retry
+// policy allows. again is true when another attempt must follow.
 func (g *generation) runAttempt(ctx context.Context, t *target) (refusal *request.Refusal, again bool) {
 	id := placement.ID{Request: g.job.req.ID, Attempt: g.attempt}
 	end := placement.End{}
@@ -100,8 +100,8 @@
 	}
 }
 
-// trialOutcome returns what the end of an attempt says of its trial. An engine's word that it
-// refused is no proof.
+// trialOutcome returns the outcome of a trial from the end of its attempt. A refusal by
+// the engine does not prove that the request was not run.
 func trialOutcome(res streamEnd) quarantine.TrialOutcome {
 	switch {
 	case res.complete:
@@ -112,8 +112,8 @@
 	return quarantine.TrialRan
 }
 
-// finish tells the caller that the answer is whole. A caller that has gone in
-// the meantime changes nothing about the outcome.
+// finish sends the end of a complete answer to the caller. A caller that has
+// disconnected in the meantime does not change the outcome.
 func (g *generation) finish() *request.Refusal {
 	if err := g.job.sink.finish(g.asm.NextIndex()); err != nil {
 		g.s.log.WithFields(jobFields(g.job)).WithError(err).Debug("caller_gone_at_end")
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// decideNext decides what follows an attempt that ended without a whole answer.
+// decideNext decides what follows an attempt that ended without a complete answer.
 func (g *generation) decideNext(ctx context.Context, t *target, res streamEnd) retry.Decision {
 	now := time.Now()
 	if res.callerGone {
@@ -159,8 +159,8 @@
 	return decision
 }
 
-// cancelAttempt makes sure that the engine gives up an attempt that may hold memory
-// there.
+// cancelAttempt has the engine cancel an attempt that may hold memory there. An attempt
+// that was not started needs no cancelling.
 func (g *generation) cancelAttempt(t *target, res streamEnd) {
 	notStarted := res.end == retry.NotWritten || res.end == retry.Refused
 	if notStarted && !res.callerGone {
@@ -170,7 +170,7 @@
 	g.s.opts.Holder.End(t.engine(g.job), g.runningID())
 }
 
-// runningID names the running attempt as a holding of its engine.
+// runningID returns the ledger ID of the current attempt.
 func (g *generation) runningID() ledger.ID {
 	return ledger.ID{Kind: ledger.Running, Name: g.job.req.ID, Attempt: g.attempt}
 }
--- a/internal/front/handlers.go
+++ b/internal/front/handlers.go
@@ -12,21 +12,21 @@
 
 // CreateCompletion implements callerapi.RawHandler.
 func (s *Server) CreateCompletion(ctx context.Context, req *callerapi.CompletionRequest, p callerapi.CreateCompletionParams, w http.ResponseWriter) error {
-	ask := generationRequest{
+	gen := generationRequest{
 		shape:     shapeCompletion,
 		params:    callParams{key: p.IdempotencyKey, repeatable: p.XRepeatable, deadlineMs: p.XDeadlineMs, priority: p.XPriority},
 		model:     req.Model,
 		maxTokens: req.MaxTokens,
 		stream:    req.Stream.Or(false),
 	}
-	ask.prompt, ask.err = completionPrompt(req.Prompt)
-	s.serveGeneration(ctx, ask, w)
+	gen.prompt, gen.err = completionPrompt(req.Prompt)
+	s.serveGeneration(ctx, gen, w)
 	return nil
 }
 
 // CreateChatCompletion implements callerapi.RawHandler.
 func (s *Server) CreateChatCompletion(ctx context.Context, req *callerapi.ChatCompletionRequest, p callerapi.CreateChatCompletionParams, w http.ResponseWriter) error {
-	ask := generationRequest{
+	gen := generationRequest{
 		shape:     shapeChat,
 		params:    callParams{key: p.IdempotencyKey, repeatable: p.XRepeatable, deadlineMs: p.XDeadlineMs, priority: p.XPriority},
 		model:     req.Model,
@@ -34,14 +34,14 @@
 		stream:    req.Stream.Or(false),
 	}
 	if req.MaxCompletionTokens.Set {
-		ask.maxTokens = req.MaxCompletionTokens
+		gen.maxTokens = req.MaxCompletionTokens
 	}
-	ask.prompt, ask.err = chatPrompt(req.Messages)
-	s.serveGeneration(ctx, ask, w)
+	gen.prompt, gen.err = chatPrompt(req.Messages)
+	s.serveGeneration(ctx, gen, w)
 	return nil
 }
 
-// generationRequest is a decoded request for an answer.
+// generationRequest is a decoded completion or chat request.
 type generationRequest struct {
 	shape     answerShape
 	params    callParams
@@ -52,36 +52,36 @@
 	stream    bool
 }
 
-// refuseInput logs and writes the refusal of what never became a request.
+// refuseInput logs and writes the refusal of input that is not a valid request.
 func (s *Server) refuseInput(w http.ResponseWriter, id string, refusal *request.Refusal) {
 	s.log.WithFields(refusalFields(id, refusal)).Info("refused_input")
 	writeRefusal(w, id, refusal)
 }
 
-func (s *Server) serveGeneration(ctx context.Context, ask generationRequest, w http.ResponseWriter) {
+func (s *Server) serveGeneration(ctx context.Context, gen generationRequest, w http.ResponseWriter) {
 	id := newID()
 	if refusal := s.beginRequest(); refusal != nil {
 		writeRefusal(w, id, refusal)
 		return
 	}
 	defer s.endRequest()
-	if ask.err != nil {
-		s.refuseInput(w, id, request.Refuse(request.CodeBadRequest, 0, "%s", ask.err.Error()))
+	if gen.err != nil {
+		s.refuseInput(w, id, request.Refuse(request.CodeBadRequest, 0, "%s", gen.err.Error()))
 		return
 	}
-	j, refusal := s.newGeneration(id, identityOf(ctx).customer, ask.params, ask.model, ask.prompt, ask.maxTokens)
+	j, refusal := s.newGeneration(id, identityOf(ctx).customer, gen.params, gen.model, gen.prompt, gen.maxTokens)
 	if refusal != nil {
 		s.refuseInput(w, id, refusal)
 		return
 	}
-	meta := answerMeta{shape: ask.shape, id: id, model: ask.model, created: time.Now().Unix(), promptTokens: j.req.PromptTokens, writeTimeout: DefaultWriteTimeout}
-	if ask.stream {
+	meta := answerMeta{shape: gen.shape, id: id, model: gen.model, created: time.Now().Unix(), promptTokens: j.req.PromptTokens, writeTimeout: DefaultWriteTimeout}
+	if gen.stream {
 		j.sink = &eventSink{w: w, meta: meta}
 	} else {
-		j.sink = &wholeSink{w: w, meta: meta}
+		j.sink = &jsonSink{w: w, meta: meta}
 	}
-	do := func(ctx context.Context) *request.Refusal { return s.generate(ctx, j) }
-	refusal = s.serve(ctx, j, do, relayTokens(j))
+	run := func(ctx context.Context) *request.Refusal { return s.generate(ctx, j) }
+	refusal = s.serve(ctx, j, run, relayTokens(j))
 	if refusal != nil {
 		j.sink.refuse(refusal)
 	}
@@ -103,7 +103,7 @@
 		return nil
 	}
 	var result []byte
-	do := func(ctx context.Context) *request.Refusal {
+	run := func(ctx context.Context) *request.Refusal {
 		var refusal *request.Refusal
 		result, refusal = s.callService(ctx, j)
 		if refusal == nil && j.recording != nil {
@@ -111,15 +111,16 @@
 		}
 		return refusal
 	}
-	pass := func(r io.Reader) (err error) {
+	readAnswer := func(r io.Reader) (err error) {
 		result, err = io.ReadAll(r)
 		return err
 	}
 	if !j.req.Repeatable {
-		// Once it is sent, its outcome matters more than whether the caller waits.
+		// The outcome of a call that was sent must be learned even when its caller
+		// disconnects.
 		ctx = context.WithoutCancel(ctx)
 	}
-	refusal = s.serve(ctx, j, do, pass)
+	refusal = s.serve(ctx, j, run, readAnswer)
 	s.recordEnd(j, refusal)
 	setWriteDeadline(w, DefaultWriteTimeout)
 	if refusal != nil {
--- a/internal/front/keyed.go
+++ b/internal/front/keyed.go
@@ -14,32 +14,32 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// A key that its holder released is asked for again, a few times within one
-// request and with growing waits: the release may not be in the log yet.
+// After its holder has released a key, the key is acquired again with a delay, because
+// the release may not be in the log yet.
 const (
-	maxSupersedes = 8
-	supersedeWait = 20 * time.Millisecond // the first, then doubled each time
+	maxSupersedes = 8                     // tries per request
+	supersedeWait = 20 * time.Millisecond // before the first retry, doubled each time
 )
 
-// runFunc runs an admitted job until its end.
+// runFunc runs an admitted job. It returns nil when the job completed.
 type runFunc func(ctx context.Context) *request.Refusal
 
-// readAnswerFunc passes on what the holder of a key has recorded.
+// readAnswerFunc reads a recorded answer and delivers it to the caller.
 type readAnswerFunc func(io.Reader) error
 
-// serve runs a job from admission to its one end. A job that runs at most once
-// and has a key runs only at the holder of the key; elsewhere the holder's answer
-// is relayed.
-func (s *Server) serve(ctx context.Context, j *job, do runFunc, pass readAnswerFunc) *request.Refusal {
+// serve runs a job from admission to its end and returns nil when it completed. A job
+// with a key that is not repeatable runs only on the host that holds the key; other
+// hosts relay the holder's answer.
+func (s *Server) serve(ctx context.Context, j *job, run runFunc, readAnswer readAnswerFunc) *request.Refusal {
 	switch {
 	case j.req.Repeatable && j.req.Key == "":
-		return s.runAdmitted(ctx, j, do)
+		return s.runAdmitted(ctx, j, run)
 	case j.req.Repeatable:
-		return s.runOrJoin(ctx, j, do, pass)
+		return s.runOrJoin(ctx, j, run, readAnswer)
 	case j.req.Key == "":
-		return s.runWithoutKey(ctx, j, do)
+		return s.runWithoutKey(ctx, j, run)
 	}
-	for try := range maxSupersedes {
+	for attempt := range maxSupersedes {
 		res, err := s.opts.Claims.Acquire(ctx, claims.AcquireRequest{
 			Customer:    j.req.Customer,
 			Key:         j.req.Key,
@@ -50,9 +50,9 @@
 			return asRefusal(err)
 		}
 		if res.HoldsKey() {
-			return s.runAsKeyHolder(ctx, j, res, do)
+			return s.runAsKeyHolder(ctx, j, res, run)
 		}
-		end, err := s.relayAnswer(ctx, j, pass, func(ctx context.Context, w io.Writer) (claims.Ending, error) {
+		end, err := s.relayAnswer(ctx, j, readAnswer, func(ctx context.Context, w io.Writer) (claims.Ending, error) {
 			return s.opts.Claims.Await(ctx, res, w)
 		})
 		if err != nil {
@@ -61,14 +61,15 @@
 		if end.State != claims.AnswerReleased {
 			return end.Refusal()
 		}
-		if !s.pause(ctx, supersedeWait<<try, j.req.Deadline) {
+		if !s.pause(ctx, supersedeWait<<attempt, j.req.Deadline) {
 			break
 		}
 	}
-	return request.Refuse(request.CodeKeyUnavailable, retryElsewhere, "the idempotency key changes hands too often")
+	return request.Refuse(request.CodeKeyUnavailable, retryElsewhere, "the idempotency key was released and taken again too often")
 }
 
-// pause waits, and reports false when the context or the deadline ends first.
+// pause waits for d. It returns false when the context ends first, and at once when the
+// deadline is nearer than d.
 func (s *Server) pause(ctx context.Context, d time.Duration, deadline time.Time) bool {
 	if time.Until(deadline) < d {
 		return false
@@ -81,15 +82,15 @@
 	}
 }
 
-// runAdmitted runs a job that the gate lets in.
-func (s *Server) runAdmitted(ctx context.Context, j *job, do runFunc) *request.Refusal {
+// runAdmitted has the gate admit a job, runs it and ends its ticket.
+func (s *Server) runAdmitted(ctx context.Context, j *job, run runFunc) *request.Refusal {
 	ctx, cancel := context.WithDeadline(ctx, j.req.Deadline)
 	defer cancel()
 	ticket, refusal := s.admit(ctx, j)
 	if refusal != nil {
 		return refusal
 	}
-	refusal = do(ctx)
+	refusal = run(ctx)
 	outcome, tokens := request.Complete, j.req.PromptTokens+j.deliveredTokens
 	if refusal != nil {
 		outcome = refusal.Outcome
@@ -98,18 +99,19 @@
 	return refusal
 }
 
-// runWithoutKey runs a job that may be dispatched once and has no key.
-func (s *Server) runWithoutKey(ctx context.Context, j *job, do runFunc) *request.Refusal {
+// runWithoutKey runs a job that may be dispatched at most once and has no key.
+func (s *Server) runWithoutKey(ctx context.Context, j *job, run runFunc) *request.Refusal {
 	j.permit = claim.NewPermit(j.req.Deadline)
 	j.permit.Grant(0)
-	refusal := s.runAdmitted(ctx, j, do)
+	refusal := s.runAdmitted(ctx, j, run)
 	if refusal != nil && j.permit.Release() {
 		return markNotSent(refusal)
 	}
 	return markMaybeSent(refusal)
 }
 
-// markMaybeSent corrects the outcome of a job whose permit was used.
+// markMaybeSent changes a refusal's outcome from not run to unknown, for a job whose
+// permit was used.
 func markMaybeSent(r *request.Refusal) *request.Refusal {
 	if r == nil || r.Outcome != request.NotRun {
 		return r
@@ -119,8 +121,8 @@
 	return &changed
 }
 
-// markNotSent tells what is certain of a job whose permit was given back unused:
-// nothing was sent, and nothing will be.
+// markNotSent changes a refusal's outcome to not run, for a job whose permit was
+// released unused: nothing was sent, and nothing will be.
 func markNotSent(r *request.Refusal) *request.Refusal {
 	if r.Outcome == request.NotRun {
 		return r
@@ -129,21 +131,21 @@
 	if code == request.CodeOutcomeLost {
 		code = request.CodeDeadline
 	}
-	return request.Refuse(code, retryElsewhere, "it ended before it was sent")
+	return request.Refuse(code, retryElsewhere, "the request ended before it was sent")
 }
 
-// runAsKeyHolder runs a job whose key this host holds. It goes on when the caller has
-// gone, for the caller may ask for the answer again.
-func (s *Server) runAsKeyHolder(ctx context.Context, j *job, res claims.Result, do runFunc) *request.Refusal {
+// runAsKeyHolder runs a job whose key this host holds. The job continues after its
+// caller has disconnected, because the caller may request the answer again.
+func (s *Server) runAsKeyHolder(ctx context.Context, j *job, res claims.Result, run runFunc) *request.Refusal {
 	j.permit = res.Permit
 	j.recording = res.Answer
 	j.wantedByOthers = func() bool { return true }
-	refusal := s.runAdmitted(context.WithoutCancel(ctx), j, do)
+	refusal := s.runAdmitted(context.WithoutCancel(ctx), j, run)
 	switch {
 	case refusal == nil:
 		res.Answer.Finish(claims.Ending{State: claims.AnswerComplete})
 	case s.opts.Claims.Release(res):
-		// Nothing was sent: the key is free again.
+		// Nothing was sent, and the key is free again.
 		refusal = markNotSent(refusal)
 	case refusal.Outcome == request.Failed:
 		res.Answer.Finish(claims.Ending{State: claims.AnswerFailed, Code: refusal.Code, Message: refusal.Message})
@@ -154,36 +156,38 @@
 	return refusal
 }
 
-// relayAnswer passes the answer of another run on within the job's time.
-func (s *Server) relayAnswer(ctx context.Context, j *job, pass readAnswerFunc, from func(context.Context, io.Writer) (claims.Ending, error)) (claims.Ending, error) {
+// relayAnswer delivers the answer of another run, written by copyAnswer, to the caller,
+// until the job's deadline.
+func (s *Server) relayAnswer(ctx context.Context, j *job, readAnswer readAnswerFunc, copyAnswer func(context.Context, io.Writer) (claims.Ending, error)) (claims.Ending, error) {
 	ctx, cancel := context.WithDeadline(ctx, j.req.Deadline)
 	defer cancel()
 	r, w := io.Pipe()
-	passed := make(chan error, 1)
+	readDone := make(chan error, 1)
 	go func() {
-		err := pass(r)
+		err := readAnswer(r)
 		r.CloseWithError(err)
-		passed <- err
+		readDone <- err
 	}()
-	end, err := from(ctx, w)
+	end, err := copyAnswer(ctx, w)
 	if err == nil && end.State != claims.AnswerComplete {
 		err = errAnswerIncomplete
 	}
 	w.CloseWithError(err)
-	passErr := <-passed
+	readErr := <-readDone
 	if end.State != claims.AnswerComplete && ctx.Err() == nil {
 		return end, nil
 	}
 	if err == nil {
-		err = passErr
+		err = readErr
 	}
 	return end, err
 }
 
-// errAnswerIncomplete ends the relay of an answer that did not become whole.
-var errAnswerIncomplete = merry.Sentinel("the holder's answer is not whole")
+// errAnswerIncomplete ends the relay of an answer that did not become complete.
+var errAnswerIncomplete = merry.Sentinel("the relayed answer is incomplete")
 
-// awaitRefusal is the end of a repeat whose wait for the holder ended.
+// awaitRefusal returns the refusal of a repeat whose wait for the holder's answer ended
+// without one.
 func awaitRefusal(ctx context.Context) *request.Refusal {
 	code := request.CodeDeadline
 	if ctx.Err() != nil {
@@ -191,7 +195,7 @@
 	}
 	return &request.Refusal{
 		Outcome: request.Unknown, Code: code, RetryAfter: retryElsewhere,
-		Message: "the request under this key is running or has run; ask again with the same key",
+		Message: "the request with this key is running or has run; retry with the same key",
 	}
 }
 
@@ -201,7 +205,7 @@
 	Tokens int    `json:"n"`
 }
 
-// recordTokens keeps a piece of the answer for repeats of the key.
+// recordTokens appends a part of the answer to the recording for repeats of the key.
 func (j *job) recordTokens(text string, tokens int) {
 	if j.recording == nil {
 		return
@@ -213,7 +217,7 @@
 	_, _ = j.recording.Write(append(line, '\n'))
 }
 
-// relayTokens passes a recorded generation on to the job's sink.
+// relayTokens returns a function that delivers a recorded generation to the job's sink.
 func relayTokens(j *job) readAnswerFunc {
 	return func(r io.Reader) error {
 		lines := bufio.NewReader(r)
--- a/internal/front/notices.go
+++ b/internal/front/notices.go
@@ -12,11 +12,12 @@
 	"github.com/buckthorndock/buckthorndock/internal/upstream"
 )
 
-// leavingBackOff is how long an upstream that refuses work because it leaves is left alone
-// before it is asked again: by then its reports tell, or it has started anew.
+// leavingBackOff is how long an upstream that refused work because it is leaving gets no
+// work. After that its reports say that it is leaving, or it has restarted.
 const leavingBackOff = 10 * time.Second
 
-// notices is what upstreams that refused work have asked for. It is safe for concurrent use.
+// notices holds the back-off times that upstreams asked for when they refused work. It is
+// safe for concurrent use.
 type notices struct {
 	mu      sync.Mutex
 	tracker *notice.Tracker
@@ -24,7 +25,7 @@
 
 func newNotices() *notices { return &notices{tracker: notice.New()} }
 
-// recordBackOff keeps what a refusal asks for.
+// recordBackOff records the back-off time of a refusal. Other errors have no effect.
 func (s *Server) recordBackOff(name string, err error) {
 	var r *upstream.RefusedError
 	if !errors.As(err, &r) {
@@ -44,12 +45,12 @@
 	}
 }
 
-// barred returns the upstreams that are to get nothing now.
+// barred returns the upstreams that must get no work now.
 func (s *Server) barred() []string {
 	s.notices.mu.Lock()
 	defer s.notices.mu.Unlock()
 	return s.notices.tracker.Barred(time.Now())
 }
 
-// isBarred reports whether an upstream is to get nothing now.
+// isBarred reports whether an upstream must get no work now.
 func (s *Server) isBarred(name string) bool { return slices.Contains(s.barred(), name) }
--- a/internal/front/notices_test.go
+++ b/internal/front/notices_test.go
@@ -11,8 +11,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/upstream"
 )
 
-// TestRefusalBarsUpstream guards against upstreams that refuse work because they leave, or
-// for a time, and are sent to all the same.
+// TestRefusalBarsUpstream guards against sending work to an upstream that has refused work
+// because it is leaving, or that asked for a back-off.
 func TestRefusalBarsUpstream(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -20,11 +20,11 @@
 		err  error
 		bars bool
 	}{
-		"it leaves":               {&upstream.RefusedError{Code: upstream.CodeLeaving}, true},
-		"it wants a pause":        {&upstream.RefusedError{Code: upstream.CodeOverloaded, BackOff: time.Hour}, true},
-		"it has no memory":        {&upstream.RefusedError{Code: upstream.CodeNoMemory}, false},
-		"it was no word of its":   {errors.New("broken"), false},
-		"nothing was wrong (nil)": {nil, false},
+		"it is leaving":          {&upstream.RefusedError{Code: upstream.CodeLeaving}, true},
+		"it asks for a back-off": {&upstream.RefusedError{Code: upstream.CodeOverloaded, BackOff: time.Hour}, true},
+		"it has no memory":       {&upstream.RefusedError{Code: upstream.CodeNoMemory}, false},
+		"not a refusal":          {errors.New("broken"), false},
+		"no error":               {nil, false},
 	} {
 		s := &Server{log: logrus.NewEntry(log), notices: newNotices()}
 		s.recordBackOff("u1", c.err)
--- a/internal/front/operator.go
+++ b/internal/front/operator.go
@@ -14,18 +14,18 @@
 	"github.com/buckthorndock/buckthorndock/internal/router"
 )
 
-// Operator is what the operator API shows and changes.
+// Operator is the state that the operator API shows and changes.
 type Operator interface {
 	// SettingsLag returns for how long the settings may have been out of date; ok
-	// is false before the first.
+	// is false before the first settings.
 	SettingsLag() (lag time.Duration, ok bool)
 	// SettingsState returns the offset of the last record applied and the digest
 	// of all up to it.
 	SettingsState() (offset int64, digest uint64)
 	Documents(prefix string) []settings.StoredDocument
 	History(path string, limit int) []settings.Verdict
-	// Change publishes a change and returns what replay made of it. The error is
-	// a finding.List when the change is not fit to be published.
+	// Change publishes a change and returns the verdict on it from the replay of the
+	// log. The error is a finding.List when the change is invalid and not published.
 	Change(ctx context.Context, c settings.Change) (settings.Verdict, error)
 	Members() []membership.Member
 	// UpstreamOwner returns the host that owns an upstream, empty when unknown.
@@ -93,7 +93,7 @@
 	return list, nil
 }
 
-// defaultPlacements is the length of a list of placements without a limit.
+// defaultPlacements is the default limit of lists of placements and of history.
 const defaultPlacements = 100
 
 func placementView(e router.Entry) callerapi.Placement {
@@ -197,7 +197,7 @@
 		s.log.WithError(err).WithField("change_id", req.ChangeID).Warn("settings_change_undecided")
 		refusal := &request.Refusal{
 			Outcome: request.Unknown, Code: request.CodeOutcomeLost, RetryAfter: retryElsewhere,
-			Message: "the change was not read back from the log; ask again with the same change id: " + err.Error(),
+			Message: "the change was not read back from the log; retry with the same change id: " + err.Error(),
 		}
 		return errorResponse(refusal), nil
 	}
--- a/internal/front/place.go
+++ b/internal/front/place.go
@@ -11,7 +11,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/router"
 )
 
-// place waits until the request can be placed, or says why it cannot.
+// place waits until the request is placed and may start, or returns why it cannot.
 func (g *generation) place(ctx context.Context) (*target, *request.Refusal) {
 	if t := g.useGatePlacement(); t != nil {
 		return t, nil
@@ -42,7 +42,8 @@
 	}
 }
 
-// useGatePlacement returns the place that the gate has found, if it still holds.
+// useGatePlacement returns the place found during admission, or nil if there is none or
+// the request can no longer start there.
 func (g *generation) useGatePlacement() *target {
 	d := g.job.gatePlacement
 	if d == nil {
@@ -58,8 +59,9 @@
 	return t
 }
 
-// prepare makes sure that the attempt may start: that it does not meet another
-// suspect of crashes, and that its memory is reserved.
+// prepare makes sure that the attempt may start: that its engine runs no other request
+// suspected of crashing engines, and that its memory is reserved. It returns false
+// without a refusal when the attempt cannot start now.
 func (g *generation) prepare(ctx context.Context, t *target) (bool, *request.Refusal) {
 	if !g.tryStart(t) {
 		return false, nil
@@ -76,11 +78,11 @@
 	return ok
 }
 
-// placeRetryInterval is the longest time between two looks for a place while nothing is
-// heard of the upstreams.
+// placeRetryInterval is the maximum time between two placement decisions while the
+// router reports no change.
 const placeRetryInterval = 50 * time.Millisecond
 
-// contextRefusal returns why the context has ended.
+// contextRefusal returns the refusal of a request whose context has ended.
 func (g *generation) contextRefusal(ctx context.Context) *request.Refusal {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return request.Refuse(request.CodeDeadline, g.s.retryAfter(g.job, 0), "no upstream had room within the deadline")
@@ -88,8 +90,8 @@
 	return failedRefusal(request.CodeCallerGone, 0, "the caller has gone")
 }
 
-// correctOutcome corrects a refusal's outcome: what an earlier attempt wrote may have
-// run.
+// correctOutcome changes the outcome of a refusal when an earlier attempt was written
+// to its upstream and may have run.
 func (g *generation) correctOutcome(r *request.Refusal) *request.Refusal {
 	if r == nil || !g.earlierWritten {
 		return r
@@ -102,21 +104,21 @@
 	return &changed
 }
 
-// noPlace says why a request was not placed.
+// noPlace is why a request was not placed.
 type noPlace struct {
-	wait    bool // it may be placed later
+	wait    bool // the request may be placed later
 	refusal *request.Refusal
 }
 
-// decidePlacement asks the router once.
+// decidePlacement has the router decide once and returns a target or why there is none.
 func (g *generation) decidePlacement(ctx context.Context) (*target, *noPlace) {
 	if verdict := g.admitSuspect(ctx); verdict != nil {
 		return nil, verdict
 	}
 	blocked := g.s.blocked(g.job)
-	ask := router.NewPlacementRequest(g.job.req, g.job.pool.Name, g.job.routing)
-	ask.Exclude = slices.Concat(g.exclude, blocked, g.s.barred())
-	d, err := g.s.opts.Router.Place(ask)
+	placeReq := router.NewPlacementRequest(g.job.req, g.job.pool.Name, g.job.routing)
+	placeReq.Exclude = slices.Concat(g.exclude, blocked, g.s.barred())
+	d, err := g.s.opts.Router.Place(placeReq)
 	if err != nil {
 		return nil, &noPlace{refusal: request.Refuse(request.CodeInternal, retryElsewhere, "placement failed")}
 	}
@@ -126,11 +128,11 @@
 	case placement.WaitMemory:
 		return nil, &noPlace{wait: true}
 	case placement.NeedsGang:
-		return g.chooseGang(ask, d)
+		return g.chooseGang(placeReq, d)
 	case placement.NeverPossible:
 		g.s.recordDecision(g.job, g.attempt, d, nil)
 		return nil, &noPlace{refusal: request.Refuse(request.CodeNeverPossible, 0,
-			"needs %d tokens of memory, at most %d can be gathered", ask.MemoryNeeded(), d.MemoryLimit)}
+			"needs %d tokens of memory, at most %d are available", placeReq.MemoryNeeded(), d.MemoryLimit)}
 	case placement.TooLate:
 		g.s.recordDecision(g.job, g.attempt, d, nil)
 		return nil, &noPlace{refusal: request.Refuse(request.CodeDeadline, g.s.retryAfter(g.job, d.Backlog.Drain()),
@@ -140,17 +142,17 @@
 		return nil, &noPlace{wait: true}
 	}
 	if len(g.exclude) > 0 {
-		// All that is left has failed before; one of them may be back.
+		// All remaining upstreams have failed this request; one may have recovered.
 		g.exclude = nil
 		return g.decidePlacement(ctx)
 	}
 	g.s.recordDecision(g.job, g.attempt, d, nil)
 	return nil, &noPlace{refusal: request.Refuse(request.CodeNoUpstream, g.s.retryAfter(g.job, d.Backlog.Drain()),
-		"no upstream of pool %s can take it now", g.job.pool.Name)}
+		"no upstream of pool %s can take the request now", g.job.pool.Name)}
 }
 
-// admitSuspect makes sure that the request may be placed, under a trial if it needs one. Its turn
-// for that is waited for.
+// admitSuspect has a request that is suspected of crashing engines wait for its turn for a
+// trial, under which it then runs. Other requests may be placed at once.
 func (g *generation) admitSuspect(ctx context.Context) *noPlace {
 	trial, refusal := g.s.opts.Suspects.Admit(ctx, g.job.req.Fingerprint, g.trial, time.Until(g.job.req.Deadline))
 	g.trial = trial
@@ -160,12 +162,12 @@
 	return &noPlace{wait: refusal.Code == request.CodeSuspect, refusal: refusal}
 }
 
-// chooseGang chooses the members of a gang. The first in the order of names
-// receives the request.
-func (g *generation) chooseGang(ask placement.Request, d placement.Decision) (*target, *noPlace) {
-	members := g.s.opts.Router.GangMembers(ask)
+// chooseGang chooses the members of a gang. The first in the order of names receives
+// the request.
+func (g *generation) chooseGang(placeReq placement.Request, d placement.Decision) (*target, *noPlace) {
+	members := g.s.opts.Router.GangMembers(placeReq)
 	if len(members) == 0 && len(g.exclude) > 0 {
-		// Those that have failed are needed, if they are back.
+		// The gang needs members that failed before; they may have recovered.
 		g.exclude = nil
 	}
 	if len(members) == 0 {
--- a/internal/front/prompt.go
+++ b/internal/front/prompt.go
@@ -10,10 +10,10 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/callerapi"
 )
 
-// prompt is what an engine is asked, with its length as far as it is known.
+// prompt is a decoded prompt, with its length if known.
 type prompt struct {
 	text   string
-	tokens int // 0: to be estimated from the text's length
+	tokens int // 0 when unknown: estimated from the length of text
 }
 
 // completionPrompt decodes the prompt of a completion: a string, a list with one
@@ -62,7 +62,7 @@
 	Text string `json:"text"`
 }
 
-// chatPrompt joins the messages of a chat, each led by its role.
+// chatPrompt joins the messages of a chat, each preceded by its role.
 func chatPrompt(messages []callerapi.ChatMessage) (prompt, error) {
 	var b strings.Builder
 	empty := true
--- a/internal/front/notes.go
+++ b/internal/front/record.go
@@ -14,7 +14,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/router"
 )
 
-// jobFields are the log fields that name a request.
+// jobFields returns the log fields that identify a request.
 func jobFields(j *job) logrus.Fields {
 	return logrus.Fields{
 		"request_id": j.req.ID,
@@ -33,7 +33,8 @@
 	}
 }
 
-// recordDecision logs a routing decision and keeps it for operators.
+// recordDecision logs and counts a routing decision and adds it to the journal that
+// operators read.
 func (s *Server) recordDecision(j *job, attempt int, d placement.Decision, chosen []string) {
 	fields := jobFields(j)
 	fields["attempt"] = attempt
@@ -61,7 +62,8 @@
 	metrics.GetOrCreateCounter(fmt.Sprintf(`buckthorndock_placements_total{class=%q,verdict=%q}`, d.Class, d.Verdict)).Inc()
 }
 
-// recordGangMembers notes the work of the gang's members besides the receiver, or its end.
+// recordGangMembers records the begin or the end of the work of a gang's members with
+// the router, except for the receiver's.
 func (s *Server) recordGangMembers(t *target, begin bool) {
 	if len(t.gang) == 0 {
 		return
@@ -79,7 +81,8 @@
 	}
 }
 
-// recordFirstToken measures the time to first token.
+// recordFirstToken reports an attempt's first token to the router and measures the time
+// to first token.
 func (s *Server) recordFirstToken(j *job, t *target, cached int, now time.Time) {
 	s.opts.Router.FirstToken(t.placement.ID, cached)
 	took := now.Sub(j.req.Arrived)
@@ -87,7 +90,8 @@
 	metrics.GetOrCreateHistogram(name).Update(took.Seconds())
 }
 
-// updateUpstreamState passes on what an attempt's end says of its upstream.
+// updateUpstreamState sets the state of an upstream that an attempt's end shows to be
+// dead or suspect.
 func (s *Server) updateUpstreamState(name string, end retry.End, reachable bool) {
 	switch {
 	case end == retry.NotWritten, end == retry.Died:
@@ -97,7 +101,7 @@
 	}
 }
 
-// recordEnd logs and counts the one end of a request.
+// recordEnd logs and counts the end of a request.
 func (s *Server) recordEnd(j *job, refusal *request.Refusal) {
 	outcome := request.Complete
 	fields := jobFields(j)
--- a/internal/front/reserve.go
+++ b/internal/front/reserve.go
@@ -11,10 +11,10 @@
 	"github.com/buckthorndock/buckthorndock/internal/owner"
 )
 
-// reserveMemory has the memory of a long prompt reserved before it is sent. It returns
-// false when the engine has no room now, after a wait that its owner asked for.
-// Without an owner a prompt that fits one engine goes without a reservation; the
-// engine itself refuses what it cannot hold.
+// reserveMemory reserves the memory of a long prompt with the engine's owner before the
+// prompt is sent. When the engine has no room now, it waits as long as the owner asked
+// and returns false. If the owner cannot be reached, a prompt that fits one engine is
+// sent without a reservation; the engine itself refuses what it cannot hold.
 func (g *generation) reserveMemory(ctx context.Context, t *target) (bool, *request.Refusal) {
 	if len(t.gang) > 0 {
 		return g.reserveGang(ctx, t)
@@ -23,20 +23,20 @@
 		return true, nil
 	}
 	engine := t.engine(g.job)
-	ask := ledger.ReserveRequest{
+	reserveReq := ledger.ReserveRequest{
 		Engine:  engine.Name,
 		ID:      g.reservationName(),
 		Request: g.job.req.ID,
 		Tokens:  int64(g.job.req.TotalTokens()),
 		Until:   time.Now().Add(t.decision.Chosen.Estimate.Finish),
 	}
-	reply, err := g.s.opts.Holder.Reserve(ctx, engine, ask)
+	reply, err := g.s.opts.Holder.Reserve(ctx, engine, reserveReq)
 	switch {
 	case err != nil:
 		g.s.log.WithFields(jobFields(g.job)).WithError(err).Warn("owner_unreachable")
 		return true, nil
 	case reply.Granted:
-		t.reservation = ask.ID
+		t.reservation = reserveReq.ID
 		return true, nil
 	case reply.RetryAfter == 0:
 		g.exclude = append(g.exclude, engine.Name)
@@ -46,8 +46,8 @@
 	return false, nil
 }
 
-// reservationName returns a new name for a reservation. A name is asked for once:
-// one whose answer was lost is being released.
+// reservationName returns a new name for a reservation. A name is used only once: a
+// reservation whose answer was lost is being released.
 func (g *generation) reservationName() string {
 	g.reservations++
 	return fmt.Sprintf("%s#%d.%d", g.job.req.ID, g.attempt, g.reservations)
@@ -60,11 +60,11 @@
 	}
 }
 
-// gangReserveTimeout is how long one choice of members is gathered. After it they are chosen
-// anew: one may have died since.
+// gangReserveTimeout is the maximum time to reserve memory on one choice of members. After
+// it the members are chosen again, because one may have died since.
 const gangReserveTimeout = 4 * time.Second
 
-// reserveGang has memory reserved on all members of a gang, or on none.
+// reserveGang reserves memory on all members of a gang, or on none.
 func (g *generation) reserveGang(ctx context.Context, t *target) (bool, *request.Refusal) {
 	gang := ledger.Gang{
 		Request:  g.reservationName(),
@@ -89,7 +89,7 @@
 	return false, nil
 }
 
-// releaseReservation gives back what secure has reserved.
+// releaseReservation releases the memory that reserveMemory has reserved.
 func (g *generation) releaseReservation(t *target) {
 	if t.reservation == "" {
 		return
--- a/internal/front/retries.go
+++ b/internal/front/retries.go
@@ -8,7 +8,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// retries guards the retry budget that all requests of this daemon share.
+// retries is the retry policy with the retry budget that all requests of this daemon
+// share. It is safe for concurrent use.
 type retries struct {
 	mu     sync.Mutex
 	budget *retry.Budget
@@ -28,7 +29,7 @@
 	return r.policy.Next(a, j.req, now)
 }
 
-// recordSuccess counts one whole answer.
+// recordSuccess adds to the budget for one complete answer.
 func (r *retries) recordSuccess(routing settings.Routing, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -24,11 +24,11 @@
 	"github.com/buckthorndock/buckthorndock/internal/upstream"
 )
 
-// Settings is what the front needs of the settings' follower.
+// Settings is the part of the settings follower that the front uses.
 type Settings interface {
-	// Current returns what is in force, never nil.
+	// Current returns the settings in force, never nil.
 	Current() *settings.Snapshot
-	// Ready reports whether there are settings to work with.
+	// Ready reports whether settings have been loaded.
 	Ready() bool
 }
 
@@ -47,9 +47,9 @@
 	Join        *join.Service
 	Suspects    *suspects.Tracker
 	Operator    Operator // status and settings
-	// OperatorTokenSHA256 is the hex hash of the site's first operator token.
+	// OperatorTokenSHA256 is the SHA-256 hash, in hex, of the site's first operator token.
 	OperatorTokenSHA256 string
-	// AtPoint is called at each Point and may block; nil outside tests of faults.
+	// AtPoint is called at each Point and may block; nil except in fault tests.
 	AtPoint func(Point)
 	Log     *logrus.Entry
 }
@@ -63,12 +63,12 @@
 	notices *notices
 	handler http.Handler
 
-	leaving  atomic.Bool // not ready for the balancer
-	refusing atomic.Bool // takes nothing new
+	leaving  atomic.Bool // reported as not ready to the load balancer
+	refusing atomic.Bool // refuses new requests
 	inFlight atomic.Int64
 
 	poolsMu sync.Mutex
-	pools   map[string]bool // known to the gate
+	pools   map[string]bool // names of the gate's pools
 }
 
 // NewServer returns a Server; Handler serves it.
@@ -89,18 +89,18 @@
 // Handler returns the HTTP handler of the API.
 func (s *Server) Handler() http.Handler { return s.handler }
 
-// Leave makes the daemon not ready for the balancer. Requests that still come are
-// taken until Refuse is called.
+// Leave makes the daemon report itself as leaving and not ready to the load balancer.
+// It still takes requests until Refuse is called.
 func (s *Server) Leave() { s.leaving.Store(true) }
 
-// Refuse makes the daemon refuse new requests; those in progress go on.
+// Refuse makes the daemon refuse new requests; those in progress continue.
 func (s *Server) Refuse() { s.refusing.Store(true) }
 
 // InFlight returns the number of requests in progress.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
-// beginRequest counts a request in, or says why the daemon takes none. The caller must
-// call exit after a nil return.
+// beginRequest counts a request as in flight, or refuses it during shutdown. The caller
+// must call endRequest after a nil return.
 func (s *Server) beginRequest() *request.Refusal {
 	s.inFlight.Add(1)
 	if s.refusing.Load() {
@@ -112,8 +112,8 @@
 
 func (s *Server) endRequest() { s.inFlight.Add(-1) }
 
-// retryElsewhere is the time to come back in when another daemon behind the
-// balancer can be expected to serve.
+// retryElsewhere is the RetryAfter of refusals after which another daemon behind the
+// load balancer can be expected to serve the request.
 const retryElsewhere = time.Second
 
 // GetHealth implements callerapi.Handler.
@@ -132,11 +132,11 @@
 		ready := callerapi.GetReadyOK(health)
 		return &ready, nil
 	}
-	not := callerapi.GetReadyServiceUnavailable(health)
-	return &not, nil
+	notReady := callerapi.GetReadyServiceUnavailable(health)
+	return &notReady, nil
 }
 
-// States of a daemon.
+// States of a daemon in its health and readiness reports.
 const (
 	stateReady    = "ready"
 	stateStarting = "starting" // no settings yet
--- a/internal/front/sink.go
+++ b/internal/front/sink.go
@@ -9,11 +9,11 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// DefaultWriteTimeout is the longest that one write to a caller may block. A
-// caller that never reads loses its connection, not a daemon's memory.
+// DefaultWriteTimeout is the maximum time that one write to a caller may block. A
+// caller that does not read is disconnected, so that it holds no memory of the daemon.
 const DefaultWriteTimeout = 10 * time.Second
 
-// answerShape tells the two OpenAI answers apart.
+// answerShape is the format of an answer: OpenAI completion or chat completion.
 type answerShape uint8
 
 const (
@@ -21,7 +21,7 @@
 	shapeChat
 )
 
-// answerMeta is what every answer names besides its text.
+// answerMeta holds the fields of an answer besides its text, and how to write it.
 type answerMeta struct {
 	shape        answerShape
 	id           string
@@ -33,23 +33,23 @@
 
 // sink delivers an answer to its caller, token by token.
 type sink interface {
-	// token delivers the next token's text. An error means that the caller is
-	// gone.
+	// token delivers the text of the next token or tokens. An error means that the
+	// caller has disconnected.
 	token(text string) error
-	// finish ends a whole answer.
+	// finish ends a complete answer of the given number of tokens.
 	finish(tokens int) error
-	// refuse ends an answer that is not whole.
+	// refuse ends an incomplete answer with an error.
 	refuse(r *request.Refusal)
 }
 
-// usage counts tokens as OpenAI's answers do.
+// usage holds token counts as in OpenAI's answers.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// chatText is a message or a piece of one.
+// chatText is a chat message or a part of one.
 type chatText struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
@@ -64,7 +64,7 @@
 	FinishReason *string   `json:"finish_reason"`
 }
 
-// answer is a whole answer or a chunk of one.
+// answer is a complete answer or a chunk of one.
 type answer struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -81,7 +81,7 @@
 	return &usage{PromptTokens: m.promptTokens, CompletionTokens: tokens, TotalTokens: m.promptTokens + tokens}
 }
 
-func (m *answerMeta) whole(text string, tokens int) answer {
+func (m *answerMeta) complete(text string, tokens int) answer {
 	reason := finishLength
 	c := choice{FinishReason: &reason}
 	a := answer{ID: m.id, Created: m.created, Model: m.model, Usage: m.usage(tokens)}
@@ -96,7 +96,7 @@
 	return a
 }
 
-// chunk is one chunk; reason is set on the last.
+// chunk returns one chunk of an answer; reason is set on the last.
 func (m *answerMeta) chunk(text string, reason *string, u *usage) answer {
 	c := choice{FinishReason: reason}
 	a := answer{ID: m.id, Created: m.created, Model: m.model, Usage: u}
@@ -111,20 +111,20 @@
 	return a
 }
 
-// wholeSink collects an answer and writes it as one JSON document.
-type wholeSink struct {
+// jsonSink collects an answer and writes it as one JSON document.
+type jsonSink struct {
 	w    http.ResponseWriter
 	meta answerMeta
 	text strings.Builder
 }
 
-func (s *wholeSink) token(text string) error {
+func (s *jsonSink) token(text string) error {
 	s.text.WriteString(text)
 	return nil
 }
 
-func (s *wholeSink) finish(tokens int) error {
-	body, err := json.Marshal(s.meta.whole(s.text.String(), tokens))
+func (s *jsonSink) finish(tokens int) error {
+	body, err := json.Marshal(s.meta.complete(s.text.String(), tokens))
 	if err != nil {
 		return err
 	}
@@ -135,7 +135,7 @@
 	return err
 }
 
-func (s *wholeSink) refuse(r *request.Refusal) {
+func (s *jsonSink) refuse(r *request.Refusal) {
 	setWriteDeadline(s.w, s.meta.writeTimeout)
 	writeRefusal(s.w, s.meta.id, r)
 }
@@ -162,7 +162,7 @@
 	return s.write([]byte(eventDone))
 }
 
-// refuse ends a started stream by an error event and without the final marker.
+// refuse ends a started stream with an error event and without the final [DONE].
 func (s *eventSink) refuse(r *request.Refusal) {
 	if !s.started {
 		setWriteDeadline(s.w, s.meta.writeTimeout)
@@ -205,8 +205,8 @@
 	return append(b, "\n\n"...)
 }
 
-// setWriteDeadline bounds the next write. Writers without deadlines, as in
-// tests, are left as they are.
+// setWriteDeadline sets the timeout of the next write. It has no effect on writers
+// without deadlines, as in tests.
 func setWriteDeadline(w http.ResponseWriter, timeout time.Duration) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(timeout))
 }
--- a/internal/front/sink_test.go
+++ b/internal/front/sink_test.go
@@ -24,10 +24,10 @@
 	s.refuse(failedRefusal(request.CodeUpstreamFailed, 0, "the engine is gone"))
 	body := w.Body.String()
 	if strings.Contains(body, "[DONE]") || strings.Contains(body, `"finish_reason":"length"`) {
-		t.Errorf("a partial answer looks whole:\n%s", body)
+		t.Errorf("a partial answer looks complete:\n%s", body)
 	}
 	if !strings.Contains(body, `"outcome":"failed"`) {
-		t.Errorf("the stream does not say how it ended:\n%s", body)
+		t.Errorf("the stream does not report its outcome:\n%s", body)
 	}
 }
 
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestShouldRetryHeader checks the header that the usual
-// OpenAI clients obey.
+// TestShouldRetryHeader checks that clients are told not to retry requests that may have
+// run. The usual OpenAI clients obey this header.
 func TestShouldRetryHeader(t *testing.T) {
 	cases := []struct {
 		refusal *request.Refusal
@@ -103,6 +103,6 @@
 		t.Fatal(err)
 	}
 	if err := <-ended; !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("ended by %v, want the write's deadline", err)
+		t.Errorf("ended by %v, want the write deadline", err)
 	}
 }
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -18,9 +18,9 @@
 type streamEnd struct {
 	complete       bool
 	callerGone     bool
-	end            retry.End // unless complete or callerGone
+	end            retry.End // set unless complete or callerGone
 	reachable      bool      // the engine still knows the attempt
-	deadlinePassed bool      // the request's time was over: no fault of the engine's
+	deadlinePassed bool      // the request's deadline passed: no fault of the engine
 	err            error
 }
 
@@ -33,12 +33,12 @@
 // errEngine wraps the error that an engine reports in a chunk.
 var errEngine = merry.Sentinel("the engine reports an error")
 
-// stream opens a stream of the running attempt, the first or a resumed one, and
-// hands its tokens to the caller until it ends.
+// stream opens a stream of the current attempt, the first or a resumed one, and
+// delivers its tokens to the caller until it ends.
 func (g *generation) stream(ctx context.Context, t *target) streamEnd {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// The permit is for the dispatch alone: a look at a silent attempt needs none.
+	// Only the dispatch needs the permit, not the probes of a silent attempt.
 	dispatch := upstream.WithPermit(ctx, g.s.dispatchPermit(g.job))
 	g.asm.StartAttempt(g.attempt)
 	arrivals := make(chan arrival)
@@ -46,13 +46,13 @@
 
 	idle := time.NewTimer(g.job.routing.Idle())
 	defer idle.Stop()
-	doubt := time.NewTicker(suspectCheckInterval)
-	defer doubt.Stop()
+	suspectCheck := time.NewTicker(suspectCheckInterval)
+	defer suspectCheck.Stop()
 	for {
 		select {
 		case a := <-arrivals:
 			idle.Reset(g.job.routing.Idle())
-			doubt.Reset(suspectCheckInterval)
+			suspectCheck.Reset(suspectCheckInterval)
 			if res, ended := g.handleArrival(ctx, t, a); ended {
 				return res
 			}
@@ -61,7 +61,7 @@
 				return res
 			}
 			idle.Reset(g.job.routing.Idle())
-		case <-doubt.C:
+		case <-suspectCheck.C:
 			if res, ended := g.checkSuspect(ctx, t); ended {
 				return res
 			}
@@ -71,8 +71,8 @@
 	}
 }
 
-// readStream opens the stream and sends what arrives, its end last. It never blocks
-// after the context has ended.
+// readStream opens a stream and sends its chunks to out, and its end last. It never
+// blocks after the context has ended.
 func readStream(ctx context.Context, client *upstream.Client, address string, req *upstream.GenerateRequest, out chan<- arrival) {
 	send := func(a arrival) bool {
 		select {
@@ -96,7 +96,7 @@
 	}
 }
 
-// handleArrival takes one arrival; ended is true when the stream is over.
+// handleArrival handles one arrival; ended is true when the stream has ended.
 func (g *generation) handleArrival(ctx context.Context, t *target, a arrival) (res streamEnd, ended bool) {
 	if a.err != nil {
 		return g.classifyStreamError(ctx, t, a.err), true
@@ -130,7 +130,8 @@
 
 var errGap = merry.Sentinel("tokens are missing from the stream")
 
-// deliver hands text to the caller and notes the first token.
+// deliver sends text to the caller, records it and reports the first token. An error
+// means that the caller has disconnected and no other request needs the answer.
 func (g *generation) deliver(t *target, step stream.Step, cached int) error {
 	g.resumes = 0
 	if g.firstTokenAt.IsZero() {
@@ -142,12 +143,13 @@
 	g.job.recordTokens(step.Text, step.Tokens)
 	err := g.job.sink.token(step.Text)
 	if g.job.recording != nil && g.job.wantedByOthers() {
-		return nil // the answer is wanted also when its caller has gone
+		return nil // others need the answer even if its caller has disconnected
 	}
 	return err
 }
 
-// classifyStreamError tells why a stream ended with an error or too early.
+// classifyStreamError returns why a stream ended with an error or too early. It probes
+// the engine when the connection broke.
 func (g *generation) classifyStreamError(ctx context.Context, t *target, err error) streamEnd {
 	if ctx.Err() != nil {
 		return g.classifyInterruption(ctx)
@@ -169,8 +171,8 @@
 	return streamEnd{end: retry.Broken, reachable: standing.Phase != upstream.PhaseUnknown, err: err}
 }
 
-// checkSilent looks, on a new connection, what has become of an attempt whose stream
-// is silent. A request that has not come to its first token yet is left alone.
+// checkSilent probes, on a new connection, an attempt whose stream has been silent for
+// the idle limit. ended is false while the request is still queued or in prefill.
 func (g *generation) checkSilent(ctx context.Context, t *target) (res streamEnd, ended bool) {
 	standing, err := g.s.opts.Client.Probe(ctx, t.address(), g.job.req.ID, g.attempt)
 	switch {
@@ -190,14 +192,14 @@
 	return streamEnd{end: retry.Silent, reachable: true}, true
 }
 
-// Times of the look at an engine that others have found silent.
+// Times of the check of an engine that the router holds for suspect or dead.
 const (
-	suspectCheckInterval = 250 * time.Millisecond // of silence on this stream before a look
-	suspectProbeTimeout  = 300 * time.Millisecond // in which the engine has to answer
+	suspectCheckInterval = 250 * time.Millisecond // of silence on this stream before a check
+	suspectProbeTimeout  = 300 * time.Millisecond // for the engine to answer the probe
 )
 
-// checkSuspect ends a stream without waiting for the idle limit when its engine is
-// suspect or dead by now and does not answer this attempt's own question either.
+// checkSuspect ends a stream, without waiting for the idle limit, when the router holds
+// its engine for suspect or dead and the engine does not answer a probe either.
 func (g *generation) checkSuspect(ctx context.Context, t *target) (res streamEnd, ended bool) {
 	state, ok := g.s.opts.Router.State(t.name())
 	if !ok || state != placement.Suspect && state != placement.Dead {
@@ -217,7 +219,8 @@
 	return streamEnd{end: retry.Silent, err: err}, true
 }
 
-// classifyInterruption tells a passed deadline from a caller that has gone.
+// classifyInterruption returns whether the deadline has passed or the caller has
+// disconnected.
 func (g *generation) classifyInterruption(ctx context.Context) streamEnd {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) || !time.Now().Before(g.job.req.Deadline) {
 		return streamEnd{end: retry.Silent, deadlinePassed: true, err: context.DeadlineExceeded}
--- a/internal/front/target.go
+++ b/internal/front/target.go
@@ -10,14 +10,14 @@
 	"github.com/buckthorndock/buckthorndock/internal/upstream"
 )
 
-// target is where an attempt goes.
+// target is the engine or gang to which an attempt is sent.
 type target struct {
 	decision  placement.Decision
 	placement placement.Placement
 
-	run         quarantine.Run         // as the quarantine knows it
-	incarnation string                 // of the engine when it was chosen, empty when not known
-	reservation string                 // id of the memory held for it, empty without
+	run         quarantine.Run         // identifies the attempt in the quarantine
+	incarnation string                 // of the engine when it was chosen, empty when unknown
+	reservation string                 // id of the reserved memory, empty when none
 	gang        []placement.GangMember // the receiver first; nil for one engine
 }
 
@@ -25,7 +25,7 @@
 	return &target{decision: d, placement: newPlacement(j, attempt, d)}
 }
 
-// newPlacement is what the router notes of an attempt.
+// newPlacement returns the placement of an attempt, as recorded with the router.
 func newPlacement(j *job, attempt int, d placement.Decision) placement.Placement {
 	return placement.Placement{
 		ID:        placement.ID{Request: j.req.ID, Attempt: attempt},
@@ -43,8 +43,7 @@
 func (t *target) name() string    { return t.decision.Chosen.Name }
 func (t *target) address() string { return t.decision.Chosen.Address }
 
-// restarted reports whether the engine's process is another one than that which
-// the attempt was sent to.
+// restarted reports whether the engine has restarted since the attempt was sent.
 func (t *target) restarted(now upstream.AttemptStatus) bool {
 	return t.incarnation != "" && now.Incarnation != t.incarnation
 }
@@ -61,12 +60,12 @@
 	return names
 }
 
-// engine names the engine for the holder.
+// engine returns the engine as the owner.Holder identifies it.
 func (t *target) engine(j *job) owner.Engine {
 	return owner.Engine{Name: t.name(), Address: t.address(), Pool: j.pool.Name}
 }
 
-// engineRequest returns what is sent to the engine.
+// engineRequest returns the request to send to the engine.
 func (g *generation) engineRequest(t *target) *upstream.GenerateRequest {
 	req := g.job.req
 	er := &upstream.GenerateRequest{
