--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -10,7 +10,7 @@
 	me := p.holderName()
 	p.orders = owner.NewOrders(owner.OrderOptions{
 		Domain:    p.cfg.Domain,
-		Me:        order.Holder{Host: me.Host, Incarnation: me.Incarnation},
+		Self:      order.Holder{Host: me.Host, Incarnation: me.Incarnation},
 		Log:       p.logService,
 		Weights:   p.weights,
 		Engines:   p.engines,
@@ -32,7 +32,7 @@
 		op := owner.OrderPool{
 			Name:          pool.Name,
 			ChecksFencing: pool.ChecksFencing,
-			LongestOrder:  pool.LongestOrder,
+			MaxOrderTime:  pool.MaxOrderTime,
 			Desired:       desiredOf(pool),
 		}
 		for _, u := range pool.Upstreams {
--- a/internal/front/generate.go
+++ b/internal/front/generate.go
@@ -40,7 +40,7 @@
 	g := &generation{
 		s:       s,
 		job:     j,
-		asm:     stream.New(stream.Options{RequestID: j.req.ID, MaxTokens: j.req.MaxTokens, From: j.deliveredTokens}),
+		asm:     stream.New(stream.Options{RequestID: j.req.ID, MaxTokens: j.req.MaxTokens, FirstIndex: j.deliveredTokens}),
 		attempt: 1,
 	}
 	g.text.WriteString(j.relayedText.String())
@@ -80,7 +80,7 @@
 		last = res
 		if res.complete {
 			end = placement.End{Complete: true, AnswerTokens: g.asm.NextIndex()}
-			g.s.opts.Holder.Done(t.name(), g.runningID())
+			g.s.opts.Holder.Untrack(t.name(), g.runningID())
 			g.s.retries.recordSuccess(g.job.routing, time.Now())
 			return g.finish(), false
 		}
@@ -164,7 +164,7 @@
 func (g *generation) cancelAttempt(t *target, res streamEnd) {
 	notStarted := res.end == retry.NotWritten || res.end == retry.Refused
 	if notStarted && !res.callerGone {
-		g.s.opts.Holder.Done(t.name(), g.runningID())
+		g.s.opts.Holder.Untrack(t.name(), g.runningID())
 		return
 	}
 	g.s.opts.Holder.End(t.engine(g.job), g.runningID())
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -44,14 +44,14 @@
 	arrivals := make(chan arrival)
 	go readStream(dispatch, g.s.opts.Client, t.address(), g.engineRequest(t), arrivals)
 
-	idle := time.NewTimer(g.job.routing.Idle())
+	idle := time.NewTimer(g.job.routing.IdleTimeout())
 	defer idle.Stop()
 	suspectCheck := time.NewTicker(suspectCheckInterval)
 	defer suspectCheck.Stop()
 	for {
 		select {
 		case a := <-arrivals:
-			idle.Reset(g.job.routing.Idle())
+			idle.Reset(g.job.routing.IdleTimeout())
 			suspectCheck.Reset(suspectCheckInterval)
 			if res, ended := g.handleArrival(ctx, t, a); ended {
 				return res
@@ -60,7 +60,7 @@
 			if res, ended := g.checkSilent(ctx, t); ended {
 				return res
 			}
-			idle.Reset(g.job.routing.Idle())
+			idle.Reset(g.job.routing.IdleTimeout())
 		case <-suspectCheck.C:
 			if res, ended := g.checkSuspect(ctx, t); ended {
 				return res
@@ -132,7 +132,7 @@
 
 // deliver sends text to the caller, records it and reports the first token. An error
 // means that the caller has disconnected and no other request needs the answer.
-func (g *generation) deliver(t *target, step stream.Step, cached int) error {
+func (g *generation) deliver(t *target, step stream.Output, cached int) error {
 	g.resumes = 0
 	if g.firstTokenAt.IsZero() {
 		g.firstTokenAt = time.Now()
