--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -221,13 +221,13 @@
 
 func (p *process) buildFront() error {
 	holds := newHolds(p.log)
-	var atPoint func(front.Point)
+	var atPoint func(front.DispatchPoint)
 	if p.cfg.TestFaults {
 		atPoint = holds.wait
 	}
 	var err error
 	p.front, err = front.NewServer(front.Options{
-		AtPoint:             atPoint,
+		OnDispatchPoint:     atPoint,
 		Host:                p.cfg.Host,
 		Domain:              p.cfg.Domain,
 		Incarnation:         p.holderName().Incarnation,
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -99,14 +99,14 @@
 // are finished, then all is closed.
 func (p *process) drain() {
 	p.log.WithField("in_flight", p.front.InFlight()).Info("leaving")
-	p.front.Leave()
+	p.front.MarkLeaving()
 	ctx, cancel := context.WithTimeout(context.Background(), lameDuck)
 	defer cancel()
 	if err := p.node.Leave(ctx); err != nil {
 		p.log.WithError(err).Warn("leaving_untold")
 	}
 	<-ctx.Done()
-	p.front.Refuse()
+	p.front.RefuseNew()
 	p.log.WithField("in_flight", p.front.InFlight()).Info("refusing")
 	p.waitDrained()
 	p.closeServer()
@@ -161,7 +161,7 @@
 		}
 	}
 	p.log.Error("superseded")
-	p.front.Leave()
-	p.front.Refuse()
+	p.front.MarkLeaving()
+	p.front.RefuseNew()
 	return nil
 }
--- a/internal/daemon/faults.go
+++ b/internal/daemon/faults.go
@@ -34,7 +34,7 @@
 		answerFault(w, node.SilenceConnections())
 	})
 	mux.HandleFunc("POST "+faultPath+"hold", func(w http.ResponseWriter, r *http.Request) {
-		holds.set(front.Point(r.URL.Query().Get("at")))
+		holds.set(front.DispatchPoint(r.URL.Query().Get("at")))
 		answerFault(w, nil)
 	})
 	return mux
@@ -53,7 +53,7 @@
 	log *logrus.Entry
 
 	mu     sync.Mutex
-	at     front.Point
+	at     front.DispatchPoint
 	lifted chan struct{} // closed when at changes
 }
 
@@ -62,7 +62,7 @@
 }
 
 // set moves the hold to a point, or nowhere, and lets go what it held.
-func (h *holds) set(at front.Point) {
+func (h *holds) set(at front.DispatchPoint) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.at = at
@@ -71,7 +71,7 @@
 }
 
 // wait implements front.Options.AtPoint.
-func (h *holds) wait(p front.Point) {
+func (h *holds) wait(p front.DispatchPoint) {
 	h.mu.Lock()
 	at, lifted := h.at, h.lifted
 	h.mu.Unlock()
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -27,7 +27,7 @@
 	seen := map[sectionKey]uint64{} // version last taken
 	for {
 		p.gate.SetExpectedHosts(p.hostCount())
-		own, domain := p.gate.Exchange(p.heardUsage(seen))
+		own, domain := p.gate.ExchangeUsage(p.heardUsage(seen))
 		p.publishUsage(usageSection, own, p.node.Publish)
 		if _, _, self := p.peers.Owner(gatewayKey); self {
 			p.publishUsage(domainUsageSection, domain, p.node.PublishWide)
--- a/internal/front/admit.go
+++ b/internal/front/admit.go
@@ -73,7 +73,7 @@
 	for i, n := range j.customer.Limits {
 		chain[i] = admission.Node{Name: n.Name, Limits: n.Limits}
 	}
-	ticket, refusal := s.opts.Gate.Enter(ctx, j.req, chain, j.customer.Weight, j.pool.Name)
+	ticket, refusal := s.opts.Gate.Admit(ctx, j.req, chain, j.customer.Weight, j.pool.Name)
 	j.first = s.waiting.take(j.req.ID)
 	if refusal != nil {
 		return nil, refusal
@@ -136,7 +136,7 @@
 // spread like the gate's refusals so that callers that were refused together do
 // not return together.
 func (s *Server) comeBack(j *job, backlog time.Duration) time.Duration {
-	return s.opts.Gate.ComeBack(j.pool.Name, j.req, max(backlog, retryElsewhere))
+	return s.opts.Gate.RetryAfter(j.pool.Name, j.req, max(backlog, retryElsewhere))
 }
 
 // engineWait returns the longest wait on an engine for a job.
@@ -181,10 +181,10 @@
 				MaxRequests: p.Routing.QueueRequests,
 				MaxTokens:   p.Routing.QueueTokens,
 			},
-			TryPlace:   s.tryPlace,
-			Lane:       lane,
-			MinService: s.minService,
-			PlacedWait: s.placedWait,
+			TryPlace:       s.tryPlace,
+			Lane:           lane,
+			MinServiceTime: s.minService,
+			MaxPlacedWait:  s.placedWait,
 		})
 	}
 	for name := range s.pools {
@@ -211,7 +211,7 @@
 
 func (s *Server) kick() {
 	for _, name := range s.poolNames() {
-		s.opts.Gate.Kick(name)
+		s.opts.Gate.RetryQueued(name)
 	}
 }
 
--- a/internal/front/points.go
+++ b/internal/front/points.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Point is a step of a request's way at which a scenario may stop it.
-type Point string
+// DispatchPoint is a step of a request's way at which a scenario may stop it.
+type DispatchPoint string
 
 // Points that Options.AtPoint is told of.
 const (
-	// PointConnected: the connection to the upstream is open, the permit to
+	// DispatchConnected: the connection to the upstream is open, the permit to
 	// dispatch has not been asked for.
-	PointConnected Point = "connected"
-	// PointPermitted: the permit was given, no byte has been written.
-	PointPermitted Point = "permitted"
+	DispatchConnected DispatchPoint = "connected"
+	// DispatchPermitted: the permit was given, no byte has been written.
+	DispatchPermitted DispatchPoint = "permitted"
 )
 
 // permit returns what a dispatch of a job asks before its first byte. It is asked
@@ -19,17 +19,17 @@
 // which cannot be reached does not use the permit up.
 func (s *Server) permit(j *job) func() bool {
 	return func() bool {
-		s.reach(PointConnected)
+		s.reach(DispatchConnected)
 		if j.permit != nil && !j.permit.Dispatch(time.Now()) {
 			return false
 		}
-		s.reach(PointPermitted)
+		s.reach(DispatchPermitted)
 		return true
 	}
 }
 
-func (s *Server) reach(p Point) {
-	if s.opts.AtPoint != nil {
-		s.opts.AtPoint(p)
+func (s *Server) reach(p DispatchPoint) {
+	if s.opts.OnDispatchPoint != nil {
+		s.opts.OnDispatchPoint(p)
 	}
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -49,9 +49,9 @@
 	Operator    Operator // status and settings
 	// OperatorTokenSHA256 is the hex hash of the site's first operator token.
 	OperatorTokenSHA256 string
-	// AtPoint is called at each Point and may block; nil outside tests of faults.
-	AtPoint func(Point)
-	Log     *logrus.Entry
+	// OnDispatchPoint is called at each Point and may block; nil outside tests of faults.
+	OnDispatchPoint func(DispatchPoint)
+	Log             *logrus.Entry
 }
 
 // Server serves callers and operators.
@@ -89,12 +89,12 @@
 // Handler returns the HTTP handler of the API.
 func (s *Server) Handler() http.Handler { return s.handler }
 
-// Leave makes the daemon not ready for the balancer. Requests that still come are
+// MarkLeaving makes the daemon not ready for the balancer. Requests that still come are
 // taken until Refuse is called.
-func (s *Server) Leave() { s.leaving.Store(true) }
+func (s *Server) MarkLeaving() { s.leaving.Store(true) }
 
-// Refuse makes the daemon refuse new requests; those in progress go on.
-func (s *Server) Refuse() { s.refusing.Store(true) }
+// RefuseNew makes the daemon refuse new requests; those in progress go on.
+func (s *Server) RefuseNew() { s.refusing.Store(true) }
 
 // InFlight returns the number of requests in progress.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -12,15 +12,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DefaultPoll is how often a pool with a queue is tried without a Kick.
-const DefaultPoll = 50 * time.Millisecond
+// DefaultPollInterval is how often a pool with a queue is tried without a Kick.
+const DefaultPollInterval = 50 * time.Millisecond
 
 // Options configures a Gate.
 type Options struct {
-	Limits admission.LimiterOptions
-	Poll   time.Duration    // DefaultPoll when zero
-	Now    func() time.Time // time.Now when nil
-	Seed   uint64           // of the jitter; a random one when zero
+	Limits       admission.LimiterOptions
+	PollInterval time.Duration    // DefaultPoll when zero
+	Now          func() time.Time // time.Now when nil
+	Seed         uint64           // of the jitter; a random one when zero
 }
 
 // PoolOptions configures a pool. The functions are called with the pool locked:
@@ -35,13 +35,13 @@
 	// find a place when others do not belong in another lane, as short prompts
 	// beside long ones. Nil makes a lane of each target.
 	Lane func(*request.Request) uint64
-	// MinService returns the least time from start to end. A request is given up
+	// MinServiceTime returns the least time from start to end. A request is given up
 	// when less is left. Nil means none.
-	MinService func(*request.Request) time.Duration
-	// PlacedWait returns the longest wait with which TryPlace still takes a place. A
+	MinServiceTime func(*request.Request) time.Duration
+	// MaxPlacedWait returns the longest wait with which TryPlace still takes a place. A
 	// request that had to queue is given up that much earlier, for it finds all
 	// places as full. Nil means none.
-	PlacedWait func(*request.Request) time.Duration
+	MaxPlacedWait func(*request.Request) time.Duration
 }
 
 // Gate admits requests. It is safe for concurrent use.
@@ -58,7 +58,7 @@
 
 // New returns a Gate without pools.
 func New(o Options) *Gate {
-	o.Poll = cmp.Or(o.Poll, DefaultPoll)
+	o.PollInterval = cmp.Or(o.PollInterval, DefaultPollInterval)
 	if o.Now == nil {
 		o.Now = time.Now
 	}
@@ -81,11 +81,11 @@
 	if o.Lane == nil {
 		o.Lane = func(r *request.Request) uint64 { return xxhash.Sum64String(r.Target) }
 	}
-	if o.PlacedWait == nil {
-		o.PlacedWait = func(*request.Request) time.Duration { return 0 }
+	if o.MaxPlacedWait == nil {
+		o.MaxPlacedWait = func(*request.Request) time.Duration { return 0 }
 	}
-	if o.MinService == nil {
-		o.MinService = func(*request.Request) time.Duration { return 0 }
+	if o.MinServiceTime == nil {
+		o.MinServiceTime = func(*request.Request) time.Duration { return 0 }
 	}
 	g.poolsMu.Lock()
 	p := g.pools[name]
@@ -108,13 +108,13 @@
 	}
 }
 
-// Enter admits a request: it must fit the limits of each node of chain, its
+// Admit admits a request: it must fit the limits of each node of chain, its
 // deadline must be within reach, and the pool must have a place for it now or
 // within time. It blocks while the request waits in the pool's queue. Exactly one
 // of the results is nil. With a Ticket the request may start, and the caller must
 // call Done, also when ctx has ended meanwhile. A Refusal is final: nothing is
 // held, and the request was not run.
-func (g *Gate) Enter(ctx context.Context, r *request.Request, chain []admission.Node, weight int, pool string) (*Ticket, *request.Refusal) {
+func (g *Gate) Admit(ctx context.Context, r *request.Request, chain []admission.Node, weight int, pool string) (*Ticket, *request.Refusal) {
 	ticket, refusal := g.enter(ctx, r, chain, weight, pool)
 	if refusal != nil {
 		countRefused(refusal.Code)
@@ -171,10 +171,10 @@
 	return admission.RetryAfter(backlog, g.rng)
 }
 
-// ComeBack returns when a request that was let in, and could not be placed after
+// RetryAfter returns when a request that was let in, and could not be placed after
 // all, may come back: after the backlog given or that of the pool, whichever is
 // longer, spread as for those that the gate itself refuses, and counted with them.
-func (g *Gate) ComeBack(pool string, r *request.Request, backlog time.Duration) time.Duration {
+func (g *Gate) RetryAfter(pool string, r *request.Request, backlog time.Duration) time.Duration {
 	if p := g.pool(pool); p != nil {
 		backlog = max(backlog, p.comeBack(r))
 	}
@@ -187,8 +187,8 @@
 	return g.pools[name]
 }
 
-// Kick tries the waiting requests of a pool, as after its capacity has grown.
-func (g *Gate) Kick(pool string) {
+// RetryQueued tries the waiting requests of a pool, as after its capacity has grown.
+func (g *Gate) RetryQueued(pool string) {
 	if p := g.pool(pool); p != nil {
 		p.kick()
 	}
@@ -210,11 +210,11 @@
 	return p.stats()
 }
 
-// Exchange takes the digests that peers sent since the last call, divides the
+// ExchangeUsage takes the digests that peers sent since the last call, divides the
 // limits anew, and returns this host's digest to be sent to its peers and the sum
 // of its domain, which a gateway sends to other domains. To be called once an
 // interval of some seconds, well under LimiterOptions.StaleAfter.
-func (g *Gate) Exchange(heard []admission.Usage) (own, domain admission.Usage) {
+func (g *Gate) ExchangeUsage(heard []admission.Usage) (own, domain admission.Usage) {
 	now := g.opts.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -231,8 +231,8 @@
 	g.limiter.SetExpectedHosts(n)
 }
 
-// Forget drops a host that has left for good from the division of the limits.
-func (g *Gate) Forget(domain, host string) {
+// RemoveHost drops a host that has left for good from the division of the limits.
+func (g *Gate) RemoveHost(domain, host string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limiter.RemoveHost(domain, host)
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -43,7 +43,7 @@
 	p.free.Store(free)
 	o.TryPlace = p.take
 	// No poll within a test: each let in shows that something ran the queue.
-	g := New(Options{Seed: 1, Poll: time.Hour, Limits: admission.LimiterOptions{Host: "a", Domain: "hal-a"}})
+	g := New(Options{Seed: 1, PollInterval: time.Hour, Limits: admission.LimiterOptions{Host: "a", Domain: "hal-a"}})
 	g.SetPool(lists, o)
 	return g, p
 }
@@ -61,7 +61,7 @@
 func later(ctx context.Context, g *Gate, r *request.Request, order chan<- string) <-chan *request.Refusal {
 	end := make(chan *request.Refusal, 1)
 	go func() {
-		_, refusal := g.Enter(ctx, r, nil, 1, lists)
+		_, refusal := g.Admit(ctx, r, nil, 1, lists)
 		if refusal == nil {
 			order <- r.Customer
 		}
@@ -83,7 +83,7 @@
 	}
 	for _, want := range []string{"urgent", "normal", "bulk"} {
 		p.free.Store(1)
-		g.Kick(lists)
+		g.RetryQueued(lists)
 		if got := <-order; got != want {
 			t.Errorf("%s was let in, want %s", got, want)
 		}
@@ -93,7 +93,7 @@
 func TestPlaceGoesToTheFirstInOrder(t *testing.T) {
 	g, p := newGate(1, PoolOptions{})
 	order := make(chan string, 3)
-	ticket, refusal := g.Enter(context.Background(), newRequest("first", 0, time.Hour), nil, 1, lists)
+	ticket, refusal := g.Admit(context.Background(), newRequest("first", 0, time.Hour), nil, 1, lists)
 	if refusal != nil {
 		t.Fatal(refusal)
 	}
@@ -115,7 +115,7 @@
 
 func TestRefusalsAreFinalAndHoldNothing(t *testing.T) {
 	ctx := context.Background()
-	g, p := newGate(0, PoolOptions{Queue: admission.QueueOptions{MaxRequests: 2}, MinService: func(*request.Request) time.Duration { return time.Second }})
+	g, p := newGate(0, PoolOptions{Queue: admission.QueueOptions{MaxRequests: 2}, MinServiceTime: func(*request.Request) time.Duration { return time.Second }})
 	chain := []admission.Node{{Name: "c", Limits: settings.Limits{RequestsInFlight: 1, PromptTokensInFlight: 500}}}
 	want := func(refusal *request.Refusal, code request.Code, comeBack bool) {
 		t.Helper()
@@ -123,20 +123,20 @@
 			t.Fatalf("got %+v, want %s, come back %v", refusal, code, comeBack)
 		}
 	}
-	_, refusal := g.Enter(ctx, newRequest("c", 0, 500*time.Millisecond), chain, 1, lists)
+	_, refusal := g.Admit(ctx, newRequest("c", 0, 500*time.Millisecond), chain, 1, lists)
 	want(refusal, request.CodeDeadline, true)
-	_, refusal = g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, "none")
+	_, refusal = g.Admit(ctx, newRequest("c", 0, time.Hour), chain, 1, "none")
 	want(refusal, request.CodeNoUpstream, true)
 	archive := newRequest("c", 0, time.Hour)
 	archive.PromptTokens = 501
-	_, refusal = g.Enter(ctx, archive, chain, 1, lists)
+	_, refusal = g.Admit(ctx, archive, chain, 1, lists)
 	want(refusal, request.CodeLimit, false)
 
 	gone, cancel := context.WithCancel(ctx)
 	order := make(chan string, 1)
 	waiting := later(gone, g, newRequest("other", 0, time.Hour), order)
 	until(t, "queued", func() bool { return g.Stats(lists).Requests == 1 })
-	_, refusal = g.Enter(ctx, newRequest("c", request.Bulk, time.Hour), chain, 1, lists)
+	_, refusal = g.Admit(ctx, newRequest("c", request.Bulk, time.Hour), chain, 1, lists)
 	want(refusal, request.CodeQueueFull, true)
 	cancel()
 	want(<-waiting, request.CodeCallerGone, false)
@@ -152,18 +152,18 @@
 	// None of the refused holds the one place that the limit has.
 	g.SetPool(lists, PoolOptions{TryPlace: p.take})
 	p.free.Store(2)
-	ticket, refusal := g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, lists)
+	ticket, refusal := g.Admit(ctx, newRequest("c", 0, time.Hour), chain, 1, lists)
 	if refusal != nil {
 		t.Fatal(refusal)
 	}
-	_, refusal = g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, lists)
+	_, refusal = g.Admit(ctx, newRequest("c", 0, time.Hour), chain, 1, lists)
 	want(refusal, request.CodeLimit, true)
 	ticket.Done(request.Complete, 110)
 	ticket.Done(request.Complete, 110) // counts once
-	if _, refusal = g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, lists); refusal != nil {
+	if _, refusal = g.Admit(ctx, newRequest("c", 0, time.Hour), chain, 1, lists); refusal != nil {
 		t.Fatal(refusal)
 	}
-	_, refusal = g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, lists)
+	_, refusal = g.Admit(ctx, newRequest("c", 0, time.Hour), chain, 1, lists)
 	want(refusal, request.CodeLimit, true)
 }
 
@@ -184,13 +184,13 @@
 	for range 10 { // one a second
 		now.Add(int64(time.Second))
 		p.free.Store(1)
-		g.Kick(lists)
+		g.RetryQueued(lists)
 		<-order
 	}
 	if b := g.Stats(lists).Backlog; b < 9*time.Second || b > 11*time.Second {
 		t.Errorf("backlog of ten at one a second: %v", b)
 	}
-	_, refusal := g.Enter(context.Background(), newRequest("a", 0, 15*time.Second), nil, 1, lists)
+	_, refusal := g.Admit(context.Background(), newRequest("a", 0, 15*time.Second), nil, 1, lists)
 	if refusal == nil || refusal.Code != request.CodeDeadline || refusal.RetryAfter < 9*time.Second {
 		t.Errorf("5 s left behind ten seconds of work: %+v", refusal)
 	}
@@ -211,7 +211,7 @@
 			for range each {
 				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(rng.IntN(20000))*time.Microsecond)
 				r := newRequest(fmt.Sprint(c%7), request.Priority(rng.IntN(3)), time.Duration(1+rng.IntN(15))*time.Millisecond)
-				ticket, refusal := g.Enter(ctx, r, chain, 1, lists)
+				ticket, refusal := g.Admit(ctx, r, chain, 1, lists)
 				cancel()
 				if (ticket == nil) == (refusal == nil) {
 					t.Error("not exactly one result")
@@ -240,7 +240,7 @@
 	}
 	g.SetPool(lists, PoolOptions{})
 	for i := range 40 {
-		if _, refusal := g.Enter(context.Background(), newRequest("x", 0, time.Hour), chain, 1, lists); refusal != nil {
+		if _, refusal := g.Admit(context.Background(), newRequest("x", 0, time.Hour), chain, 1, lists); refusal != nil {
 			t.Fatalf("limits are not given back: request %d: %v", i, refusal)
 		}
 	}
@@ -254,15 +254,15 @@
 		gates[i].SetExpectedHosts(2)
 		gates[i].SetPool(lists, PoolOptions{})
 	}
-	ownA, _ := gates[0].Exchange(nil)
-	ownB, _ := gates[1].Exchange([]admission.Usage{ownA})
-	if _, sum := gates[0].Exchange([]admission.Usage{ownB}); sum.Hosts != 2 {
+	ownA, _ := gates[0].ExchangeUsage(nil)
+	ownB, _ := gates[1].ExchangeUsage([]admission.Usage{ownA})
+	if _, sum := gates[0].ExchangeUsage([]admission.Usage{ownB}); sum.Hosts != 2 {
 		t.Errorf("the domain's sum counts %d hosts", sum.Hosts)
 	}
 	entered := 0
 	for range 20 {
 		for _, g := range gates {
-			if _, refusal := g.Enter(context.Background(), newRequest("c", 0, time.Hour), chain, 1, lists); refusal == nil {
+			if _, refusal := g.Admit(context.Background(), newRequest("c", 0, time.Hour), chain, 1, lists); refusal == nil {
 				entered++
 			}
 		}
@@ -270,9 +270,9 @@
 	if entered != 10 {
 		t.Errorf("two hosts let in %d under a limit of 10", entered)
 	}
-	gates[0].Forget("hal-a", "b")
-	gates[0].Exchange(nil)
-	if _, refusal := gates[0].Enter(context.Background(), newRequest("c", 0, time.Hour), chain, 1, lists); refusal != nil {
+	gates[0].RemoveHost("hal-a", "b")
+	gates[0].ExchangeUsage(nil)
+	if _, refusal := gates[0].Admit(context.Background(), newRequest("c", 0, time.Hour), chain, 1, lists); refusal != nil {
 		t.Errorf("after the other has left: %v", refusal)
 	}
 }
@@ -283,7 +283,7 @@
 	r := newRequest("c", 0, time.Hour)
 	b.ReportAllocs()
 	for b.Loop() {
-		t, refusal := g.Enter(context.Background(), r, chain, 1, lists)
+		t, refusal := g.Admit(context.Background(), r, chain, 1, lists)
 		if refusal != nil {
 			b.Fatal(refusal)
 		}
@@ -304,23 +304,23 @@
 	r := newRequest("late", request.Bulk, time.Hour)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, refusal := g.Enter(context.Background(), r, nil, 1, lists); refusal == nil {
+		if _, refusal := g.Admit(context.Background(), r, nil, 1, lists); refusal == nil {
 			b.Fatal("entered a full queue")
 		}
 	}
 	b.StopTimer()
 	p.free.Store(1 << 40)
-	g.Kick(lists)
+	g.RetryQueued(lists)
 }
 
 // TestPlacedWaitCountsOnlyForTheQueue: a request with little time left starts where
 // a place is free, and is refused at once where it would have to queue.
 func TestPlacedWaitCountsOnlyForTheQueue(t *testing.T) {
-	g, p := newGate(1, PoolOptions{PlacedWait: func(*request.Request) time.Duration { return time.Hour }})
-	if _, refusal := g.Enter(context.Background(), newRequest("a", 0, time.Minute), nil, 1, lists); refusal != nil {
+	g, p := newGate(1, PoolOptions{MaxPlacedWait: func(*request.Request) time.Duration { return time.Hour }})
+	if _, refusal := g.Admit(context.Background(), newRequest("a", 0, time.Minute), nil, 1, lists); refusal != nil {
 		t.Fatalf("a place was free: %v", refusal)
 	}
-	_, refusal := g.Enter(context.Background(), newRequest("a", 0, time.Minute), nil, 1, lists)
+	_, refusal := g.Admit(context.Background(), newRequest("a", 0, time.Minute), nil, 1, lists)
 	if refusal == nil || refusal.Code != request.CodeDeadline || refusal.RetryAfter == 0 {
 		t.Errorf("without a free place: %+v", refusal)
 	}
--- a/internal/gate/pool.go
+++ b/internal/gate/pool.go
@@ -84,7 +84,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.gate.opts.Now()
-	latest := r.Deadline.Add(-p.opts.MinService(r))
+	latest := r.Deadline.Add(-p.opts.MinServiceTime(r))
 	switch {
 	case p.closed:
 		return nil, p.refuse(r, request.CodeNoUpstream, now, "the pool was removed")
@@ -95,7 +95,7 @@
 	case p.queue.Len() == 0 && p.opts.TryPlace(r):
 		return nil, nil
 	}
-	latest = latest.Add(-p.opts.PlacedWait(r))
+	latest = latest.Add(-p.opts.MaxPlacedWait(r))
 	if !now.Before(latest) {
 		return nil, p.refuse(r, request.CodeDeadline, now, "no place is free in time")
 	}
@@ -202,7 +202,7 @@
 		}
 		return
 	}
-	wait := min(max(next.Sub(now), time.Millisecond), p.gate.opts.Poll)
+	wait := min(max(next.Sub(now), time.Millisecond), p.gate.opts.PollInterval)
 	if p.timer == nil {
 		p.timer = time.AfterFunc(wait, p.kick)
 		return
