--- a/internal/front/admit.go
+++ b/internal/front/admit.go
@@ -73,7 +73,7 @@
 	for i, n := range j.customer.Limits {
 		chain[i] = admission.Node{Name: n.Name, Limits: n.Limits}
 	}
-	ticket, refusal := s.opts.Gate.Enter(ctx, j.req, chain, j.customer.Weight, j.pool.Name)
+	ticket, refusal := s.opts.Gate.Admit(ctx, j.req, chain, j.customer.Weight, j.pool.Name)
 	j.gatePlacement = s.pending.remove(j.req.ID)
 	if refusal != nil {
 		return nil, refusal
@@ -102,8 +102,8 @@
 	return err != nil || fit != router.MustWait
 }
 
-// minServiceTime returns the minimum time from a request's start to its end, for the
-// gate.
+// minServiceTime implements gate.PoolOptions.MinServiceTime: it returns the minimum
+// time from a request's start to its end.
 func (s *Server) minServiceTime(req *request.Request) time.Duration {
 	wj := s.pending.get(req.ID)
 	if wj == nil || req.Kind != request.Generate || !isLengthAware(wj.job) {
@@ -112,8 +112,9 @@
 	return s.opts.Router.ServiceTime(router.NewPlacementRequest(req, wj.job.pool.Name, wj.job.routing))
 }
 
-// maxPlacedWait returns how long a request that had to queue still waits on its
-// engine, which by then has as much work as maxEngineWait allows. It is for the gate.
+// maxPlacedWait implements gate.PoolOptions.MaxPlacedWait: it returns how long a request
+// that had to queue still waits on its engine, which has as much work as maxEngineWait
+// allows.
 func (s *Server) maxPlacedWait(req *request.Request) time.Duration {
 	wj := s.pending.get(req.ID)
 	if wj == nil || req.Kind != request.Generate || !isLengthAware(wj.job) || req.Priority == request.Urgent {
@@ -138,7 +139,7 @@
 // may retry. It is spread like the gate's refusals, so that callers that were refused
 // together do not retry together.
 func (s *Server) retryAfter(j *job, backlog time.Duration) time.Duration {
-	return s.opts.Gate.ComeBack(j.pool.Name, j.req, max(backlog, retryElsewhere))
+	return s.opts.Gate.RetryAfter(j.pool.Name, j.req, max(backlog, retryElsewhere))
 }
 
 // maxEngineWait returns the maximum estimated wait on an engine with which a job is
@@ -185,10 +186,10 @@
 				MaxRequests: p.Routing.QueueRequests,
 				MaxTokens:   p.Routing.QueueTokens,
 			},
-			TryPlace:   s.tryPlace,
-			Lane:       lane,
-			MinService: s.minServiceTime,
-			PlacedWait: s.maxPlacedWait,
+			TryPlace:       s.tryPlace,
+			Lane:           lane,
+			MinServiceTime: s.minServiceTime,
+			MaxPlacedWait:  s.maxPlacedWait,
 		})
 	}
 	for name := range s.pools {
@@ -215,7 +216,7 @@
 
 func (s *Server) retryQueues() {
 	for _, name := range s.poolNames() {
-		s.opts.Gate.Kick(name)
+		s.opts.Gate.RetryQueued(name)
 	}
 }
 
--- a/internal/front/dispatch_points.go
+++ b/internal/front/dispatch_points.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Point is a step of a dispatch at which a fault test can stop it.
-type Point string
+// DispatchPoint is a step of a dispatch at which a fault test can stop it.
+type DispatchPoint string
 
-// Points at which Options.AtPoint is called.
+// Points at which Options.OnDispatchPoint is called.
 const (
-	// PointConnected: the connection to the upstream is open, the dispatch permit has
+	// DispatchConnected: the connection to the upstream is open, the dispatch permit has
 	// not been used.
-	PointConnected Point = "connected"
-	// PointPermitted: the dispatch is permitted, no byte has been written.
-	PointPermitted Point = "permitted"
+	DispatchConnected DispatchPoint = "connected"
+	// DispatchPermitted: the dispatch is permitted, no byte has been written.
+	DispatchPermitted DispatchPoint = "permitted"
 )
 
 // dispatchPermit returns a function that reports whether a job may be dispatched. It is
@@ -19,17 +19,17 @@
 // upstream does not use up the permit.
 func (s *Server) dispatchPermit(j *job) func() bool {
 	return func() bool {
-		s.reachPoint(PointConnected)
+		s.reachPoint(DispatchConnected)
 		if j.permit != nil && !j.permit.Dispatch(time.Now()) {
 			return false
 		}
-		s.reachPoint(PointPermitted)
+		s.reachPoint(DispatchPermitted)
 		return true
 	}
 }
 
-func (s *Server) reachPoint(p Point) {
-	if s.opts.AtPoint != nil {
-		s.opts.AtPoint(p)
+func (s *Server) reachPoint(p DispatchPoint) {
+	if s.opts.OnDispatchPoint != nil {
+		s.opts.OnDispatchPoint(p)
 	}
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -49,9 +49,9 @@
 	Operator    Operator // status and settings
 	// OperatorTokenSHA256 is the SHA-256 hash, in hex, of the site's first operator token.
 	OperatorTokenSHA256 string
-	// AtPoint is called at each Point and may block; nil except in fault tests.
-	AtPoint func(Point)
-	Log     *logrus.Entry
+	// OnDispatchPoint is called at each DispatchPoint and may block; nil except in fault tests.
+	OnDispatchPoint func(DispatchPoint)
+	Log             *logrus.Entry
 }
 
 // Server serves callers and operators.
@@ -89,12 +89,12 @@
 // Handler returns the HTTP handler of the API.
 func (s *Server) Handler() http.Handler { return s.handler }
 
-// Leave makes the daemon report itself as leaving and not ready to the load balancer.
-// It still takes requests until Refuse is called.
-func (s *Server) Leave() { s.leaving.Store(true) }
+// MarkLeaving makes the daemon report itself as leaving and not ready to the load balancer.
+// It still takes requests until RefuseNew is called.
+func (s *Server) MarkLeaving() { s.leaving.Store(true) }
 
-// Refuse makes the daemon refuse new requests; those in progress continue.
-func (s *Server) Refuse() { s.refusing.Store(true) }
+// RefuseNew makes the daemon refuse new requests; those in progress continue.
+func (s *Server) RefuseNew() { s.refusing.Store(true) }
 
 // InFlight returns the number of requests in progress.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -12,15 +12,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DefaultPoll is the interval at which a queue is processed without a Kick.
-const DefaultPoll = 50 * time.Millisecond
+// DefaultPollInterval is the interval at which a queue is processed when no event
+// causes it.
+const DefaultPollInterval = 50 * time.Millisecond
 
 // Options configures a Gate.
 type Options struct {
-	Limits admission.LimiterOptions
-	Poll   time.Duration    // DefaultPoll when zero
-	Now    func() time.Time // time.Now when nil
-	Seed   uint64           // of the jitter; random when zero
+	Limits       admission.LimiterOptions
+	PollInterval time.Duration    // DefaultPollInterval when zero
+	Now          func() time.Time // time.Now when nil
+	Seed         uint64           // of the jitter; random when zero
 }
 
 // PoolOptions configures a pool. The functions are called with the pool's lock
@@ -35,13 +36,13 @@
 	// can be placed while others cannot, such as short prompts beside long ones,
 	// must be in different lanes. Nil makes a lane of each target.
 	Lane func(*request.Request) uint64
-	// MinService returns the minimum time from start to end. A request with less
+	// MinServiceTime returns the minimum time from start to end. A request with less
 	// time left before its deadline is refused. Nil means zero.
-	MinService func(*request.Request) time.Duration
-	// PlacedWait returns the maximum wait after placement with which TryPlace still
+	MinServiceTime func(*request.Request) time.Duration
+	// MaxPlacedWait returns the maximum wait after placement with which TryPlace still
 	// takes a place. A queued request is refused that much earlier, because it must
 	// expect this wait when a place becomes free. Nil means zero.
-	PlacedWait func(*request.Request) time.Duration
+	MaxPlacedWait func(*request.Request) time.Duration
 }
 
 // Gate admits requests. It is safe for concurrent use.
@@ -58,7 +59,7 @@
 
 // New returns a Gate without pools.
 func New(o Options) *Gate {
-	o.Poll = cmp.Or(o.Poll, DefaultPoll)
+	o.PollInterval = cmp.Or(o.PollInterval, DefaultPollInterval)
 	if o.Now == nil {
 		o.Now = time.Now
 	}
@@ -81,11 +82,11 @@
 	if o.Lane == nil {
 		o.Lane = func(r *request.Request) uint64 { return xxhash.Sum64String(r.Target) }
 	}
-	if o.PlacedWait == nil {
-		o.PlacedWait = func(*request.Request) time.Duration { return 0 }
+	if o.MaxPlacedWait == nil {
+		o.MaxPlacedWait = func(*request.Request) time.Duration { return 0 }
 	}
-	if o.MinService == nil {
-		o.MinService = func(*request.Request) time.Duration { return 0 }
+	if o.MinServiceTime == nil {
+		o.MinServiceTime = func(*request.Request) time.Duration { return 0 }
 	}
 	g.poolsMu.Lock()
 	p := g.pools[name]
@@ -108,13 +109,13 @@
 	}
 }
 
-// Enter admits a request: it must fit the limits of each node of chain, there must
+// Admit admits a request: it must fit the limits of each node of chain, there must
 // be enough time before its deadline, and the pool must have a place for it now or
-// in time. Enter blocks while the request waits in the pool's queue. Exactly one
+// in time. Admit blocks while the request waits in the pool's queue. Exactly one
 // of the results is nil. With a Ticket the request may start, and the caller must
 // call Done, also when ctx has ended in the meantime. A Refusal is final: the
 // request was not run and holds no share of the limits.
-func (g *Gate) Enter(ctx context.Context, r *request.Request, chain []admission.Node, weight int, pool string) (*Ticket, *request.Refusal) {
+func (g *Gate) Admit(ctx context.Context, r *request.Request, chain []admission.Node, weight int, pool string) (*Ticket, *request.Refusal) {
 	ticket, refusal := g.admit(ctx, r, chain, weight, pool)
 	if refusal != nil {
 		countRefused(refusal.Code)
@@ -172,11 +173,11 @@
 	return admission.RetryAfter(backlog, g.rng)
 }
 
-// ComeBack returns the time to retry after of a request that was admitted but then
+// RetryAfter returns the time after which to retry a request that was admitted but
 // could not be placed: a random time after backlog or the pool's own backlog,
 // whichever is longer. The request counts as refused in the pool's drain rate, as
 // those that the Gate itself refuses.
-func (g *Gate) ComeBack(pool string, r *request.Request, backlog time.Duration) time.Duration {
+func (g *Gate) RetryAfter(pool string, r *request.Request, backlog time.Duration) time.Duration {
 	if p := g.pool(pool); p != nil {
 		backlog = max(backlog, p.recordRefused(r))
 	}
@@ -189,8 +190,8 @@
 	return g.pools[name]
 }
 
-// Kick processes the queue of a pool. It is called when capacity may have grown.
-func (g *Gate) Kick(pool string) {
+// RetryQueued processes the queue of a pool. It is called when capacity may have grown.
+func (g *Gate) RetryQueued(pool string) {
 	if p := g.pool(pool); p != nil {
 		p.retryQueued()
 	}
@@ -212,11 +213,11 @@
 	return p.stats()
 }
 
-// Exchange applies the usage digests that peers sent since the last call and
+// ExchangeUsage applies the usage digests that peers sent since the last call and
 // divides the limits again. It returns this host's digest, to be sent to its peers,
 // and the sum of its domain, which a gateway sends to other domains. It must be
 // called every few seconds, at an interval well under LimiterOptions.StaleAfter.
-func (g *Gate) Exchange(heard []admission.Usage) (own, domain admission.Usage) {
+func (g *Gate) ExchangeUsage(heard []admission.Usage) (own, domain admission.Usage) {
 	now := g.opts.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -233,8 +234,8 @@
 	g.limiter.SetExpectedHosts(n)
 }
 
-// Forget removes a host that has left for good from the division of the limits.
-func (g *Gate) Forget(domain, host string) {
+// RemoveHost removes a host that has left for good from the division of the limits.
+func (g *Gate) RemoveHost(domain, host string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limiter.RemoveHost(domain, host)
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -44,7 +44,7 @@
 	o.TryPlace = p.tryPlace
 	// The poll interval exceeds any test: a request leaves the queue only when an
 	// event causes the queue to be processed.
-	g := New(Options{Seed: 1, Poll: time.Hour, Limits: admission.LimiterOptions{Host: "a", Domain: "hal-a"}})
+	g := New(Options{Seed: 1, PollInterval: time.Hour, Limits: admission.LimiterOptions{Host: "a", Domain: "hal-a"}})
 	g.SetPool(testPool, o)
 	return g, p
 }
@@ -58,12 +58,12 @@
 	}
 }
 
-// admitAsync calls Enter in a goroutine and returns the channel of its refusal, nil
+// admitAsync calls Admit in a goroutine and returns the channel of its refusal, nil
 // when admitted. The customers of admitted requests are sent to order.
 func admitAsync(ctx context.Context, g *Gate, r *request.Request, order chan<- string) <-chan *request.Refusal {
 	end := make(chan *request.Refusal, 1)
 	go func() {
-		_, refusal := g.Enter(ctx, r, nil, 1, testPool)
+		_, refusal := g.Admit(ctx, r, nil, 1, testPool)
 		if refusal == nil {
 			order <- r.Customer
 		}
@@ -85,7 +85,7 @@
 	}
 	for _, want := range []string{"urgent", "normal", "bulk"} {
 		p.free.Store(1)
-		g.Kick(testPool)
+		g.RetryQueued(testPool)
 		if got := <-order; got != want {
 			t.Errorf("%s was admitted, want %s", got, want)
 		}
@@ -95,7 +95,7 @@
 func TestPlaceGoesToTheFirstInOrder(t *testing.T) {
 	g, p := newGate(1, PoolOptions{})
 	order := make(chan string, 3)
-	ticket, refusal := g.Enter(context.Background(), newRequest("first", 0, time.Hour), nil, 1, testPool)
+	ticket, refusal := g.Admit(context.Background(), newRequest("first", 0, time.Hour), nil, 1, testPool)
 	if refusal != nil {
 		t.Fatal(refusal)
 	}
@@ -108,7 +108,7 @@
 	if got := <-order; got != "second" {
 		t.Errorf("Done admitted %s, want second", got)
 	}
-	p.free.Store(1) // without a Kick: the next request to arrive processes the queue
+	p.free.Store(1) // without RetryQueued: the next request to arrive processes the queue
 	admitAsync(context.Background(), g, newRequest("bulk", request.Bulk, time.Hour), order)
 	if got := <-order; got != "third" {
 		t.Errorf("%s was admitted, want third", got)
@@ -117,7 +117,7 @@
 
 func TestRefusalsAreFinalAndHoldNothing(t *testing.T) {
 	ctx := context.Background()
-	g, p := newGate(0, PoolOptions{Queue: admission.QueueOptions{MaxRequests: 2}, MinService: func(*request.Request) time.Duration { return time.Second }})
+	g, p := newGate(0, PoolOptions{Queue: admission.QueueOptions{MaxRequests: 2}, MinServiceTime: func(*request.Request) time.Duration { return time.Second }})
 	chain := []admission.Node{{Name: "c", Limits: settings.Limits{RequestsInFlight: 1, PromptTokensInFlight: 500}}}
 	want := func(refusal *request.Refusal, code request.Code, wantRetry bool) {
 		t.Helper()
@@ -125,20 +125,20 @@
 			t.Fatalf("got %+v, want %s, with RetryAfter %v", refusal, code, wantRetry)
 		}
 	}
-	_, refusal := g.Enter(ctx, newRequest("c", 0, 500*time.Millisecond), chain, 1, testPool)
+	_, refusal := g.Admit(ctx, newRequest("c", 0, 500*time.Millisecond), chain, 1, testPool)
 	want(refusal, request.CodeDeadline, true)
-	_, refusal = g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, "none")
+	_, refusal = g.Admit(ctx, newRequest("c", 0, time.Hour), chain, 1, "none")
 	want(refusal, request.CodeNoUpstream, true)
 	archive := newRequest("c", 0, time.Hour)
 	archive.PromptTokens = 501
-	_, refusal = g.Enter(ctx, archive, chain, 1, testPool)
+	_, refusal = g.Admit(ctx, archive, chain, 1, testPool)
 	want(refusal, request.CodeLimit, false)
 
 	gone, cancel := context.WithCancel(ctx)
 	order := make(chan string, 1)
 	waiting := admitAsync(gone, g, newRequest("other", 0, time.Hour), order)
 	waitFor(t, "queued", func() bool { return g.Stats(testPool).Requests == 1 })
-	_, refusal = g.Enter(ctx, newRequest("c", request.Bulk, time.Hour), chain, 1, testPool)
+	_, refusal = g.Admit(ctx, newRequest("c", request.Bulk, time.Hour), chain, 1, testPool)
 	want(refusal, request.CodeQueueFull, true)
 	cancel()
 	want(<-waiting, request.CodeCallerGone, false)
@@ -154,18 +154,18 @@
 	// None of the refused requests counts against the limit of one in flight.
 	g.SetPool(testPool, PoolOptions{TryPlace: p.tryPlace})
 	p.free.Store(2)
-	ticket, refusal := g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, testPool)
+	ticket, refusal := g.Admit(ctx, newRequest("c", 0, time.Hour), chain, 1, testPool)
 	if refusal != nil {
 		t.Fatal(refusal)
 	}
-	_, refusal = g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, testPool)
+	_, refusal = g.Admit(ctx, newRequest("c", 0, time.Hour), chain, 1, testPool)
 	want(refusal, request.CodeLimit, true)
 	ticket.Done(request.Complete, 110)
 	ticket.Done(request.Complete, 110) // counts once
-	if _, refusal = g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, testPool); refusal != nil {
+	if _, refusal = g.Admit(ctx, newRequest("c", 0, time.Hour), chain, 1, testPool); refusal != nil {
 		t.Fatal(refusal)
 	}
-	_, refusal = g.Enter(ctx, newRequest("c", 0, time.Hour), chain, 1, testPool)
+	_, refusal = g.Admit(ctx, newRequest("c", 0, time.Hour), chain, 1, testPool)
 	want(refusal, request.CodeLimit, true)
 }
 
@@ -186,13 +186,13 @@
 	for range 10 { // one per second
 		now.Add(int64(time.Second))
 		p.free.Store(1)
-		g.Kick(testPool)
+		g.RetryQueued(testPool)
 		<-order
 	}
 	if b := g.Stats(testPool).Backlog; b < 9*time.Second || b > 11*time.Second {
 		t.Errorf("backlog of ten at one per second: %v", b)
 	}
-	_, refusal := g.Enter(context.Background(), newRequest("a", 0, 15*time.Second), nil, 1, testPool)
+	_, refusal := g.Admit(context.Background(), newRequest("a", 0, 15*time.Second), nil, 1, testPool)
 	if refusal == nil || refusal.Code != request.CodeDeadline || refusal.RetryAfter < 9*time.Second {
 		t.Errorf("5 s left behind 10 s of backlog: %+v", refusal)
 	}
@@ -213,10 +213,10 @@
 			for range each {
 				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(rng.IntN(20000))*time.Microsecond)
 				r := newRequest(fmt.Sprint(c%7), request.Priority(rng.IntN(3)), time.Duration(1+rng.IntN(15))*time.Millisecond)
-				ticket, refusal := g.Enter(ctx, r, chain, 1, testPool)
+				ticket, refusal := g.Admit(ctx, r, chain, 1, testPool)
 				cancel()
 				if (ticket == nil) == (refusal == nil) {
-					t.Error("Enter did not return exactly one result")
+					t.Error("Admit did not return exactly one result")
 				}
 				if refusal != nil {
 					refused.Add(1)
@@ -242,7 +242,7 @@
 	}
 	g.SetPool(testPool, PoolOptions{})
 	for i := range 40 {
-		if _, refusal := g.Enter(context.Background(), newRequest("x", 0, time.Hour), chain, 1, testPool); refusal != nil {
+		if _, refusal := g.Admit(context.Background(), newRequest("x", 0, time.Hour), chain, 1, testPool); refusal != nil {
 			t.Fatalf("limits were not released: request %d: %v", i, refusal)
 		}
 	}
@@ -256,15 +256,15 @@
 		gates[i].SetExpectedHosts(2)
 		gates[i].SetPool(testPool, PoolOptions{})
 	}
-	ownA, _ := gates[0].Exchange(nil)
-	ownB, _ := gates[1].Exchange([]admission.Usage{ownA})
-	if _, sum := gates[0].Exchange([]admission.Usage{ownB}); sum.Hosts != 2 {
+	ownA, _ := gates[0].ExchangeUsage(nil)
+	ownB, _ := gates[1].ExchangeUsage([]admission.Usage{ownA})
+	if _, sum := gates[0].ExchangeUsage([]admission.Usage{ownB}); sum.Hosts != 2 {
 		t.Errorf("the domain's sum counts %d hosts", sum.Hosts)
 	}
 	entered := 0
 	for range 20 {
 		for _, g := range gates {
-			if _, refusal := g.Enter(context.Background(), newRequest("c", 0, time.Hour), chain, 1, testPool); refusal == nil {
+			if _, refusal := g.Admit(context.Background(), newRequest("c", 0, time.Hour), chain, 1, testPool); refusal == nil {
 				entered++
 			}
 		}
@@ -272,9 +272,9 @@
 	if entered != 10 {
 		t.Errorf("two hosts admitted %d under a limit of 10", entered)
 	}
-	gates[0].Forget("hal-a", "b")
-	gates[0].Exchange(nil)
-	if _, refusal := gates[0].Enter(context.Background(), newRequest("c", 0, time.Hour), chain, 1, testPool); refusal != nil {
+	gates[0].RemoveHost("hal-a", "b")
+	gates[0].ExchangeUsage(nil)
+	if _, refusal := gates[0].Admit(context.Background(), newRequest("c", 0, time.Hour), chain, 1, testPool); refusal != nil {
 		t.Errorf("after the other host has left: %v", refusal)
 	}
 }
@@ -285,7 +285,7 @@
 	r := newRequest("c", 0, time.Hour)
 	b.ReportAllocs()
 	for b.Loop() {
-		t, refusal := g.Enter(context.Background(), r, chain, 1, testPool)
+		t, refusal := g.Admit(context.Background(), r, chain, 1, testPool)
 		if refusal != nil {
 			b.Fatal(refusal)
 		}
@@ -307,23 +307,23 @@
 	r := newRequest("late", request.Bulk, time.Hour)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, refusal := g.Enter(context.Background(), r, nil, 1, testPool); refusal == nil {
+		if _, refusal := g.Admit(context.Background(), r, nil, 1, testPool); refusal == nil {
 			b.Fatal("admitted with a full queue")
 		}
 	}
 	b.StopTimer()
 	p.free.Store(1 << 40)
-	g.Kick(testPool)
+	g.RetryQueued(testPool)
 }
 
-// A request with less time left than PlacedWait starts when a place is free, and is
+// A request with less time left than MaxPlacedWait starts when a place is free, and is
 // refused at once when it would have to queue.
 func TestMaxPlacedWaitAppliesOnlyToQueued(t *testing.T) {
-	g, p := newGate(1, PoolOptions{PlacedWait: func(*request.Request) time.Duration { return time.Hour }})
-	if _, refusal := g.Enter(context.Background(), newRequest("a", 0, time.Minute), nil, 1, testPool); refusal != nil {
+	g, p := newGate(1, PoolOptions{MaxPlacedWait: func(*request.Request) time.Duration { return time.Hour }})
+	if _, refusal := g.Admit(context.Background(), newRequest("a", 0, time.Minute), nil, 1, testPool); refusal != nil {
 		t.Fatalf("a place was free: %v", refusal)
 	}
-	_, refusal := g.Enter(context.Background(), newRequest("a", 0, time.Minute), nil, 1, testPool)
+	_, refusal := g.Admit(context.Background(), newRequest("a", 0, time.Minute), nil, 1, testPool)
 	if refusal == nil || refusal.Code != request.CodeDeadline || refusal.RetryAfter == 0 {
 		t.Errorf("without a free place: %+v", refusal)
 	}
