--- a/internal/front/build.go
+++ b/internal/front/build.go
@@ -44,12 +44,12 @@
 	body   []byte // of a service call
 	sink   sink   // of a generation
 
-	gatePlacement   *placement.Decision  // place found during admission, recorded with the router
-	deliveredTokens int                  // tokens delivered to the caller
-	relayedText     strings.Builder      // text delivered from the answer of another run
-	permit          *claim.Permit        // to dispatch once; nil when the request is repeatable
-	recording       *claims.AnswerWriter // stores the answer for repeats of the key; nil without a key
-	wantedByOthers  func() bool          // reports whether other requests need the answer; set with recording
+	gatePlacement       *placement.Decision  // place found during admission, recorded with the router
+	deliveredTokens     int                  // tokens delivered to the caller
+	relayedText         strings.Builder      // text delivered from the answer of another run
+	permit              *claim.Permit        // to dispatch once; nil when the request is repeatable
+	recording           *claims.AnswerWriter // stores the answer for repeats of the key; nil without a key
+	neededWithoutCaller func() bool          // reports whether the answer is needed even if the caller disconnects; set with recording
 }
 
 // callDefaults holds the defaults of one request, from the settings or the operation.
--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -91,7 +91,7 @@
 	if errors.Is(err, upstream.ErrNotPermitted) {
 		return notPermittedRefusal()
 	}
-	end := callEnd(err)
+	end := classifyCallError(err)
 	a := retry.Attempt{Number: c.attempt, End: end, EarlierWritten: c.earlierWritten}
 	if end != retry.NotWritten {
 		c.earlierWritten = true
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// callEnd classifies the error of a failed attempt.
-func callEnd(err error) retry.End {
+// classifyCallError classifies the error of a failed attempt.
+func classifyCallError(err error) retry.End {
 	if upstream.IsNotStarted(err) {
 		return retry.NotWritten
 	}
--- a/internal/front/errors.go
+++ b/internal/front/errors.go
@@ -15,7 +15,7 @@
 	headerRequestID    = "X-Request-Id"
 	headerRetryAfter   = "Retry-After"
 	headerRetryAfterMs = "Retry-After-Ms"
-	// headerShouldRetry is honoured by the usual OpenAI clients.
+	// headerShouldRetry is obeyed by the usual OpenAI clients.
 	headerShouldRetry = "X-Should-Retry"
 )
 
--- a/internal/front/joined.go
+++ b/internal/front/joined.go
@@ -46,7 +46,7 @@
 // continues after its own caller has disconnected.
 func (s *Server) runJoinable(ctx context.Context, j *job, t *join.Ticket, run runFunc) *request.Refusal {
 	j.recording = t.Answer
-	j.wantedByOthers = t.HasReaders
+	j.neededWithoutCaller = t.HasReaders
 	wanted, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() {
--- a/internal/front/keyed.go
+++ b/internal/front/keyed.go
@@ -28,7 +28,7 @@
 type readAnswerFunc func(io.Reader) error
 
 // serve runs a job from admission to its end and returns nil when it completed. A job
-// with a key that is not repeatable runs only on the host that holds the key; other
+// that is not repeatable and has a key runs only on the host that holds the key; other
 // hosts relay the holder's answer.
 func (s *Server) serve(ctx context.Context, j *job, run runFunc, readAnswer readAnswerFunc) *request.Refusal {
 	switch {
@@ -139,7 +139,7 @@
 func (s *Server) runAsKeyHolder(ctx context.Context, j *job, res claims.Result, run runFunc) *request.Refusal {
 	j.permit = res.Permit
 	j.recording = res.Answer
-	j.wantedByOthers = func() bool { return true }
+	j.neededWithoutCaller = func() bool { return true }
 	refusal := s.runAdmitted(context.WithoutCancel(ctx), j, run)
 	switch {
 	case refusal == nil:
--- a/internal/front/operator.go
+++ b/internal/front/operator.go
@@ -85,7 +85,7 @@
 func (s *Server) ListPlacements(ctx context.Context, p callerapi.ListPlacementsParams) (callerapi.ListPlacementsRes, error) {
 	op := identityOf(ctx).operator
 	list := &callerapi.PlacementList{Placements: []callerapi.Placement{}}
-	for _, e := range s.opts.Journal.List(p.RequestID.Or(""), p.Limit.Or(defaultPlacements)) {
+	for _, e := range s.opts.Journal.List(p.RequestID.Or(""), p.Limit.Or(defaultListLimit)) {
 		if op.MayAccess(e.Request.Path) {
 			list.Placements = append(list.Placements, placementView(e))
 		}
@@ -93,8 +93,8 @@
 	return list, nil
 }
 
-// defaultPlacements is the default limit of lists of placements and of history.
-const defaultPlacements = 100
+// defaultListLimit is the default limit of lists of placements and of history.
+const defaultListLimit = 100
 
 func placementView(e router.Entry) callerapi.Placement {
 	v := callerapi.Placement{
@@ -152,7 +152,7 @@
 func (s *Server) GetSettingsHistory(ctx context.Context, p callerapi.GetSettingsHistoryParams) (callerapi.GetSettingsHistoryRes, error) {
 	op := identityOf(ctx).operator
 	history := &callerapi.SettingsHistory{Changes: []callerapi.SettingsHistoryChangesItem{}}
-	for _, v := range s.opts.Operator.History(p.Path.Or(settings.Root), p.Limit.Or(defaultPlacements)) {
+	for _, v := range s.opts.Operator.History(p.Path.Or(settings.Root), p.Limit.Or(defaultListLimit)) {
 		if !mayAccessAll(op, v.Paths) {
 			continue
 		}
--- a/internal/front/record.go
+++ b/internal/front/record.go
@@ -62,8 +62,8 @@
 	metrics.GetOrCreateCounter(fmt.Sprintf(`buckthorndock_placements_total{class=%q,verdict=%q}`, d.Class, d.Verdict)).Inc()
 }
 
-// recordGangMembers records the begin or the end of the work of a gang's members with
-// the router, except for the receiver's.
+// recordGangMembers records with the router the start or the end of the work of a gang's
+// members, except for the receiver's.
 func (s *Server) recordGangMembers(t *target, begin bool) {
 	if len(t.gang) == 0 {
 		return
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -131,7 +131,7 @@
 var errGap = merry.Sentinel("tokens are missing from the stream")
 
 // deliver sends text to the caller, records it and reports the first token. An error
-// means that the caller has disconnected and no other request needs the answer.
+// means that the caller has disconnected and the answer is not needed without it.
 func (g *generation) deliver(t *target, step stream.Output, cached int) error {
 	g.resumes = 0
 	if g.firstTokenAt.IsZero() {
@@ -142,8 +142,8 @@
 	g.text.WriteString(step.Text)
 	g.job.recordTokens(step.Text, step.Tokens)
 	err := g.job.sink.token(step.Text)
-	if g.job.recording != nil && g.job.wantedByOthers() {
-		return nil // others need the answer even if its caller has disconnected
+	if g.job.recording != nil && g.job.neededWithoutCaller() {
+		return nil
 	}
 	return err
 }
@@ -192,14 +192,14 @@
 	return streamEnd{end: retry.Silent, reachable: true}, true
 }
 
-// Times of the check of an engine that the router holds for suspect or dead.
+// Times of the check of an engine that the router reports as suspect or dead.
 const (
 	suspectCheckInterval = 250 * time.Millisecond // of silence on this stream before a check
 	suspectProbeTimeout  = 300 * time.Millisecond // for the engine to answer the probe
 )
 
-// checkSuspect ends a stream, without waiting for the idle limit, when the router holds
-// its engine for suspect or dead and the engine does not answer a probe either.
+// checkSuspect ends a stream, without waiting for the idle limit, when the router reports
+// its engine as suspect or dead and the engine does not answer a probe either.
 func (g *generation) checkSuspect(ctx context.Context, t *target) (res streamEnd, ended bool) {
 	state, ok := g.s.opts.Router.State(t.name())
 	if !ok || state != placement.Suspect && state != placement.Dead {
