--- a/internal/front/place.go
+++ b/internal/front/place.go
@@ -132,7 +132,7 @@
 	case placement.NeverPossible:
 		g.s.recordDecision(g.job, g.attempt, d, nil)
 		return nil, &noPlace{refusal: request.Refuse(request.CodeNeverPossible, 0,
-			"needs %d tokens of memory, at most %d are available", placeReq.MemoryNeeded(), d.MemoryLimit)}
+			"needs %d tokens of memory, at most %d can be reserved", placeReq.MemoryNeeded(), d.MemoryLimit)}
 	case placement.TooLate:
 		g.s.recordDecision(g.job, g.attempt, d, nil)
 		return nil, &noPlace{refusal: request.Refuse(request.CodeDeadline, g.s.retryAfter(g.job, d.Backlog.Drain()),
