--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -12,22 +12,23 @@
 	"github.com/buckthorndock/buckthorndock/internal/upstream"
 )
 
-// leastCallTime is the least that one attempt of a repeatable call gets.
-const leastCallTime = 100 * time.Millisecond
+// minAttemptTime is the minimum timeout of one attempt of a repeatable service call.
+const minAttemptTime = 100 * time.Millisecond
 
-// serviceCall is one call of a plain service on its way through its attempts.
+// serviceCall is the state of one service call over its attempts.
 type serviceCall struct {
-	s       *Server
-	job     *job
-	attempt int
-	wrote   bool
-	exclude []string
+	s              *Server
+	job            *job
+	attempt        int
+	earlierWritten bool
+	exclude        []string
 }
 
-// callService runs a call until its one end and returns the service's answer.
+// callService runs a service call, with retries, and returns the service's answer or
+// a refusal.
 func (s *Server) callService(ctx context.Context, j *job) ([]byte, *request.Refusal) {
 	c := &serviceCall{s: s, job: j, attempt: 1}
-	ctx = upstream.WithPermit(ctx, s.permit(j))
+	ctx = upstream.WithPermit(ctx, s.dispatchPermit(j))
 	for {
 		d, refusal := c.place()
 		if refusal != nil {
@@ -35,67 +36,68 @@
 		}
 		result, err := c.try(ctx, d)
 		if err == nil {
-			s.retries.success(j.routing, time.Now())
+			s.retries.recordSuccess(j.routing, time.Now())
 			return result, nil
 		}
-		if refusal := c.next(ctx, d, err); refusal != nil {
+		if refusal := c.decideNext(ctx, d, err); refusal != nil {
 			return nil, refusal
 		}
 	}
 }
 
 func (c *serviceCall) place() (placement.Decision, *request.Refusal) {
-	ask := placement.ServiceRequest{Pool: c.job.pool.Name, Exclude: slices.Concat(c.exclude, c.s.barred()), Spill: c.job.routing.Spill}
-	d, err := c.s.opts.Router.PlaceService(ask)
+	placeReq := placement.ServiceRequest{Pool: c.job.pool.Name, Exclude: slices.Concat(c.exclude, c.s.barred()), Spill: c.job.routing.Spill}
+	d, err := c.s.opts.Router.PlaceService(placeReq)
 	if err != nil {
 		return d, request.Refuse(request.CodeInternal, retryElsewhere, "placement failed")
 	}
 	if d.Verdict == placement.Placed {
-		c.s.noteDecision(c.job, c.attempt, d, []string{d.Chosen.Name})
+		c.s.recordDecision(c.job, c.attempt, d, []string{d.Chosen.Name})
 		return d, nil
 	}
 	if len(c.exclude) > 0 {
-		// All that is left has failed before; one of them may be well again.
+		// All remaining upstreams have failed this request; one may have recovered.
 		c.exclude = nil
 		return c.place()
 	}
-	c.s.noteDecision(c.job, c.attempt, d, nil)
-	refusal := request.Refuse(request.CodeNoUpstream, c.s.comeBack(c.job, d.Backlog.Drain()), "no live server of service %s", c.job.req.Target)
-	if c.wrote {
+	c.s.recordDecision(c.job, c.attempt, d, nil)
+	refusal := request.Refuse(request.CodeNoUpstream, c.s.retryAfter(c.job, d.Backlog.Drain()), "no live server of service %s", c.job.req.Target)
+	if c.earlierWritten {
 		refusal.Outcome = request.Failed
 	}
 	return d, refusal
 }
 
-// try sends the call once. A call that may be repeated leaves time for another
-// attempt.
+// try sends the call once. The attempt of a repeatable call gets half of the remaining
+// time, which leaves time for another attempt.
 func (c *serviceCall) try(ctx context.Context, d placement.Decision) ([]byte, error) {
 	id := placement.ID{Request: c.job.req.ID, Attempt: c.attempt}
 	c.s.opts.Router.Placed(placement.Placement{ID: id, Upstream: d.Chosen.Name, Deadline: c.job.req.Deadline})
 	defer c.s.opts.Router.Finished(id, placement.End{})
 	if c.job.req.Repeatable {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, max(c.job.req.Remaining(time.Now())/2, leastCallTime))
+		ctx, cancel = context.WithTimeout(ctx, max(c.job.req.Remaining(time.Now())/2, minAttemptTime))
 		defer cancel()
 	}
 	return c.s.opts.Client.Call(ctx, d.Chosen.Address, c.job.req.Operation, c.job.req.ID, c.attempt, c.job.body)
 }
 
-// next decides what follows a failed attempt; nil means to try again.
-func (c *serviceCall) next(ctx context.Context, d placement.Decision, err error) *request.Refusal {
+// decideNext decides what follows a failed attempt: nil means another attempt, a
+// refusal ends the call.
+func (c *serviceCall) decideNext(ctx context.Context, d placement.Decision, err error) *request.Refusal {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return callerGone(c.job)
+		return callerGoneRefusal(c.job)
 	}
 	if errors.Is(err, upstream.ErrNotPermitted) {
-		return notPermitted()
+		return notPermittedRefusal()
 	}
-	end := callEnd(err)
-	a := retry.Attempt{Number: c.attempt, End: end, EarlierWritten: c.wrote}
+	end := classifyCallError(err)
+	a := retry.Attempt{Number: c.attempt, End: end, EarlierWritten: c.earlierWritten}
 	if end != retry.NotWritten {
-		c.wrote = true
+		c.earlierWritten = true
 	}
-	c.s.noteUpstream(d.Chosen.Name, end, false)
-	c.s.noteRefusal(d.Chosen.Name, err)
+	c.s.updateUpstreamState(d.Chosen.Name, end, false)
+	c.s.recordBackOff(d.Chosen.Name, err)
 	decision := c.s.retries.next(a, c.job, time.Now())
 	fields := jobFields(c.job)
 	fields["attempt"] = c.attempt
@@ -111,8 +113,8 @@
 	return nil
 }
 
-// callEnd tells how an attempt of a call ended.
-func callEnd(err error) retry.End {
+// classifyCallError classifies the error of a failed attempt.
+func classifyCallError(err error) retry.End {
 	if upstream.IsNotStarted(err) {
 		return retry.NotWritten
 	}
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -16,12 +16,12 @@
 
 // streamEnd is how one stream of an attempt ended.
 type streamEnd struct {
-	complete   bool
-	callerGone bool
-	end        retry.End // unless complete or callerGone
-	reachable  bool      // the engine still knows the attempt
-	late       bool      // the request's time was over: no fault of the engine's
-	err        error
+	complete       bool
+	callerGone     bool
+	end            retry.End // set unless complete or callerGone
+	reachable      bool      // the engine still knows the attempt
+	deadlinePassed bool      // the request's deadline passed: no fault of the engine
+	err            error
 }
 
 // arrival is a chunk or the end of a stream.
@@ -33,47 +33,47 @@
 // errEngine wraps the error that an engine reports in a chunk.
 var errEngine = merry.Sentinel("the engine reports an error")
 
-// stream opens a stream of the running attempt, the first or a resumed one, and
-// hands its tokens to the caller until it ends.
+// stream opens a stream of the current attempt, the first or a resumed one, and
+// delivers its tokens to the caller until it ends.
 func (g *generation) stream(ctx context.Context, t *target) streamEnd {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// The permit is for the dispatch alone: a look at a silent attempt needs none.
-	dispatch := upstream.WithPermit(ctx, g.s.permit(g.job))
+	// Only the dispatch needs the permit, not the probes of a silent attempt.
+	dispatch := upstream.WithPermit(ctx, g.s.dispatchPermit(g.job))
 	g.asm.StartAttempt(g.attempt)
 	arrivals := make(chan arrival)
-	go pump(dispatch, g.s.opts.Client, t.address(), g.engineRequest(t), arrivals)
+	go readStream(dispatch, g.s.opts.Client, t.address(), g.engineRequest(t), arrivals)
 
 	idle := time.NewTimer(g.job.routing.IdleTimeout())
 	defer idle.Stop()
-	doubt := time.NewTicker(doubtEvery)
-	defer doubt.Stop()
+	suspectCheck := time.NewTicker(suspectCheckInterval)
+	defer suspectCheck.Stop()
 	for {
 		select {
 		case a := <-arrivals:
 			idle.Reset(g.job.routing.IdleTimeout())
-			doubt.Reset(doubtEvery)
-			if res, ended := g.arrived(ctx, t, a); ended {
+			suspectCheck.Reset(suspectCheckInterval)
+			if res, ended := g.handleArrival(ctx, t, a); ended {
 				return res
 			}
 		case <-idle.C:
-			if res, ended := g.silent(ctx, t); ended {
+			if res, ended := g.checkSilent(ctx, t); ended {
 				return res
 			}
 			idle.Reset(g.job.routing.IdleTimeout())
-		case <-doubt.C:
-			if res, ended := g.doubtful(ctx, t); ended {
+		case <-suspectCheck.C:
+			if res, ended := g.checkSuspect(ctx, t); ended {
 				return res
 			}
 		case <-ctx.Done():
-			return g.interrupted(ctx)
+			return g.classifyInterruption(ctx)
 		}
 	}
 }
 
-// pump opens the stream and sends what arrives, its end last. It never blocks
-// after the context has ended.
-func pump(ctx context.Context, client *upstream.Client, address string, req *upstream.GenerateRequest, out chan<- arrival) {
+// readStream opens a stream and sends its chunks to out, and its end last. It never
+// blocks after the context has ended.
+func readStream(ctx context.Context, client *upstream.Client, address string, req *upstream.GenerateRequest, out chan<- arrival) {
 	send := func(a arrival) bool {
 		select {
 		case out <- a:
@@ -96,10 +96,10 @@
 	}
 }
 
-// arrived takes one arrival; ended is true when the stream is over.
-func (g *generation) arrived(ctx context.Context, t *target, a arrival) (res streamEnd, ended bool) {
+// handleArrival handles one arrival; ended is true when the stream has ended.
+func (g *generation) handleArrival(ctx context.Context, t *target, a arrival) (res streamEnd, ended bool) {
 	if a.err != nil {
-		return g.broken(ctx, t, a.err), true
+		return g.classifyStreamError(ctx, t, a.err), true
 	}
 	if a.chunk.Error != "" {
 		return streamEnd{end: retry.InvalidAnswer, err: merry.Wrap(errEngine, merry.AppendMessage(a.chunk.Error))}, true
@@ -130,27 +130,29 @@
 
 var errGap = merry.Sentinel("tokens are missing from the stream")
 
-// deliver hands text to the caller and notes the first token.
+// deliver sends text to the caller, records it and reports the first token. An error
+// means that the caller has disconnected and the answer is not needed without it.
 func (g *generation) deliver(t *target, step stream.Output, cached int) error {
 	g.resumes = 0
-	if g.first.IsZero() {
-		g.first = time.Now()
-		g.s.noteFirstToken(g.job, t, cached, g.first)
+	if g.firstTokenAt.IsZero() {
+		g.firstTokenAt = time.Now()
+		g.s.recordFirstToken(g.job, t, cached, g.firstTokenAt)
 	}
-	g.job.answered = g.asm.NextIndex()
+	g.job.deliveredTokens = g.asm.NextIndex()
 	g.text.WriteString(step.Text)
 	g.job.recordTokens(step.Text, step.Tokens)
 	err := g.job.sink.token(step.Text)
-	if g.job.record != nil && g.job.needed() {
-		return nil // the answer is wanted also when its caller has gone
+	if g.job.recording != nil && g.job.neededWithoutCaller() {
+		return nil
 	}
 	return err
 }
 
-// broken tells why a stream ended with an error or too early.
-func (g *generation) broken(ctx context.Context, t *target, err error) streamEnd {
+// classifyStreamError returns why a stream ended with an error or too early. It probes
+// the engine when the connection broke.
+func (g *generation) classifyStreamError(ctx context.Context, t *target, err error) streamEnd {
 	if ctx.Err() != nil {
-		return g.interrupted(ctx)
+		return g.classifyInterruption(ctx)
 	}
 	if upstream.IsNotStarted(err) {
 		return streamEnd{end: retry.NotWritten, err: err}
@@ -169,13 +171,13 @@
 	return streamEnd{end: retry.Broken, reachable: standing.Phase != upstream.PhaseUnknown, err: err}
 }
 
-// silent looks, on a new connection, what has become of an attempt whose stream
-// is silent. A request that has not come to its first token yet is left alone.
-func (g *generation) silent(ctx context.Context, t *target) (res streamEnd, ended bool) {
+// checkSilent probes, on a new connection, an attempt whose stream has been silent for
+// the idle limit. ended is false while the request is still queued or in prefill.
+func (g *generation) checkSilent(ctx context.Context, t *target) (res streamEnd, ended bool) {
 	standing, err := g.s.opts.Client.Probe(ctx, t.address(), g.job.req.ID, g.attempt)
 	switch {
 	case ctx.Err() != nil:
-		return g.interrupted(ctx), true
+		return g.classifyInterruption(ctx), true
 	case upstream.IsNotStarted(err):
 		return streamEnd{end: retry.Died, err: err}, true
 	case err != nil:
@@ -190,25 +192,25 @@
 	return streamEnd{end: retry.Silent, reachable: true}, true
 }
 
-// Times of the look at an engine that others have found silent.
+// Times of the check of an engine that the router reports as suspect or dead.
 const (
-	doubtEvery = 250 * time.Millisecond // of silence on this stream before a look
-	doubtProbe = 300 * time.Millisecond // in which the engine has to answer
+	suspectCheckInterval = 250 * time.Millisecond // of silence on this stream before a check
+	suspectProbeTimeout  = 300 * time.Millisecond // for the engine to answer the probe
 )
 
-// doubtful ends a stream without waiting for the idle limit when its engine is
-// suspect or dead by now and does not answer this attempt's own question either.
-func (g *generation) doubtful(ctx context.Context, t *target) (res streamEnd, ended bool) {
+// checkSuspect ends a stream, without waiting for the idle limit, when the router reports
+// its engine as suspect or dead and the engine does not answer a probe either.
+func (g *generation) checkSuspect(ctx context.Context, t *target) (res streamEnd, ended bool) {
 	state, ok := g.s.opts.Router.State(t.name())
 	if !ok || state != placement.Suspect && state != placement.Dead {
 		return streamEnd{}, false
 	}
-	probe, cancel := context.WithTimeout(ctx, doubtProbe)
+	probe, cancel := context.WithTimeout(ctx, suspectProbeTimeout)
 	defer cancel()
 	_, err := g.s.opts.Client.Probe(probe, t.address(), g.job.req.ID, g.attempt)
 	switch {
 	case ctx.Err() != nil:
-		return g.interrupted(ctx), true
+		return g.classifyInterruption(ctx), true
 	case err == nil:
 		return streamEnd{}, false
 	case upstream.IsNotStarted(err):
@@ -217,10 +219,11 @@
 	return streamEnd{end: retry.Silent, err: err}, true
 }
 
-// interrupted tells a passed deadline from a caller that has gone.
-func (g *generation) interrupted(ctx context.Context) streamEnd {
+// classifyInterruption returns whether the deadline has passed or the caller has
+// disconnected.
+func (g *generation) classifyInterruption(ctx context.Context) streamEnd {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) || !time.Now().Before(g.job.req.Deadline) {
-		return streamEnd{end: retry.Silent, late: true, err: context.DeadlineExceeded}
+		return streamEnd{end: retry.Silent, deadlinePassed: true, err: context.DeadlineExceeded}
 	}
 	return streamEnd{callerGone: true, err: ctx.Err()}
 }
