--- a/internal/edge/config_test.go
+++ b/internal/edge/config_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestUnknownKeysAndNonsenseAreFaults(t *testing.T) {
+func TestUnknownKeysAndInvalidYAMLAreRejected(t *testing.T) {
 	for _, text := range []string{goodFile + "hots: x\n", "host: [", "[]", "host: {a: b}"} {
 		if _, err := ParseConfig("f", []byte(text)); err == nil {
 			t.Errorf("%q is taken", text)
@@ -57,8 +57,8 @@
 	})
 }
 
-// TestTemplateNamesKnownKeysOnly fills the platform's template in with plain values.
-func TestTemplateNamesKnownKeysOnly(t *testing.T) {
+// TestTemplateHasOnlyKnownKeys fills the platform's template in with plain values.
+func TestTemplateHasOnlyKnownKeys(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "..", "deploy", "daemon.yaml"))
 	if err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestSharesOfACoreAreRankedInClasses(t *testing.T) {
+func TestCPUSharesAreRankedInClasses(t *testing.T) {
 	if shareClass("0.4") != shareClass("0.3") || shareClass("0.8") <= shareClass("0.192") || shareClass("x") != 0 || shareClass("") != 0 {
 		t.Errorf("0.8 is %d, 0.4 %d, 0.3 %d, 0.192 %d", shareClass("0.8"), shareClass("0.4"), shareClass("0.3"), shareClass("0.192"))
 	}
--- a/internal/edge/peers_test.go
+++ b/internal/edge/peers_test.go
@@ -7,9 +7,9 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/membership"
 )
 
-// TestRankingIsKeptWhileTheMembersAreTheSame guards against a ranking of all daemons ten times
+// TestRankingIsCachedForTheSameMembers guards against a ranking of all daemons ten times
 // a second in each of them: the node's list is replaced whole when it changes.
-func TestRankingIsKeptWhileTheMembersAreTheSame(t *testing.T) {
+func TestRankingIsCachedForTheSameMembers(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	members := make([]membership.Member, 3)
 	v := versionOf(members, now)
--- a/internal/edge/process_test.go
+++ b/internal/edge/process_test.go
@@ -11,9 +11,9 @@
 	"github.com/buckthorndock/buckthorndock/internal/peer"
 )
 
-// TestDaemonThatHasJustStartedTakesNoPartOfTheSlack: it may not know yet how many share
+// TestStartingDaemonHasNoRetrySlack: it may not know yet how many share
 // it.
-func TestDaemonThatHasJustStartedTakesNoPartOfTheSlack(t *testing.T) {
+func TestStartingDaemonHasNoRetrySlack(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	node, err := peer.New(peer.Options{
--- a/internal/keyed/apply.go
+++ b/internal/keyed/apply.go
@@ -11,19 +11,19 @@
 )
 
 var (
-	// errLaterEra: offsets of the former era say nothing in the present one, so all is read anew.
+	// errLaterEra requires a read of all keys: offsets of the former era are invalid in the new one.
 	errLaterEra = errors.New("the store answers in a later era")
-	// errEarlierEra: an answer that was under way while the store was restored, say.
+	// errEarlierEra may be of an answer that was in progress while the store was restored.
 	errEarlierEra = errors.New("the store answers in an earlier era")
 )
 
-// fromStore is the Batch.From of what was read from the store itself.
+// fromStore is the Batch.From of reads of the store itself.
 const fromStore = ""
 
-// position is what a reader goes by.
+// position has those fields of the streamState that decide how to read on.
 type position struct {
 	era, next int64
-	storeOnly bool // see copied
+	storeOnly bool
 }
 
 func (f *Follower) position() position {
@@ -32,10 +32,10 @@
 	return position{f.state.era, f.state.next, f.state.storeOnly}
 }
 
-// restart makes the next read of the store one of all keys.
+// restart makes the next read of the store request all keys.
 func (f *Follower) restart() { f.readAllNext = true }
 
-// readFrom reads on from an offset, or all keys, and takes in what the store answers.
+// readFrom reads the store from an offset on, or all keys, and applies the answer.
 func (f *Follower) readFrom(ctx context.Context, next int64, began time.Time) error {
 	if next < 0 || f.readAllNext {
 		return f.readAll(ctx, began)
@@ -52,26 +52,27 @@
 	return nil
 }
 
-// checkEra gives the records of an answer of the store their era, and compares it with the present
-// one. An answer that tells none counts as one of the present era.
+// checkEra sets the era of the records of an answer of the store and compares it with the current
+// one: it returns errLaterEra or errEarlierEra if it differs. An answer without an era counts as
+// one of the current era.
 func (f *Follower) checkEra(page *platform.KeyedPage) error {
-	present := f.position().era
+	current := f.position().era
 	if page.Era == platform.NoEra {
-		page.Era = present
+		page.Era = current
 	}
 	for i := range page.Records {
 		page.Records[i].Era = page.Era
 	}
 	switch {
-	case page.Era > present:
+	case page.Era > current:
 		return errLaterEra
-	case page.Era < present:
+	case page.Era < current:
 		return errEarlierEra
 	}
 	return nil
 }
 
-// readAll reads all keys.
+// readAll reads all keys from the store and applies the answer.
 func (f *Follower) readAll(ctx context.Context, began time.Time) error {
 	page, err := f.opts.Store.Newest(ctx, f.opts.Stream)
 	if err != nil {
@@ -91,7 +92,7 @@
 	return err
 }
 
-// applyPage applies what a page of a host's copy, or of the store, adds.
+// applyPage applies a page of a host's copy, or of the store, to the current era.
 func (f *Follower) applyPage(page platform.KeyedPage, at time.Time, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,17 +100,17 @@
 	f.applyBatch(Batch{Records: fresh, At: at, From: from})
 }
 
-// applyBatch applies what a read has brought. The caller holds the lock.
+// applyBatch passes the result of a read to Options.Apply. The caller holds the lock.
 func (f *Follower) applyBatch(b Batch) {
 	f.state.at = later(f.state.at, b.At)
 	f.opts.Apply(b)
 	f.resolve()
-	close(f.readDone) // answers the peers that wait for the next read
+	close(f.readDone) // answers the held requests of peers
 	f.readDone = make(chan struct{})
 }
 
-// applyFullPage applies a page with all keys. A copy that is older than what was read
-// before is ignored: it would take back what is known.
+// applyFullPage applies a page with all keys. It refuses a copy that is older than the known
+// records, which it would take back, with platform.ErrBusy.
 func (f *Follower) applyFullPage(page platform.KeyedPage, at time.Time, from string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,18 +125,18 @@
 	return nil
 }
 
-// eraStart says when an era was first seen, and from which offset on all was written in it.
+// eraStart describes the start of an era.
 type eraStart struct {
-	since   time.Time
-	certain int64
+	since   time.Time // when the era was first seen
+	certain int64     // all records from this offset on, or from an earlier one, were written in it
 }
 
-// applyEra applies a page with all keys of another era than the known one, or the first page.
+// applyEra applies a page with all keys of a later era, or the first page of all.
 func (f *Follower) applyEra(page platform.KeyedPage, start eraStart, at time.Time, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := &f.state
-	first, was, known := !c.hasRead(), c.era, c.next
+	first, formerEra, formerNext := !c.hasRead(), c.era, c.next
 	changed := c.enterEra(page, start.since, start.certain)
 	storeEra(f.opts.Stream).Set(float64(c.era))
 	if first {
@@ -144,14 +145,14 @@
 		return
 	}
 	f.log.WithFields(logrus.Fields{
-		"era": c.era, "was": was, "next": c.next, "known": known, "from": from, "age_ms": time.Since(start.since).Milliseconds(),
+		"era": c.era, "was": formerEra, "next": c.next, "known": formerNext, "from": from, "age_ms": time.Since(start.since).Milliseconds(),
 		"changed": len(changed), "missing": len(c.unresolved.missing), "doubtful": len(c.unresolved.doubtful),
 	}).Info("store_era")
 	f.applyBatch(Batch{Records: changed, At: at, From: from})
 }
 
-// applyEarlier applies what a peer knows from before the present era, or from an earlier time in
-// it: no read of the present state, but it may know what the store has lost.
+// applyEarlier merges a peer's records of an earlier era, or of an earlier time in the current
+// one. They do not count as a read of the current state, but may include what the store has lost.
 func (f *Follower) applyEarlier(records []platform.KeyedRecord, era int64, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,7 +164,7 @@
 	f.opts.Apply(Batch{Records: changed, At: f.state.at, From: from})
 }
 
-// resolve applies what is certain by now of what the store's era had left open. The caller holds
+// resolve passes the records that have become certain by now to Options.Apply. The caller holds
 // the lock.
 func (f *Follower) resolve() {
 	changed := f.state.resolve(f.opts.Rewritten, f.opts.Doubt)
--- a/internal/keyed/doc.go
+++ b/internal/keyed/doc.go
@@ -1,8 +1,8 @@
-// Package keyed follows a keyed stream of the platform's store: the newest record of
-// each key first, then all that comes, with what was trimmed, lost or read from an
-// old copy set right. Few daemons read the store; the others read from them, and any
-// daemon that the store does not answer reads from one that it does.
+// Package keyed follows a keyed stream of the platform's store: it reads the newest record of
+// each key first, then all new records, and recovers from trimmed, lost and outdated data. Few
+// daemons read the store; the others read from those, as does any daemon that the store does not
+// answer.
 //
-// A store that comes back from an older copy of itself begins an era, in which its offsets
-// are given out again; see era.go.
+// A store that was restored from an older copy of itself begins a new era, in which it assigns
+// the offsets after that copy again; see era.go.
 package keyed
--- a/internal/keyed/era.go
+++ b/internal/keyed/era.go
@@ -7,13 +7,13 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// Rank is what a value says itself of when it was written.
+// Rank orders the values of a key by when they were written. It is read from the value itself.
 type Rank struct {
-	Life  int64 // of its writer; zero: not told
-	Count int64 // rises with each value of a life
+	Life  int64 // of the writer; zero: the value does not have it
+	Count int64 // rises with each value of an incarnation
 }
 
-// compare compares two ranks. It is not ok where one alone tells the life.
+// compare compares two ranks. ok is false if only one of them has an incarnation.
 func (r Rank) compare(other Rank) (order int, ok bool) {
 	if (r.Life == 0) != (other.Life == 0) {
 		return 0, false
@@ -21,40 +21,42 @@
 	return cmp.Or(cmp.Compare(r.Life, other.Life), cmp.Compare(r.Count, other.Count)), true
 }
 
-// RankOf returns the rank of a value of a key. It is not ok where the value does not tell.
+// RankOf returns the rank of a value of a key. ok is false if the value has none.
 type RankOf func(key string, value []byte) (rank Rank, ok bool)
 
-// A store that comes back from an older copy begins an era. Its offsets from some place on,
-// which nobody tells, are given out again, and what was there is written again in time. So a
-// record that is read in the new era is
+// A store that is restored from an older copy of itself begins a new era. It assigns the offsets
+// after the end of that copy again, but does not report where the copy ended; writers write the
+// lost records again in time. So a record that is read in the new era is
 //
-//   - newer, where its value ranks higher than the known one; where it was written after the
-//     era was first seen; where its offset is over that of the known one, for up to the place the
-//     eras have the same records; or where the former era had another record at its offset;
-//   - older, where its value ranks lower;
-//   - in doubt, else: the copy's, of before the known one, or written anew at a low offset.
+//   - newer, if its value ranks higher than the known one; if it was written after the era was
+//     first seen; if its offset is higher than that of the known one, because up to the end of
+//     the copy the eras have the same records; or if the former era had another record at its
+//     offset;
+//   - older, if its value ranks lower;
+//   - doubtful otherwise: it may be a record of the copy that is older than the known one, or one
+//     written in the new era at a low offset.
 //
-// What is in doubt, and what the new era lacks, stands as it was until the writers have had
-// time to write it again. Then the store's word counts.
+// The known records of doubtful keys, and of keys that the new era lacks, stay in force until the
+// writers have had time to write them again. Then the state of the store replaces them.
 
-// verdict says what a record is beside the known one of its key.
+// verdict is how a record compares with the known one of its key.
 type verdict int
 
 const (
 	older     verdict = iota
-	outranked         // older, by what it says itself
-	confirmed         // it says the same, and its place is a later one
+	outranked         // older, by the ranks of the values
+	confirmed         // the same value at a later offset
 	newer
 	doubtful
 )
 
-// unresolved is what the present era has left open so far.
+// unresolved holds the keys whose newest record is not certain yet in the current era.
 type unresolved struct {
-	eraSeen     time.Time // when the era was first seen, by any daemon that told; zero: no earlier era is known
-	certainFrom int64     // offset from which all records were written in the era, at the latest
-	missing     map[string]bool
-	doubtful    map[string]platform.KeyedRecord // of the store, beside newer ones of an earlier era
-	// outranking has the keys whose known value is not the one that the store has at its place.
+	eraSeen     time.Time                       // when any daemon first saw the era; zero: no earlier era is known
+	certainFrom int64                           // all records from this offset on, or from an earlier one, were written in the era
+	missing     map[string]bool                 // keys known from earlier eras that the store lacks
+	doubtful    map[string]platform.KeyedRecord // records of the store that may be older than the known ones
+	// outranking has the keys whose known value ranks over the one that the store has at its offset.
 	outranking map[string]bool
 }
 
@@ -65,15 +67,15 @@
 	}
 }
 
-// resolve ends the doubts about a key.
+// resolve removes a key: its newest record is certain.
 func (d *unresolved) resolve(key string) {
 	delete(d.missing, key)
 	delete(d.doubtful, key)
 	delete(d.outranking, key)
 }
 
-// classify compares a record with the known one of its key. past is the copy of the era before,
-// for a record of a whole page that begins another one; nil else.
+// classify compares a record with the known one of its key. past is the state of the former era
+// if the record is of the page with all keys that begins a new one, else nil.
 func (c *streamState) classify(known platform.KeyedRecord, isKnown bool, r platform.KeyedRecord, past *streamState) verdict {
 	if !isKnown {
 		return newer
@@ -86,7 +88,7 @@
 		return outranked
 	}
 	switch {
-	case !later, known.Era == platform.NoEra && r.Era < c.era: // what tells no era may be of any
+	case !later, known.Era == platform.NoEra && r.Era < c.era: // a record without an era may be of any
 		return older
 	case sameValue(known, r):
 		return confirmed
@@ -98,12 +100,13 @@
 	return older
 }
 
-// isCertain reports whether a record was written in the present era for sure.
+// isCertain reports whether a record was certainly written in the current era.
 func (c *streamState) isCertain(r platform.KeyedRecord) bool {
 	return r.Era == c.era && r.Offset >= c.unresolved.certainFrom
 }
 
-// compareRanks compares a record with the known one by what they say themselves.
+// compareRanks compares a record with the known one by the ranks of their values. order is over
+// zero if the record ranks higher; ok is false if the ranks cannot be compared.
 func (c *streamState) compareRanks(known, r platform.KeyedRecord) (order int, ok bool) {
 	if c.rankOf == nil || known.Value == nil || r.Value == nil {
 		return 0, false
@@ -119,7 +122,8 @@
 	return latter.compare(former)
 }
 
-// hadOtherAt reports whether another record than this one is known to have had an offset.
+// hadOtherAt reports whether the state is known to have had another record at the offset. A nil
+// state knows none.
 func (c *streamState) hadOtherAt(offset int64, other platform.KeyedRecord) bool {
 	if c == nil {
 		return false
@@ -128,8 +132,8 @@
 	return found && (c.recent[i].Key != other.Key || !sameValue(c.recent[i], other))
 }
 
-// enterEra takes in all keys of a later era, which was first seen at a time and whose records from
-// an offset on were all written in it. It returns the records by which what is known changes.
+// enterEra applies a page with all keys of a later era. since is when the era was first seen; all
+// records from offset certain on were written in it. It returns the records that changed.
 func (c *streamState) enterEra(page platform.KeyedPage, since time.Time, certain int64) []platform.KeyedRecord {
 	past := *c
 	c.era, c.next = page.Era, page.Next
@@ -155,15 +159,15 @@
 	return changed
 }
 
-// setAside keeps a record of the store aside that may be older than the known one.
+// setAside keeps a record of the store that may be older than the known one as doubtful.
 func (c *streamState) setAside(r platform.KeyedRecord) {
 	delete(c.unresolved.missing, r.Key)
 	c.unresolved.doubtful[r.Key] = r
 	c.version++
 }
 
-// adoptOffset gives a known value that ranks over the one that a later era has the place of that
-// one: the store does not lack its key.
+// adoptOffset gives a known value the era and offset of the outranked record r, if that is of a
+// later era: the store has the key, so it must not count as missing.
 func (c *streamState) adoptOffset(known, r platform.KeyedRecord) {
 	if r.Era > known.Era {
 		c.put(platform.KeyedRecord{Era: r.Era, Offset: r.Offset, Key: r.Key, Value: known.Value})
@@ -171,7 +175,7 @@
 	}
 }
 
-// markMissing notes the keys that are known from earlier eras alone and that the store lacks.
+// markMissing records the keys that are known only from earlier eras and that the store lacks.
 func (c *streamState) markMissing(listed map[string]bool) {
 	for key, r := range c.records {
 		_, doubted := c.unresolved.doubtful[key]
@@ -181,12 +185,12 @@
 	}
 }
 
-// mergePeer takes in what a peer knows from an earlier era, or from an earlier time in this one; of a
-// later era, or of none, what ranks higher. It returns the records by which what is known
-// changes. A key that has no value here is taken only while what the store has lost may still be
-// written again.
-func (c *streamState) mergePeer(records []platform.KeyedRecord, lost time.Duration) []platform.KeyedRecord {
-	open := c.at.Before(c.unresolved.eraSeen.Add(lost))
+// mergePeer merges a peer's records of an earlier era, or of an earlier time in the current one;
+// of records of a later era, or of none, only those that rank higher. It returns the records that
+// changed. A record of a key without a value here is taken only while writers may still write
+// again what the store has lost, which takes them up to rewriteTime.
+func (c *streamState) mergePeer(records []platform.KeyedRecord, rewriteTime time.Duration) []platform.KeyedRecord {
+	rewriting := c.at.Before(c.unresolved.eraSeen.Add(rewriteTime))
 	var changed []platform.KeyedRecord
 	for _, r := range records {
 		before, known := c.records[r.Key]
@@ -197,7 +201,7 @@
 			c.unresolved.outranking[r.Key] = true
 		case ranked, c.isUnread(r), r.Era == platform.NoEra:
 			continue
-		case before.Value == nil && !(open && c.mayBeLost(r)), c.classify(before, known, r, nil) != newer:
+		case before.Value == nil && !(rewriting && c.mayBeLost(r)), c.classify(before, known, r, nil) != newer:
 			continue
 		}
 		c.records[r.Key] = r
@@ -210,20 +214,21 @@
 	return changed
 }
 
-// isUnread reports whether a record of a peer is one that a read will bring.
+// isUnread reports whether a record of a peer will come with a later read.
 func (c *streamState) isUnread(r platform.KeyedRecord) bool {
 	return r.Era > c.era || r.Era == c.era && r.Offset >= c.next
 }
 
-// mayBeLost reports whether a record of a key that has no value is one that the store may have lost.
+// mayBeLost reports whether the store may have lost the record: it has a value and is of an
+// earlier era. The caller has checked that its key has no value here.
 func (c *streamState) mayBeLost(r platform.KeyedRecord) bool { return r.Value != nil && r.Era < c.era }
 
-// resolve ends the doubts whose time is over, by the newest read: what the store lacked for the
-// first time is removed, what was in doubt for the second one is the store's. It returns the
-// records by which what is known changes.
-func (c *streamState) resolve(lost, doubt time.Duration) []platform.KeyedRecord {
+// resolve decides the keys whose time is over, as of the newest read: keys that the store lacks
+// are removed after rewriteTime, and doubtful records replace the known ones after doubtTime.
+// It returns the records that changed.
+func (c *streamState) resolve(rewriteTime, doubtTime time.Duration) []platform.KeyedRecord {
 	var changed []platform.KeyedRecord
-	if !c.at.Before(c.unresolved.eraSeen.Add(lost)) {
+	if !c.at.Before(c.unresolved.eraSeen.Add(rewriteTime)) {
 		for key := range c.unresolved.missing {
 			r := platform.KeyedRecord{Era: c.era, Offset: c.next - 1, Key: key}
 			c.put(r)
@@ -231,7 +236,7 @@
 		}
 		c.storeOnly = false
 	}
-	if !c.at.Before(c.unresolved.eraSeen.Add(doubt)) {
+	if !c.at.Before(c.unresolved.eraSeen.Add(doubtTime)) {
 		for _, r := range c.unresolved.doubtful {
 			c.put(r)
 			changed = append(changed, r)
--- a/internal/keyed/era_test.go
+++ b/internal/keyed/era_test.go
@@ -10,14 +10,14 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// TestNothingOlderComesBackAndNothingNewerIsRefusedWhenTheStoreGoesBack guards against offsets
-// of one era of the store that are compared with those of another, in any order of writes,
-// restores, reads, cuts and starts, and beside daemons of the release before.
-func TestNothingOlderComesBackAndNothingNewerIsRefusedWhenTheStoreGoesBack(t *testing.T) {
+// TestRecordsOnlyGetNewerAcrossStoreRestores guards against comparing
+// offsets of different eras of the store, for random sequences of writes, restores, reads, cuts
+// and restarts, and with daemons of the former release among the others.
+func TestRecordsOnlyGetNewerAcrossStoreRestores(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 1500
 	properties := gopter.NewProperties(parameters)
-	properties.Property("what is known goes forward, to the truth", prop.ForAll(
+	properties.Property("the known records only get newer and converge to what was written", prop.ForAll(
 		func(seed uint64, steps, former int) string {
 			if broken := runSimulation(seed, steps, former); len(broken) > 0 {
 				return strings.Join(broken, "; ")
@@ -29,9 +29,9 @@
 	properties.TestingRun(t)
 }
 
-// TestRecordAtAnOffsetThatHadAnotherIsNews has a key removed at offset 3, and written in the next
-// era at offset 2, which had another record: that cannot be the older copy's.
-func TestRecordAtAnOffsetThatHadAnotherIsNews(t *testing.T) {
+// TestRecordAtReassignedOffsetIsNewer removes a key at offset 3. In the next era the key is
+// written at offset 2, which had another record: so it cannot be a record of the older copy.
+func TestRecordAtReassignedOffsetIsNewer(t *testing.T) {
 	store := &fakeStore{era: 1}
 	f, table := newFollower(store, nil)
 	f.opts.Doubt = time.Hour
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestRecordOfTheOlderCopyIsLeftAsideUntilTheDoubtEnds: the one before the known removal, at the
-// offset that it has had.
-func TestRecordOfTheOlderCopyIsLeftAsideUntilTheDoubtEnds(t *testing.T) {
+// TestRestoredRecordIsDoubtfulUntilDoubtTime restores the store to the record before a
+// known removal. The restored record replaces the removal only after the doubt time.
+func TestRestoredRecordIsDoubtfulUntilDoubtTime(t *testing.T) {
 	store := &fakeStore{era: 1}
 	f, table := newFollower(store, nil)
 	f.opts.Doubt = time.Hour
@@ -76,8 +76,8 @@
 	}
 }
 
-// twoDaemons returns a world of two daemons and a store, of which the first has read a value of
-// the ranked key that the store has lost, and which one it was.
+// twoDaemons returns a simulation of two daemons, of which the first has read a value of the
+// ranked key that the store has then lost, and the number of that value.
 func twoDaemons(t *testing.T) (w *simulation, lost int) {
 	t.Helper()
 	w = newSimulation(1, 0)
@@ -88,20 +88,20 @@
 	return w, w.truth[rankedKey]
 }
 
-// knownNumber returns the number of the value of the ranked key that a daemon knows.
+// knownNumber returns the number of the ranked key's value that a daemon knows.
 func (d *eraDaemon) knownNumber() int { return valueNumber(d.follower.state.records[rankedKey].Value) }
 
-// TestDaemonThatKnowsOnlyTheStoreAsksOthersForWhatItHasLost has a daemon that starts when the
-// store has come back, and reads it before it reaches any other daemon.
-func TestDaemonThatKnowsOnlyTheStoreAsksOthersForWhatItHasLost(t *testing.T) {
+// TestStartedDaemonRecoversLostRecordsFromPeers starts a daemon after the store was
+// restored; it reads the store before it reaches any other daemon.
+func TestStartedDaemonRecoversLostRecordsFromPeers(t *testing.T) {
 	w, lost := twoDaemons(t)
 	first, second := w.daemons[0], w.daemons[1]
 	first.alone = true
 	second.readStore()
 	if got := second.knownNumber(); got == lost {
-		t.Fatal("the store has lost nothing")
+		t.Fatal("the store has lost no record")
 	}
-	first.readStore() // it knows the new era, and what the store has lost
+	first.readStore() // it enters the new era and keeps what the store has lost
 	first.alone = false
 	second.follower.opts.Spread.unresponsive.RecordSuccess(first.host, time.Now())
 	second.read()
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestPeerOfAnEarlierEraTellsWhatTheStoreHasLost has a daemon that is cut off from the store
-// since before it came back.
-func TestPeerOfAnEarlierEraTellsWhatTheStoreHasLost(t *testing.T) {
+// TestLostRecordsComeFromPeerOfEarlierEra has a daemon that has been cut off from the store
+// since before the restore.
+func TestLostRecordsComeFromPeerOfEarlierEra(t *testing.T) {
 	w, lost := twoDaemons(t)
 	first, second := w.daemons[0], w.daemons[1]
 	first.cut = true
@@ -124,8 +124,9 @@
 	}
 }
 
-// TestAnswerOfAnEarlierEraIsNoRead: it was under way when the store was restored.
-func TestAnswerOfAnEarlierEraIsNoRead(t *testing.T) {
+// TestAnswerOfEarlierEraIsNotARead covers an answer that was in progress when the store was
+// restored.
+func TestAnswerOfEarlierEraIsNotARead(t *testing.T) {
 	store := &fakeStore{era: 2}
 	f, table := newFollower(store, nil)
 	store.put("a", "2")
@@ -134,7 +135,7 @@
 	store.put("a", "1")
 	for range 2 { // from an offset, and all keys
 		if err := f.read(t.Context()); err == nil {
-			t.Error("it counts as a read")
+			t.Error("an answer of an earlier era counts as a read")
 		}
 		f.restart()
 	}
@@ -143,9 +144,9 @@
 	}
 }
 
-// TestValueThatRanksOverTheStoresIsKeptByThoseWhoHeardOfIt: the store has an older one of the
-// key, so its key is not missing, however long nobody writes it again.
-func TestValueThatRanksOverTheStoresIsKeptByThoseWhoHeardOfIt(t *testing.T) {
+// TestHigherRankedValueSurvivesStoreRestore covers a key of which the store has an
+// older value: the key does not count as missing, however long it is not written again.
+func TestHigherRankedValueSurvivesStoreRestore(t *testing.T) {
 	w, lost := twoDaemons(t)
 	first, second := w.daemons[0], w.daemons[1]
 	first.readStore()
@@ -160,9 +161,10 @@
 	}
 }
 
-// TestDaemonThatHasHeardOnlyOfAFormerReleaseAsksTheStoreItself guards against a rolling update in
-// which what comes from the former release is held up by offsets of an earlier era.
-func TestDaemonThatHasHeardOnlyOfAFormerReleaseAsksTheStoreItself(t *testing.T) {
+// TestDaemonWithDataOfFormerReleaseReadsStore guards against a fault in rolling
+// updates: offsets of an earlier era hide newer records that come from daemons of the former
+// release.
+func TestDaemonWithDataOfFormerReleaseReadsStore(t *testing.T) {
 	w := newSimulation(1, 1)
 	w.daemons = w.daemons[:2]
 	former, present := w.daemons[0], w.daemons[1]
@@ -183,9 +185,9 @@
 	}
 }
 
-// TestSettingsOfAFormerReleaseAreHeardAtEachQuestion guards against a rolling update in which the
-// daemons that read the store are still of the former release, which counts as behind.
-func TestSettingsOfAFormerReleaseAreHeardAtEachQuestion(t *testing.T) {
+// TestReadersOfFormerReleaseAreNotAvoided guards against a fault in rolling updates:
+// the daemons that read the store are still of the former release and are avoided as behind.
+func TestReadersOfFormerReleaseAreNotAvoided(t *testing.T) {
 	w := newSimulation(1, 1)
 	w.daemons = w.daemons[:2]
 	former, present := w.daemons[0], w.daemons[1]
@@ -201,10 +203,11 @@
 	}
 }
 
-// TestEntryThatIsWrittenAgainAsItWasReachesThoseWhoReadFromPeers guards against upstreams that
-// vanish at these, two seconds after the store came back without them: an entry that differs in
-// nothing is no news within an era, but it is the one by which the store has it again.
-func TestEntryThatIsWrittenAgainAsItWasReachesThoseWhoReadFromPeers(t *testing.T) {
+// TestRewrittenUnchangedEntryReachesPeers guards against upstreams that
+// vanish from daemons that read from peers, two seconds after the store was restored without
+// them. An unchanged entry is not significant within an era, but it must be passed on when it
+// shows that the store has the entry again.
+func TestRewrittenUnchangedEntryReachesPeers(t *testing.T) {
 	w := newSimulation(1, 0)
 	w.daemons = w.daemons[:2]
 	reader, other := w.daemons[0], w.daemons[1]
--- a/internal/keyed/fake_test.go
+++ b/internal/keyed/fake_test.go
@@ -13,18 +13,18 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// fakeStore is a keyed stream in memory with faults.
+// fakeStore is an in-memory keyed stream with fault injection.
 type fakeStore struct {
 	mu      sync.Mutex
 	records []platform.KeyedRecord
 	kept    int64 // lowest offset that can be read
 	down    bool
-	lag     int // records that Newest does not see yet
+	lag     int // number of newest records that Newest does not return yet
 	reads   int
 	era     int64
 }
 
-// restore goes back to the first so many records, in another era.
+// restore drops all records after the first length ones and begins the next era.
 func (s *fakeStore) restore(length int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,13 +85,13 @@
 
 func (s *fakeStore) Put(context.Context, string, string, []byte) error { return nil }
 
-// fakePeers calls the spreads of other daemons directly.
+// fakePeers calls the Spreads of other daemons directly.
 type fakePeers struct {
-	hosts      []string // in rank
+	hosts      []string // by rank
 	spreads    map[string]*Spread
-	sameDomain []string // in the failure domain of the one that reads
-	asked      map[string]int
-	bytes      map[string]int // of records, that each has answered
+	sameDomain []string       // hosts in the failure domain of the daemon that reads
+	asked      map[string]int // calls, by host
+	bytes      map[string]int // of packed records in the answers, by host
 }
 
 func (p *fakePeers) Members() []membership.Member { return p.Rank("", len(p.hosts)) }
@@ -106,7 +106,7 @@
 
 func (p *fakePeers) SameDomain(host string) bool {
 	if len(p.sameDomain) == len(p.hosts) {
-		return true // without a look, for large groups
+		return true // avoids the search in large groups
 	}
 	return slices.Contains(p.sameDomain, host)
 }
@@ -114,12 +114,12 @@
 func (p *fakePeers) Call(_ context.Context, address, _ string, args, reply any) error {
 	s := p.spreads[address]
 	if s == nil {
-		return merry.New("not there")
+		return merry.New("no such daemon")
 	}
 	answer := reply.(*SinceReply)
 	err := s.RPC().Since(args.(*SinceRequest), answer)
 	if err != nil {
-		err = rpc.ServerError(err.Error()) // as a call between daemons has it
+		err = rpc.ServerError(err.Error()) // as in a call between daemons
 	}
 	if p.asked != nil {
 		p.asked[address]++
--- a/internal/keyed/follower.go
+++ b/internal/keyed/follower.go
@@ -14,46 +14,46 @@
 	"github.com/buckthorndock/buckthorndock/internal/wait"
 )
 
-// Batch is what one successful read brought.
+// Batch is the result of one successful read.
 type Batch struct {
-	Whole   bool // Records are all keys: what is missing was removed
+	Whole   bool // Records has all keys: others were removed
 	Records []platform.KeyedRecord
-	At      time.Time // when the read was begun: what it says holds since then at least
+	At      time.Time // start of the read of the store: the data is at least as new
 	From    string    // the host whose copy was read; empty: the store
 }
 
-// Options configure a Follower. All durations must be positive but Wait.
+// Options configure a Follower. All durations must be positive, except that Wait and Patience may
+// be zero.
 type Options struct {
 	Store   platform.Keyed
 	Stream  string
-	Pace    time.Duration // between the starts of two reads
-	Wait    time.Duration // that a read of the store stays open for a first record
-	Timeout time.Duration // of a read, besides Wait
-	// MostAge is the age up to which what a reader knows is as good as a read of the store: two
-	// paces of a reader and the way, and while its reads stay open their wait, during which it
-	// hears of no change because there is none.
+	Pace    time.Duration // between the starts of two reads of the store
+	Wait    time.Duration // how long the store may keep a read open until a first record comes
+	Timeout time.Duration // of a read, in addition to Wait
+	// MostAge is the age up to which a reader's copy counts as fresh, that is, is as good as a
+	// read of the store: two intervals between its reads, the transfer time, and the time for
+	// which its reads stay open, during which the copy ages although nothing changes.
 	MostAge time.Duration
-	// RankOf tells the ranks of values; nil: their places in the stream decide.
+	// RankOf reads the ranks of values; nil: values are ordered by their offsets.
 	RankOf RankOf
-	// Rewritten is how long after the store has come back from an older copy what it has lost is
-	// written again, and Doubt when what the copy has is the store's word in any case.
+	// Rewritten is how long writers take at most to write again what the store has lost when it
+	// was restored from an older copy. After Doubt, the restored records count in any case.
 	Rewritten, Doubt time.Duration
-	// News tells whether others need to know of a key's new value; nil: of each.
+	// News reports whether peers need a key's new value; nil: they need each.
 	News func(before, after []byte) bool
-	// Spread reads from other daemons in place of the store; nil: never.
+	// Spread reads from other daemons instead of the store; nil: never.
 	Spread   *Spread
-	PeerWait time.Duration // for an answer of a peer, besides PeerHold
+	PeerWait time.Duration // timeout for a peer's answer, in addition to PeerHold
 	// PeerHold is how long a peer that has nothing new may hold its answer back.
 	PeerHold time.Duration
 	PeerPace time.Duration // between the starts of two reads from peers
-	// Patience is how long a Follower that knows nothing leaves the store to those whose task
-	// it is to read it, for all may have started at once. It ends with Demand, closed when
-	// somebody waits for what it is to know; nil: never.
+	// Patience is how long a Follower without data leaves the store to its readers, because all
+	// daemons may have started at once. It ends early when Demand is closed: a caller waits for
+	// the data. A nil Demand never ends it.
 	Patience time.Duration
 	Demand   <-chan struct{}
-	Apply    func(Batch)
-	// Regained is called when the store, or a reader of it, has something fresh again; may
-	// be nil.
+	Apply    func(Batch) // receives the result of each read
+	// Regained is called when the store, or a reader of it, has fresh data again; may be nil.
 	Regained func()
 	Log      *logrus.Entry
 }
@@ -63,22 +63,23 @@
 	opts          Options
 	log           *logrus.Entry
 	started       time.Time
-	stale         bool // neither a reader nor the store had anything fresh at the last try
-	fromPeer      bool // the last read was
-	readAllNext   bool // the store is to be read whole
-	readFromStore bool // an answer of the store was taken in
-	// eraUnknown says that what is known came from a daemon of a release that tells no era of the
-	// store: it may be of any, and held up by offsets of a former one.
+	stale         bool // neither a reader nor the store had fresh data at the last try
+	fromPeer      bool // the last read was from a peer
+	readAllNext   bool // the next read of the store is one of all keys
+	readFromStore bool // an answer of the store was applied
+	// eraUnknown says that the data came from a daemon of an earlier release, which does not
+	// send the store's era: it may be of any era, and its offsets of a former one may hide newer
+	// records.
 	eraUnknown bool
 
 	mu         sync.Mutex
 	state      streamState
 	replies    replyCache
-	cancelRead context.CancelFunc // ends the read under way
+	cancelRead context.CancelFunc // cancels the read in progress
 	readDone   chan struct{}      // closed and replaced with each read that succeeds
 }
 
-// New returns a Follower that has read nothing.
+// New returns a Follower that has no data yet.
 func New(o Options) *Follower {
 	f := &Follower{opts: o, log: o.Log.WithField("stream", o.Stream), started: time.Now(), readDone: make(chan struct{})}
 	f.state = newStreamState(o.RankOf)
@@ -88,27 +89,27 @@
 	return f
 }
 
-// Pauses after a failed read: short, for the store may be back at once, and
-// doubled up to the longest, for all daemons ask it.
+// Delays after a failed read: short at first, as the store may be back at once, then doubled up
+// to the maximum, as all daemons retry.
 const (
 	minRetryDelay = 60 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
 )
 
-// Run follows until the context ends.
+// Run follows the stream until the context ends. It returns nil.
 func (f *Follower) Run(ctx context.Context) error {
-	pause := minRetryDelay
+	delay := minRetryDelay
 	for ctx.Err() == nil {
 		began := time.Now()
 		err := f.read(ctx)
 		switch {
 		case err == nil:
-			pause = minRetryDelay
-			pace := f.opts.Pace
+			delay = minRetryDelay
+			interval := f.opts.Pace
 			if f.fromPeer {
-				pace = f.opts.PeerPace
+				interval = f.opts.PeerPace
 			}
-			wait.For(ctx, pace-time.Since(began))
+			wait.For(ctx, interval-time.Since(began))
 		case needsFullRead(err):
 			at := f.position()
 			f.log.WithError(err).WithFields(logrus.Fields{"offset": at.next, "era": at.era}).Info("stream_trimmed")
@@ -116,21 +117,21 @@
 		case errors.Is(err, errRestarted):
 		case ctx.Err() == nil:
 			if f.isStarting() {
-				pause = startupRetryDelay
+				delay = startupRetryDelay
 			}
-			f.sleep(ctx, time.Duration((0.5+rand.Float64())*float64(pause)))
-			pause = min(2*pause, maxRetryDelay)
+			f.sleep(ctx, time.Duration((0.5+rand.Float64())*float64(delay)))
+			delay = min(2*delay, maxRetryDelay)
 		}
 	}
 	return nil
 }
 
-// needsFullRead reports whether a read of the store is to be made anew, of all keys.
+// needsFullRead reports whether a read of the store must be repeated for all keys.
 func needsFullRead(err error) bool {
 	return errors.Is(err, platform.ErrTrimmed) || errors.Is(err, errLaterEra)
 }
 
-// sleep waits, until somebody begins to wait for what is to be known.
+// sleep waits for a duration, or until Demand is closed.
 func (f *Follower) sleep(ctx context.Context, d time.Duration) {
 	if f.opts.Demand == nil || f.demanded() {
 		wait.For(ctx, d)
@@ -145,56 +146,56 @@
 	}
 }
 
-// errNothingFresh: the daemons that read the store for all have nothing fresh.
+// errNothingFresh is returned when no peer that was called has a fresh copy.
 var errNothingFresh = errors.New("no daemon that was asked has read the store of late")
 
-// read reads once: from the daemons that are to be asked first, then from the store where it
-// is the task of this one, and else from any others.
+// read reads once: from the daemons that precede this one in the reading order, then from the
+// store if this daemon is to read it, else from any other daemons.
 func (f *Follower) read(ctx context.Context) error {
 	s := f.opts.Spread
 	if s == nil {
 		return f.readStoreOr(ctx, nil)
 	}
-	fresh := f.opts.MostAge
+	maxAge := f.opts.MostAge
 	if f.isStarting() {
 		return f.readOnePeer(ctx)
 	}
 	from := s.sources()
 	if f.eraUnknown && !f.readFromStore {
-		return f.readStoreOr(ctx, func() bool { return f.readPeer(ctx, s.fallbackPeers(), fresh+from.extraAge()) })
+		return f.readStoreOr(ctx, func() bool { return f.readPeer(ctx, s.fallbackPeers(), maxAge+from.extraAge()) })
 	}
 	if f.position().storeOnly {
 		f.recoverFromPeers(ctx)
 	}
-	if f.readPeer(ctx, from.before, fresh+from.extraAge()) {
+	if f.readPeer(ctx, from.before, maxAge+from.extraAge()) {
 		f.markFresh()
 		return nil
 	}
-	if f.hasNoData() && f.readPeer(ctx, s.fallbackPeers(), fresh+from.extraAge()) {
+	if f.hasNoData() && f.readPeer(ctx, s.fallbackPeers(), maxAge+from.extraAge()) {
 		return nil
 	}
 	if f.mayReadStore(from.reader) {
-		return f.readStoreOr(ctx, func() bool { return f.readFallbackPeers(ctx, fresh) })
+		return f.readStoreOr(ctx, func() bool { return f.readFallbackPeers(ctx, maxAge) })
 	}
 	if !f.hasNoData() {
 		f.markStale(errNothingFresh)
 	}
-	if f.readFallbackPeers(ctx, fresh) {
+	if f.readFallbackPeers(ctx, maxAge) {
 		return nil
 	}
 	return errNothingFresh
 }
 
-// isStarting reports whether this daemon has just started, knows nothing, and nobody waits for it.
+// isStarting reports whether this daemon has just started, has no data, and no caller waits for it.
 func (f *Follower) isStarting() bool {
 	return f.hasNoData() && time.Since(f.started) < f.opts.Patience && !f.demanded()
 }
 
-// startupRetryDelay is between two questions of a daemon that has just started.
+// startupRetryDelay is the first delay after a failed read of a daemon that has just started.
 const startupRetryDelay = 400 * time.Millisecond
 
-// readOnePeer asks one daemon. All may have started together: each that is asked is a
-// connection more, and nobody knows anything yet.
+// readOnePeer reads from one peer only. All daemons may have started together: then none has any
+// data yet, and each peer that is called costs another connection.
 func (f *Follower) readOnePeer(ctx context.Context) error {
 	one := f.opts.Spread.fallbackPeers()
 	if f.readPeer(ctx, one[:min(1, len(one))], anyAge) {
@@ -203,17 +204,18 @@
 	return errNothingFresh
 }
 
-// mayReadStore reports whether this daemon is to read the store now.
+// mayReadStore reports whether this daemon is to read the store now. reader says that it is the
+// next reader in order.
 func (f *Follower) mayReadStore(reader bool) bool {
-	nothing := f.hasNoData()
+	noData := f.hasNoData()
 	waited := time.Since(f.started)
-	if nothing && waited < 2*f.opts.Patience && !f.demanded() {
+	if noData && waited < 2*f.opts.Patience && !f.demanded() {
 		return reader
 	}
-	return reader || nothing || f.opts.Spread.drawnToRead()
+	return reader || noData || f.opts.Spread.drawnToRead()
 }
 
-// demanded reports whether somebody waits for what the Follower is to know.
+// demanded reports whether a caller waits for the data.
 func (f *Follower) demanded() bool {
 	select {
 	case <-f.opts.Demand:
@@ -223,41 +225,43 @@
 	}
 }
 
-// readStoreOr reads the store, and does something else when it does not answer.
-func (f *Follower) readStoreOr(ctx context.Context, other func() bool) error {
+// readStoreOr reads the store; if that fails, it calls fallback, which may be nil, and returns
+// nil if that succeeds.
+func (f *Follower) readStoreOr(ctx context.Context, fallback func() bool) error {
 	err := f.readStore(ctx)
 	if err == nil || needsFullRead(err) || errors.Is(err, errRestarted) || ctx.Err() != nil {
 		return err
 	}
 	storeReadErrors(f.opts.Stream).Inc()
 	f.markStale(err)
-	if other != nil && other() {
+	if fallback != nil && fallback() {
 		return nil
 	}
 	return err
 }
 
-// readFallbackPeers reads from any daemons what is fresh.
-func (f *Follower) readFallbackPeers(ctx context.Context, fresh time.Duration) bool {
+// readFallbackPeers reads a copy of at most an age from any other daemons.
+func (f *Follower) readFallbackPeers(ctx context.Context, maxAge time.Duration) bool {
 	if f.hasNoData() {
-		// It has started behind a cut, say: what a peer there goes by is better than no
-		// service.
-		fresh = anyAge
+		// This daemon may have started while its failure domain is cut off: an old copy of a
+		// peer in it is better than no service.
+		maxAge = anyAge
 	}
-	return f.readPeer(ctx, f.opts.Spread.fallbackPeers(), fresh)
+	return f.readPeer(ctx, f.opts.Spread.fallbackPeers(), maxAge)
 }
 
+// hasNoData reports whether no read has succeeded yet.
 func (f *Follower) hasNoData() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state.at.IsZero()
 }
 
-// errRestarted ends a read that is to be begun anew.
-var errRestarted = errors.New("the read is begun anew")
+// errRestarted is returned by a read that was canceled in order to start it again.
+var errRestarted = errors.New("the read was restarted")
 
-// Kick ends a read that stays open, for the store may have been away in the meantime
-// and may never answer it.
+// Kick cancels a read that is in progress, so that it is started again: the store may have been
+// unreachable in the meantime and may never answer it.
 func (f *Follower) Kick() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -266,19 +270,20 @@
 	}
 }
 
+// readStore reads the store once. It returns errRestarted if the read was canceled by Kick.
 func (f *Follower) readStore(ctx context.Context) error {
 	f.fromPeer = false
 	began := time.Now()
 	outer := ctx
 	ctx, cancel := context.WithTimeout(ctx, f.opts.Timeout+f.opts.Wait)
 	defer cancel()
-	kicked, kick := context.WithCancel(ctx)
-	defer kick()
-	next := f.beginRead(kick)
+	readCtx, cancelRead := context.WithCancel(ctx)
+	defer cancelRead()
+	next := f.beginRead(cancelRead)
 	defer f.beginRead(nil)
 	storeReads(f.opts.Stream).Inc()
-	err := f.readFrom(kicked, next, began)
-	if err != nil && kicked.Err() != nil && ctx.Err() == nil && outer.Err() == nil {
+	err := f.readFrom(readCtx, next, began)
+	if err != nil && readCtx.Err() != nil && ctx.Err() == nil && outer.Err() == nil {
 		return errRestarted
 	}
 	if err == nil {
@@ -287,14 +292,15 @@
 	return err
 }
 
-// beginRead notes how to end the read that begins, and returns where it begins.
-func (f *Follower) beginRead(kick context.CancelFunc) (next int64) {
+// beginRead stores the function that cancels the read and returns the offset to read from.
+func (f *Follower) beginRead(cancel context.CancelFunc) (next int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cancelRead = kick
+	f.cancelRead = cancel
 	return f.state.next
 }
 
+// markStale logs store_lost when the data begins to be stale.
 func (f *Follower) markStale(err error) {
 	if f.stale {
 		return
@@ -303,6 +309,7 @@
 	f.log.WithError(err).Warn("store_lost")
 }
 
+// markFresh logs store_regained and calls Regained when the data is fresh again.
 func (f *Follower) markFresh() {
 	if !f.stale {
 		return
--- a/internal/keyed/follower_test.go
+++ b/internal/keyed/follower_test.go
@@ -15,7 +15,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// table is what a follower has been told.
+// table holds the values that a Follower has passed to Apply.
 type table struct {
 	mu     sync.Mutex
 	values map[string]string
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestTrimmedStreamIsReadAnew(t *testing.T) {
+func TestTrimmedStreamIsReadAgain(t *testing.T) {
 	store := &fakeStore{}
 	store.put("a", "1")
 	store.put("gone", "1")
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestOldCopyTakesNothingBack(t *testing.T) {
+func TestOldCopyIsRefused(t *testing.T) {
 	store := &fakeStore{}
 	store.put("a", "1")
 	store.put("a", "2")
@@ -101,14 +101,14 @@
 	f.restart()
 	store.set(func(s *fakeStore) { s.lag = 1 })
 	if err := f.read(t.Context()); err == nil {
-		t.Error("an old copy was taken")
+		t.Error("an old copy was applied")
 	}
 	if tb.get("a") != "2" {
 		t.Errorf("got %v", tb.values)
 	}
 }
 
-func TestOthersReadFromTailersAndTailersFromThoseWhoAreServed(t *testing.T) {
+func TestDaemonsReadFromReadersInOrder(t *testing.T) {
 	peers := &fakePeers{hosts: []string{"t1", "t2", "x"}, spreads: map[string]*Spread{}}
 	stores, followers, tables := map[string]*fakeStore{}, map[string]*Follower{}, map[string]*table{}
 	for _, h := range peers.hosts {
@@ -126,24 +126,24 @@
 	}
 	mustRead(t, followers["t2"])
 	if stores["t2"].reads != 0 {
-		t.Error("the second reads the store beside the first")
+		t.Error("the second reader reads the store as well as the first")
 	}
-	// The first is gone: the second reads, the others read from it.
+	// The first is gone: the second reads the store, the others read from it.
 	first := peers.spreads["t1"]
 	delete(peers.spreads, "t1")
 	mustRead(t, followers["t2"])
 	mustRead(t, followers["x"])
 	if stores["t2"].reads != 1 || stores["x"].reads != 0 {
-		t.Errorf("the second has read %d times, another daemon %d", stores["t2"].reads, stores["x"].reads)
+		t.Errorf("the second reader has read the store %d times, another daemon %d", stores["t2"].reads, stores["x"].reads)
 	}
 	peers.spreads["t1"] = first
-	// The store turns t2 away.
+	// The store refuses t2.
 	stores["t2"].set(func(s *fakeStore) { s.down = true })
 	mustRead(t, followers["t2"])
 	if tables["t2"].get("a") != "2" {
 		t.Errorf("got %v", tables["t2"].values)
 	}
-	// A removal reaches those who read from peers, once the first counts as back.
+	// A removal reaches daemons that read from peers, once t1 is no longer avoided.
 	peers.spreads["x"].unresponsive = avoid.New(avoid.Options{})
 	stores["t1"].put("a", "")
 	mustRead(t, followers["t1"])
@@ -151,7 +151,7 @@
 	if tables["x"].get("a") != "" {
 		t.Errorf("got %v", tables["x"].values)
 	}
-	// Nobody who knows anything answers: the store is read.
+	// No peer with data answers: the store is read.
 	delete(peers.spreads, "t1")
 	delete(peers.spreads, "t2")
 	mustRead(t, followers["x"])
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestKickBeginsAReadAnew(t *testing.T) {
+func TestRestartReadCancelsOpenRead(t *testing.T) {
 	store := &hangingStore{entered: make(chan struct{}, 1)}
 	f, _ := newFollower(store, nil)
 	result := make(chan error)
@@ -186,7 +186,7 @@
 
 func (s *hangingStore) Put(context.Context, string, string, []byte) error { return nil }
 
-func TestPackedRecordsComeBackAndAreKept(t *testing.T) {
+func TestPackedRecordsRoundTripAndAreCached(t *testing.T) {
 	c := streamState{next: 3, recentFrom: 3, records: map[string]platform.KeyedRecord{
 		"a": {Offset: 1, Key: "a", Value: []byte("1")}, "b": {Offset: 2, Key: "b"},
 	}}
@@ -210,9 +210,9 @@
 	}
 }
 
-// TestReadersFromPeersSeeWhatALateRecordCovers has a key whose newest record was written
-// late: a reader of the store has seen the one before it, so must a reader of a peer.
-func TestReadersFromPeersSeeWhatALateRecordCovers(t *testing.T) {
+// TestPeersGetTheRecordBeforeALateOne has a key whose newest record was written late. A
+// daemon that reads from a peer must get the record before it too, as one that reads the store.
+func TestPeersGetTheRecordBeforeALateOne(t *testing.T) {
 	peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Spread{}}
 	store := &fakeStore{}
 	var seen []string
@@ -234,11 +234,11 @@
 	mustRead(t, followers["t1"])
 	mustRead(t, followers["x"])
 	if want := []string{"beat 1: ready", "beat 3: leaving", "beat 2: ready"}; !slices.Equal(seen, want) {
-		t.Errorf("the reader of a peer saw %q", seen)
+		t.Errorf("the daemon that reads from a peer got %q", seen)
 	}
 }
 
-func TestOnlyTheNewestRecordsAreKeptInOrder(t *testing.T) {
+func TestRecentRecordsAreBounded(t *testing.T) {
 	c := streamState{next: -1, records: map[string]platform.KeyedRecord{}}
 	c.replace(platform.KeyedPage{Next: 0})
 	for i := range int64(maxRecent + 10) {
@@ -248,13 +248,13 @@
 		t.Errorf("%d records since 15", n)
 	}
 	if n := len(c.recordsSince(3)); n != 1 {
-		t.Errorf("%d records since 3, want the newest of the key", n)
+		t.Errorf("%d records since 3, want only the newest of the key", n)
 	}
 }
 
-// TestPeerThatHasJustReadAllDoesNotHideARemoval has a tailer that read all keys right
-// after one was removed, so that it has never known of it.
-func TestPeerThatHasJustReadAllDoesNotHideARemoval(t *testing.T) {
+// TestFullReadOfPeerDoesNotHideRemoval has a reader that read all keys right after one
+// was removed, so that it has no record of the removal.
+func TestFullReadOfPeerDoesNotHideRemoval(t *testing.T) {
 	peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Spread{}}
 	store := &fakeStore{}
 	store.put("gone", "1")
@@ -272,10 +272,10 @@
 	}
 }
 
-// TestDaemonThatStartsBehindACutTakesAnOldCopy is the pattern of a daemon that starts again
-// while its failure domain is cut off from the store and the others: only one peer there
-// answers, whose copy is as old as the cut.
-func TestDaemonThatStartsBehindACutTakesAnOldCopy(t *testing.T) {
+// TestDaemonStartedInCutDomainAcceptsOldCopy covers a daemon that restarts while its failure
+// domain is cut off from the store and the other domains: only one peer answers, whose copy is as
+// old as the cut.
+func TestDaemonStartedInCutDomainAcceptsOldCopy(t *testing.T) {
 	hosts := []string{"far1", "far2", "far3", "far4", "far5", "far6", "near", "new"}
 	peers := &fakePeers{hosts: hosts, spreads: map[string]*Spread{}, sameDomain: []string{"near", "new"}}
 	store := &fakeStore{}
@@ -293,7 +293,7 @@
 	if age := time.Since(fresh.state.at); age < time.Hour {
 		t.Errorf("the old copy counts as %s old", age)
 	}
-	// One that knows something keeps to what is fresh.
+	// A daemon that has data accepts only fresh copies.
 	if err := fresh.read(t.Context()); err == nil {
 		t.Error("an old copy counts as a read")
 	}
--- a/internal/keyed/group_test.go
+++ b/internal/keyed/group_test.go
@@ -11,7 +11,7 @@
 	"github.com/sirupsen/logrus/hooks/test"
 )
 
-// daemonGroup is a group of daemons that follow one stream, each with its own way to the store.
+// daemonGroup is a group of daemons that follow one stream, each from a store of its own.
 type daemonGroup struct {
 	peers     *fakePeers
 	stores    map[string]*fakeStore
@@ -19,8 +19,8 @@
 	tables    map[string]*table
 }
 
-// newGroup has a number of daemons, every fifth of them in the failure domain of all that
-// read.
+// newGroup returns a group of n daemons. Every fifth of them is in the failure domain of each
+// daemon that reads.
 func newGroup(t *testing.T, n int) *daemonGroup {
 	f := &daemonGroup{
 		peers:     &fakePeers{spreads: map[string]*Spread{}},
@@ -45,20 +45,21 @@
 	return f
 }
 
-// age makes all that the daemons know an hour old.
+// age makes the data of all daemons an hour old.
 func (f *daemonGroup) age() {
 	for _, x := range f.followers {
 		x.state.at = x.state.at.Add(-time.Hour)
 	}
 }
 
+// set sets which stores are down and resets their read counts.
 func (f *daemonGroup) set(down func(host string) bool) {
 	for h, s := range f.stores {
 		s.set(func(s *fakeStore) { s.down, s.reads = down(h), 0 })
 	}
 }
 
-// round has each daemon try one read, and returns the reads of the store.
+// round lets each daemon try one read and returns the number of reads of the store.
 func (f *daemonGroup) round() (reads int) {
 	for _, h := range f.peers.hosts {
 		_ = f.followers[h].read(context.Background())
@@ -69,9 +70,9 @@
 	return reads
 }
 
-// TestStoreAwayIsTriedByFew is the pattern of a store that is away for all of many daemons.
-// Each try has a price at the store, and one that succeeds is enough for all.
-func TestStoreAwayIsTriedByFew(t *testing.T) {
+// TestFewDaemonsTryAnUnavailableStore covers a store that is down for all of many daemons. Each try costs
+// the store something, and one successful read is enough for all daemons.
+func TestFewDaemonsTryAnUnavailableStore(t *testing.T) {
 	const daemons, rounds = 300, 10
 	f := newGroup(t, daemons)
 	f.age()
@@ -81,14 +82,15 @@
 		f.set(func(string) bool { return true })
 		reads += f.round()
 	}
-	// Five readers, and of the others one in 60, as many as are near.
-	if most := rounds * daemons / 20; reads > most {
-		t.Errorf("%d reads of the store in %d rounds, at most %d", reads, rounds, most)
+	// Five readers, and one in 60 of the others, as the failure domain has 60 daemons.
+	if limit := rounds * daemons / 20; reads > limit {
+		t.Errorf("%d reads of the store in %d rounds, want at most %d", reads, rounds, limit)
 	}
 }
 
-// TestDaemonThatReadsFromOthersTellsOfTheStoresLoss has one that does not read the store.
-func TestDaemonThatReadsFromOthersTellsOfTheStoresLoss(t *testing.T) {
+// TestDaemonReadingFromPeersLogsStoreLoss checks that a daemon that does not read the
+// store logs store_lost and store_regained.
+func TestDaemonReadingFromPeersLogsStoreLoss(t *testing.T) {
 	const daemons = 300
 	f := newGroup(t, daemons)
 	last := f.peers.hosts[daemons-1]
@@ -111,10 +113,9 @@
 	}
 }
 
-// TestOneThatTheStoreServesIsEnough is the pattern of a store that turns away all that
-// usually read it and a third of the others: what a few of the rest read spreads to all
-// within a second and a half, of tries half a second apart.
-func TestOneThatTheStoreServesIsEnough(t *testing.T) {
+// TestFewServedDaemonsSupplyAll covers a store that refuses all its usual readers and a third
+// of the other daemons: what a few of the rest read reaches all daemons within eight tries, half a second apart.
+func TestFewServedDaemonsSupplyAll(t *testing.T) {
 	const daemons, rounds = 300, 8
 	f := newGroup(t, daemons)
 	f.age()
@@ -137,9 +138,9 @@
 		}
 	}
 	if missing > 0 {
-		t.Errorf("%d daemons do not know it after %d tries", missing, rounds)
+		t.Errorf("%d daemons do not have the new value after %d tries", missing, rounds)
 	}
-	if most := rounds * daemons / 20; reads > most {
-		t.Errorf("%d reads of the store, at most %d", reads, most)
+	if limit := rounds * daemons / 20; reads > limit {
+		t.Errorf("%d reads of the store, want at most %d", reads, limit)
 	}
 }
--- a/internal/keyed/replycache.go
+++ b/internal/keyed/replycache.go
@@ -11,16 +11,16 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// replyCache keeps the last packed answer: after a change all peers ask for the same. Packed, large
-// settings pass slow links in time.
+// replyCache keeps the last packed answer, because after a change all peers request the same one.
+// The records are compressed, so that large settings pass slow links in time.
 type replyCache struct {
 	from, next int64
-	version    int // of the copy
+	version    int // streamState.version
 	data       []byte
 }
 
-// get returns the records from an offset on, packed; empty when there are none. The
-// caller holds the follower's lock.
+// get returns the packed records from an offset on, or nil if there are none. The caller holds
+// the follower's lock.
 func (p *replyCache) get(c *streamState, from int64) ([]byte, error) {
 	if p.data != nil && p.from == from && p.next == c.next && p.version == c.version {
 		return p.data, nil
@@ -44,9 +44,10 @@
 	return p.data, nil
 }
 
-// maxUnpacked bounds what a peer's answer may grow to.
+// maxUnpacked limits the unpacked size of a peer's answer, in bytes.
 const maxUnpacked = 64 << 20
 
+// unpack decodes the records of a peer's answer.
 func unpack(data []byte) ([]platform.KeyedRecord, error) {
 	if len(data) == 0 {
 		return nil, nil
--- a/internal/keyed/simulation_test.go
+++ b/internal/keyed/simulation_test.go
@@ -18,20 +18,21 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// simulation is a stream whose store goes back to older copies, with daemons that read it and each
-// other. Each write has a number, which its value names; writers write again what was lost.
+// simulation is a stream whose store is restored from older copies at random, with daemons that
+// read it and each other. Each write has a number, which its value contains; writers write again
+// what was lost.
 type simulation struct {
 	rng     *rand.Rand
 	store   *fakeStore
 	daemons []*eraDaemon
 	number  int
-	truth   map[string]int // newest write of a key; a removal is one too
-	listed  map[string]bool
-	lost    []string // keys to be written again
-	broken  []string
+	truth   map[string]int  // number of the newest write, or removal, by key
+	listed  map[string]bool // keys that were not removed
+	lost    []string        // keys to be written again
+	broken  []string        // violations found
 }
 
-// Keys of the world. Values of rankedKey are compared by what they say, of others by their places.
+// Keys of the stream. Values of rankedKey are ordered by rank, those of others by offset.
 const rankedKey = "config"
 
 var simulationKeys = []string{rankedKey, "a", "b", "c"}
@@ -40,7 +41,7 @@
 type eraDaemon struct {
 	w        *simulation
 	host     string
-	release  int // former daemons tell and read no era
+	release  int // daemons of the former release neither send nor read eras
 	follower *Follower
 	seen     map[string]int // number of the newest value that was applied
 	cut      bool           // from the store
@@ -52,7 +53,7 @@
 	thisRelease
 )
 
-// valueNumber returns the number of a value of the world.
+// valueNumber returns the number of the write of a value.
 func valueNumber(value []byte) int {
 	_, text, _ := strings.Cut(string(value), "#")
 	n, err := strconv.Atoi(text)
@@ -62,6 +63,7 @@
 	return n
 }
 
+// rankOfValue is the RankOf of the simulation.
 func rankOfValue(key string, value []byte) (rank Rank, ok bool) {
 	return Rank{Count: int64(valueNumber(value))}, key == rankedKey
 }
@@ -113,7 +115,7 @@
 	w.store.put(key, fmt.Sprintf("%s#%d", key, w.truth[key]))
 }
 
-// restore goes back to an older copy; what it lacks is to be written again.
+// restore restores the store from an older copy and notes the lost keys, to be written again.
 func (w *simulation) restore() {
 	length := len(w.store.records)
 	kept := length - w.rng.IntN(min(length, 6))
@@ -135,7 +137,7 @@
 	w.append(key)
 }
 
-// step does one thing at random.
+// step performs one random action.
 func (w *simulation) step() {
 	d := w.daemons[w.rng.IntN(len(w.daemons))]
 	switch w.rng.IntN(14) {
@@ -159,15 +161,15 @@
 	}
 }
 
-// read has a daemon read once, and again at once where it is to.
+// read lets a daemon read once, and a second time if it must read all keys.
 func (d *eraDaemon) read() {
 	if needsFullRead(d.follower.read(context.Background())) {
 		d.follower.restart()
-		_ = d.follower.read(context.Background()) // may fail, as the store or the peers do
+		_ = d.follower.read(context.Background()) // fails if the store or the peers do
 	}
 }
 
-// readStore has a daemon read the store, as if it were drawn for it.
+// readStore lets a daemon read the store, as if it had been drawn for that.
 func (d *eraDaemon) readStore() {
 	if needsFullRead(d.follower.readStore(context.Background())) {
 		d.follower.restart()
@@ -175,7 +177,7 @@
 	}
 }
 
-// recoverAll ends all troubles, has everything written again and read by all.
+// recoverAll ends all faults, writes all lost values again and lets all daemons read.
 func (w *simulation) recoverAll() {
 	for len(w.lost) > 0 {
 		w.rewrite()
@@ -191,7 +193,7 @@
 	}
 }
 
-// settle lets the time pass in which lost values are written again.
+// settle lets the times pass after which missing and doubtful keys are decided.
 func (w *simulation) settle() {
 	for _, d := range w.daemons {
 		d.follower.state.unresolved.eraSeen = time.Now().Add(-2 * time.Hour)
@@ -199,7 +201,7 @@
 	}
 }
 
-// check notes the daemons of this release that do not know the truth of some keys.
+// check records the daemons of this release that do not have the newest write of the keys.
 func (w *simulation) check(when string, keys ...string) {
 	for _, d := range w.daemons {
 		if d.release == formerRelease {
@@ -217,8 +219,8 @@
 	}
 }
 
-// apply checks that what an incarnation is told goes forward. Places that were learned from daemons
-// of the former release alone say nothing: there, only values that tell their rank do.
+// apply checks that the values which an incarnation receives never get older. Offsets that come
+// from daemons of the former release do not order values: there, only ranked values are checked.
 func (d *eraDaemon) apply(b Batch) {
 	newest := map[string]platform.KeyedRecord{}
 	for _, r := range b.Records {
@@ -238,7 +240,7 @@
 	}
 }
 
-// Newest and Since implement platform.Keyed.
+// Newest implements platform.Keyed.
 func (d *eraDaemon) Newest(ctx context.Context, stream string) (platform.KeyedPage, error) {
 	if d.cut {
 		return platform.KeyedPage{}, platform.ErrBusy
@@ -247,6 +249,7 @@
 	return d.stripEra(page), err
 }
 
+// Since implements platform.Keyed.
 func (d *eraDaemon) Since(ctx context.Context, stream string, from int64, wait time.Duration) (platform.KeyedPage, error) {
 	if d.cut {
 		return platform.KeyedPage{}, platform.ErrBusy
@@ -257,6 +260,7 @@
 
 func (d *eraDaemon) Put(context.Context, string, string, []byte) error { return nil }
 
+// stripEra removes the era from a page read by a daemon of the former release.
 func (d *eraDaemon) stripEra(page platform.KeyedPage) platform.KeyedPage {
 	if d.release == formerRelease {
 		page.Era = platform.NoEra
@@ -264,7 +268,7 @@
 	return page
 }
 
-// Rank, Members, Near and Call implement Peers.
+// Rank, Members, SameDomain and Call implement Peers.
 func (d *eraDaemon) Rank(string, int) []membership.Member { return d.Members() }
 
 func (d *eraDaemon) Members() []membership.Member {
@@ -295,7 +299,7 @@
 	return stripEras(answer)
 }
 
-// stripEras takes the eras off packed records, as a daemon of the former release has them.
+// stripEras removes the eras from packed records, as a daemon of the former release has none.
 func stripEras(answer *SinceReply) error {
 	records, err := unpack(answer.Packed)
 	if err != nil || len(records) == 0 {
@@ -311,14 +315,14 @@
 	return err
 }
 
-// runSimulation plays a world and returns what was broken.
+// runSimulation runs a simulation of random steps and returns the violations found.
 func runSimulation(seed uint64, steps, former int) []string {
 	w := newSimulation(seed, former)
 	for range steps {
 		w.step()
 	}
 	w.recoverAll()
-	w.check("before the doubts end", rankedKey)
+	w.check("before missing and doubtful keys are decided", rankedKey)
 	w.settle()
 	w.check("in the end", slices.Sorted(maps.Keys(w.truth))...)
 	return w.broken
--- a/internal/keyed/sources.go
+++ b/internal/keyed/sources.go
@@ -10,43 +10,44 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/membership"
 )
 
-// Bounds of the spread.
+// Limits that decide which daemons read the store and which read from peers.
 const (
-	// The first of a few readers reads the store for all: a read of the store has a price,
-	// one of a peer has next to none. Each of the others reads it only while those before
-	// it have nothing fresh, as when the store turns them away or they cannot be reached.
-	// Of three daemons drawn among many of which the store turns a third away, all are
-	// turned away once in 27 times, with the two of a failure domain once in 240.
-	siteReaders   = 3 // first of all daemons
-	domainReaders = 2 // then the first of each failure domain, for it may be cut off
+	// The first of a few readers reads the store for all daemons, because a read of the store is
+	// expensive and one of a peer is cheap. Each of the other readers reads the store only while
+	// those before it have no fresh data, because the store refuses them or they cannot be
+	// reached. If the store refuses a third of many daemons, it refuses three random ones in 1 of
+	// 27 cases, and the two readers of a failure domain as well in 1 of 240.
+	siteReaders   = 3 // the highest ranked of all daemons
+	domainReaders = 2 // and of each failure domain, as it may be cut off from the others
 	readerKey     = "feed-tailer"
 	// randomReaders is how many of the other daemons of a failure domain read the store, on
-	// average, at each try in which no reader has anything fresh.
+	// average, at each try in which no reader has fresh data.
 	randomReaders = 1
-	// maxChildren is how many daemons of its failure domain each daemon answers at the most, and
-	// levelAge how much older what it tells them is.
+	// maxChildren limits the daemons of its failure domain that read from a daemon. Their copies
+	// may be older than its own by levelAge.
 	maxChildren = 8
 	levelAge    = 200 * time.Millisecond
-	// anyAge takes what a peer knows however old it is.
+	// anyAge accepts a peer's copy of any age.
 	anyAge = time.Duration(math.MaxInt64)
-	// maxFallbackPeers is how many peers are asked when the store does not answer.
+	// maxFallbackPeers is how many peers are called when the store does not answer.
 	maxFallbackPeers = 3
 )
 
-// sources is whom a daemon asks before it reads the store.
+// sources are the peers that a daemon reads from, in place of the store or before it.
 type sources struct {
-	before []membership.Member // in order
-	reader bool                // it is the next one that is to read the store
-	levels int                 // between it and a daemon that reads the store
+	before []membership.Member // peers to call, in order
+	reader bool                // this daemon reads the store if none of them has fresh data
+	levels int                 // of the tree between this daemon and a reader
 }
 
-// extraAge returns how much older than at a reader what its sources know may be.
+// extraAge returns by how much the copies of the sources may be older than those of a reader.
 func (s sources) extraAge() time.Duration { return time.Duration(s.levels) * levelAge }
 
-// sources returns the daemons to ask. The readers ask those before them. The others of a failure
-// domain form a tree by their rank, whose root asks the readers: each daemon answers a few,
-// however many there are, and only the roots ask other failure domains. Behind its parent each
-// has the parent's parents, and then the readers, to ask.
+// sources returns the daemons to read from. A reader reads from the readers ranked before it. The
+// other daemons of a failure domain form a tree by their rank, whose root reads from the readers:
+// so each daemon answers a few others, whatever the size of the fleet, and only the roots call
+// other failure domains. If its parent does not answer, a daemon calls its further ancestors and
+// then the readers.
 func (s *Spread) sources() sources {
 	ranked := s.peers.Rank(readerKey, math.MaxInt)
 	var from sources
@@ -71,8 +72,7 @@
 	return from
 }
 
-// ancestors returns the daemons above this one in the tree of its failure domain, its parent
-// first.
+// ancestors returns the daemons above this one in the tree of its failure domain, parent first.
 func (s *Spread) ancestors(ranked []membership.Member) []membership.Member {
 	var near []membership.Member
 	at := -1
@@ -93,9 +93,9 @@
 	return above
 }
 
-// drawnToRead reports whether this daemon is to read the store though it is no reader. All draw
-// while no reader has anything fresh, so that a few try wherever the store can be reached
-// and what one has read spreads from it.
+// drawnToRead reports at random whether this daemon is to read the store although it is no reader.
+// All daemons draw while no reader has fresh data, so that a few try wherever the store may be
+// reachable, and the others read from one that succeeds.
 func (s *Spread) drawnToRead() bool {
 	near := 1
 	for _, m := range s.peers.Members() {
@@ -106,8 +106,8 @@
 	return rand.New(s.random).IntN(near) < randomReaders
 }
 
-// fallbackPeers returns a few other daemons that may live, those of the own failure domain first: a
-// daemon behind a cut reaches no others.
+// fallbackPeers returns a few random daemons that are not known to be dead, those of the own
+// failure domain first: if the domain is cut off, no others can be reached.
 func (s *Spread) fallbackPeers() []membership.Member {
 	var others []membership.Member
 	for _, m := range s.peers.Members() {
@@ -122,7 +122,7 @@
 	return others[:min(maxFallbackPeers, len(others))]
 }
 
-// distance orders daemons by how far they are.
+// distance returns 0 for daemons of the own failure domain and 1 for others.
 func (s *Spread) distance(m membership.Member) int {
 	if s.peers.SameDomain(m.Host) {
 		return 0
--- a/internal/keyed/spread.go
+++ b/internal/keyed/spread.go
@@ -16,16 +16,17 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// ServiceName is the name under which daemons call each other.
+// ServiceName is the name of the RPC service by which daemons read from each other.
 const ServiceName = "Feed"
 
-// Peers is what the spread needs of the other daemons.
+// Peers gives access to the other daemons.
 type Peers interface {
-	// Rank returns up to n live daemons in an order that all agree on.
+	// Rank returns up to n live daemons in an order that is the same on all daemons.
 	Rank(key string, n int) []membership.Member
 	Members() []membership.Member
 	// SameDomain reports whether a daemon is in this one's failure domain.
 	SameDomain(host string) bool
+	// Call calls an RPC method of the daemon at an address.
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
@@ -37,23 +38,23 @@
 
 	mu           sync.Mutex
 	followers    map[string]*Follower
-	unresponsive *avoid.Tracker // daemons that did not answer
+	unresponsive *avoid.Tracker // daemons that did not answer, or know less of the store
 }
 
-// Daemons that did not answer are not asked for a while, doubled while they stay silent:
-// each question to one behind a cut takes its whole wait.
+// Daemons that did not answer are not called for a while, which is doubled while they stay
+// silent: each call to one that is cut off takes its whole timeout.
 const (
 	silentInitial    = time.Second
 	silentMax        = 4 * time.Second
 	silentResetAfter = 10 * time.Second
 )
 
-// globalSource draws from the source that all goroutines share.
+// globalSource is the random source that all goroutines share.
 type globalSource struct{}
 
 func (globalSource) Uint64() uint64 { return rand.Uint64() }
 
-// NewSpread returns a Spread of the daemon with the name.
+// NewSpread returns a Spread of the daemon on a host.
 func NewSpread(host string, peers Peers) *Spread {
 	return &Spread{
 		host:         host,
@@ -76,48 +77,49 @@
 	return s.followers[stream]
 }
 
-// allKeys, in place of an offset, asks for all keys.
+// allKeys requests all keys where it is given instead of an offset.
 const allKeys = -1
 
-// SinceRequest asks a peer what it knows of a stream from an offset on.
+// SinceRequest requests a peer's records of a stream from an offset on.
 type SinceRequest struct {
 	Stream string
 	From   int64         // an offset, or allKeys
-	Era    int64         // of the store, to which From belongs; daemons of earlier releases tell none
-	Hold   time.Duration // that the answer may be held back while there is nothing new
+	Era    int64         // era of the store to which From belongs; daemons of earlier releases send none
+	Hold   time.Duration // how long the answer may be held back while there is nothing new
 }
 
-// SinceReply has the newest records of the keys that changed, removed ones too.
+// SinceReply has the newest records of the keys that changed, including removed ones.
 type SinceReply struct {
-	// Whole says that the records are all keys: the peer does not know what was removed
-	// since the offset that it was asked for.
+	// Whole says that the records are all keys: the peer does not know what was removed since
+	// the requested offset.
 	Whole  bool
-	Next   int64
-	Packed []byte        // the records; empty: none
-	Age    time.Duration // of the peer's last read
-	Held   time.Duration // that the answer was held back
-	// Version is that of the answer: versionOfEras, or zero of daemons of earlier releases, which
-	// tell none of the rest.
+	Next   int64         // offset to read on from
+	Packed []byte        // the records, gob encoded and compressed; empty: none
+	Age    time.Duration // time since the read of the store that the peer's data comes from
+	Held   time.Duration // how long the answer was held back
+	// Version is versionOfEras, or zero from daemons of earlier releases, which do not send the
+	// fields below.
 	Version int
-	// Era is that of Next, EraAge how long ago it was first seen, and EraCertain the offset from
-	// which all was written in it.
+	// Era is that of Next. EraAge is how long ago it was first seen, and all records from offset
+	// EraCertain on were written in it.
 	Era        int64
 	EraAge     time.Duration
 	EraCertain int64
 }
 
-// versionOfEras is the version of answers that tell the store's era.
+// versionOfEras is the version of answers that have the store's era.
 const versionOfEras = 1
 
-// RPC has the methods that other daemons call.
+// RPC has the RPC methods that other daemons call.
 type RPC struct{ s *Spread }
 
-// RPC returns the receiver to register with the peers.
+// RPC returns the receiver to register as ServiceName with the RPC server.
 func (s *Spread) RPC() *RPC { return &RPC{s} }
 
-var errNoData = merry.Sentinel("nothing is known of the stream")
+var errNoData = merry.Sentinel("no data of the stream yet")
 
-// Since answers a peer.
+// Since answers a peer with the records from the requested offset on. It returns an error while
+// this daemon has no data of the stream.
 func (r *RPC) Since(req *SinceRequest, reply *SinceReply) error {
 	f := r.s.follower(req.Stream)
 	if f == nil {
@@ -141,28 +143,28 @@
 	return err
 }
 
-// otherEra reports whether a peer asks by an offset of another era. The caller holds the lock.
+// otherEra reports whether a request has an offset of another era. The caller holds the lock.
 func (f *Follower) otherEra(req *SinceRequest) bool {
 	return req.Era != platform.NoEra && req.Era != f.state.era
 }
 
-// maxHold bounds for how long an answer is held back.
+// maxHold limits how long an answer is held back.
 const maxHold = 2 * time.Second
 
-// holdReply waits for the next read that succeeds, while there is nothing new for a peer and what is
-// known here is fresh, and returns for how long.
+// holdReply waits for the next successful read if there is nothing new for a peer, at most until
+// the data here is no longer fresh. It returns how long it has waited.
 func (f *Follower) holdReply(req *SinceRequest) time.Duration {
 	f.mu.Lock()
 	done := f.readDone
-	news := f.state.at.IsZero() || f.otherEra(req) || req.From < f.state.recentFrom || len(f.state.recordsSince(req.From)) > 0
+	hasNews := f.state.at.IsZero() || f.otherEra(req) || req.From < f.state.recentFrom || len(f.state.recordsSince(req.From)) > 0
 	fresh := f.opts.MostAge - time.Since(f.state.at)
 	f.mu.Unlock()
-	most := min(req.Hold, maxHold, fresh)
-	if news || most <= 0 {
+	hold := min(req.Hold, maxHold, fresh)
+	if hasNews || hold <= 0 {
 		return 0
 	}
 	began := time.Now()
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(hold)
 	defer timer.Stop()
 	select {
 	case <-done:
@@ -171,9 +173,9 @@
 	return time.Since(began)
 }
 
-// readPeer reads from one of the daemons what is at most of an age; it returns false when
-// none knows enough.
-func (f *Follower) readPeer(ctx context.Context, from []membership.Member, most time.Duration) bool {
+// readPeer reads from the first of the daemons whose copy is not older than maxAge. It returns
+// false if none has such a copy.
+func (f *Follower) readPeer(ctx context.Context, from []membership.Member, maxAge time.Duration) bool {
 	s := f.opts.Spread
 	for _, m := range from {
 		if m.Host == s.host || s.isUnresponsive(m.Host) {
@@ -181,8 +183,8 @@
 		}
 		began := time.Now()
 		reply, records, ok := f.askPeer(ctx, m, f.position().next)
-		if !ok || !f.applyReply(m.Host, reply, records, began, most) {
-			continue // the next one, or the store, is asked
+		if !ok || !f.applyReply(m.Host, reply, records, began, maxAge) {
+			continue
 		}
 		f.fromPeer = true
 		return true
@@ -190,16 +192,18 @@
 	return false
 }
 
-// askPeer asks a daemon for what is new. One that answers in a later era, but for the offset
-// that it was asked for, is asked for all: daemons that know of no era may ask and answer so.
+// askPeer requests the records from an offset on from a daemon. If the answer is of a later era
+// but does not have all keys, it requests these: daemons of earlier releases, which know no era,
+// may request and answer so. ok is false if the daemon does not answer or the records cannot be
+// decoded.
 func (f *Follower) askPeer(ctx context.Context, m membership.Member, from int64) (reply SinceReply, records []platform.KeyedRecord, ok bool) {
 	era := f.position().era
 	req := SinceRequest{Stream: f.opts.Stream, From: from, Era: era, Hold: f.opts.PeerHold}
-	wait := f.opts.PeerWait + f.opts.PeerHold
-	err := f.opts.Spread.call(ctx, m, req, wait, &reply)
+	timeout := f.opts.PeerWait + f.opts.PeerHold
+	err := f.opts.Spread.call(ctx, m, req, timeout, &reply)
 	if err == nil && reply.Era > era && !reply.Whole && req.From != allKeys {
 		req.From, reply = allKeys, SinceReply{}
-		err = f.opts.Spread.call(ctx, m, req, wait, &reply)
+		err = f.opts.Spread.call(ctx, m, req, timeout, &reply)
 	}
 	if err != nil {
 		return reply, nil, false
@@ -211,15 +215,15 @@
 	return reply, records, err == nil
 }
 
-// applyReply takes in what a peer has answered to a question that was begun at a time. It reports
-// whether that is as good as a read of the store that is at most of an age.
-func (f *Follower) applyReply(host string, reply SinceReply, records []platform.KeyedRecord, began time.Time, most time.Duration) bool {
+// applyReply applies a peer's answer to a call that began at a time. It reports whether the
+// answer is as good as a read of the store that is not older than maxAge.
+func (f *Follower) applyReply(host string, reply SinceReply, records []platform.KeyedRecord, began time.Time, maxAge time.Duration) bool {
 	at := f.position()
 	f.eraUnknown = f.eraUnknown || reply.Version < versionOfEras && at.era == platform.NoEra
 	page := platform.KeyedPage{Records: records, Next: reply.Next, Era: reply.Era}
 	read := began.Add(reply.Held - reply.Age)
 	switch {
-	case at.next < 0 && reply.Age > most:
+	case at.next < 0 && reply.Age > maxAge:
 		return false
 	case at.next >= 0 && reply.Era > at.era && f.eraUnknown && !f.readFromStore:
 		f.applyEarlier(records, reply.Era, host)
@@ -235,7 +239,7 @@
 			f.opts.Spread.markBehind(host)
 		}
 		return false
-	case reply.Next < at.next, reply.Age > most && !f.peerIsNewer(reply):
+	case reply.Next < at.next, reply.Age > maxAge && !f.peerIsNewer(reply):
 		return false
 	case reply.Whole:
 		if err := f.applyFullPage(page, read, host); err != nil {
@@ -244,11 +248,11 @@
 	default:
 		f.applyPage(page, read, host)
 	}
-	return reply.Age <= most
+	return reply.Age <= maxAge
 }
 
-// recoverFromPeers asks other daemons, until one answers, for what the store may have lost before this one
-// began: it knows only what the store said.
+// recoverFromPeers calls other daemons, until one answers, for records that the store may have
+// lost before this daemon started: so far it only has data of the store itself.
 func (f *Follower) recoverFromPeers(ctx context.Context) {
 	for _, m := range f.opts.Spread.fallbackPeers() {
 		if f.opts.Spread.isUnresponsive(m.Host) {
@@ -266,8 +270,8 @@
 	}
 }
 
-// peerIsNewer reports whether a peer's copy, though it is old, is newer than the one here: it
-// is taken, and a fresh one is looked for nevertheless.
+// peerIsNewer reports whether a peer's copy is newer than the one here. It is then applied even
+// if it is old, and other sources are tried for a fresh one.
 func (f *Follower) peerIsNewer(r SinceReply) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -280,17 +284,18 @@
 	return slices.Contains(s.unresponsive.Avoided(time.Now()), host)
 }
 
-// markBehind leaves a daemon alone for a while that knows less of the store than this one.
+// markBehind avoids a daemon for a while whose copy is of an earlier era than the one here.
 func (s *Spread) markBehind(host string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unresponsive.RecordFailure(host, time.Now())
 }
 
-func (s *Spread) call(ctx context.Context, m membership.Member, req SinceRequest, wait time.Duration, reply *SinceReply) error {
-	asked, cancel := context.WithTimeout(ctx, wait)
+// call requests records from a daemon and records whether it has answered.
+func (s *Spread) call(ctx context.Context, m membership.Member, req SinceRequest, timeout time.Duration, reply *SinceReply) error {
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	err := s.peers.Call(asked, m.Address, ServiceName+".Since", &req, reply)
+	err := s.peers.Call(callCtx, m.Address, ServiceName+".Since", &req, reply)
 	var answered rpc.ServerError
 	now := time.Now()
 	s.mu.Lock()
--- a/internal/keyed/state.go
+++ b/internal/keyed/state.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// maxRemoved bounds the removed keys that are remembered.
+	// maxRemoved limits the removed keys whose records are kept.
 	maxRemoved = 4096
-	// maxRecent bounds the records that are kept in their order: those of ten seconds
-	// and more at the largest sites, of which peers ask every few hundred ms.
+	// maxRecent limits the records kept in stream order: at least ten seconds' worth at the
+	// largest sites. Peers ask for new ones every few hundred milliseconds.
 	maxRecent = 2048
 )
 
-// streamState is what is known of a stream: the newest record of each key, those of
-// removed keys among them, so that an older record never takes a newer one's place.
+// streamState is a local copy of a stream: the newest record of each key. Records of removed
+// keys are kept too, so that an older record never replaces a newer one.
 //
-// Offsets are compared within an era of the store only; era.go has what holds across eras.
+// Offsets are comparable only within one era of the store; era.go compares records across eras.
 type streamState struct {
 	rankOf     RankOf
-	era        int64 // of the store, of which next is an offset
-	next       int64 // to read from; allKeys: nothing was read yet
+	era        int64 // era of the store to which next belongs
+	next       int64 // offset to read on from; allKeys: nothing was read yet
 	records    map[string]platform.KeyedRecord
 	at         time.Time // of the newest successful read
-	version    int       // counts what changed the records
+	version    int       // rises with each change of the records
 	unresolved unresolved
-	storeOnly  bool // nothing is known but what the store said in this era
+	storeOnly  bool // all records come from the store in this era, none from peers
 
-	// recent has the records of the era from an offset on that are news, in their order. The
-	// newest of a key may be one that was written late and says less than the one before it, so
-	// a reader needs both.
+	// recent has the significant records of the era from offset recentFrom on, in stream order.
+	// The newest record of a key may have been written late and be older in content than the one
+	// before it, so readers need both.
 	recent     []platform.KeyedRecord
 	recentFrom int64
 }
@@ -42,20 +42,20 @@
 	return streamState{rankOf: rankOf, next: allKeys, records: map[string]platform.KeyedRecord{}}
 }
 
-// hasRead reports whether anything was ever read.
+// hasRead reports whether any read has succeeded.
 func (c *streamState) hasRead() bool { return c.next >= 0 }
 
-// put takes a record in, and ends the doubts about its key.
+// put stores a record as the newest of its key, which is then resolved.
 func (c *streamState) put(r platform.KeyedRecord) {
 	c.records[r.Key] = r
 	c.version++
 	c.unresolved.resolve(r.Key)
 }
 
-// add takes a page of the present era in and returns its records that are newer than what is
-// known. news tells which of them others need to know, by the values of a key before and after;
-// nil: all.
-func (c *streamState) add(page platform.KeyedPage, news func(before, after []byte) bool) []platform.KeyedRecord {
+// add applies a page of the current era and returns its records that are newer than the known
+// ones. isSignificant reports whether peers need a record, by the values of its key before and
+// after; nil: they need all.
+func (c *streamState) add(page platform.KeyedPage, isSignificant func(before, after []byte) bool) []platform.KeyedRecord {
 	fresh := make([]platform.KeyedRecord, 0, len(page.Records))
 	for _, r := range page.Records {
 		before, known := c.records[r.Key]
@@ -69,30 +69,30 @@
 			c.setAside(r)
 			continue
 		}
-		tell := news == nil || c.alwaysSignificant(before, r)
+		significant := isSignificant == nil || c.alwaysSignificant(before, r)
 		c.put(r)
 		fresh = append(fresh, r)
-		if tell || news(before.Value, r.Value) {
+		if significant || isSignificant(before.Value, r.Value) {
 			c.recent = append(c.recent, r)
 		}
 	}
-	if over := len(c.recent) - maxRecent; over > 0 {
-		c.recentFrom = c.recent[over-1].Offset + 1
-		c.recent = slices.Delete(c.recent, 0, over)
+	if excess := len(c.recent) - maxRecent; excess > 0 {
+		c.recentFrom = c.recent[excess-1].Offset + 1
+		c.recent = slices.Delete(c.recent, 0, excess)
 	}
 	c.next = max(c.next, page.Next)
 	c.prune()
 	return fresh
 }
 
-// alwaysSignificant reports whether others need to know of a record whatever it says: of a key that came or
-// went, or that the store has again in its present era.
+// alwaysSignificant reports whether peers need a record whatever its value: its key was added or
+// removed, or the store has the key again in its current era.
 func (c *streamState) alwaysSignificant(before, r platform.KeyedRecord) bool {
 	return before.Value == nil || r.Value == nil || before.Era != r.Era || c.unresolved.outranking[r.Key]
 }
 
-// replace takes a page of the present era with all keys in; a key that it lacks was removed, if
-// the era ever had it. What only an earlier era had is left to settle.
+// replace applies a page of the current era with all keys. A known key that the page lacks was
+// removed if this era ever had it; one known only from earlier eras is left to resolve.
 func (c *streamState) replace(page platform.KeyedPage) {
 	listed := listedKeys(page)
 	for key, r := range c.records {
@@ -107,7 +107,7 @@
 	c.recent, c.recentFrom = nil, page.Next
 }
 
-// listedKeys returns the keys of which the store had values in a page's era.
+// listedKeys returns the keys that have a value in the page, of the page's era.
 func listedKeys(page platform.KeyedPage) map[string]bool {
 	listed := make(map[string]bool, len(page.Records))
 	for _, r := range page.Records {
@@ -118,7 +118,7 @@
 	return listed
 }
 
-// prune forgets the oldest removed keys when there are too many.
+// prune drops the records of the oldest removed keys when there are more than maxRemoved.
 func (c *streamState) prune() {
 	removed := 0
 	for _, r := range c.records {
@@ -136,18 +136,18 @@
 	}
 }
 
-// endOffset returns the offset after the newest known record of the era.
+// endOffset returns the offset after the newest known record of the current era.
 func (c *streamState) endOffset() int64 {
-	most := int64(0)
+	end := int64(0)
 	for _, r := range c.records {
 		if r.Era == c.era {
-			most = max(most, r.Offset+1)
+			end = max(end, r.Offset+1)
 		}
 	}
-	return most
+	return end
 }
 
-// currentRecords returns the newest records of the keys that are not removed.
+// currentRecords returns the newest record of each key that is not removed.
 func (c *streamState) currentRecords() []platform.KeyedRecord {
 	list := make([]platform.KeyedRecord, 0, len(c.records))
 	for _, r := range c.records {
@@ -158,9 +158,9 @@
 	return list
 }
 
-// recordsSince returns the known records from an offset of the era on: all in their order where they
-// are kept, else the newest of each key, those of earlier eras among them, and what is in doubt
-// beside these, eras in their order.
+// recordsSince returns the known records from an offset of the current era on. If recent reaches
+// back that far, they are all significant ones in stream order. Else they are the newest of each
+// key, including those of earlier eras, and the doubtful ones, sorted by era.
 func (c *streamState) recordsSince(from int64) []platform.KeyedRecord {
 	if from >= c.recentFrom {
 		i, _ := c.findRecent(from)
@@ -179,14 +179,14 @@
 	return list
 }
 
-// findRecent returns the place of an offset among the recent records.
+// findRecent returns the index of an offset in the recent records.
 func (c *streamState) findRecent(offset int64) (i int, found bool) {
 	return slices.BinarySearchFunc(c.recent, offset, func(r platform.KeyedRecord, offset int64) int {
 		return cmp.Compare(r.Offset, offset)
 	})
 }
 
-// sameValue reports whether two records of a key say the same.
+// sameValue reports whether two records have the same value, or are both removals.
 func sameValue(a, b platform.KeyedRecord) bool {
 	return (a.Value == nil) == (b.Value == nil) && bytes.Equal(a.Value, b.Value)
 }
--- a/internal/keyed/tree_test.go
+++ b/internal/keyed/tree_test.go
@@ -10,7 +10,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// newDomainGroup has a number of daemons in one failure domain.
+// newDomainGroup returns a group of n daemons in one failure domain.
 func newDomainGroup(t *testing.T, n int) *daemonGroup {
 	f := newGroup(t, n)
 	f.peers.sameDomain = f.peers.hosts
@@ -18,6 +18,7 @@
 	return f
 }
 
+// maxCount returns the highest count of any host.
 func maxCount(of map[string]int) int {
 	n := 0
 	for _, count := range of {
@@ -26,22 +27,22 @@
 	return n
 }
 
-// TestBusiestDaemonAnswersAsManyHoweverManyThereAre guards against one daemon that all ask: its
-// work grows with the fleet.
-func TestBusiestDaemonAnswersAsManyHoweverManyThereAre(t *testing.T) {
+// TestCallsPerDaemonAreBoundedAtAnyFleetSize guards against one daemon that all others
+// call, whose load grows with the fleet.
+func TestCallsPerDaemonAreBoundedAtAnyFleetSize(t *testing.T) {
 	for _, daemons := range []int{100, 200, 400} {
 		f := newDomainGroup(t, daemons)
 		f.set(func(string) bool { return false })
 		f.round()
 		if n := maxCount(f.peers.asked); n > maxChildren+siteReaders+domainReaders {
-			t.Errorf("%d daemons: one of them answers %d", daemons, n)
+			t.Errorf("%d daemons: one of them answers %d calls", daemons, n)
 		}
 	}
 }
 
-// TestNewsReachAllInFewLevels: the steps that news take grow by one as the fleet grows by a
-// factor.
-func TestNewsReachAllInFewLevels(t *testing.T) {
+// TestTreeHasFewLevels checks that the levels between a daemon and a reader grow with the
+// logarithm of the fleet's size.
+func TestTreeHasFewLevels(t *testing.T) {
 	for daemons, levels := range map[int]int{9: 1, 70: 2, 300: 3} {
 		f := newDomainGroup(t, daemons)
 		deepest := 0
@@ -54,7 +55,7 @@
 	}
 }
 
-// TestTreeRepairsItself: with every third daemon gone, the others ask the parents of those.
+// TestTreeRepairsItself removes every third daemon: the others read from further ancestors.
 func TestTreeRepairsItself(t *testing.T) {
 	const daemons = 200
 	f := newDomainGroup(t, daemons)
@@ -73,25 +74,26 @@
 		if x := f.followers[h]; x != nil {
 			mustRead(t, x)
 			if f.tables[h].get("a") != "2" {
-				t.Fatalf("%s does not know it", h)
+				t.Fatalf("%s does not have the new value", h)
 			}
 		}
 	}
 	if n := maxCount(f.peers.asked); n > maxChildren*maxChildren {
-		t.Errorf("one answers %d", n)
+		t.Errorf("one daemon answers %d calls", n)
 	}
 }
 
-// heartbeatsDiffer takes records for the same that differ in what follows a colon.
-func heartbeatsDiffer(before, after []byte) bool {
+// contentDiffers reports whether two records differ in what precedes the colon; heartbeats
+// change only what follows it.
+func contentDiffers(before, after []byte) bool {
 	a, _, _ := strings.Cut(string(before), ":")
 	b, _, _ := strings.Cut(string(after), ":")
 	return a != b
 }
 
-// TestHeartbeatsAreNoNews guards against bytes that grow with upstreams times daemons: what
-// others go by has not changed.
-func TestHeartbeatsAreNoNews(t *testing.T) {
+// TestHeartbeatsAreNotSentToPeers guards against traffic that grows with upstreams times daemons:
+// heartbeats alone are not significant to peers.
+func TestHeartbeatsAreNotSentToPeers(t *testing.T) {
 	bytes := map[int]int{}
 	for _, upstreams := range []int{100, 200, 400} {
 		peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Spread{}, asked: map[string]int{}, bytes: map[string]int{}}
@@ -100,7 +102,7 @@
 		for _, h := range peers.hosts {
 			peers.spreads[h] = NewSpread(h, peers)
 			followers[h], tables[h] = newFollower(store, peers.spreads[h])
-			followers[h].opts.News = heartbeatsDiffer
+			followers[h].opts.News = contentDiffers
 		}
 		beat := func(n int) {
 			for i := range upstreams {
@@ -126,20 +128,21 @@
 		}
 	}
 	if bytes[400] > 0 {
-		t.Errorf("bytes of heartbeats by upstreams: %v", bytes)
+		t.Errorf("bytes sent for heartbeats, by number of upstreams: %v", bytes)
 	}
 }
 
-// TestHeldAnswerComesWithTheNextRead: news goes through a level as fast as an answer, and a
-// daemon without news is asked as often as the store is read.
-func TestHeldAnswerComesWithTheNextRead(t *testing.T) {
+// TestHeldAnswerIsSentAfterNextRead checks that a held answer is sent as soon as the peer's next
+// read succeeds, so that a change passes a level of the tree without delay, and that a daemon
+// without changes is called only as often as the store is read.
+func TestHeldAnswerIsSentAfterNextRead(t *testing.T) {
 	peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Spread{}}
 	store := &fakeStore{}
 	store.put("a", "1")
 	peers.spreads["t1"], peers.spreads["x"] = NewSpread("t1", peers), NewSpread("x", peers)
 	t1, _ := newFollower(store, peers.spreads["t1"])
 	x, tb := newFollower(store, peers.spreads["x"])
-	x.opts.PeerHold = time.Hour // bounded by the one that is asked
+	x.opts.PeerHold = time.Hour // limited by the peer
 	mustRead(t, t1)
 	mustRead(t, x)
 	done := make(chan error)
@@ -160,13 +163,13 @@
 		t.Errorf("got %v", tb.values)
 	}
 	if at := x.state.at; at.After(time.Now()) {
-		t.Errorf("what it knows is of %s from now", time.Until(at))
+		t.Errorf("its data is from %s in the future", time.Until(at))
 	}
 }
 
-// TestDaemonWithoutFreshKnowledgeAnswersAtOnce guards against readers that take over from others
-// only after each of these has held its answer back.
-func TestDaemonWithoutFreshKnowledgeAnswersAtOnce(t *testing.T) {
+// TestDaemonWithStaleDataAnswersAtOnce guards against a reader that takes over from other
+// readers only after each of them has held its answer back.
+func TestDaemonWithStaleDataAnswersAtOnce(t *testing.T) {
 	f := newDomainGroup(t, 10)
 	f.age()
 	for _, h := range f.peers.hosts {
@@ -179,13 +182,13 @@
 	last := f.followers[f.peers.hosts[4]]
 	mustRead(t, last)
 	if f.stores[f.peers.hosts[4]].reads == 0 {
-		t.Error("a reader has not taken over")
+		t.Error("the reader did not take over")
 	}
 }
 
-// TestDaemonsThatStartTogetherLeaveTheStoreToFew guards against reads of the store that grow
-// with the daemons that start.
-func TestDaemonsThatStartTogetherLeaveTheStoreToFew(t *testing.T) {
+// TestFewDaemonsReadStoreAtCommonStart guards against a number of reads of the store
+// that grows with the number of daemons that start.
+func TestFewDaemonsReadStoreAtCommonStart(t *testing.T) {
 	const daemons = 300
 	f := newDomainGroup(t, daemons)
 	start := func(began time.Time, demand chan struct{}) {
@@ -199,30 +202,30 @@
 	}
 	start(time.Now(), nil)
 	if reads := f.round(); reads > 0 {
-		t.Errorf("%d reads before they have met", reads)
+		t.Errorf("%d reads before the daemons know each other", reads)
 	}
 	start(time.Now().Add(-90*time.Minute), nil)
 	if reads := f.round(); reads != 1 {
-		t.Errorf("%d reads when they have met", reads)
+		t.Errorf("%d reads when the daemons know each other, want 1", reads)
 	}
 	for h, tb := range f.tables {
 		if tb.get("a") != "1" {
-			t.Fatalf("%s knows nothing", h)
+			t.Fatalf("%s has no data", h)
 		}
 	}
 	start(time.Now().Add(-3*time.Hour), nil)
 	delete(f.peers.spreads, f.peers.hosts[0])
 	if err := f.followers[f.peers.hosts[9]].read(t.Context()); err != nil {
-		t.Errorf("a daemon that has waited for long: %v", err)
+		t.Errorf("a daemon that has waited long: %v", err)
 	}
-	called := make(chan struct{})
-	close(called)
-	start(time.Now(), called)
+	demanded := make(chan struct{})
+	close(demanded)
+	start(time.Now(), demanded)
 	if err := f.followers[f.peers.hosts[200]].read(t.Context()); err != nil {
-		t.Errorf("a daemon that is called: %v", err)
+		t.Errorf("a daemon whose data a caller waits for: %v", err)
 	}
 	start(time.Now(), make(chan struct{}))
 	if err := f.followers[f.peers.hosts[200]].read(t.Context()); !errors.Is(err, errNothingFresh) {
-		t.Errorf("one that nobody calls: %v", err)
+		t.Errorf("a daemon whose data no caller waits for: %v", err)
 	}
 }
