--- a/internal/edge/callers.go
+++ b/internal/edge/callers.go
@@ -21,7 +21,7 @@
 func (p *process) callerServer() *http.Server {
 	idle := &idleConns{limit: p.callerIdle, timers: map[net.Conn]*time.Timer{}}
 	return &http.Server{
-		Handler:           p.provider.Ingress(p.admitter, p.leaving.Load),
+		Handler:           p.provider.CallerHandler(p.admitter, p.leaving.Load),
 		ReadHeaderTimeout: headerTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnState:         idle.connStateChanged,
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -74,13 +74,13 @@
 	ms := p.cfg.SettingsWithinMs
 	o := p.followOptions(ms)
 	o.Stream = p.provider.SettingsStream()
-	o.Pace = fractionOf(ms, settingsReadFraction)
-	o.Wait = fractionOf(ms, longPollFraction)
+	o.ReadInterval = fractionOf(ms, settingsReadFraction)
+	o.LongPoll = fractionOf(ms, longPollFraction)
 	o.Timeout = settingsTimeout
-	o.PeerWait = fractionOf(ms, peerTimeoutFraction)
-	o.MostAge = 2*o.Pace + o.Wait + transferTime
+	o.PeerTimeout = fractionOf(ms, peerTimeoutFraction)
+	o.MaxAge = 2*o.ReadInterval + o.LongPoll + transferTime
 	o.RankOf = p.provider.RankOfSettings
-	o.Rewritten = operatorRewriteTime
+	o.RewriteTime = operatorRewriteTime
 	o.Apply = p.applySettings
 	return keyed.New(o)
 }
@@ -91,14 +91,14 @@
 	ms := p.cfg.LeavingWithinMs
 	o := p.followOptions(ms)
 	o.Stream = p.provider.UpstreamsStream()
-	o.Pace = fractionOf(ms, upstreamsReadFraction)
+	o.ReadInterval = fractionOf(ms, upstreamsReadFraction)
 	o.Timeout = upstreamsTimeout
-	o.PeerWait = upstreamsPeerTimeout
-	o.MostAge = 2*o.Pace + transferTime
+	o.PeerTimeout = upstreamsPeerTimeout
+	o.MaxAge = 2*o.ReadInterval + transferTime
 	o.RankOf = p.provider.RankOfUpstream
-	o.Rewritten = relistTime
-	o.News = func(before, after []byte) bool { return !p.provider.SameUpstream(before, after) }
-	o.Regained = regained
+	o.RewriteTime = relistTime
+	o.IsSignificant = func(before, after []byte) bool { return !p.provider.SameUpstream(before, after) }
+	o.OnRegained = regained
 	o.Apply = p.applyUpstreams
 	return keyed.New(o)
 }
@@ -108,11 +108,11 @@
 	return keyed.Options{
 		Store:    p.store,
 		PeerHold: fractionOf(ms, peerHoldFraction),
-		PeerPace: peerReadInterval,
-		Patience: p.startupDelay(),
-		Doubt:    restoredCopyDoubt,
+		PeerReadInterval: peerReadInterval,
+		StartupDelay: p.startupDelay(),
+		DoubtTime:    restoredCopyDoubt,
 		Demand:   p.admitter.Demanded(),
-		Spread:   p.spread,
+		Feed:   p.spread,
 		Log:      p.log,
 	}
 }
--- a/internal/edge/listen.go
+++ b/internal/edge/listen.go
@@ -45,7 +45,7 @@
 	page.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
 	all := []listener{
 		{p.cfg.Listen.Callers, p.callerServer()},
-		{p.cfg.Listen.Ready, &http.Server{Handler: p.provider.Ready(p.ready), ReadHeaderTimeout: headerTimeout}},
+		{p.cfg.Listen.Ready, &http.Server{Handler: p.provider.ReadyHandler(p.ready), ReadHeaderTimeout: headerTimeout}},
 		{p.cfg.Listen.Metrics, &http.Server{Handler: page, ReadHeaderTimeout: headerTimeout}},
 	}
 	failed := make(chan error, len(all))
--- a/internal/edge/process.go
+++ b/internal/edge/process.go
@@ -33,7 +33,7 @@
 	store    platform.Keyed
 	node     *peer.Node
 	peers    *peers
-	spread   *keyed.Spread
+	spread   *keyed.Feed
 	schedule *schedule.Service
 	balancer *plainBalancer
 	suspects *suspects.Tracker
@@ -159,7 +159,7 @@
 		Limits:      p.notices.Limits,
 		Log:         p.log,
 	})
-	p.spread = keyed.NewSpread(p.cfg.Host, ranked)
+	p.spread = keyed.NewFeed(p.cfg.Host, ranked)
 	if err := node.Register(keyed.ServiceName, p.spread.RPC()); err != nil {
 		return err
 	}
@@ -267,7 +267,7 @@
 	}
 	settings := p.followSettings()
 	run("settings", settings.Run)
-	run("upstreams", p.followUpstreams(settings.Kick).Run)
+	run("upstreams", p.followUpstreams(settings.RestartRead).Run)
 	run("file", p.watchFile)
 	run("peers", p.node.Run)
 	run("schedule", p.schedule.Run)
--- a/internal/edge/provider.go
+++ b/internal/edge/provider.go
@@ -35,7 +35,7 @@
 	DecodeUpstream(id string, value []byte) (*fleet.Upstream, error)
 	// Sender tells heard what the answers say of their upstreams.
 	Sender(pool *httpwire.Pool, heard relay.NoticeFunc) relay.Sender
-	// Ingress serves callers; closing reports that they are to use other connections.
-	Ingress(door *relay.Admitter, closing func() bool) http.Handler
-	Ready(ready func() bool) http.Handler
+	// CallerHandler serves callers; closing reports that they are to use other connections.
+	CallerHandler(door *relay.Admitter, closing func() bool) http.Handler
+	ReadyHandler(ready func() bool) http.Handler
 }
--- a/internal/keyed/apply.go
+++ b/internal/keyed/apply.go
@@ -40,7 +40,7 @@
 	if next < 0 || f.readAllNext {
 		return f.readAll(ctx, began)
 	}
-	page, err := f.opts.Store.Since(ctx, f.opts.Stream, next, f.opts.Wait)
+	page, err := f.opts.Store.Since(ctx, f.opts.Stream, next, f.opts.LongPoll)
 	if err == nil {
 		err = f.checkEra(&page)
 	}
@@ -96,7 +96,7 @@
 func (f *Follower) applyPage(page platform.KeyedPage, at time.Time, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	fresh := f.state.add(page, f.opts.News)
+	fresh := f.state.add(page, f.opts.IsSignificant)
 	f.applyBatch(Batch{Records: fresh, At: at, From: from})
 }
 
@@ -156,7 +156,7 @@
 func (f *Follower) applyEarlier(records []platform.KeyedRecord, era int64, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	changed := f.state.mergePeer(records, f.opts.Rewritten)
+	changed := f.state.mergePeer(records, f.opts.RewriteTime)
 	if len(changed) == 0 {
 		return
 	}
@@ -167,7 +167,7 @@
 // resolve passes the records that have become certain by now to Options.Apply. The caller holds
 // the lock.
 func (f *Follower) resolve() {
-	changed := f.state.resolve(f.opts.Rewritten, f.opts.Doubt)
+	changed := f.state.resolve(f.opts.RewriteTime, f.opts.DoubtTime)
 	if len(changed) == 0 {
 		return
 	}
--- a/internal/keyed/era.go
+++ b/internal/keyed/era.go
@@ -9,16 +9,16 @@
 
 // Rank orders the values of a key by when they were written. It is read from the value itself.
 type Rank struct {
-	Life  int64 // of the writer; zero: the value does not have it
+	Incarnation  int64 // of the writer; zero: the value does not have it
 	Count int64 // rises with each value of an incarnation
 }
 
 // compare compares two ranks. ok is false if only one of them has an incarnation.
 func (r Rank) compare(other Rank) (order int, ok bool) {
-	if (r.Life == 0) != (other.Life == 0) {
+	if (r.Incarnation == 0) != (other.Incarnation == 0) {
 		return 0, false
 	}
-	return cmp.Or(cmp.Compare(r.Life, other.Life), cmp.Compare(r.Count, other.Count)), true
+	return cmp.Or(cmp.Compare(r.Incarnation, other.Incarnation), cmp.Compare(r.Count, other.Count)), true
 }
 
 // RankOf returns the rank of a value of a key. ok is false if the value has none.
--- a/internal/keyed/era_test.go
+++ b/internal/keyed/era_test.go
@@ -34,7 +34,7 @@
 func TestRecordAtReassignedOffsetIsNewer(t *testing.T) {
 	store := &fakeStore{era: 1}
 	f, table := newFollower(store, nil)
-	f.opts.Doubt = time.Hour
+	f.opts.DoubtTime = time.Hour
 	store.put("a", "1")
 	mustRead(t, f)
 	store.put("a", "2")
@@ -56,7 +56,7 @@
 func TestRestoredRecordIsDoubtfulUntilDoubtTime(t *testing.T) {
 	store := &fakeStore{era: 1}
 	f, table := newFollower(store, nil)
-	f.opts.Doubt = time.Hour
+	f.opts.DoubtTime = time.Hour
 	store.put("b", "1")
 	mustRead(t, f)
 	store.put("a", "1")
@@ -103,7 +103,7 @@
 	}
 	first.readStore() // it enters the new era and keeps what the store has lost
 	first.alone = false
-	second.follower.opts.Spread.unresponsive.RecordSuccess(first.host, time.Now())
+	second.follower.opts.Feed.unresponsive.RecordSuccess(first.host, time.Now())
 	second.read()
 	if got := second.knownNumber(); got != lost {
 		t.Errorf("it has %d, not %d", got, lost)
--- a/internal/keyed/fake_test.go
+++ b/internal/keyed/fake_test.go
@@ -88,7 +88,7 @@
 // fakePeers calls the Spreads of other daemons directly.
 type fakePeers struct {
 	hosts      []string // by rank
-	spreads    map[string]*Spread
+	spreads    map[string]*Feed
 	sameDomain []string       // hosts in the failure domain of the daemon that reads
 	asked      map[string]int // calls, by host
 	bytes      map[string]int // of packed records in the answers, by host
--- a/internal/keyed/follower.go
+++ b/internal/keyed/follower.go
@@ -27,34 +27,34 @@
 type Options struct {
 	Store   platform.Keyed
 	Stream  string
-	Pace    time.Duration // between the starts of two reads of the store
-	Wait    time.Duration // how long the store may keep a read open until a first record comes
+	ReadInterval    time.Duration // between the starts of two reads of the store
+	LongPoll    time.Duration // how long the store may keep a read open until a first record comes
 	Timeout time.Duration // of a read, in addition to Wait
-	// MostAge is the age up to which a reader's copy counts as fresh, that is, is as good as a
+	// MaxAge is the age up to which a reader's copy counts as fresh, that is, is as good as a
 	// read of the store: two intervals between its reads, the transfer time, and the time for
 	// which its reads stay open, during which the copy ages although nothing changes.
-	MostAge time.Duration
+	MaxAge time.Duration
 	// RankOf reads the ranks of values; nil: values are ordered by their offsets.
 	RankOf RankOf
 	// Rewritten is how long writers take at most to write again what the store has lost when it
 	// was restored from an older copy. After Doubt, the restored records count in any case.
-	Rewritten, Doubt time.Duration
-	// News reports whether peers need a key's new value; nil: they need each.
-	News func(before, after []byte) bool
-	// Spread reads from other daemons instead of the store; nil: never.
-	Spread   *Spread
-	PeerWait time.Duration // timeout for a peer's answer, in addition to PeerHold
+	RewriteTime, DoubtTime time.Duration
+	// IsSignificant reports whether peers need a key's new value; nil: they need each.
+	IsSignificant func(before, after []byte) bool
+	// Feed reads from other daemons instead of the store; nil: never.
+	Feed   *Feed
+	PeerTimeout time.Duration // timeout for a peer's answer, in addition to PeerHold
 	// PeerHold is how long a peer that has nothing new may hold its answer back.
 	PeerHold time.Duration
-	PeerPace time.Duration // between the starts of two reads from peers
-	// Patience is how long a Follower without data leaves the store to its readers, because all
+	PeerReadInterval time.Duration // between the starts of two reads from peers
+	// StartupDelay is how long a Follower without data leaves the store to its readers, because all
 	// daemons may have started at once. It ends early when Demand is closed: a caller waits for
 	// the data. A nil Demand never ends it.
-	Patience time.Duration
+	StartupDelay time.Duration
 	Demand   <-chan struct{}
 	Apply    func(Batch) // receives the result of each read
-	// Regained is called when the store, or a reader of it, has fresh data again; may be nil.
-	Regained func()
+	// OnRegained is called when the store, or a reader of it, has fresh data again; may be nil.
+	OnRegained func()
 	Log      *logrus.Entry
 }
 
@@ -83,8 +83,8 @@
 func New(o Options) *Follower {
 	f := &Follower{opts: o, log: o.Log.WithField("stream", o.Stream), started: time.Now(), readDone: make(chan struct{})}
 	f.state = newStreamState(o.RankOf)
-	if o.Spread != nil {
-		o.Spread.add(o.Stream, f)
+	if o.Feed != nil {
+		o.Feed.add(o.Stream, f)
 	}
 	return f
 }
@@ -105,9 +105,9 @@
 		switch {
 		case err == nil:
 			delay = minRetryDelay
-			interval := f.opts.Pace
+			interval := f.opts.ReadInterval
 			if f.fromPeer {
-				interval = f.opts.PeerPace
+				interval = f.opts.PeerReadInterval
 			}
 			wait.For(ctx, interval-time.Since(began))
 		case needsFullRead(err):
@@ -152,11 +152,11 @@
 // read reads once: from the daemons that precede this one in the reading order, then from the
 // store if this daemon is to read it, else from any other daemons.
 func (f *Follower) read(ctx context.Context) error {
-	s := f.opts.Spread
+	s := f.opts.Feed
 	if s == nil {
 		return f.readStoreOr(ctx, nil)
 	}
-	maxAge := f.opts.MostAge
+	maxAge := f.opts.MaxAge
 	if f.isStarting() {
 		return f.readOnePeer(ctx)
 	}
@@ -188,7 +188,7 @@
 
 // isStarting reports whether this daemon has just started, has no data, and no caller waits for it.
 func (f *Follower) isStarting() bool {
-	return f.hasNoData() && time.Since(f.started) < f.opts.Patience && !f.demanded()
+	return f.hasNoData() && time.Since(f.started) < f.opts.StartupDelay && !f.demanded()
 }
 
 // startupRetryDelay is the first delay after a failed read of a daemon that has just started.
@@ -197,7 +197,7 @@
 // readOnePeer reads from one peer only. All daemons may have started together: then none has any
 // data yet, and each peer that is called costs another connection.
 func (f *Follower) readOnePeer(ctx context.Context) error {
-	one := f.opts.Spread.fallbackPeers()
+	one := f.opts.Feed.fallbackPeers()
 	if f.readPeer(ctx, one[:min(1, len(one))], anyAge) {
 		return nil
 	}
@@ -209,10 +209,10 @@
 func (f *Follower) mayReadStore(reader bool) bool {
 	noData := f.hasNoData()
 	waited := time.Since(f.started)
-	if noData && waited < 2*f.opts.Patience && !f.demanded() {
+	if noData && waited < 2*f.opts.StartupDelay && !f.demanded() {
 		return reader
 	}
-	return reader || noData || f.opts.Spread.drawnToRead()
+	return reader || noData || f.opts.Feed.drawnToRead()
 }
 
 // demanded reports whether a caller waits for the data.
@@ -247,7 +247,7 @@
 		// peer in it is better than no service.
 		maxAge = anyAge
 	}
-	return f.readPeer(ctx, f.opts.Spread.fallbackPeers(), maxAge)
+	return f.readPeer(ctx, f.opts.Feed.fallbackPeers(), maxAge)
 }
 
 // hasNoData reports whether no read has succeeded yet.
@@ -260,9 +260,9 @@
 // errRestarted is returned by a read that was canceled in order to start it again.
 var errRestarted = errors.New("the read was restarted")
 
-// Kick cancels a read that is in progress, so that it is started again: the store may have been
+// RestartRead cancels a read that is in progress, so that it is started again: the store may have been
 // unreachable in the meantime and may never answer it.
-func (f *Follower) Kick() {
+func (f *Follower) RestartRead() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.cancelRead != nil {
@@ -275,7 +275,7 @@
 	f.fromPeer = false
 	began := time.Now()
 	outer := ctx
-	ctx, cancel := context.WithTimeout(ctx, f.opts.Timeout+f.opts.Wait)
+	ctx, cancel := context.WithTimeout(ctx, f.opts.Timeout+f.opts.LongPoll)
 	defer cancel()
 	readCtx, cancelRead := context.WithCancel(ctx)
 	defer cancelRead()
@@ -316,8 +316,8 @@
 	}
 	f.stale = false
 	f.log.Info("store_regained")
-	if f.opts.Regained != nil {
-		f.opts.Regained()
+	if f.opts.OnRegained != nil {
+		f.opts.OnRegained()
 	}
 }
 
--- a/internal/keyed/follower_test.go
+++ b/internal/keyed/follower_test.go
@@ -42,13 +42,13 @@
 	return t.values[key]
 }
 
-func newFollower(store platform.Keyed, spread *Spread) (*Follower, *table) {
+func newFollower(store platform.Keyed, spread *Feed) (*Follower, *table) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	tb := &table{values: map[string]string{}}
 	return New(Options{
-		Store: store, Stream: "s", Pace: time.Millisecond, Timeout: time.Second, MostAge: 900 * time.Millisecond,
-		Spread: spread, PeerWait: time.Second, Apply: tb.apply, Log: logrus.NewEntry(log),
+		Store: store, Stream: "s", ReadInterval: time.Millisecond, Timeout: time.Second, MaxAge: 900 * time.Millisecond,
+		Feed: spread, PeerTimeout: time.Second, Apply: tb.apply, Log: logrus.NewEntry(log),
 	}), tb
 }
 
@@ -109,11 +109,11 @@
 }
 
 func TestDaemonsReadFromReadersInOrder(t *testing.T) {
-	peers := &fakePeers{hosts: []string{"t1", "t2", "x"}, spreads: map[string]*Spread{}}
+	peers := &fakePeers{hosts: []string{"t1", "t2", "x"}, spreads: map[string]*Feed{}}
 	stores, followers, tables := map[string]*fakeStore{}, map[string]*Follower{}, map[string]*table{}
 	for _, h := range peers.hosts {
 		stores[h] = &fakeStore{}
-		peers.spreads[h] = NewSpread(h, peers)
+		peers.spreads[h] = NewFeed(h, peers)
 		followers[h], tables[h] = newFollower(stores[h], peers.spreads[h])
 		for _, value := range []string{"1", "2"} {
 			stores[h].put("a", value)
@@ -166,7 +166,7 @@
 	result := make(chan error)
 	go func() { result <- f.read(t.Context()) }()
 	<-store.entered
-	f.Kick()
+	f.RestartRead()
 	if err := <-result; err != errRestarted {
 		t.Errorf("got %v", err)
 	}
@@ -213,12 +213,12 @@
 // TestPeersGetTheRecordBeforeALateOne has a key whose newest record was written late. A
 // daemon that reads from a peer must get the record before it too, as one that reads the store.
 func TestPeersGetTheRecordBeforeALateOne(t *testing.T) {
-	peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Spread{}}
+	peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Feed{}}
 	store := &fakeStore{}
 	var seen []string
 	followers := map[string]*Follower{}
 	for _, h := range peers.hosts {
-		peers.spreads[h] = NewSpread(h, peers)
+		peers.spreads[h] = NewFeed(h, peers)
 		followers[h], _ = newFollower(store, peers.spreads[h])
 	}
 	followers["x"].opts.Apply = func(b Batch) {
@@ -255,15 +255,15 @@
 // TestFullReadOfPeerDoesNotHideRemoval has a reader that read all keys right after one
 // was removed, so that it has no record of the removal.
 func TestFullReadOfPeerDoesNotHideRemoval(t *testing.T) {
-	peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Spread{}}
+	peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Feed{}}
 	store := &fakeStore{}
 	store.put("gone", "1")
 	store.put("stays", "1")
-	peers.spreads["x"] = NewSpread("x", peers)
+	peers.spreads["x"] = NewFeed("x", peers)
 	x, table := newFollower(store, peers.spreads["x"])
 	mustRead(t, x)
 	store.put("gone", "")
-	peers.spreads["t1"] = NewSpread("t1", peers)
+	peers.spreads["t1"] = NewFeed("t1", peers)
 	t1, _ := newFollower(store, peers.spreads["t1"])
 	mustRead(t, t1)
 	mustRead(t, x)
@@ -277,15 +277,15 @@
 // old as the cut.
 func TestDaemonStartedInCutDomainAcceptsOldCopy(t *testing.T) {
 	hosts := []string{"far1", "far2", "far3", "far4", "far5", "far6", "near", "new"}
-	peers := &fakePeers{hosts: hosts, spreads: map[string]*Spread{}, sameDomain: []string{"near", "new"}}
+	peers := &fakePeers{hosts: hosts, spreads: map[string]*Feed{}, sameDomain: []string{"near", "new"}}
 	store := &fakeStore{}
 	store.put("a", "1")
-	peers.spreads["near"] = NewSpread("near", peers)
+	peers.spreads["near"] = NewFeed("near", peers)
 	near, _ := newFollower(store, peers.spreads["near"])
 	mustRead(t, near)
 	near.state.at = near.state.at.Add(-time.Hour)
 	store.set(func(s *fakeStore) { s.down = true })
-	fresh, table := newFollower(store, NewSpread("new", peers))
+	fresh, table := newFollower(store, NewFeed("new", peers))
 	mustRead(t, fresh)
 	if table.get("a") != "1" {
 		t.Fatalf("got %v", table.values)
--- a/internal/keyed/group_test.go
+++ b/internal/keyed/group_test.go
@@ -23,7 +23,7 @@
 // daemon that reads.
 func newGroup(t *testing.T, n int) *daemonGroup {
 	f := &daemonGroup{
-		peers:     &fakePeers{spreads: map[string]*Spread{}},
+		peers:     &fakePeers{spreads: map[string]*Feed{}},
 		stores:    map[string]*fakeStore{},
 		followers: map[string]*Follower{},
 		tables:    map[string]*table{},
@@ -38,7 +38,7 @@
 	for _, h := range f.peers.hosts {
 		f.stores[h] = &fakeStore{}
 		f.stores[h].put("a", "1")
-		f.peers.spreads[h] = NewSpread(h, f.peers)
+		f.peers.spreads[h] = NewFeed(h, f.peers)
 		f.followers[h], f.tables[h] = newFollower(f.stores[h], f.peers.spreads[h])
 		mustRead(t, f.followers[h])
 	}
--- a/internal/keyed/simulation_test.go
+++ b/internal/keyed/simulation_test.go
@@ -86,14 +86,14 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	o := Options{
-		Store: d, Stream: "s", Timeout: time.Second, MostAge: time.Hour, Spread: NewSpread(host, d), PeerWait: time.Second,
-		Rewritten: time.Hour, Doubt: time.Hour, Apply: d.apply, Log: logrus.NewEntry(log),
+		Store: d, Stream: "s", Timeout: time.Second, MaxAge: time.Hour, Feed: NewFeed(host, d), PeerTimeout: time.Second,
+		RewriteTime: time.Hour, DoubtTime: time.Hour, Apply: d.apply, Log: logrus.NewEntry(log),
 	}
-	o.News = func(before, after []byte) bool { return !bytes.Equal(before, after) }
+	o.IsSignificant = func(before, after []byte) bool { return !bytes.Equal(before, after) }
 	if release == thisRelease {
 		o.RankOf = rankOfValue
 	}
-	o.Spread.random = rand.NewPCG(w.rng.Uint64(), 0)
+	o.Feed.random = rand.NewPCG(w.rng.Uint64(), 0)
 	d.follower = New(o)
 	return d
 }
@@ -291,7 +291,7 @@
 	if d.release == formerRelease {
 		req.Era = platform.NoEra
 	}
-	err := other.follower.opts.Spread.RPC().Since(&req, answer)
+	err := other.follower.opts.Feed.RPC().Since(&req, answer)
 	if d.release == thisRelease && other.release == thisRelease || err != nil {
 		return err
 	}
--- a/internal/keyed/sources.go
+++ b/internal/keyed/sources.go
@@ -48,7 +48,7 @@
 // so each daemon answers a few others, whatever the size of the fleet, and only the roots call
 // other failure domains. If its parent does not answer, a daemon calls its further ancestors and
 // then the readers.
-func (s *Spread) sources() sources {
+func (s *Feed) sources() sources {
 	ranked := s.peers.Rank(readerKey, math.MaxInt)
 	var from sources
 	readers := membership.TopAndNearby(ranked, siteReaders, domainReaders, s.peers.SameDomain)
@@ -73,7 +73,7 @@
 }
 
 // ancestors returns the daemons above this one in the tree of its failure domain, parent first.
-func (s *Spread) ancestors(ranked []membership.Member) []membership.Member {
+func (s *Feed) ancestors(ranked []membership.Member) []membership.Member {
 	var near []membership.Member
 	at := -1
 	for _, m := range ranked {
@@ -96,7 +96,7 @@
 // drawnToRead reports at random whether this daemon is to read the store although it is no reader.
 // All daemons draw while no reader has fresh data, so that a few try wherever the store may be
 // reachable, and the others read from one that succeeds.
-func (s *Spread) drawnToRead() bool {
+func (s *Feed) drawnToRead() bool {
 	near := 1
 	for _, m := range s.peers.Members() {
 		if m.Host != s.host && m.State != membership.Dead && s.peers.SameDomain(m.Host) {
@@ -108,7 +108,7 @@
 
 // fallbackPeers returns a few random daemons that are not known to be dead, those of the own
 // failure domain first: if the domain is cut off, no others can be reached.
-func (s *Spread) fallbackPeers() []membership.Member {
+func (s *Feed) fallbackPeers() []membership.Member {
 	var others []membership.Member
 	for _, m := range s.peers.Members() {
 		if m.Host != s.host && m.State != membership.Dead {
@@ -123,7 +123,7 @@
 }
 
 // distance returns 0 for daemons of the own failure domain and 1 for others.
-func (s *Spread) distance(m membership.Member) int {
+func (s *Feed) distance(m membership.Member) int {
 	if s.peers.SameDomain(m.Host) {
 		return 0
 	}
--- a/internal/keyed/spread.go
+++ b/internal/keyed/spread.go
@@ -30,8 +30,8 @@
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// Spread lets daemons read streams from each other. It is safe for concurrent use.
-type Spread struct {
+// Feed lets daemons read streams from each other. It is safe for concurrent use.
+type Feed struct {
 	host   string
 	peers  Peers
 	random rand.Source
@@ -54,9 +54,9 @@
 
 func (globalSource) Uint64() uint64 { return rand.Uint64() }
 
-// NewSpread returns a Spread of the daemon on a host.
-func NewSpread(host string, peers Peers) *Spread {
-	return &Spread{
+// NewFeed returns a Spread of the daemon on a host.
+func NewFeed(host string, peers Peers) *Feed {
+	return &Feed{
 		host:         host,
 		peers:        peers,
 		random:       globalSource{},
@@ -65,13 +65,13 @@
 	}
 }
 
-func (s *Spread) add(stream string, f *Follower) {
+func (s *Feed) add(stream string, f *Follower) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.followers[stream] = f
 }
 
-func (s *Spread) follower(stream string) *Follower {
+func (s *Feed) follower(stream string) *Follower {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.followers[stream]
@@ -111,10 +111,10 @@
 const versionOfEras = 1
 
 // RPC has the RPC methods that other daemons call.
-type RPC struct{ s *Spread }
+type RPC struct{ s *Feed }
 
 // RPC returns the receiver to register as ServiceName with the RPC server.
-func (s *Spread) RPC() *RPC { return &RPC{s} }
+func (s *Feed) RPC() *RPC { return &RPC{s} }
 
 var errNoData = merry.Sentinel("no data of the stream yet")
 
@@ -157,7 +157,7 @@
 	f.mu.Lock()
 	done := f.readDone
 	hasNews := f.state.at.IsZero() || f.otherEra(req) || req.From < f.state.recentFrom || len(f.state.recordsSince(req.From)) > 0
-	fresh := f.opts.MostAge - time.Since(f.state.at)
+	fresh := f.opts.MaxAge - time.Since(f.state.at)
 	f.mu.Unlock()
 	hold := min(req.Hold, maxHold, fresh)
 	if hasNews || hold <= 0 {
@@ -176,7 +176,7 @@
 // readPeer reads from the first of the daemons whose copy is not older than maxAge. It returns
 // false if none has such a copy.
 func (f *Follower) readPeer(ctx context.Context, from []membership.Member, maxAge time.Duration) bool {
-	s := f.opts.Spread
+	s := f.opts.Feed
 	for _, m := range from {
 		if m.Host == s.host || s.isUnresponsive(m.Host) {
 			continue
@@ -199,11 +199,11 @@
 func (f *Follower) askPeer(ctx context.Context, m membership.Member, from int64) (reply SinceReply, records []platform.KeyedRecord, ok bool) {
 	era := f.position().era
 	req := SinceRequest{Stream: f.opts.Stream, From: from, Era: era, Hold: f.opts.PeerHold}
-	timeout := f.opts.PeerWait + f.opts.PeerHold
-	err := f.opts.Spread.call(ctx, m, req, timeout, &reply)
+	timeout := f.opts.PeerTimeout + f.opts.PeerHold
+	err := f.opts.Feed.call(ctx, m, req, timeout, &reply)
 	if err == nil && reply.Era > era && !reply.Whole && req.From != allKeys {
 		req.From, reply = allKeys, SinceReply{}
-		err = f.opts.Spread.call(ctx, m, req, timeout, &reply)
+		err = f.opts.Feed.call(ctx, m, req, timeout, &reply)
 	}
 	if err != nil {
 		return reply, nil, false
@@ -236,7 +236,7 @@
 	case reply.Era < at.era:
 		f.applyEarlier(records, reply.Era, host)
 		if reply.Version >= versionOfEras {
-			f.opts.Spread.markBehind(host)
+			f.opts.Feed.markBehind(host)
 		}
 		return false
 	case reply.Next < at.next, reply.Age > maxAge && !f.peerIsNewer(reply):
@@ -254,8 +254,8 @@
 // recoverFromPeers calls other daemons, until one answers, for records that the store may have
 // lost before this daemon started: so far it only has data of the store itself.
 func (f *Follower) recoverFromPeers(ctx context.Context) {
-	for _, m := range f.opts.Spread.fallbackPeers() {
-		if f.opts.Spread.isUnresponsive(m.Host) {
+	for _, m := range f.opts.Feed.fallbackPeers() {
+		if f.opts.Feed.isUnresponsive(m.Host) {
 			continue
 		}
 		reply, records, ok := f.askPeer(ctx, m, allKeys)
@@ -278,21 +278,21 @@
 	return !f.state.at.IsZero() && r.Next > f.state.next && time.Since(f.state.at) > r.Age
 }
 
-func (s *Spread) isUnresponsive(host string) bool {
+func (s *Feed) isUnresponsive(host string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Contains(s.unresponsive.Avoided(time.Now()), host)
 }
 
 // markBehind avoids a daemon for a while whose copy is of an earlier era than the one here.
-func (s *Spread) markBehind(host string) {
+func (s *Feed) markBehind(host string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unresponsive.RecordFailure(host, time.Now())
 }
 
 // call requests records from a daemon and records whether it has answered.
-func (s *Spread) call(ctx context.Context, m membership.Member, req SinceRequest, timeout time.Duration, reply *SinceReply) error {
+func (s *Feed) call(ctx context.Context, m membership.Member, req SinceRequest, timeout time.Duration, reply *SinceReply) error {
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	err := s.peers.Call(callCtx, m.Address, ServiceName+".Since", &req, reply)
--- a/internal/keyed/tree_test.go
+++ b/internal/keyed/tree_test.go
@@ -96,13 +96,13 @@
 func TestHeartbeatsAreNotSentToPeers(t *testing.T) {
 	bytes := map[int]int{}
 	for _, upstreams := range []int{100, 200, 400} {
-		peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Spread{}, asked: map[string]int{}, bytes: map[string]int{}}
+		peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Feed{}, asked: map[string]int{}, bytes: map[string]int{}}
 		store := &fakeStore{}
 		followers, tables := map[string]*Follower{}, map[string]*table{}
 		for _, h := range peers.hosts {
-			peers.spreads[h] = NewSpread(h, peers)
+			peers.spreads[h] = NewFeed(h, peers)
 			followers[h], tables[h] = newFollower(store, peers.spreads[h])
-			followers[h].opts.News = contentDiffers
+			followers[h].opts.IsSignificant = contentDiffers
 		}
 		beat := func(n int) {
 			for i := range upstreams {
@@ -136,10 +136,10 @@
 // read succeeds, so that a change passes a level of the tree without delay, and that a daemon
 // without changes is called only as often as the store is read.
 func TestHeldAnswerIsSentAfterNextRead(t *testing.T) {
-	peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Spread{}}
+	peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Feed{}}
 	store := &fakeStore{}
 	store.put("a", "1")
-	peers.spreads["t1"], peers.spreads["x"] = NewSpread("t1", peers), NewSpread("x", peers)
+	peers.spreads["t1"], peers.spreads["x"] = NewFeed("t1", peers), NewFeed("x", peers)
 	t1, _ := newFollower(store, peers.spreads["t1"])
 	x, tb := newFollower(store, peers.spreads["x"])
 	x.opts.PeerHold = time.Hour // limited by the peer
@@ -194,8 +194,8 @@
 	start := func(began time.Time, demand chan struct{}) {
 		for h, x := range f.followers {
 			x.state = streamState{next: -1, records: map[string]platform.KeyedRecord{}}
-			x.started, x.opts.Patience, x.opts.Demand = began, time.Hour, demand
-			f.peers.spreads[h] = NewSpread(h, f.peers)
+			x.started, x.opts.StartupDelay, x.opts.Demand = began, time.Hour, demand
+			f.peers.spreads[h] = NewFeed(h, f.peers)
 			f.peers.spreads[h].add("s", x)
 		}
 		f.set(func(string) bool { return false })
