--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -106,14 +106,14 @@
 // followOptions returns what both followers have in common.
 func (p *process) followOptions(ms float64) keyed.Options {
 	return keyed.Options{
-		Store:    p.store,
-		PeerHold: fractionOf(ms, peerHoldFraction),
+		Store:            p.store,
+		PeerHold:         fractionOf(ms, peerHoldFraction),
 		PeerReadInterval: peerReadInterval,
-		StartupDelay: p.startupDelay(),
-		DoubtTime:    restoredCopyDoubt,
-		Demand:   p.admitter.Demanded(),
-		Feed:   p.spread,
-		Log:      p.log,
+		StartupDelay:     p.startupDelay(),
+		DoubtTime:        restoredCopyDoubt,
+		Demand:           p.admitter.Demanded(),
+		Feed:             p.spread,
+		Log:              p.log,
 	}
 }
 
--- a/internal/keyed/era.go
+++ b/internal/keyed/era.go
@@ -9,8 +9,8 @@
 
 // Rank orders the values of a key by when they were written. It is read from the value itself.
 type Rank struct {
-	Incarnation  int64 // of the writer; zero: the value does not have it
-	Count int64 // rises with each value of an incarnation
+	Incarnation int64 // of the writer; zero: the value does not have it
+	Count       int64 // rises with each value of an incarnation
 }
 
 // compare compares two ranks. ok is false if only one of them has an incarnation.
--- a/internal/keyed/follower.go
+++ b/internal/keyed/follower.go
@@ -25,11 +25,11 @@
 // Options configure a Follower. All durations must be positive, except that Wait and Patience may
 // be zero.
 type Options struct {
-	Store   platform.Keyed
-	Stream  string
-	ReadInterval    time.Duration // between the starts of two reads of the store
-	LongPoll    time.Duration // how long the store may keep a read open until a first record comes
-	Timeout time.Duration // of a read, in addition to Wait
+	Store        platform.Keyed
+	Stream       string
+	ReadInterval time.Duration // between the starts of two reads of the store
+	LongPoll     time.Duration // how long the store may keep a read open until a first record comes
+	Timeout      time.Duration // of a read, in addition to Wait
 	// MaxAge is the age up to which a reader's copy counts as fresh, that is, is as good as a
 	// read of the store: two intervals between its reads, the transfer time, and the time for
 	// which its reads stay open, during which the copy ages although nothing changes.
@@ -42,20 +42,20 @@
 	// IsSignificant reports whether peers need a key's new value; nil: they need each.
 	IsSignificant func(before, after []byte) bool
 	// Feed reads from other daemons instead of the store; nil: never.
-	Feed   *Feed
+	Feed        *Feed
 	PeerTimeout time.Duration // timeout for a peer's answer, in addition to PeerHold
 	// PeerHold is how long a peer that has nothing new may hold its answer back.
-	PeerHold time.Duration
+	PeerHold         time.Duration
 	PeerReadInterval time.Duration // between the starts of two reads from peers
 	// StartupDelay is how long a Follower without data leaves the store to its readers, because all
 	// daemons may have started at once. It ends early when Demand is closed: a caller waits for
 	// the data. A nil Demand never ends it.
 	StartupDelay time.Duration
-	Demand   <-chan struct{}
-	Apply    func(Batch) // receives the result of each read
+	Demand       <-chan struct{}
+	Apply        func(Batch) // receives the result of each read
 	// OnRegained is called when the store, or a reader of it, has fresh data again; may be nil.
 	OnRegained func()
-	Log      *logrus.Entry
+	Log        *logrus.Entry
 }
 
 // Follower follows one stream.
