--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -112,7 +112,7 @@
 		StartupDelay:     p.startupDelay(),
 		DoubtTime:        restoredCopyDoubt,
 		Demand:           p.admitter.Demanded(),
-		Feed:             p.spread,
+		Feed:             p.feed,
 		Log:              p.log,
 	}
 }
--- a/internal/edge/process.go
+++ b/internal/edge/process.go
@@ -33,7 +33,7 @@
 	store    platform.Keyed
 	node     *peer.Node
 	peers    *peers
-	spread   *keyed.Feed
+	feed     *keyed.Feed
 	schedule *schedule.Service
 	balancer *plainBalancer
 	suspects *suspects.Tracker
@@ -159,8 +159,8 @@
 		Limits:      p.notices.Limits,
 		Log:         p.log,
 	})
-	p.spread = keyed.NewFeed(p.cfg.Host, ranked)
-	if err := node.Register(keyed.ServiceName, p.spread.RPC()); err != nil {
+	p.feed = keyed.NewFeed(p.cfg.Host, ranked)
+	if err := node.Register(keyed.ServiceName, p.feed.RPC()); err != nil {
 		return err
 	}
 	return node.Register(schedule.ServiceName, p.schedule.RPC())
--- a/internal/keyed/fake_test.go
+++ b/internal/keyed/fake_test.go
@@ -85,10 +85,10 @@
 
 func (s *fakeStore) Put(context.Context, string, string, []byte) error { return nil }
 
-// fakePeers calls the Spreads of other daemons directly.
+// fakePeers calls the Feeds of other daemons directly.
 type fakePeers struct {
 	hosts      []string // by rank
-	spreads    map[string]*Feed
+	feeds      map[string]*Feed
 	sameDomain []string       // hosts in the failure domain of the daemon that reads
 	asked      map[string]int // calls, by host
 	bytes      map[string]int // of packed records in the answers, by host
@@ -112,7 +112,7 @@
 }
 
 func (p *fakePeers) Call(_ context.Context, address, _ string, args, reply any) error {
-	s := p.spreads[address]
+	s := p.feeds[address]
 	if s == nil {
 		return merry.New("no such daemon")
 	}
--- a/internal/keyed/spread.go
+++ b/internal/keyed/feed.go
@@ -54,7 +54,7 @@
 
 func (globalSource) Uint64() uint64 { return rand.Uint64() }
 
-// NewFeed returns a Spread of the daemon on a host.
+// NewFeed returns the Feed of the daemon on a host.
 func NewFeed(host string, peers Peers) *Feed {
 	return &Feed{
 		host:         host,
--- a/internal/keyed/follower.go
+++ b/internal/keyed/follower.go
@@ -22,28 +22,28 @@
 	From    string    // the host whose copy was read; empty: the store
 }
 
-// Options configure a Follower. All durations must be positive, except that Wait and Patience may
-// be zero.
+// Options configure a Follower. All durations must be positive, except that LongPoll and
+// StartupDelay may be zero.
 type Options struct {
 	Store        platform.Keyed
 	Stream       string
 	ReadInterval time.Duration // between the starts of two reads of the store
 	LongPoll     time.Duration // how long the store may keep a read open until a first record comes
-	Timeout      time.Duration // of a read, in addition to Wait
+	Timeout      time.Duration // of a read, in addition to LongPoll
 	// MaxAge is the age up to which a reader's copy counts as fresh, that is, is as good as a
 	// read of the store: two intervals between its reads, the transfer time, and the time for
 	// which its reads stay open, during which the copy ages although nothing changes.
 	MaxAge time.Duration
 	// RankOf reads the ranks of values; nil: values are ordered by their offsets.
 	RankOf RankOf
-	// Rewritten is how long writers take at most to write again what the store has lost when it
-	// was restored from an older copy. After Doubt, the restored records count in any case.
+	// RewriteTime is how long writers take at most to write again what the store has lost when it
+	// was restored from an older copy. After DoubtTime, the restored records count in any case.
 	RewriteTime, DoubtTime time.Duration
 	// IsSignificant reports whether peers need a key's new value; nil: they need each.
 	IsSignificant func(before, after []byte) bool
 	// Feed reads from other daemons instead of the store; nil: never.
 	Feed        *Feed
-	PeerTimeout time.Duration // timeout for a peer's answer, in addition to PeerHold
+	PeerTimeout time.Duration // for a peer's answer, in addition to PeerHold
 	// PeerHold is how long a peer that has nothing new may hold its answer back.
 	PeerHold         time.Duration
 	PeerReadInterval time.Duration // between the starts of two reads from peers
@@ -260,8 +260,8 @@
 // errRestarted is returned by a read that was canceled in order to start it again.
 var errRestarted = errors.New("the read was restarted")
 
-// RestartRead cancels a read that is in progress, so that it is started again: the store may have been
-// unreachable in the meantime and may never answer it.
+// RestartRead cancels a read that is in progress, so that it is started again: the store may have
+// been unreachable in the meantime and may never answer it.
 func (f *Follower) RestartRead() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -270,7 +270,7 @@
 	}
 }
 
-// readStore reads the store once. It returns errRestarted if the read was canceled by Kick.
+// readStore reads the store once. It returns errRestarted if the read was canceled by RestartRead.
 func (f *Follower) readStore(ctx context.Context) error {
 	f.fromPeer = false
 	began := time.Now()
@@ -309,7 +309,7 @@
 	f.log.WithError(err).Warn("store_lost")
 }
 
-// markFresh logs store_regained and calls Regained when the data is fresh again.
+// markFresh logs store_regained and calls OnRegained when the data is fresh again.
 func (f *Follower) markFresh() {
 	if !f.stale {
 		return
--- a/internal/keyed/follower_test.go
+++ b/internal/keyed/follower_test.go
@@ -42,13 +42,13 @@
 	return t.values[key]
 }
 
-func newFollower(store platform.Keyed, spread *Feed) (*Follower, *table) {
+func newFollower(store platform.Keyed, feed *Feed) (*Follower, *table) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	tb := &table{values: map[string]string{}}
 	return New(Options{
 		Store: store, Stream: "s", ReadInterval: time.Millisecond, Timeout: time.Second, MaxAge: 900 * time.Millisecond,
-		Feed: spread, PeerTimeout: time.Second, Apply: tb.apply, Log: logrus.NewEntry(log),
+		Feed: feed, PeerTimeout: time.Second, Apply: tb.apply, Log: logrus.NewEntry(log),
 	}), tb
 }
 
@@ -109,12 +109,12 @@
 }
 
 func TestDaemonsReadFromReadersInOrder(t *testing.T) {
-	peers := &fakePeers{hosts: []string{"t1", "t2", "x"}, spreads: map[string]*Feed{}}
+	peers := &fakePeers{hosts: []string{"t1", "t2", "x"}, feeds: map[string]*Feed{}}
 	stores, followers, tables := map[string]*fakeStore{}, map[string]*Follower{}, map[string]*table{}
 	for _, h := range peers.hosts {
 		stores[h] = &fakeStore{}
-		peers.spreads[h] = NewFeed(h, peers)
-		followers[h], tables[h] = newFollower(stores[h], peers.spreads[h])
+		peers.feeds[h] = NewFeed(h, peers)
+		followers[h], tables[h] = newFollower(stores[h], peers.feeds[h])
 		for _, value := range []string{"1", "2"} {
 			stores[h].put("a", value)
 		}
@@ -129,14 +129,14 @@
 		t.Error("the second reader reads the store as well as the first")
 	}
 	// The first is gone: the second reads the store, the others read from it.
-	first := peers.spreads["t1"]
-	delete(peers.spreads, "t1")
+	first := peers.feeds["t1"]
+	delete(peers.feeds, "t1")
 	mustRead(t, followers["t2"])
 	mustRead(t, followers["x"])
 	if stores["t2"].reads != 1 || stores["x"].reads != 0 {
 		t.Errorf("the second reader has read the store %d times, another daemon %d", stores["t2"].reads, stores["x"].reads)
 	}
-	peers.spreads["t1"] = first
+	peers.feeds["t1"] = first
 	// The store refuses t2.
 	stores["t2"].set(func(s *fakeStore) { s.down = true })
 	mustRead(t, followers["t2"])
@@ -144,7 +144,7 @@
 		t.Errorf("got %v", tables["t2"].values)
 	}
 	// A removal reaches daemons that read from peers, once t1 is no longer avoided.
-	peers.spreads["x"].unresponsive = avoid.New(avoid.Options{})
+	peers.feeds["x"].unresponsive = avoid.New(avoid.Options{})
 	stores["t1"].put("a", "")
 	mustRead(t, followers["t1"])
 	mustRead(t, followers["x"])
@@ -152,8 +152,8 @@
 		t.Errorf("got %v", tables["x"].values)
 	}
 	// No peer with data answers: the store is read.
-	delete(peers.spreads, "t1")
-	delete(peers.spreads, "t2")
+	delete(peers.feeds, "t1")
+	delete(peers.feeds, "t2")
 	mustRead(t, followers["x"])
 	if stores["x"].reads != 1 {
 		t.Errorf("%d reads of the store", stores["x"].reads)
@@ -213,13 +213,13 @@
 // TestPeersGetTheRecordBeforeALateOne has a key whose newest record was written late. A
 // daemon that reads from a peer must get the record before it too, as one that reads the store.
 func TestPeersGetTheRecordBeforeALateOne(t *testing.T) {
-	peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Feed{}}
+	peers := &fakePeers{hosts: []string{"t1", "x"}, feeds: map[string]*Feed{}}
 	store := &fakeStore{}
 	var seen []string
 	followers := map[string]*Follower{}
 	for _, h := range peers.hosts {
-		peers.spreads[h] = NewFeed(h, peers)
-		followers[h], _ = newFollower(store, peers.spreads[h])
+		peers.feeds[h] = NewFeed(h, peers)
+		followers[h], _ = newFollower(store, peers.feeds[h])
 	}
 	followers["x"].opts.Apply = func(b Batch) {
 		for _, r := range b.Records {
@@ -255,16 +255,16 @@
 // TestFullReadOfPeerDoesNotHideRemoval has a reader that read all keys right after one
 // was removed, so that it has no record of the removal.
 func TestFullReadOfPeerDoesNotHideRemoval(t *testing.T) {
-	peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Feed{}}
+	peers := &fakePeers{hosts: []string{"t1", "x"}, feeds: map[string]*Feed{}}
 	store := &fakeStore{}
 	store.put("gone", "1")
 	store.put("stays", "1")
-	peers.spreads["x"] = NewFeed("x", peers)
-	x, table := newFollower(store, peers.spreads["x"])
+	peers.feeds["x"] = NewFeed("x", peers)
+	x, table := newFollower(store, peers.feeds["x"])
 	mustRead(t, x)
 	store.put("gone", "")
-	peers.spreads["t1"] = NewFeed("t1", peers)
-	t1, _ := newFollower(store, peers.spreads["t1"])
+	peers.feeds["t1"] = NewFeed("t1", peers)
+	t1, _ := newFollower(store, peers.feeds["t1"])
 	mustRead(t, t1)
 	mustRead(t, x)
 	if table.get("gone") != "" || table.get("stays") != "1" {
@@ -277,11 +277,11 @@
 // old as the cut.
 func TestDaemonStartedInCutDomainAcceptsOldCopy(t *testing.T) {
 	hosts := []string{"far1", "far2", "far3", "far4", "far5", "far6", "near", "new"}
-	peers := &fakePeers{hosts: hosts, spreads: map[string]*Feed{}, sameDomain: []string{"near", "new"}}
+	peers := &fakePeers{hosts: hosts, feeds: map[string]*Feed{}, sameDomain: []string{"near", "new"}}
 	store := &fakeStore{}
 	store.put("a", "1")
-	peers.spreads["near"] = NewFeed("near", peers)
-	near, _ := newFollower(store, peers.spreads["near"])
+	peers.feeds["near"] = NewFeed("near", peers)
+	near, _ := newFollower(store, peers.feeds["near"])
 	mustRead(t, near)
 	near.state.at = near.state.at.Add(-time.Hour)
 	store.set(func(s *fakeStore) { s.down = true })
--- a/internal/keyed/group_test.go
+++ b/internal/keyed/group_test.go
@@ -23,7 +23,7 @@
 // daemon that reads.
 func newGroup(t *testing.T, n int) *daemonGroup {
 	f := &daemonGroup{
-		peers:     &fakePeers{spreads: map[string]*Feed{}},
+		peers:     &fakePeers{feeds: map[string]*Feed{}},
 		stores:    map[string]*fakeStore{},
 		followers: map[string]*Follower{},
 		tables:    map[string]*table{},
@@ -38,8 +38,8 @@
 	for _, h := range f.peers.hosts {
 		f.stores[h] = &fakeStore{}
 		f.stores[h].put("a", "1")
-		f.peers.spreads[h] = NewFeed(h, f.peers)
-		f.followers[h], f.tables[h] = newFollower(f.stores[h], f.peers.spreads[h])
+		f.peers.feeds[h] = NewFeed(h, f.peers)
+		f.followers[h], f.tables[h] = newFollower(f.stores[h], f.peers.feeds[h])
 		mustRead(t, f.followers[h])
 	}
 	return f
@@ -70,8 +70,8 @@
 	return reads
 }
 
-// TestFewDaemonsTryAnUnavailableStore covers a store that is down for all of many daemons. Each try costs
-// the store something, and one successful read is enough for all daemons.
+// TestFewDaemonsTryAnUnavailableStore covers a store that is down for all of many daemons. Each
+// try costs the store something, and one successful read is enough for all daemons.
 func TestFewDaemonsTryAnUnavailableStore(t *testing.T) {
 	const daemons, rounds = 300, 10
 	f := newGroup(t, daemons)
@@ -114,7 +114,8 @@
 }
 
 // TestFewServedDaemonsSupplyAll covers a store that refuses all its usual readers and a third
-// of the other daemons: what a few of the rest read reaches all daemons within eight tries, half a second apart.
+// of the other daemons: what a few of the rest read reaches all daemons within eight tries, half
+// a second apart.
 func TestFewServedDaemonsSupplyAll(t *testing.T) {
 	const daemons, rounds = 300, 8
 	f := newGroup(t, daemons)
--- a/internal/keyed/tree_test.go
+++ b/internal/keyed/tree_test.go
@@ -47,7 +47,7 @@
 		f := newDomainGroup(t, daemons)
 		deepest := 0
 		for _, h := range f.peers.hosts {
-			deepest = max(deepest, f.peers.spreads[h].sources().levels)
+			deepest = max(deepest, f.peers.feeds[h].sources().levels)
 		}
 		if deepest > levels {
 			t.Errorf("%d daemons: %d levels", daemons, deepest)
@@ -62,7 +62,7 @@
 	f.set(func(string) bool { return false })
 	for i, h := range f.peers.hosts {
 		if i%3 == 1 {
-			delete(f.peers.spreads, h)
+			delete(f.peers.feeds, h)
 			delete(f.followers, h)
 		}
 	}
@@ -96,12 +96,12 @@
 func TestHeartbeatsAreNotSentToPeers(t *testing.T) {
 	bytes := map[int]int{}
 	for _, upstreams := range []int{100, 200, 400} {
-		peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Feed{}, asked: map[string]int{}, bytes: map[string]int{}}
+		peers := &fakePeers{hosts: []string{"t1", "x"}, feeds: map[string]*Feed{}, asked: map[string]int{}, bytes: map[string]int{}}
 		store := &fakeStore{}
 		followers, tables := map[string]*Follower{}, map[string]*table{}
 		for _, h := range peers.hosts {
-			peers.spreads[h] = NewFeed(h, peers)
-			followers[h], tables[h] = newFollower(store, peers.spreads[h])
+			peers.feeds[h] = NewFeed(h, peers)
+			followers[h], tables[h] = newFollower(store, peers.feeds[h])
 			followers[h].opts.IsSignificant = contentDiffers
 		}
 		beat := func(n int) {
@@ -136,12 +136,12 @@
 // read succeeds, so that a change passes a level of the tree without delay, and that a daemon
 // without changes is called only as often as the store is read.
 func TestHeldAnswerIsSentAfterNextRead(t *testing.T) {
-	peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Feed{}}
+	peers := &fakePeers{hosts: []string{"t1", "x"}, feeds: map[string]*Feed{}}
 	store := &fakeStore{}
 	store.put("a", "1")
-	peers.spreads["t1"], peers.spreads["x"] = NewFeed("t1", peers), NewFeed("x", peers)
-	t1, _ := newFollower(store, peers.spreads["t1"])
-	x, tb := newFollower(store, peers.spreads["x"])
+	peers.feeds["t1"], peers.feeds["x"] = NewFeed("t1", peers), NewFeed("x", peers)
+	t1, _ := newFollower(store, peers.feeds["t1"])
+	x, tb := newFollower(store, peers.feeds["x"])
 	x.opts.PeerHold = time.Hour // limited by the peer
 	mustRead(t, t1)
 	mustRead(t, x)
@@ -195,8 +195,8 @@
 		for h, x := range f.followers {
 			x.state = streamState{next: -1, records: map[string]platform.KeyedRecord{}}
 			x.started, x.opts.StartupDelay, x.opts.Demand = began, time.Hour, demand
-			f.peers.spreads[h] = NewFeed(h, f.peers)
-			f.peers.spreads[h].add("s", x)
+			f.peers.feeds[h] = NewFeed(h, f.peers)
+			f.peers.feeds[h].add("s", x)
 		}
 		f.set(func(string) bool { return false })
 	}
@@ -214,7 +214,7 @@
 		}
 	}
 	start(time.Now().Add(-3*time.Hour), nil)
-	delete(f.peers.spreads, f.peers.hosts[0])
+	delete(f.peers.feeds, f.peers.hosts[0])
 	if err := f.followers[f.peers.hosts[9]].read(t.Context()); err != nil {
 		t.Errorf("a daemon that has waited long: %v", err)
 	}
