--- a/internal/keyed/apply.go
+++ b/internal/keyed/apply.go
@@ -13,7 +13,7 @@
 var (
 	// errLaterEra requires a read of all keys: offsets of the former era are invalid in the new one.
 	errLaterEra = errors.New("the store answers in a later era")
-	// errEarlierEra may be of an answer that was in progress while the store was restored.
+	// errEarlierEra is returned for an answer that was in progress while the store was restored.
 	errEarlierEra = errors.New("the store answers in an earlier era")
 )
 
@@ -32,8 +32,8 @@
 	return position{f.state.era, f.state.next, f.state.storeOnly}
 }
 
-// restart makes the next read of the store request all keys.
-func (f *Follower) restart() { f.readAllNext = true }
+// requestFullRead makes the next read of the store request all keys.
+func (f *Follower) requestFullRead() { f.readAllNext = true }
 
 // readFrom reads the store from an offset on, or all keys, and applies the answer.
 func (f *Follower) readFrom(ctx context.Context, next int64, began time.Time) error {
@@ -135,18 +135,18 @@
 func (f *Follower) applyEra(page platform.KeyedPage, start eraStart, at time.Time, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c := &f.state
-	first, formerEra, formerNext := !c.hasRead(), c.era, c.next
-	changed := c.enterEra(page, start.since, start.certain)
-	storeEra(f.opts.Stream).Set(float64(c.era))
+	s := &f.state
+	first, formerEra, formerNext := !s.hasRead(), s.era, s.next
+	changed := s.enterEra(page, start.since, start.certain)
+	storeEra(f.opts.Stream).Set(float64(s.era))
 	if first {
-		c.storeOnly = from == fromStore
-		f.applyBatch(Batch{Whole: true, Records: c.currentRecords(), At: at, From: from})
+		s.storeOnly = from == fromStore
+		f.applyBatch(Batch{Whole: true, Records: s.currentRecords(), At: at, From: from})
 		return
 	}
 	f.log.WithFields(logrus.Fields{
-		"era": c.era, "was": formerEra, "next": c.next, "known": formerNext, "from": from, "age_ms": time.Since(start.since).Milliseconds(),
-		"changed": len(changed), "missing": len(c.unresolved.missing), "doubtful": len(c.unresolved.doubtful),
+		"era": s.era, "was": formerEra, "next": s.next, "known": formerNext, "from": from, "age_ms": time.Since(start.since).Milliseconds(),
+		"changed": len(changed), "missing": len(s.unresolved.missing), "doubtful": len(s.unresolved.doubtful),
 	}).Info("store_era")
 	f.applyBatch(Batch{Records: changed, At: at, From: from})
 }
@@ -156,7 +156,7 @@
 func (f *Follower) applyEarlier(records []platform.KeyedRecord, era int64, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	changed := f.state.mergePeer(records, f.opts.RewriteTime)
+	changed := f.state.mergePeerRecords(records, f.opts.RewriteTime)
 	if len(changed) == 0 {
 		return
 	}
--- a/internal/keyed/era.go
+++ b/internal/keyed/era.go
@@ -53,7 +53,7 @@
 // unresolved holds the keys whose newest record is not certain yet in the current era.
 type unresolved struct {
 	eraSeen     time.Time                       // when any daemon first saw the era; zero: no earlier era is known
-	certainFrom int64                           // all records from this offset on, or from an earlier one, were written in the era
+	certainFrom int64                           // from this offset on, if not before, all records were written in the era
 	missing     map[string]bool                 // keys known from earlier eras that the store lacks
 	doubtful    map[string]platform.KeyedRecord // records of the store that may be older than the known ones
 	// outranking has the keys whose known value ranks over the one that the store has at its offset.
@@ -76,46 +76,46 @@
 
 // classify compares a record with the known one of its key. past is the state of the former era
 // if the record is of the page with all keys that begins a new one, else nil.
-func (c *streamState) classify(known platform.KeyedRecord, isKnown bool, r platform.KeyedRecord, past *streamState) verdict {
+func (s *streamState) classify(known platform.KeyedRecord, isKnown bool, r platform.KeyedRecord, past *streamState) verdict {
 	if !isKnown {
 		return newer
 	}
 	later := r.Era > known.Era || r.Era == known.Era && r.Offset > known.Offset
-	if order, ok := c.compareRanks(known, r); ok && order != 0 {
+	if order, ok := s.compareRanks(known, r); ok && order != 0 {
 		if order > 0 {
 			return newer
 		}
 		return outranked
 	}
 	switch {
-	case !later, known.Era == platform.NoEra && r.Era < c.era: // a record without an era may be of any
+	case !later, known.Era == platform.NoEra && r.Era < s.era: // a record without an era may be of any
 		return older
 	case sameValue(known, r):
 		return confirmed
-	case r.Era == known.Era, r.Offset > known.Offset, c.isCertain(r), past.hadOtherAt(r.Offset, r):
+	case r.Era == known.Era, r.Offset > known.Offset, s.isCertain(r), past.hadOtherAt(r.Offset, r):
 		return newer
-	case r.Era == c.era:
+	case r.Era == s.era:
 		return doubtful
 	}
 	return older
 }
 
 // isCertain reports whether a record was certainly written in the current era.
-func (c *streamState) isCertain(r platform.KeyedRecord) bool {
-	return r.Era == c.era && r.Offset >= c.unresolved.certainFrom
+func (s *streamState) isCertain(r platform.KeyedRecord) bool {
+	return r.Era == s.era && r.Offset >= s.unresolved.certainFrom
 }
 
 // compareRanks compares a record with the known one by the ranks of their values. order is over
 // zero if the record ranks higher; ok is false if the ranks cannot be compared.
-func (c *streamState) compareRanks(known, r platform.KeyedRecord) (order int, ok bool) {
-	if c.rankOf == nil || known.Value == nil || r.Value == nil {
+func (s *streamState) compareRanks(known, r platform.KeyedRecord) (order int, ok bool) {
+	if s.rankOf == nil || known.Value == nil || r.Value == nil {
 		return 0, false
 	}
-	former, ok := c.rankOf(r.Key, known.Value)
+	former, ok := s.rankOf(r.Key, known.Value)
 	if !ok {
 		return 0, false
 	}
-	latter, ok := c.rankOf(r.Key, r.Value)
+	latter, ok := s.rankOf(r.Key, r.Value)
 	if !ok {
 		return 0, false
 	}
@@ -124,121 +124,121 @@
 
 // hadOtherAt reports whether the state is known to have had another record at the offset. A nil
 // state knows none.
-func (c *streamState) hadOtherAt(offset int64, other platform.KeyedRecord) bool {
-	if c == nil {
+func (s *streamState) hadOtherAt(offset int64, other platform.KeyedRecord) bool {
+	if s == nil {
 		return false
 	}
-	i, found := c.findRecent(offset)
-	return found && (c.recent[i].Key != other.Key || !sameValue(c.recent[i], other))
+	i, found := s.findRecent(offset)
+	return found && (s.recent[i].Key != other.Key || !sameValue(s.recent[i], other))
 }
 
 // enterEra applies a page with all keys of a later era. since is when the era was first seen; all
 // records from offset certain on were written in it. It returns the records that changed.
-func (c *streamState) enterEra(page platform.KeyedPage, since time.Time, certain int64) []platform.KeyedRecord {
-	past := *c
-	c.era, c.next = page.Era, page.Next
-	c.recent, c.recentFrom = nil, page.Next
-	c.version++
-	c.unresolved = newUnresolved(since, certain)
+func (s *streamState) enterEra(page platform.KeyedPage, since time.Time, certain int64) []platform.KeyedRecord {
+	past := *s
+	s.era, s.next = page.Era, page.Next
+	s.recent, s.recentFrom = nil, page.Next
+	s.version++
+	s.unresolved = newUnresolved(since, certain)
 	var changed []platform.KeyedRecord
 	for _, r := range page.Records {
-		before, known := c.records[r.Key]
-		switch c.classify(before, known, r, &past) {
+		before, known := s.records[r.Key]
+		switch s.classify(before, known, r, &past) {
 		case newer:
-			c.put(r)
+			s.put(r)
 			changed = append(changed, r)
 		case confirmed:
-			c.put(r)
+			s.put(r)
 		case doubtful:
-			c.setAside(r)
+			s.setAside(r)
 		case outranked:
-			c.adoptOffset(before, r)
+			s.adoptOffset(before, r)
 		}
 	}
-	c.markMissing(listedKeys(page))
+	s.markMissing(listedKeys(page))
 	return changed
 }
 
 // setAside keeps a record of the store that may be older than the known one as doubtful.
-func (c *streamState) setAside(r platform.KeyedRecord) {
-	delete(c.unresolved.missing, r.Key)
-	c.unresolved.doubtful[r.Key] = r
-	c.version++
+func (s *streamState) setAside(r platform.KeyedRecord) {
+	delete(s.unresolved.missing, r.Key)
+	s.unresolved.doubtful[r.Key] = r
+	s.version++
 }
 
 // adoptOffset gives a known value the era and offset of the outranked record r, if that is of a
 // later era: the store has the key, so it must not count as missing.
-func (c *streamState) adoptOffset(known, r platform.KeyedRecord) {
+func (s *streamState) adoptOffset(known, r platform.KeyedRecord) {
 	if r.Era > known.Era {
-		c.put(platform.KeyedRecord{Era: r.Era, Offset: r.Offset, Key: r.Key, Value: known.Value})
-		c.unresolved.outranking[r.Key] = true
+		s.put(platform.KeyedRecord{Era: r.Era, Offset: r.Offset, Key: r.Key, Value: known.Value})
+		s.unresolved.outranking[r.Key] = true
 	}
 }
 
 // markMissing records the keys that are known only from earlier eras and that the store lacks.
-func (c *streamState) markMissing(listed map[string]bool) {
-	for key, r := range c.records {
-		_, doubted := c.unresolved.doubtful[key]
-		if r.Value != nil && r.Era < c.era && !listed[key] && !doubted {
-			c.unresolved.missing[key] = true
+func (s *streamState) markMissing(listed map[string]bool) {
+	for key, r := range s.records {
+		_, doubted := s.unresolved.doubtful[key]
+		if r.Value != nil && r.Era < s.era && !listed[key] && !doubted {
+			s.unresolved.missing[key] = true
 		}
 	}
 }
 
-// mergePeer merges a peer's records of an earlier era, or of an earlier time in the current one;
+// mergePeerRecords merges a peer's records of an earlier era, or of an earlier time in the current one;
 // of records of a later era, or of none, only those that rank higher. It returns the records that
 // changed. A record of a key without a value here is taken only while writers may still write
 // again what the store has lost, which takes them up to rewriteTime.
-func (c *streamState) mergePeer(records []platform.KeyedRecord, rewriteTime time.Duration) []platform.KeyedRecord {
-	rewriting := c.at.Before(c.unresolved.eraSeen.Add(rewriteTime))
+func (s *streamState) mergePeerRecords(records []platform.KeyedRecord, rewriteTime time.Duration) []platform.KeyedRecord {
+	rewriting := s.at.Before(s.unresolved.eraSeen.Add(rewriteTime))
 	var changed []platform.KeyedRecord
 	for _, r := range records {
-		before, known := c.records[r.Key]
-		order, ranked := c.compareRanks(before, r)
+		before, known := s.records[r.Key]
+		order, ranked := s.compareRanks(before, r)
 		switch {
 		case ranked && order > 0:
 			r.Era, r.Offset = before.Era, before.Offset
-			c.unresolved.outranking[r.Key] = true
-		case ranked, c.isUnread(r), r.Era == platform.NoEra:
+			s.unresolved.outranking[r.Key] = true
+		case ranked, s.isUnread(r), r.Era == platform.NoEra:
 			continue
-		case before.Value == nil && !(rewriting && c.mayBeLost(r)), c.classify(before, known, r, nil) != newer:
+		case before.Value == nil && !(rewriting && s.mayBeLost(r)), s.classify(before, known, r, nil) != newer:
 			continue
 		}
-		c.records[r.Key] = r
-		c.version++
+		s.records[r.Key] = r
+		s.version++
 		changed = append(changed, r)
 		if before.Value == nil {
-			c.unresolved.missing[r.Key] = true
+			s.unresolved.missing[r.Key] = true
 		}
 	}
 	return changed
 }
 
 // isUnread reports whether a record of a peer will come with a later read.
-func (c *streamState) isUnread(r platform.KeyedRecord) bool {
-	return r.Era > c.era || r.Era == c.era && r.Offset >= c.next
+func (s *streamState) isUnread(r platform.KeyedRecord) bool {
+	return r.Era > s.era || r.Era == s.era && r.Offset >= s.next
 }
 
 // mayBeLost reports whether the store may have lost the record: it has a value and is of an
 // earlier era. The caller has checked that its key has no value here.
-func (c *streamState) mayBeLost(r platform.KeyedRecord) bool { return r.Value != nil && r.Era < c.era }
+func (s *streamState) mayBeLost(r platform.KeyedRecord) bool { return r.Value != nil && r.Era < s.era }
 
 // resolve decides the keys whose time is over, as of the newest read: keys that the store lacks
 // are removed after rewriteTime, and doubtful records replace the known ones after doubtTime.
 // It returns the records that changed.
-func (c *streamState) resolve(rewriteTime, doubtTime time.Duration) []platform.KeyedRecord {
+func (s *streamState) resolve(rewriteTime, doubtTime time.Duration) []platform.KeyedRecord {
 	var changed []platform.KeyedRecord
-	if !c.at.Before(c.unresolved.eraSeen.Add(rewriteTime)) {
-		for key := range c.unresolved.missing {
-			r := platform.KeyedRecord{Era: c.era, Offset: c.next - 1, Key: key}
-			c.put(r)
+	if !s.at.Before(s.unresolved.eraSeen.Add(rewriteTime)) {
+		for key := range s.unresolved.missing {
+			r := platform.KeyedRecord{Era: s.era, Offset: s.next - 1, Key: key}
+			s.put(r)
 			changed = append(changed, r)
 		}
-		c.storeOnly = false
+		s.storeOnly = false
 	}
-	if !c.at.Before(c.unresolved.eraSeen.Add(doubtTime)) {
-		for _, r := range c.unresolved.doubtful {
-			c.put(r)
+	if !s.at.Before(s.unresolved.eraSeen.Add(doubtTime)) {
+		for _, r := range s.unresolved.doubtful {
+			s.put(r)
 			changed = append(changed, r)
 		}
 	}
--- a/internal/keyed/era_test.go
+++ b/internal/keyed/era_test.go
@@ -44,7 +44,7 @@
 	store.restore(2)
 	store.put("a", "3")
 	for f.read(t.Context()) != nil {
-		f.restart()
+		f.requestFullRead()
 	}
 	if got := table.get("a"); got != "3" {
 		t.Errorf("got %q", got)
@@ -64,7 +64,7 @@
 	mustRead(t, f)
 	store.restore(2)
 	for f.read(t.Context()) != nil {
-		f.restart()
+		f.requestFullRead()
 	}
 	if got := table.get("a"); got != "" {
 		t.Errorf("got %q, which was removed", got)
@@ -137,7 +137,7 @@
 		if err := f.read(t.Context()); err == nil {
 			t.Error("an answer of an earlier era counts as a read")
 		}
-		f.restart()
+		f.requestFullRead()
 	}
 	if got := table.get("a"); got != "2" {
 		t.Errorf("got %q", got)
--- a/internal/keyed/feed.go
+++ b/internal/keyed/feed.go
@@ -23,6 +23,7 @@
 type Peers interface {
 	// Rank returns up to n live daemons in an order that is the same on all daemons.
 	Rank(key string, n int) []membership.Member
+	// Members returns all known daemons.
 	Members() []membership.Member
 	// SameDomain reports whether a daemon is in this one's failure domain.
 	SameDomain(host string) bool
@@ -65,12 +66,14 @@
 	}
 }
 
+// add registers the follower of a stream, whose data other daemons may read.
 func (s *Feed) add(stream string, f *Follower) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.followers[stream] = f
 }
 
+// follower returns the follower of a stream, nil if there is none.
 func (s *Feed) follower(stream string) *Follower {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +114,7 @@
 const versionOfEras = 1
 
 // RPC has the RPC methods that other daemons call.
-type RPC struct{ s *Feed }
+type RPC struct{ feed *Feed }
 
 // RPC returns the receiver to register as ServiceName with the RPC server.
 func (s *Feed) RPC() *RPC { return &RPC{s} }
@@ -121,7 +124,7 @@
 // Since answers a peer with the records from the requested offset on. It returns an error while
 // this daemon has no data of the stream.
 func (r *RPC) Since(req *SinceRequest, reply *SinceReply) error {
-	f := r.s.follower(req.Stream)
+	f := r.feed.follower(req.Stream)
 	if f == nil {
 		return merry.Wrap(errNoData, merry.AppendMessage(req.Stream))
 	}
@@ -176,9 +179,9 @@
 // readPeer reads from the first of the daemons whose copy is not older than maxAge. It returns
 // false if none has such a copy.
 func (f *Follower) readPeer(ctx context.Context, from []membership.Member, maxAge time.Duration) bool {
-	s := f.opts.Feed
+	feed := f.opts.Feed
 	for _, m := range from {
-		if m.Host == s.host || s.isUnresponsive(m.Host) {
+		if m.Host == feed.host || feed.isUnresponsive(m.Host) {
 			continue
 		}
 		began := time.Now()
@@ -218,28 +221,28 @@
 // applyReply applies a peer's answer to a call that began at a time. It reports whether the
 // answer is as good as a read of the store that is not older than maxAge.
 func (f *Follower) applyReply(host string, reply SinceReply, records []platform.KeyedRecord, began time.Time, maxAge time.Duration) bool {
-	at := f.position()
-	f.eraUnknown = f.eraUnknown || reply.Version < versionOfEras && at.era == platform.NoEra
+	pos := f.position()
+	f.eraUnknown = f.eraUnknown || reply.Version < versionOfEras && pos.era == platform.NoEra
 	page := platform.KeyedPage{Records: records, Next: reply.Next, Era: reply.Era}
 	read := began.Add(reply.Held - reply.Age)
 	switch {
-	case at.next < 0 && reply.Age > maxAge:
+	case pos.next < 0 && reply.Age > maxAge:
 		return false
-	case at.next >= 0 && reply.Era > at.era && f.eraUnknown && !f.readFromStore:
+	case pos.next >= 0 && reply.Era > pos.era && f.eraUnknown && !f.readFromStore:
 		f.applyEarlier(records, reply.Era, host)
 		return false
-	case at.next < 0, reply.Era > at.era:
+	case pos.next < 0, reply.Era > pos.era:
 		if !reply.Whole {
 			return false
 		}
 		f.applyEra(page, eraStart{since: began.Add(-reply.EraAge), certain: reply.EraCertain}, read, host)
-	case reply.Era < at.era:
+	case reply.Era < pos.era:
 		f.applyEarlier(records, reply.Era, host)
 		if reply.Version >= versionOfEras {
 			f.opts.Feed.markBehind(host)
 		}
 		return false
-	case reply.Next < at.next, reply.Age > maxAge && !f.peerIsNewer(reply):
+	case reply.Next < pos.next, reply.Age > maxAge && !f.peerIsNewer(reply):
 		return false
 	case reply.Whole:
 		if err := f.applyFullPage(page, read, host); err != nil {
@@ -278,6 +281,7 @@
 	return !f.state.at.IsZero() && r.Next > f.state.next && time.Since(f.state.at) > r.Age
 }
 
+// isUnresponsive reports whether a daemon is avoided for now.
 func (s *Feed) isUnresponsive(host string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/keyed/follower.go
+++ b/internal/keyed/follower.go
@@ -76,7 +76,7 @@
 	state      streamState
 	replies    replyCache
 	cancelRead context.CancelFunc // cancels the read in progress
-	readDone   chan struct{}      // closed and replaced with each read that succeeds
+	readDone   chan struct{}      // closed and replaced after each successful read
 }
 
 // New returns a Follower that has no data yet.
@@ -111,9 +111,9 @@
 			}
 			wait.For(ctx, interval-time.Since(began))
 		case needsFullRead(err):
-			at := f.position()
-			f.log.WithError(err).WithFields(logrus.Fields{"offset": at.next, "era": at.era}).Info("stream_trimmed")
-			f.restart()
+			pos := f.position()
+			f.log.WithError(err).WithFields(logrus.Fields{"offset": pos.next, "era": pos.era}).Info("stream_trimmed")
+			f.requestFullRead()
 		case errors.Is(err, errRestarted):
 		case ctx.Err() == nil:
 			if f.isStarting() {
@@ -152,17 +152,17 @@
 // read reads once: from the daemons that precede this one in the reading order, then from the
 // store if this daemon is to read it, else from any other daemons.
 func (f *Follower) read(ctx context.Context) error {
-	s := f.opts.Feed
-	if s == nil {
+	feed := f.opts.Feed
+	if feed == nil {
 		return f.readStoreOr(ctx, nil)
 	}
 	maxAge := f.opts.MaxAge
 	if f.isStarting() {
 		return f.readOnePeer(ctx)
 	}
-	from := s.sources()
+	from := feed.sources()
 	if f.eraUnknown && !f.readFromStore {
-		return f.readStoreOr(ctx, func() bool { return f.readPeer(ctx, s.fallbackPeers(), maxAge+from.extraAge()) })
+		return f.readStoreOr(ctx, func() bool { return f.readPeer(ctx, feed.fallbackPeers(), maxAge+from.extraAge()) })
 	}
 	if f.position().storeOnly {
 		f.recoverFromPeers(ctx)
@@ -171,7 +171,7 @@
 		f.markFresh()
 		return nil
 	}
-	if f.hasNoData() && f.readPeer(ctx, s.fallbackPeers(), maxAge+from.extraAge()) {
+	if f.hasNoData() && f.readPeer(ctx, feed.fallbackPeers(), maxAge+from.extraAge()) {
 		return nil
 	}
 	if f.mayReadStore(from.reader) {
--- a/internal/keyed/follower_test.go
+++ b/internal/keyed/follower_test.go
@@ -85,7 +85,7 @@
 	if err := f.read(t.Context()); !errors.Is(err, platform.ErrTrimmed) {
 		t.Fatalf("got %v", err)
 	}
-	f.restart()
+	f.requestFullRead()
 	mustRead(t, f)
 	if tb.get("a") != "2" || tb.get("gone") != "" {
 		t.Errorf("got %v", tb.values)
@@ -98,7 +98,7 @@
 	store.put("a", "2")
 	f, tb := newFollower(store, nil)
 	mustRead(t, f)
-	f.restart()
+	f.requestFullRead()
 	store.set(func(s *fakeStore) { s.lag = 1 })
 	if err := f.read(t.Context()); err == nil {
 		t.Error("an old copy was applied")
@@ -226,14 +226,14 @@
 			seen = append(seen, string(r.Value))
 		}
 	}
-	store.put("server", "beat 1: ready")
+	store.put("server", "heartbeat 1: ready")
 	mustRead(t, followers["t1"])
 	mustRead(t, followers["x"])
-	store.put("server", "beat 3: leaving")
-	store.put("server", "beat 2: ready")
+	store.put("server", "heartbeat 3: leaving")
+	store.put("server", "heartbeat 2: ready")
 	mustRead(t, followers["t1"])
 	mustRead(t, followers["x"])
-	if want := []string{"beat 1: ready", "beat 3: leaving", "beat 2: ready"}; !slices.Equal(seen, want) {
+	if want := []string{"heartbeat 1: ready", "heartbeat 3: leaving", "heartbeat 2: ready"}; !slices.Equal(seen, want) {
 		t.Errorf("the daemon that reads from a peer got %q", seen)
 	}
 }
--- a/internal/keyed/simulation_test.go
+++ b/internal/keyed/simulation_test.go
@@ -164,7 +164,7 @@
 // read lets a daemon read once, and a second time if it must read all keys.
 func (d *eraDaemon) read() {
 	if needsFullRead(d.follower.read(context.Background())) {
-		d.follower.restart()
+		d.follower.requestFullRead()
 		_ = d.follower.read(context.Background()) // fails if the store or the peers do
 	}
 }
@@ -172,7 +172,7 @@
 // readStore lets a daemon read the store, as if it had been drawn for that.
 func (d *eraDaemon) readStore() {
 	if needsFullRead(d.follower.readStore(context.Background())) {
-		d.follower.restart()
+		d.follower.requestFullRead()
 		_ = d.follower.readStore(context.Background())
 	}
 }
--- a/internal/keyed/sources.go
+++ b/internal/keyed/sources.go
@@ -74,21 +74,21 @@
 
 // ancestors returns the daemons above this one in the tree of its failure domain, parent first.
 func (s *Feed) ancestors(ranked []membership.Member) []membership.Member {
-	var near []membership.Member
-	at := -1
+	var local []membership.Member
+	index := -1
 	for _, m := range ranked {
 		if m.Host == s.host {
-			at = len(near)
+			index = len(local)
 			break
 		}
 		if s.peers.SameDomain(m.Host) {
-			near = append(near, m)
+			local = append(local, m)
 		}
 	}
 	var above []membership.Member
-	for at > 0 {
-		at = (at - 1) / maxChildren
-		above = append(above, near[at])
+	for index > 0 {
+		index = (index - 1) / maxChildren
+		above = append(above, local[index])
 	}
 	return above
 }
@@ -97,13 +97,13 @@
 // All daemons draw while no reader has fresh data, so that a few try wherever the store may be
 // reachable, and the others read from one that succeeds.
 func (s *Feed) drawnToRead() bool {
-	near := 1
+	candidates := 1
 	for _, m := range s.peers.Members() {
 		if m.Host != s.host && m.State != membership.Dead && s.peers.SameDomain(m.Host) {
-			near++
+			candidates++
 		}
 	}
-	return rand.New(s.random).IntN(near) < randomReaders
+	return rand.New(s.random).IntN(candidates) < randomReaders
 }
 
 // fallbackPeers returns a few random daemons that are not known to be dead, those of the own
--- a/internal/keyed/state.go
+++ b/internal/keyed/state.go
@@ -13,7 +13,7 @@
 	// maxRemoved limits the removed keys whose records are kept.
 	maxRemoved = 4096
 	// maxRecent limits the records kept in stream order: at least ten seconds' worth at the
-	// largest sites. Peers ask for new ones every few hundred milliseconds.
+	// largest sites. Peers request new ones every few hundred milliseconds.
 	maxRecent = 2048
 )
 
@@ -43,68 +43,68 @@
 }
 
 // hasRead reports whether any read has succeeded.
-func (c *streamState) hasRead() bool { return c.next >= 0 }
+func (s *streamState) hasRead() bool { return s.next >= 0 }
 
 // put stores a record as the newest of its key, which is then resolved.
-func (c *streamState) put(r platform.KeyedRecord) {
-	c.records[r.Key] = r
-	c.version++
-	c.unresolved.resolve(r.Key)
+func (s *streamState) put(r platform.KeyedRecord) {
+	s.records[r.Key] = r
+	s.version++
+	s.unresolved.resolve(r.Key)
 }
 
 // add applies a page of the current era and returns its records that are newer than the known
 // ones. isSignificant reports whether peers need a record, by the values of its key before and
 // after; nil: they need all.
-func (c *streamState) add(page platform.KeyedPage, isSignificant func(before, after []byte) bool) []platform.KeyedRecord {
+func (s *streamState) add(page platform.KeyedPage, isSignificant func(before, after []byte) bool) []platform.KeyedRecord {
 	fresh := make([]platform.KeyedRecord, 0, len(page.Records))
 	for _, r := range page.Records {
-		before, known := c.records[r.Key]
-		switch c.classify(before, known, r, nil) {
+		before, known := s.records[r.Key]
+		switch s.classify(before, known, r, nil) {
 		case older:
 			continue
 		case outranked:
-			c.adoptOffset(before, r)
+			s.adoptOffset(before, r)
 			continue
 		case doubtful:
-			c.setAside(r)
+			s.setAside(r)
 			continue
 		}
-		significant := isSignificant == nil || c.alwaysSignificant(before, r)
-		c.put(r)
+		significant := isSignificant == nil || s.alwaysSignificant(before, r)
+		s.put(r)
 		fresh = append(fresh, r)
 		if significant || isSignificant(before.Value, r.Value) {
-			c.recent = append(c.recent, r)
+			s.recent = append(s.recent, r)
 		}
 	}
-	if excess := len(c.recent) - maxRecent; excess > 0 {
-		c.recentFrom = c.recent[excess-1].Offset + 1
-		c.recent = slices.Delete(c.recent, 0, excess)
+	if excess := len(s.recent) - maxRecent; excess > 0 {
+		s.recentFrom = s.recent[excess-1].Offset + 1
+		s.recent = slices.Delete(s.recent, 0, excess)
 	}
-	c.next = max(c.next, page.Next)
-	c.prune()
+	s.next = max(s.next, page.Next)
+	s.prune()
 	return fresh
 }
 
 // alwaysSignificant reports whether peers need a record whatever its value: its key was added or
 // removed, or the store has the key again in its current era.
-func (c *streamState) alwaysSignificant(before, r platform.KeyedRecord) bool {
-	return before.Value == nil || r.Value == nil || before.Era != r.Era || c.unresolved.outranking[r.Key]
+func (s *streamState) alwaysSignificant(before, r platform.KeyedRecord) bool {
+	return before.Value == nil || r.Value == nil || before.Era != r.Era || s.unresolved.outranking[r.Key]
 }
 
 // replace applies a page of the current era with all keys. A known key that the page lacks was
 // removed if this era ever had it; one known only from earlier eras is left to resolve.
-func (c *streamState) replace(page platform.KeyedPage) {
+func (s *streamState) replace(page platform.KeyedPage) {
 	listed := listedKeys(page)
-	for key, r := range c.records {
-		_, doubted := c.unresolved.doubtful[key]
-		if !listed[key] && (r.Value != nil && r.Era == c.era || doubted) {
-			c.put(platform.KeyedRecord{Era: c.era, Offset: page.Next - 1, Key: key})
+	for key, r := range s.records {
+		_, doubted := s.unresolved.doubtful[key]
+		if !listed[key] && (r.Value != nil && r.Era == s.era || doubted) {
+			s.put(platform.KeyedRecord{Era: s.era, Offset: page.Next - 1, Key: key})
 		}
 	}
-	c.next = page.Next
-	c.add(page, nil)
-	c.markMissing(listed)
-	c.recent, c.recentFrom = nil, page.Next
+	s.next = page.Next
+	s.add(page, nil)
+	s.markMissing(listed)
+	s.recent, s.recentFrom = nil, page.Next
 }
 
 // listedKeys returns the keys that have a value in the page, of the page's era.
@@ -119,9 +119,9 @@
 }
 
 // prune drops the records of the oldest removed keys when there are more than maxRemoved.
-func (c *streamState) prune() {
+func (s *streamState) prune() {
 	removed := 0
-	for _, r := range c.records {
+	for _, r := range s.records {
 		if r.Value == nil {
 			removed++
 		}
@@ -129,18 +129,18 @@
 	if removed <= maxRemoved {
 		return
 	}
-	for key, r := range c.records {
-		if r.Value == nil && (r.Era < c.era || r.Offset < c.next-maxRemoved) {
-			delete(c.records, key)
+	for key, r := range s.records {
+		if r.Value == nil && (r.Era < s.era || r.Offset < s.next-maxRemoved) {
+			delete(s.records, key)
 		}
 	}
 }
 
 // endOffset returns the offset after the newest known record of the current era.
-func (c *streamState) endOffset() int64 {
+func (s *streamState) endOffset() int64 {
 	end := int64(0)
-	for _, r := range c.records {
-		if r.Era == c.era {
+	for _, r := range s.records {
+		if r.Era == s.era {
 			end = max(end, r.Offset+1)
 		}
 	}
@@ -148,9 +148,9 @@
 }
 
 // currentRecords returns the newest record of each key that is not removed.
-func (c *streamState) currentRecords() []platform.KeyedRecord {
-	list := make([]platform.KeyedRecord, 0, len(c.records))
-	for _, r := range c.records {
+func (s *streamState) currentRecords() []platform.KeyedRecord {
+	list := make([]platform.KeyedRecord, 0, len(s.records))
+	for _, r := range s.records {
 		if r.Value != nil {
 			list = append(list, r)
 		}
@@ -161,18 +161,18 @@
 // recordsSince returns the known records from an offset of the current era on. If recent reaches
 // back that far, they are all significant ones in stream order. Else they are the newest of each
 // key, including those of earlier eras, and the doubtful ones, sorted by era.
-func (c *streamState) recordsSince(from int64) []platform.KeyedRecord {
-	if from >= c.recentFrom {
-		i, _ := c.findRecent(from)
-		return c.recent[i:]
+func (s *streamState) recordsSince(from int64) []platform.KeyedRecord {
+	if from >= s.recentFrom {
+		i, _ := s.findRecent(from)
+		return s.recent[i:]
 	}
 	var list []platform.KeyedRecord
-	for _, r := range c.records {
-		if r.Offset >= from || r.Era < c.era {
+	for _, r := range s.records {
+		if r.Offset >= from || r.Era < s.era {
 			list = append(list, r)
 		}
 	}
-	for _, r := range c.unresolved.doubtful {
+	for _, r := range s.unresolved.doubtful {
 		list = append(list, r)
 	}
 	slices.SortFunc(list, func(a, b platform.KeyedRecord) int { return cmp.Compare(a.Era, b.Era) })
@@ -180,8 +180,8 @@
 }
 
 // findRecent returns the index of an offset in the recent records.
-func (c *streamState) findRecent(offset int64) (i int, found bool) {
-	return slices.BinarySearchFunc(c.recent, offset, func(r platform.KeyedRecord, offset int64) int {
+func (s *streamState) findRecent(offset int64) (i int, found bool) {
+	return slices.BinarySearchFunc(s.recent, offset, func(r platform.KeyedRecord, offset int64) int {
 		return cmp.Compare(r.Offset, offset)
 	})
 }
--- a/internal/keyed/tree_test.go
+++ b/internal/keyed/tree_test.go
@@ -104,22 +104,22 @@
 			followers[h], tables[h] = newFollower(store, peers.feeds[h])
 			followers[h].opts.IsSignificant = contentDiffers
 		}
-		beat := func(n int) {
+		heartbeat := func(n int) {
 			for i := range upstreams {
 				store.put(fmt.Sprint("u", i), fmt.Sprintf("ready:%d", n))
 			}
 			mustRead(t, followers["t1"])
 			mustRead(t, followers["x"])
 		}
-		beat(1)
+		heartbeat(1)
 		peers.bytes = map[string]int{}
 		for n := range 5 {
-			beat(2 + n)
+			heartbeat(2 + n)
 		}
 		bytes[upstreams] = peers.bytes["t1"]
 		store.put("u7", "leaving:9")
 		store.put("u8", "")
-		beat(10)
+		heartbeat(10)
 		if got := tables["x"].get("u8"); !strings.HasPrefix(got, "ready") || tables["t1"].get("u7") != "ready:10" {
 			t.Errorf("after a removal and a return: %q, %q", got, tables["t1"].get("u7"))
 		}
@@ -149,7 +149,7 @@
 	go func() { done <- x.read(t.Context()) }()
 	select {
 	case err := <-done:
-		t.Fatalf("an answer without news came at once: %v", err)
+		t.Fatalf("an answer without new records came at once: %v", err)
 	case <-time.After(20 * time.Millisecond):
 	}
 	store.put("a", "2")
