--- a/internal/owner/act.go
+++ b/internal/owner/actions.go
@@ -11,23 +11,23 @@
 
 type fields = logrus.Fields
 
-// background carries out actions that nobody waits for.
-func (s *Service) background(ctx context.Context, acts []ledger.Action) {
+// executeInBackground carries out actions that nobody waits for.
+func (s *Service) executeInBackground(ctx context.Context, acts []ledger.Action) {
 	for _, a := range acts {
 		if b, ok := a.(ledger.ReadBooks); ok {
-			s.wantBooks(b.Engine)
+			s.requestBooks(b.Engine)
 			continue
 		}
-		if !s.slots.TryGo(func() error { s.do(ctx, []ledger.Action{a}); return nil }) {
+		if !s.backgroundCalls.TryGo(func() error { s.execute(ctx, []ledger.Action{a}); return nil }) {
 			// The ledger repeats every end that is not confirmed.
 			metricDeferred.Inc()
 		}
 	}
 }
 
-// do carries out actions one after another, with those that follow from them,
+// execute carries out actions one after another, with those that follow from them,
 // and returns the verdicts for fronts.
-func (s *Service) do(ctx context.Context, acts []ledger.Action) (verdicts []ledger.Action) {
+func (s *Service) execute(ctx context.Context, acts []ledger.Action) (verdicts []ledger.Action) {
 	for len(acts) > 0 {
 		a := acts[0]
 		acts = acts[1:]
@@ -39,7 +39,7 @@
 		case ledger.CancelOn:
 			acts = append(acts, s.endOn(ctx, a.Engine, a.ID, a.Cause)...)
 		case ledger.ReadBooks:
-			s.wantBooks(a.Engine)
+			s.requestBooks(a.Engine)
 		default:
 			verdicts = append(verdicts, a)
 		}
@@ -48,13 +48,13 @@
 }
 
 func (s *Service) reserveOn(ctx context.Context, a ledger.ReserveOn) []ledger.Action {
-	result := s.reserve(ctx, a.Request)
+	result := s.callReserve(ctx, a.Request)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.HandleReserveAnswer(a.Request, result, s.opts.Clock())
 }
 
-func (s *Service) reserve(ctx context.Context, ask ledger.ReserveRequest) ledger.Result {
+func (s *Service) callReserve(ctx context.Context, ask ledger.ReserveRequest) ledger.Result {
 	address, ok := s.address(ask.Engine)
 	if !ok {
 		return ledger.Refused // never sent
@@ -79,7 +79,7 @@
 	if !ok {
 		return nil
 	}
-	err := end(ctx, s.opts.Engines, s.opts.CallTimeout, address, id)
+	err := endHolding(ctx, s.opts.Engines, s.opts.CallTimeout, address, id)
 	s.logEnd(engine, id, cause, err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,8 +106,8 @@
 	entry.Info("holding_ended")
 }
 
-// wantBooks has an engine's books read soon.
-func (s *Service) wantBooks(engine string) {
+// requestBooks has an engine's books read soon.
+func (s *Service) requestBooks(engine string) {
 	s.mu.Lock()
 	p := s.owned[engine]
 	s.mu.Unlock()
@@ -115,7 +115,7 @@
 		return
 	}
 	select {
-	case p.doubt <- struct{}{}:
+	case p.booksRequested <- struct{}{}:
 	default:
 	}
 }
--- a/internal/owner/digest.go
+++ b/internal/owner/digest.go
@@ -61,12 +61,12 @@
 		s.opts.Log.WithError(err).Error("digest_failed")
 		return s.opts.PublishEvery
 	}
-	metricDigest.Add(len(data))
+	metricDigestBytes.Add(len(data))
 	s.opts.Publisher.Publish(Section, data)
-	return s.publishEvery(len(data), len(d.Engines))
+	return s.updatePublishInterval(len(data), len(d.Engines))
 }
 
-func (s *Service) publishEvery(size, engines int) time.Duration {
+func (s *Service) updatePublishInterval(size, engines int) time.Duration {
 	if engines == 0 {
 		return s.opts.IdleEvery
 	}
@@ -74,18 +74,18 @@
 	stretched := time.Duration(all) * time.Second / time.Duration(s.opts.DigestBudget)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.spread = max(s.opts.PublishEvery, stretched)
-	if s.idle() {
-		return max(s.spread, s.opts.IdleEvery)
+	s.publishInterval = max(s.opts.PublishEvery, stretched)
+	if s.allIdle() {
+		return max(s.publishInterval, s.opts.IdleEvery)
 	}
-	return s.spread
+	return s.publishInterval
 }
 
-// idle reports whether no owned engine has had work for a while. It needs the
+// allIdle reports whether no owned engine has had work for a while. It needs the
 // lock.
-func (s *Service) idle() bool {
+func (s *Service) allIdle() bool {
 	for _, p := range s.owned {
-		if p.idle < idleReads {
+		if p.idleReports < minIdleReports {
 			return false
 		}
 	}
--- a/internal/owner/digest_wire.go
+++ b/internal/owner/digest_wire.go
@@ -17,10 +17,10 @@
 // textsPerEngine is the number of texts of one engine.
 const textsPerEngine = 3
 
-var errDigest = merry.New("digest is cut short")
+var errDigestTruncated = merry.New("digest is cut short")
 
-// numbers returns the fixed number columns, in their order on the wire.
-func (e *EngineDigest) numbers() []*int64 {
+// numberColumns returns the fixed number columns, in their order on the wire.
+func (e *EngineDigest) numberColumns() []*int64 {
 	return []*int64{
 		&e.Seq, &e.AgeMs, &e.StepUs, &e.Prefill, &e.Decode, &e.Queued, &e.QueuedT, &e.Running,
 		&e.Total, &e.Used, &e.Block, &e.HeldMs, &e.HeldT, &e.First,
@@ -48,7 +48,7 @@
 }
 
 func (e *EngineDigest) appendNumbers(nums []int64) []int64 {
-	for _, n := range e.numbers() {
+	for _, n := range e.numberColumns() {
 		nums = append(nums, *n)
 	}
 	leaving := int64(0)
@@ -76,20 +76,20 @@
 	if err := dec.Decode(&nums); err != nil {
 		return Digest{}, merry.Prepend(err, "decode digest")
 	}
-	return join(texts, nums)
+	return buildDigest(texts, nums)
 }
 
-func join(texts []string, nums []int64) (Digest, error) {
+func buildDigest(texts []string, nums []int64) (Digest, error) {
 	var d Digest
 	for len(texts) > 0 {
 		if len(texts) < textsPerEngine {
-			return Digest{}, errDigest
+			return Digest{}, errDigestTruncated
 		}
 		e := EngineDigest{Name: texts[0], Models: texts[1], Role: texts[2]}
 		texts = texts[textsPerEngine:]
-		rest, ok := e.takeNumbers(nums)
+		rest, ok := e.parseNumbers(nums)
 		if !ok {
-			return Digest{}, errDigest
+			return Digest{}, errDigestTruncated
 		}
 		nums = rest
 		d.Engines = append(d.Engines, e)
@@ -100,8 +100,8 @@
 // extraNumbers is the number of columns after the fixed ones.
 const extraNumbers = 3
 
-func (e *EngineDigest) takeNumbers(nums []int64) (rest []int64, ok bool) {
-	fixed := e.numbers()
+func (e *EngineDigest) parseNumbers(nums []int64) (rest []int64, ok bool) {
+	fixed := e.numberColumns()
 	if len(nums) < len(fixed)+extraNumbers {
 		return nil, false
 	}
--- a/internal/owner/end.go
+++ b/internal/owner/end.go
@@ -7,8 +7,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/ledger"
 )
 
-// end asks an engine to end a holding.
-func end(ctx context.Context, engines Engines, timeout time.Duration, address string, id ledger.ID) error {
+// endHolding asks an engine to end a holding.
+func endHolding(ctx context.Context, engines Engines, timeout time.Duration, address string, id ledger.ID) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if id.Kind == ledger.Running {
--- a/internal/owner/engine.go
+++ b/internal/owner/engine.go
@@ -43,8 +43,8 @@
 	return c, nil
 }
 
-// call makes one call and turns a refusal into a *Refused.
-func call[T any, R any](h *HTTPEngines, address, what string, f func(*engineapi.Client) (R, error)) (T, error) {
+// callEngine makes one call and turns a refusal into a *Refused.
+func callEngine[T any, R any](h *HTTPEngines, address, what string, f func(*engineapi.Client) (R, error)) (T, error) {
 	var zero T
 	c, err := h.client(address)
 	if err != nil {
@@ -67,7 +67,7 @@
 // Books implements Engines.
 func (h *HTTPEngines) Books(ctx context.Context, address string) (ledger.Books, error) {
 	asked := h.clock()
-	b, err := call[*engineapi.Books](h, address, "read books", func(c *engineapi.Client) (engineapi.GetBooksRes, error) {
+	b, err := callEngine[*engineapi.Books](h, address, "read books", func(c *engineapi.Client) (engineapi.GetBooksRes, error) {
 		return c.GetBooks(ctx)
 	})
 	if err != nil {
@@ -100,7 +100,7 @@
 
 // Load implements Engines.
 func (h *HTTPEngines) Load(ctx context.Context, address string) (Load, error) {
-	r, err := call[*engineapi.LoadReport](h, address, "read load", func(c *engineapi.Client) (engineapi.GetLoadRes, error) {
+	r, err := callEngine[*engineapi.LoadReport](h, address, "read load", func(c *engineapi.Client) (engineapi.GetLoadRes, error) {
 		return c.GetLoad(ctx)
 	})
 	if err != nil {
@@ -131,13 +131,13 @@
 	engineapi.CacheEventKindCleared: CacheCleared,
 }
 
-const blockBase = 16 // blocks are 64-bit hashes in hex
+const blockHashBase = 16 // blocks are 64-bit hashes in hex
 
 // CacheEvents implements Engines. A block that is no hash is left out, which
 // reads as a gap.
 func (h *HTTPEngines) CacheEvents(ctx context.Context, address string, from int64, limit int) (CacheEvents, error) {
 	params := engineapi.GetCacheEventsParams{From: from, Max: engineapi.NewOptInt(limit)}
-	r, err := call[*engineapi.CacheEvents](h, address, "read cache events", func(c *engineapi.Client) (engineapi.GetCacheEventsRes, error) {
+	r, err := callEngine[*engineapi.CacheEvents](h, address, "read cache events", func(c *engineapi.Client) (engineapi.GetCacheEventsRes, error) {
 		return c.GetCacheEvents(ctx, params)
 	})
 	if err != nil {
@@ -146,7 +146,7 @@
 	out := CacheEvents{Next: r.Next}
 	for _, e := range r.Events {
 		kind := cacheKinds[e.Kind]
-		block, err := strconv.ParseUint(e.Block, blockBase, 64)
+		block, err := strconv.ParseUint(e.Block, blockHashBase, 64)
 		if err != nil && kind != CacheCleared {
 			continue
 		}
@@ -164,7 +164,7 @@
 		Tokens:    ask.Tokens,
 		GangSize:  engineapi.NewOptInt(max(ask.GangSize, 1)),
 	}
-	_, err := call[*engineapi.Reservation](h, address, "reserve", func(c *engineapi.Client) (engineapi.ReserveRes, error) {
+	_, err := callEngine[*engineapi.Reservation](h, address, "reserve", func(c *engineapi.Client) (engineapi.ReserveRes, error) {
 		return c.Reserve(ctx, req)
 	})
 	return err
@@ -172,22 +172,22 @@
 
 // Release implements Engines.
 func (h *HTTPEngines) Release(ctx context.Context, address, id string) error {
-	_, err := call[*engineapi.CancelResult](h, address, "release", func(c *engineapi.Client) (engineapi.ReleaseRes, error) {
+	_, err := callEngine[*engineapi.CancelResult](h, address, "release", func(c *engineapi.Client) (engineapi.ReleaseRes, error) {
 		return c.Release(ctx, &engineapi.ReleaseRequest{ID: id})
 	})
-	return goneIsDone(err)
+	return ignoreNotFound(err)
 }
 
 // Cancel implements Engines.
 func (h *HTTPEngines) Cancel(ctx context.Context, address, requestID string, attempt int) error {
-	_, err := call[*engineapi.CancelResult](h, address, "cancel", func(c *engineapi.Client) (engineapi.CancelRes, error) {
+	_, err := callEngine[*engineapi.CancelResult](h, address, "cancel", func(c *engineapi.Client) (engineapi.CancelRes, error) {
 		return c.Cancel(ctx, &engineapi.CancelRequest{RequestID: requestID, Attempt: attempt})
 	})
-	return goneIsDone(err)
+	return ignoreNotFound(err)
 }
 
-// goneIsDone takes an engine's "not found" for the end that was asked for.
-func goneIsDone(err error) error {
+// ignoreNotFound takes an engine's "not found" for the end that was asked for.
+func ignoreNotFound(err error) error {
 	var r *Refused
 	if errors.As(err, &r) && r.Code == string(engineapi.RefusalCodeNotFound) {
 		return nil
@@ -201,24 +201,24 @@
 		Fence:   fence,
 		ID:      o.ID(fence),
 		Kind:    engineapi.OrderKind(o.Kind),
-		Model:   optional(o.Model),
-		Version: optional(o.Version),
-		Adapter: optional(o.Adapter),
-		Role:    optional(o.Role),
+		Model:   optString(o.Model),
+		Version: optString(o.Version),
+		Adapter: optString(o.Adapter),
+		Role:    optString(o.Role),
 	}
-	_, err := call[*engineapi.OrderState](h, address, "order", func(c *engineapi.Client) (engineapi.OrderRes, error) {
+	_, err := callEngine[*engineapi.OrderState](h, address, "order", func(c *engineapi.Client) (engineapi.OrderRes, error) {
 		return c.Order(ctx, req)
 	})
 	return err
 }
 
-func optional(s string) engineapi.OptString {
+func optString(s string) engineapi.OptString {
 	return engineapi.OptString{Value: s, Set: s != ""}
 }
 
 // OrderState implements Engines.
 func (h *HTTPEngines) OrderState(ctx context.Context, address string) (order.State, error) {
-	s, err := call[*engineapi.OrderState](h, address, "read order state", func(c *engineapi.Client) (engineapi.GetOrderStateRes, error) {
+	s, err := callEngine[*engineapi.OrderState](h, address, "read order state", func(c *engineapi.Client) (engineapi.GetOrderStateRes, error) {
 		return c.GetOrderState(ctx)
 	})
 	if err != nil {
--- a/internal/owner/gang.go
+++ b/internal/owner/gang.go
@@ -61,9 +61,9 @@
 	for {
 		select {
 		case <-d.ctx.Done():
-			d.do(d.gather.Abort(d.now()))
+			d.execute(d.gather.Abort(d.now()))
 		case <-timer.C:
-			d.do(d.gather.Tick(d.now()))
+			d.execute(d.gather.Tick(d.now()))
 		}
 		switch {
 		case d.failed != nil:
@@ -77,14 +77,14 @@
 
 func (d *gatherDriver) now() time.Time { return d.holder.opts.Clock() }
 
-func (d *gatherDriver) do(steps []ledger.Step) {
+func (d *gatherDriver) execute(steps []ledger.Step) {
 	for len(steps) > 0 {
 		s := steps[0]
-		steps = append(steps[1:], d.step(s)...)
+		steps = append(steps[1:], d.executeStep(s)...)
 	}
 }
 
-func (d *gatherDriver) step(s ledger.Step) []ledger.Step {
+func (d *gatherDriver) executeStep(s ledger.Step) []ledger.Step {
 	h := d.holder
 	switch s := s.(type) {
 	case ledger.AcquireTurn:
@@ -98,7 +98,7 @@
 		args := TurnArgs{Pool: s.Pool, Gang: s.Gang, Give: true}
 		_ = h.callOwner(ctx, turnKey(s.Pool), methodTurn, args, &TurnReply{})
 	case ledger.ReserveMember:
-		return d.askMember(s.Request)
+		return d.reserveMember(s.Request)
 	case ledger.ReleaseMember:
 		// The holder keeps on asking until it is confirmed.
 		h.End(d.engines[s.Engine], ledger.ID{Kind: ledger.Reservation, Name: s.ID})
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func (d *gatherDriver) askMember(ask ledger.ReserveRequest) []ledger.Step {
+func (d *gatherDriver) reserveMember(ask ledger.ReserveRequest) []ledger.Step {
 	reply, err := d.holder.Reserve(d.ctx, d.engines[ask.Engine], ask)
 	if err == nil && reply.Granted {
 		return d.gather.Granted(ask, d.now())
--- a/internal/owner/holder.go
+++ b/internal/owner/holder.go
@@ -73,37 +73,37 @@
 	opts HolderOptions
 	wake chan struct{}
 
-	mu   sync.Mutex
-	held map[held]*tracked
-	used map[string]time.Time // by engine: when something was last held there
-	seq  uint64
+	mu       sync.Mutex
+	holdings map[holdingKey]*trackedHolding
+	lastUsed map[string]time.Time // by engine: when something was last held there
+	seq      uint64
 }
 
-// held names one holding.
-type held struct {
+// holdingKey names one holding.
+type holdingKey struct {
 	engine string
 	id     ledger.ID
 }
 
-type tracked struct {
-	address string // of the engine
-	began   time.Time
-	asked   bool // a reservation whose grant has not come: not yet to be claimed
-	ending  bool
-	settled bool // a cancel was confirmed once
-	busy    bool // an end is being asked for
-	since   time.Time
-	next    time.Time // when the end is asked for again
-	wait    time.Duration
+type trackedHolding struct {
+	address         string // of the engine
+	trackedAt       time.Time
+	awaitingGrant   bool // a reservation whose grant has not come: not yet to be claimed
+	ending          bool
+	cancelConfirmed bool // a cancel was confirmed once
+	endInFlight     bool // an end is being asked for
+	endingSince     time.Time
+	nextTry         time.Time // when the end is asked for again
+	retryDelay      time.Duration
 }
 
 // NewHolder returns a holder of nothing.
 func NewHolder(opts HolderOptions) *Holder {
 	return &Holder{
-		opts: opts.withDefaults(),
-		wake: make(chan struct{}, 1),
-		held: map[held]*tracked{},
-		used: map[string]time.Time{},
+		opts:     opts.withDefaults(),
+		wake:     make(chan struct{}, 1),
+		holdings: map[holdingKey]*trackedHolding{},
+		lastUsed: map[string]time.Time{},
 	}
 }
 
@@ -111,10 +111,10 @@
 func (h *Holder) Track(e Engine, id ledger.ID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	key := held{e.Name, id}
-	h.used[e.Name] = h.opts.Clock()
-	if h.held[key] == nil {
-		h.held[key] = &tracked{address: e.Address, began: h.opts.Clock()}
+	key := holdingKey{e.Name, id}
+	h.lastUsed[e.Name] = h.opts.Clock()
+	if h.holdings[key] == nil {
+		h.holdings[key] = &trackedHolding{address: e.Address, trackedAt: h.opts.Clock()}
 	}
 }
 
@@ -123,9 +123,9 @@
 func (h *Holder) Done(engine string, id ledger.ID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	key := held{engine, id}
-	if t := h.held[key]; t != nil && !t.ending {
-		delete(h.held, key)
+	key := holdingKey{engine, id}
+	if t := h.holdings[key]; t != nil && !t.ending {
+		delete(h.holdings, key)
 	}
 }
 
@@ -133,32 +133,32 @@
 // for until it is confirmed.
 func (h *Holder) End(e Engine, id ledger.ID) {
 	h.mu.Lock()
-	key := held{e.Name, id}
-	h.used[e.Name] = h.opts.Clock()
-	t := h.held[key]
+	key := holdingKey{e.Name, id}
+	h.lastUsed[e.Name] = h.opts.Clock()
+	t := h.holdings[key]
 	if t == nil {
-		t = &tracked{address: e.Address}
-		h.held[key] = t
+		t = &trackedHolding{address: e.Address}
+		h.holdings[key] = t
 	}
 	if !t.ending {
 		t.ending = true
-		t.since = h.opts.Clock()
-		t.wait = h.opts.RetryMin
+		t.endingSince = h.opts.Clock()
+		t.retryDelay = h.opts.RetryMin
 	}
 	h.mu.Unlock()
-	h.poke()
+	h.wakeRun()
 }
 
 // Held returns the number of holdings, and of those whose end is not confirmed.
 func (h *Holder) Held() (all, ending int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, t := range h.held {
-		if t.ending && !t.settled {
+	for _, t := range h.holdings {
+		if t.ending && !t.cancelConfirmed {
 			ending++
 		}
 	}
-	return len(h.held), ending
+	return len(h.holdings), ending
 }
 
 // Reserve asks the engine's owner for memory. When it does not return a grant,
@@ -169,7 +169,7 @@
 	ask.Holder = h.opts.Me
 	id := ledger.ID{Kind: ledger.Reservation, Name: ask.ID}
 	h.Track(e, id)
-	h.setAsked(e, id, true)
+	h.setAwaitingGrant(e, id, true)
 	var reply ReserveReply
 	err := h.callOwner(ctx, e.Name, methodReserve, ask, &reply)
 	if err != nil {
@@ -177,22 +177,22 @@
 		return ReserveReply{}, merry.Prependf(err, "reserve on %s", e.Name)
 	}
 	if !reply.Granted {
-		h.denied(e, id, reply.Reason)
+		h.handleDenial(e, id, reply.Reason)
 	}
-	h.setAsked(e, id, false)
+	h.setAwaitingGrant(e, id, false)
 	return reply, nil
 }
 
-func (h *Holder) setAsked(e Engine, id ledger.ID, asked bool) {
+func (h *Holder) setAwaitingGrant(e Engine, id ledger.ID, asked bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if t := h.held[held{e.Name, id}]; t != nil {
-		t.asked = asked
+	if t := h.holdings[holdingKey{e.Name, id}]; t != nil {
+		t.awaitingGrant = asked
 	}
 }
 
-// denied forgets what was certainly not taken and ends the rest.
-func (h *Holder) denied(e Engine, id ledger.ID, reason ledger.Reason) {
+// handleDenial forgets what was certainly not taken and ends the rest.
+func (h *Holder) handleDenial(e Engine, id ledger.ID, reason ledger.Reason) {
 	switch reason {
 	case ledger.InProgress, ledger.AnswerLost:
 		h.End(e, id)
@@ -234,7 +234,7 @@
 	return merry.Errorf("unknown method %s", method)
 }
 
-func (h *Holder) poke() {
+func (h *Holder) wakeRun() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
--- a/internal/owner/metrics.go
+++ b/internal/owner/metrics.go
@@ -9,13 +9,13 @@
 )
 
 var (
-	metricGrants    = metrics.NewCounter("buckthorndock_owner_grants_total")
-	metricDeferred  = metrics.NewCounter("buckthorndock_owner_deferred_calls_total")
-	metricRenewals  = metrics.NewCounter("buckthorndock_owner_renewals_total")
-	metricDropped   = metrics.NewCounter("buckthorndock_owner_ends_given_up_total")
-	metricDigest    = metrics.NewCounter("buckthorndock_owner_digest_bytes_total")
-	metricOrders    = metrics.NewCounter("buckthorndock_owner_orders_total")
-	metricBooksRead = metrics.NewCounter("buckthorndock_owner_books_read_total")
+	metricGrants      = metrics.NewCounter("buckthorndock_owner_grants_total")
+	metricDeferred    = metrics.NewCounter("buckthorndock_owner_deferred_calls_total")
+	metricRenewals    = metrics.NewCounter("buckthorndock_owner_renewals_total")
+	metricEndsGivenUp = metrics.NewCounter("buckthorndock_owner_ends_given_up_total")
+	metricDigestBytes = metrics.NewCounter("buckthorndock_owner_digest_bytes_total")
+	metricOrders      = metrics.NewCounter("buckthorndock_owner_orders_total")
+	metricBooksRead   = metrics.NewCounter("buckthorndock_owner_books_read_total")
 )
 
 func metricEnds(c ledger.Cause) *metrics.Counter {
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -42,8 +42,8 @@
 // DefaultOrderEvery is the default of OrderOptions.Every.
 const DefaultOrderEvery = 2 * time.Second
 
-// readLimit bounds the records of one read of the order stream.
-const readLimit = 1000
+// maxRecordsPerRead bounds the records of one read of the order stream.
+const maxRecordsPerRead = 1000
 
 // Orders keeps the order leases of the pools whose leader this host is, and
 // brings their engines to the desired state. It has one goroutine, Run's.
@@ -109,8 +109,8 @@
 	if len(mine) == 0 {
 		return
 	}
-	if err := o.follow(ctx); err != nil {
-		o.logAway(err)
+	if err := o.readLog(ctx); err != nil {
+		o.markLogUnavailable(err)
 		return
 	}
 	for _, p := range mine {
@@ -119,29 +119,29 @@
 	o.expirePermits()
 }
 
-// permitLife is how long an unused permit is remembered: its order is no longer
+// permitLifetime is how long an unused permit is remembered: its order is no longer
 // due after so long.
-const permitLife = 10 * time.Minute
+const permitLifetime = 10 * time.Minute
 
 func (o *Orders) expirePermits() {
 	now := o.opts.Clock()
 	for key, at := range o.permits {
-		if now.Sub(at) > permitLife {
+		if now.Sub(at) > permitLifetime {
 			delete(o.permits, key)
 		}
 	}
 }
 
-// follow reads the stream to its end.
-func (o *Orders) follow(ctx context.Context) error {
+// readLog reads the stream to its end.
+func (o *Orders) readLog(ctx context.Context) error {
 	for {
 		call, cancel := context.WithTimeout(ctx, o.opts.CallTimeout)
-		page, err := o.opts.Log.Read(call, order.Stream(o.opts.Domain), o.replay.Next(), readLimit, 0)
+		page, err := o.opts.Log.Read(call, order.Stream(o.opts.Domain), o.replay.Next(), maxRecordsPerRead, 0)
 		cancel()
 		if err != nil {
 			return err
 		}
-		if o.restored(page.Era) {
+		if o.checkRestored(page.Era) {
 			continue
 		}
 		for _, r := range page.Records {
@@ -155,8 +155,8 @@
 	}
 }
 
-// restored reports whether the log has come back from an older copy since it was read last.
-func (o *Orders) restored(era int64) bool {
+// checkRestored reports whether the log has come back from an older copy since it was read last.
+func (o *Orders) checkRestored(era int64) bool {
 	was := o.era
 	o.era = era
 	if was == era || o.replay.Next() == 1 {
@@ -167,7 +167,7 @@
 	return true
 }
 
-func (o *Orders) logAway(err error) {
+func (o *Orders) markLogUnavailable(err error) {
 	for _, p := range o.pools {
 		p.keeper.MarkLogUnavailable()
 	}
@@ -175,20 +175,20 @@
 }
 
 func (o *Orders) stepPool(ctx context.Context, p OrderPool, want bool) {
-	st := o.pool(p)
+	st := o.poolState(p)
 	rec := st.keeper.Step(o.replay, want, o.opts.Clock())
-	if rec != nil && !o.append(ctx, *rec) {
+	if rec != nil && !o.appendRecord(ctx, *rec) {
 		return
 	}
 	if _, ok := st.keeper.MayOrder(o.opts.Clock()); ok && want {
-		o.bringAbout(ctx, p, st)
+		o.reconcile(ctx, p, st)
 	}
 	if l, ok := o.replay.Lease(p.Name); !want && (!ok || l.Holder != o.opts.Me || l.Dropped) {
 		delete(o.pools, p.Name)
 	}
 }
 
-func (o *Orders) pool(p OrderPool) *orderPool {
+func (o *Orders) poolState(p OrderPool) *orderPool {
 	st := o.pools[p.Name]
 	if st == nil {
 		st = &orderPool{
@@ -200,9 +200,9 @@
 	return st
 }
 
-// append writes a record. After an error it may be in the log all the same; the
+// appendRecord writes a record. After an error it may be in the log all the same; the
 // keeper counts only what is read back.
-func (o *Orders) append(ctx context.Context, rec order.Record) bool {
+func (o *Orders) appendRecord(ctx context.Context, rec order.Record) bool {
 	data, err := rec.Encode()
 	if err != nil {
 		o.opts.Logger.WithError(err).Error("order_record_failed")
@@ -211,14 +211,14 @@
 	call, cancel := context.WithTimeout(ctx, o.opts.CallTimeout)
 	defer cancel()
 	if _, err := o.opts.Log.Append(call, order.Stream(o.opts.Domain), [][]byte{data}); err != nil {
-		o.logAway(err)
+		o.markLogUnavailable(err)
 		return false
 	}
 	return true
 }
 
-// bringAbout reads all engines of a pool back and gives the orders that are due.
-func (o *Orders) bringAbout(ctx context.Context, p OrderPool, st *orderPool) {
+// reconcile reads all engines of a pool back and gives the orders that are due.
+func (o *Orders) reconcile(ctx context.Context, p OrderPool, st *orderPool) {
 	addresses := map[string]string{}
 	var engines []order.Engine
 	for _, e := range p.Engines {
@@ -232,7 +232,7 @@
 		engines = append(engines, order.Engine{Name: e.Name, Desired: p.Desired, State: state})
 	}
 	for _, ord := range st.planner.Plan(engines, o.opts.Clock()) {
-		if ord.IsLoad() && !o.permitted(ctx, ord) {
+		if ord.IsLoad() && !o.loadPermitted(ctx, ord) {
 			continue
 		}
 		// Asked anew before each order: the reads may have taken long.
@@ -240,13 +240,13 @@
 		if !ok {
 			return
 		}
-		o.give(ctx, st, fence, addresses[ord.Engine], ord)
+		o.sendOrder(ctx, st, fence, addresses[ord.Engine], ord)
 	}
 }
 
-// permitted takes a permit of the weight store for a load, once, and tells
+// loadPermitted takes a permit of the weight store for a load, once, and tells
 // whether its time has come.
-func (o *Orders) permitted(ctx context.Context, ord order.Order) bool {
+func (o *Orders) loadPermitted(ctx context.Context, ord order.Order) bool {
 	key := ord.ID(0)
 	now := o.opts.Clock()
 	at, ok := o.permits[key]
@@ -267,7 +267,7 @@
 	return true
 }
 
-func (o *Orders) give(ctx context.Context, st *orderPool, fence int64, address string, ord order.Order) {
+func (o *Orders) sendOrder(ctx context.Context, st *orderPool, fence int64, address string, ord order.Order) {
 	call, cancel := context.WithTimeout(ctx, o.opts.CallTimeout)
 	defer cancel()
 	st.planner.MarkSent(ord, o.opts.Clock())
--- a/internal/owner/restored_test.go
+++ b/internal/owner/orders_restored_test.go
@@ -39,16 +39,16 @@
 	l.records = append(l.records, platform.Record{Offset: int64(len(l.records)) + 1, At: at, Data: data})
 }
 
-// TestOrdersFollowALogThatHasGoneBack guards against hosts that read on from an offset that the log
+// TestOrdersRereadARestoredLog guards against hosts that read on from an offset that the log
 // has not reached again, and pass over what is written meanwhile.
-func TestOrdersFollowALogThatHasGoneBack(t *testing.T) {
+func TestOrdersRereadARestoredLog(t *testing.T) {
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
 	log, begin := &eraLog{era: 1}, time.Unix(1_800_000_000, 0)
 	o := NewOrders(OrderOptions{Domain: "d", Log: log, Logger: quiet, CallTimeout: time.Second})
 	follow := func(holder string) order.Lease {
 		t.Helper()
-		if err := o.follow(t.Context()); err != nil {
+		if err := o.readLog(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		l, _ := o.replay.Lease("p")
--- a/internal/owner/orders_test.go
+++ b/internal/owner/orders_test.go
@@ -62,7 +62,7 @@
 		Pools: func() []OrderPool {
 			return []OrderPool{{Name: "p", ChecksFencing: true, Desired: desired, Engines: s.engines}}
 		},
-		Logger: s.quiet,
+		Logger: s.logger,
 		Lease:  order.Options{Lease: lease, RenewInterval: 200 * time.Millisecond, Margin: 100 * time.Millisecond, ReadBackTimeout: 300 * time.Millisecond},
 		Plan:   order.PlanOptions{RetryEvery: 200 * time.Millisecond},
 		Every:  20 * time.Millisecond,
@@ -90,7 +90,7 @@
 	return true, fence
 }
 
-func TestOrdersBringAboutAndRepairTheDesiredState(t *testing.T) {
+func TestOrdersReachAndRepairTheDesiredState(t *testing.T) {
 	s := newOrderSite(t, time.Second)
 	s.eventually("the desired state", func() bool { ok, _ := s.desired(); return ok })
 	_, first := s.desired()
@@ -100,12 +100,12 @@
 		leader = s.hosts[0]
 	}
 	leader.kill()
-	s.disturb()
+	s.loadStrayModel()
 	s.eventually("the next holder's repair", func() bool { ok, fence := s.desired(); return ok && fence > first })
 }
 
-// disturb loads a model that nobody wants, with the highest fence seen.
-func (s *orderSite) disturb() {
+// loadStrayModel loads a model that nobody wants, with the highest fence seen.
+func (s *orderSite) loadStrayModel() {
 	s.t.Helper()
 	for _, e := range s.engines {
 		st, err := s.http.OrderState(context.Background(), e.Address)
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestNoOrdersGoOutWhileTheLogIsAway(t *testing.T) {
+func TestNoOrdersWhileTheLogIsUnavailable(t *testing.T) {
 	s := newOrderSite(t, time.Minute) // longer than the test: only the log stops orders
 	s.eventually("the desired state", func() bool { ok, _ := s.desired(); return ok })
 	if err := s.log.SetFault(standin.Fault{Kind: standin.FaultOutage, On: true}); err != nil {
@@ -129,7 +129,7 @@
 	const tries = 2
 	repaired := 0
 	for range tries {
-		if s.repairs() {
+		if s.repairsStrayModel() {
 			repaired++
 		}
 	}
@@ -142,11 +142,11 @@
 	s.eventually("repair after the outage", func() bool { ok, _ := s.desired(); return ok })
 }
 
-// repairs disturbs the engines and tells whether they are put right within many
+// repairsStrayModel disturbs the engines and tells whether they are put right within many
 // steps of the leader.
-func (s *orderSite) repairs() bool {
+func (s *orderSite) repairsStrayModel() bool {
 	s.t.Helper()
-	s.disturb()
+	s.loadStrayModel()
 	for range 50 {
 		time.Sleep(20 * time.Millisecond)
 		if ok, _ := s.desired(); ok {
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -17,14 +17,14 @@
 
 // Each case leaves memory held in one of the ways the brief names; nobody but the
 // owners may bring it back.
-func TestMemoryComesBack(t *testing.T) {
+func TestHeldMemoryIsReleased(t *testing.T) {
 	cases := []struct {
 		name string
 		run  func(s *site, front *testHost)
 	}{
 		{"front killed with streams open", func(s *site, front *testHost) {
-			s.generate(front, s.engines[0], "open")
-			s.generate(front, s.engines[1], "cut")()
+			s.startStream(front, s.engines[0], "open")
+			s.startStream(front, s.engines[1], "cut")()
 			front.kill()
 		}},
 		{"front replaced by a new incarnation", func(s *site, front *testHost) {
@@ -40,7 +40,7 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			var gathering sync.WaitGroup
 			gathering.Go(func() { _, _ = front.holder.Gather(ctx, ledger.GatherOptions{}, s.gang("g", 6000), s.engines) })
-			s.eventually("half a gang", func() bool { return s.listed(ledger.Reservation) == 3 })
+			s.eventually("half a gang", func() bool { return s.countHoldings(ledger.Reservation) == 3 })
 			front.kill()
 			cancel()
 			gathering.Wait()
@@ -54,7 +54,7 @@
 				_, err := front.holder.Gather(front.ctx, ledger.GatherOptions{}, s.gang("g", 6000), s.engines)
 				gathered <- err
 			}()
-			s.eventually("half a gang", func() bool { return s.listed(ledger.Reservation) == 3 })
+			s.eventually("half a gang", func() bool { return s.countHoldings(ledger.Reservation) == 3 })
 			s.hosts[1].kill()
 			blocker.holder.End(s.engines[2], ledger.ID{Kind: ledger.Reservation, Name: "blocker"})
 			if err := <-gathered; err != nil {
@@ -69,7 +69,7 @@
 			}
 			s.hosts[1].kill()
 			s.reserve(front, s.engines[1], "after", 500)
-			if n := s.listed(ledger.Reservation); n != 2 {
+			if n := s.countHoldings(ledger.Reservation); n != 2 {
 				s.t.Errorf("%d reservations after the change of owner, want 2", n)
 			}
 			front.holder.End(s.engines[1], ledger.ID{Kind: ledger.Reservation, Name: "r"})
@@ -77,24 +77,24 @@
 			if err := front.holder.Drain(context.Background()); err != nil {
 				s.t.Error(err)
 			}
-			if n := s.listed(0); n != 0 {
+			if n := s.countHoldings(0); n != 0 {
 				s.t.Errorf("%d holdings after the front has drained", n)
 			}
 		}},
 		{"owner and front killed", func(s *site, front *testHost) {
 			s.reserve(front, s.engines[1], "r", 500)
-			s.generate(front, s.engines[1], "q")
+			s.startStream(front, s.engines[1], "q")
 			s.hosts[1].kill()
 			front.kill()
 		}},
 		{"answers to the release lost", func(s *site, front *testHost) {
 			s.reserve(front, s.engines[0], "r", 500)
-			s.fault(0, "/v1/release", standin.FaultDropAnswer, 4)
+			s.setFault(0, "/v1/release", standin.FaultDropAnswer, 4)
 			front.holder.End(s.engines[0], ledger.ID{Kind: ledger.Reservation, Name: "r"})
 		}},
 		{"answer to the reserve call lost", func(s *site, front *testHost) {
 			s.eventually("ready", func() bool { r, ok := s.owner(0).service.Room("e0"); return ok && r.Known })
-			s.fault(0, "/v1/reservations", standin.FaultDropAnswer, 1)
+			s.setFault(0, "/v1/reservations", standin.FaultDropAnswer, 1)
 			ask := ledger.ReserveRequest{Engine: "e0", ID: "r", Tokens: 500}
 			reply, err := front.holder.Reserve(context.Background(), s.engines[0], ask)
 			if err != nil || reply.Granted || reply.Reason != ledger.AnswerLost {
@@ -103,8 +103,8 @@
 		}},
 		{"KV export never imported", func(s *site, front *testHost) { s.export(front) }},
 		{"caller gone before its request ends", func(s *site, front *testHost) {
-			s.generate(front, s.engines[0], "q")
-			s.fault(0, "/v1/cancel", standin.FaultRefuse, 3)
+			s.startStream(front, s.engines[0], "q")
+			s.setFault(0, "/v1/cancel", standin.FaultRefuse, 3)
 			front.holder.End(s.engines[0], ledger.ID{Kind: ledger.Running, Name: "q", Attempt: 1})
 			s.eventually("confirmed", func() bool { all, _ := front.holder.Held(); return all == 0 })
 		}},
@@ -114,7 +114,7 @@
 			t.Parallel()
 			s := newSite(t, 3, 4)
 			c.run(s, s.hosts[0])
-			s.booksReturnToZero()
+			s.waitForEmptyBooks()
 		})
 	}
 }
@@ -153,12 +153,12 @@
 	})
 	s.reserve(front, e, "other", 100)
 	s.eventually("export ended, the claimed reservation kept", func() bool {
-		return s.listed(ledger.Export) == 0 && s.listed(ledger.Reservation) == 1
+		return s.countHoldings(ledger.Export) == 0 && s.countHoldings(ledger.Reservation) == 1
 	})
 	front.holder.End(e, ledger.ID{Kind: ledger.Reservation, Name: "other"})
 }
 
-func TestClaimedWorkOutlivesTheLimits(t *testing.T) {
+func TestRenewedHoldingsOutliveTheTimeouts(t *testing.T) {
 	s := newSite(t, 1, 2)
 	s.reserve(s.hosts[0], s.engines[0], "r", 500)
 	// The hard limit has passed when an unclaimed holding of a stranger ends.
@@ -166,7 +166,7 @@
 	if err := s.http.Reserve(context.Background(), s.engines[0].Address, stranger); err != nil {
 		t.Fatal(err)
 	}
-	s.eventually("the stranger's reservation ends", func() bool { return s.listed(ledger.Reservation) == 1 })
+	s.eventually("the stranger's reservation ends", func() bool { return s.countHoldings(ledger.Reservation) == 1 })
 	if name := s.books()[0].Items[0].Name; name != "r" {
 		t.Errorf("kept %s, want r", name)
 	}
@@ -175,11 +175,11 @@
 func TestTwoOwnersAtOnceStayWithinMemory(t *testing.T) {
 	s := newSite(t, 2, 3)
 	s.mu.Lock()
-	s.split = true
+	s.allOwnAll = true
 	s.mu.Unlock()
 	for _, h := range s.hosts {
 		for _, e := range s.engines {
-			s.untilGranting(h, e)
+			s.waitForGrants(h, e)
 		}
 	}
 	var asking sync.WaitGroup
@@ -217,15 +217,15 @@
 		h.kill()
 	}
 	s.mu.Lock()
-	s.split = false
+	s.allOwnAll = false
 	s.mu.Unlock()
 	s.addHost("next", "1")
-	s.booksReturnToZero()
+	s.waitForEmptyBooks()
 }
 
-// untilGranting waits until the owner that a host asks has read an engine's books,
+// waitForGrants waits until the owner that a host asks has read an engine's books,
 // before which it grants nothing.
-func (s *site) untilGranting(h *testHost, e Engine) {
+func (s *site) waitForGrants(h *testHost, e Engine) {
 	n := 0
 	s.eventually("the owner grants on "+e.Name, func() bool {
 		n++
@@ -260,23 +260,23 @@
 		})
 	}
 	all.Wait()
-	s.booksReturnToZero()
+	s.waitForEmptyBooks()
 }
 
-func TestGangThatCannotFitEndsWithoutMembers(t *testing.T) {
+func TestGangLargerThanMemoryReservesNothing(t *testing.T) {
 	s := newSite(t, 2, 2)
 	_, err := s.hosts[0].holder.Gather(s.hosts[0].ctx, ledger.GatherOptions{}, s.gang("g", memory+1), s.engines)
 	var failed *GangFailed
 	if !errors.As(err, &failed) || failed.Reason != ledger.TooLarge {
 		t.Errorf("got %v, want %s", err, ledger.TooLarge)
 	}
-	s.booksReturnToZero()
+	s.waitForEmptyBooks()
 }
 
-func TestDigestFollowsTheEngines(t *testing.T) {
+func TestDigestShowsLoadAndOutages(t *testing.T) {
 	s := newSite(t, 2, 1)
 	h := s.hosts[0]
-	s.generate(h, s.engines[1], "q")
+	s.startStream(h, s.engines[1], "q")
 	s.eventually("a digest that shows the load", func() bool {
 		s.mu.Lock()
 		data := h.digest
@@ -294,7 +294,7 @@
 		idle, busy := d.Engines[0].Load(), d.Engines[1].Load()
 		return idle.Running == 0 && busy.Running == 1 && busy.MemoryTotal == memory
 	})
-	if err := s.fakes[0].SetFault(standin.Fault{Kind: standin.FaultOutage, On: true}); err != nil {
+	if err := s.standins[0].SetFault(standin.Fault{Kind: standin.FaultOutage, On: true}); err != nil {
 		t.Fatal(err)
 	}
 	s.eventually("an engine that does not answer is left out", func() bool {
@@ -312,13 +312,13 @@
 	end, missed := int64(0), int64(0)
 	for range 1000 {
 		end += 10 * DefaultCacheRead
-		got := CacheEvents{Next: p.next}
+		got := CacheEvents{Next: p.nextSeq}
 		for got.Next < end && len(got.Events) < DefaultCacheRead {
 			got.Events = append(got.Events, CacheEvent{Seq: got.Next})
 			got.Next++
 		}
-		p.next = p.nextAfter(got)
-		missed = max(missed, end-p.next)
+		p.nextSeq = p.nextCacheSeq(got)
+		missed = max(missed, end-p.nextSeq)
 	}
 	if missed > 100*DefaultCacheRead {
 		t.Errorf("the reader fell %d events behind", missed)
--- a/internal/owner/poller.go
+++ b/internal/owner/poller.go
@@ -13,27 +13,27 @@
 // poller reads one owned engine. Its fields after doubt belong to the service's
 // lock.
 type poller struct {
-	service *Service
-	engine  Engine
-	cancel  context.CancelFunc
-	doubt   chan struct{} // the books are wanted now
+	service        *Service
+	engine         Engine
+	cancel         context.CancelFunc
+	booksRequested chan struct{} // the books are wanted now
 
-	failures int
-	idle     int // reports in a row without work
-	load     Load
-	loadAt   time.Time // when the load was received, less its age; zero: none yet
-	cache    []CacheEvent
-	next     int64 // first cache event not yet read
-	skip     int64 // cache events to leave out after the next full read
+	failures    int
+	idleReports int // reports in a row without work
+	load        Load
+	loadAt      time.Time // when the load was received, less its age; zero: none yet
+	cache       []CacheEvent
+	nextSeq     int64 // first cache event not yet read
+	skip        int64 // cache events to leave out after the next full read
 }
 
 func newPoller(s *Service, e Engine, cancel context.CancelFunc) *poller {
-	return &poller{service: s, engine: e, cancel: cancel, doubt: make(chan struct{}, 1)}
+	return &poller{service: s, engine: e, cancel: cancel, booksRequested: make(chan struct{}, 1)}
 }
 
 // run polls until the engine is no longer owned.
 func (p *poller) run(ctx context.Context) {
-	load := time.NewTimer(p.service.loadEvery(p))
+	load := time.NewTimer(p.service.loadInterval(p))
 	defer load.Stop()
 	books := time.NewTicker(p.service.opts.BooksEvery)
 	defer books.Stop()
@@ -45,14 +45,14 @@
 			return
 		case <-books.C:
 			p.readBooks(ctx)
-		case <-p.doubt:
+		case <-p.booksRequested:
 			p.readBooks(ctx)
 		case <-load.C:
 			p.readLoad(ctx)
 			if reads++; reads%loadsPerDigest == 0 {
 				p.readCache(ctx)
 			}
-			load.Reset(p.service.loadEvery(p))
+			load.Reset(p.service.loadInterval(p))
 		}
 	}
 }
@@ -62,7 +62,7 @@
 	call, cancel := context.WithTimeout(ctx, s.opts.CallTimeout)
 	defer cancel()
 	b, err := s.opts.Engines.Books(call, p.engine.Address)
-	p.answered(err)
+	p.recordAnswer(err)
 	if err != nil {
 		return
 	}
@@ -74,11 +74,11 @@
 		acts = s.ledger.ApplyBooks(b, s.opts.Clock())
 	}
 	s.mu.Unlock()
-	s.background(ctx, acts)
+	s.executeInBackground(ctx, acts)
 }
 
-// answered counts calls without an answer; a refusal is an answer.
-func (p *poller) answered(err error) {
+// recordAnswer counts calls without an answer; a refusal is an answer.
+func (p *poller) recordAnswer(err error) {
 	s := p.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,29 +102,29 @@
 	call, cancel := context.WithTimeout(ctx, s.opts.CallTimeout)
 	defer cancel()
 	l, err := s.opts.Engines.Load(call, p.engine.Address)
-	p.answered(err)
+	p.recordAnswer(err)
 	if err != nil {
 		return
 	}
-	if p.takeLoad(l) {
+	if p.storeLoad(l) {
 		p.readBooks(ctx)
 	}
 }
 
-// takeLoad stores a report and tells whether the engine has started anew.
-func (p *poller) takeLoad(l Load) (restarted bool) {
+// storeLoad stores a report and tells whether the engine has started anew.
+func (p *poller) storeLoad(l Load) (restarted bool) {
 	s := p.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	restarted = p.load.Incarnation != "" && p.load.Incarnation != l.Incarnation
 	if restarted {
 		p.cache = nil
-		p.next = 0
+		p.nextSeq = 0
 		p.skip = 0
 	}
-	p.idle++
+	p.idleReports++
 	if l.Running > 0 || l.Queued > 0 || l.QueuedPrefill > 0 {
-		p.idle = 0
+		p.idleReports = 0
 	}
 	p.load = l
 	p.loadAt = s.opts.Clock().Add(-l.Age)
@@ -138,7 +138,7 @@
 	ctx, cancel := context.WithTimeout(ctx, s.opts.CallTimeout)
 	defer cancel()
 	s.mu.Lock()
-	from := p.next
+	from := p.nextSeq
 	s.mu.Unlock()
 	events, err := s.opts.Engines.CacheEvents(ctx, p.engine.Address, from, s.opts.CacheRead)
 	if err != nil {
@@ -146,20 +146,20 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p.next != from {
+	if p.nextSeq != from {
 		return
 	}
-	p.next = p.nextAfter(events)
+	p.nextSeq = p.nextCacheSeq(events)
 	p.cache = append(p.cache, events.Events...)
 	if extra := len(p.cache) - s.opts.CacheWindow; extra > 0 {
 		p.cache = append([]CacheEvent(nil), p.cache[extra:]...)
 	}
 }
 
-// nextAfter keeps up with an engine that has more events than are read: after a
+// nextCacheSeq keeps up with an engine that has more events than are read: after a
 // full read it leaves some out, more each time. A read past the engine's last
 // event is empty until the engine gets there.
-func (p *poller) nextAfter(events CacheEvents) int64 {
+func (p *poller) nextCacheSeq(events CacheEvents) int64 {
 	if len(events.Events) < p.service.opts.CacheRead {
 		p.skip /= 2
 		return events.Next
--- a/internal/owner/renew.go
+++ b/internal/owner/renew.go
@@ -25,15 +25,15 @@
 		case <-renew.C:
 			work.Go(func() { h.renew(ctx) })
 		case <-h.wake:
-			h.endDue(ctx, &work)
+			h.startDueEnds(ctx, &work)
 		case <-retry.C:
-			h.endDue(ctx, &work)
+			h.startDueEnds(ctx, &work)
 		}
 	}
 }
 
-// ownerOf is the owner of an engine as a call needs it.
-type ownerOf struct {
+// ownerRef is the owner of an engine as a call needs it.
+type ownerRef struct {
 	host    string
 	address string
 	self    bool
@@ -44,37 +44,37 @@
 // engine lists for this front is left over.
 func (h *Holder) renew(ctx context.Context) {
 	var calls sync.WaitGroup
-	for owner, r := range h.renewals() {
-		calls.Go(func() { h.renewAt(ctx, owner, r) })
+	for owner, r := range h.buildRenewals() {
+		calls.Go(func() { h.sendRenewal(ctx, owner, r) })
 	}
 	calls.Wait()
 }
 
-func (h *Holder) renewals() map[ownerOf]ledger.Renewal {
+func (h *Holder) buildRenewals() map[ownerRef]ledger.Renewal {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.seq++
 	now := h.opts.Clock()
-	out := map[ownerOf]ledger.Renewal{}
-	for engine, at := range h.used {
+	out := map[ownerRef]ledger.Renewal{}
+	for engine, at := range h.lastUsed {
 		if now.Sub(at) > h.opts.RenewAfter {
-			delete(h.used, engine)
+			delete(h.lastUsed, engine)
 			continue
 		}
 		if host, address, self := h.opts.Ownership.Owner(engine); host != "" {
-			out[ownerOf{host, address, self}] = ledger.Renewal{}
+			out[ownerRef{host, address, self}] = ledger.Renewal{}
 		}
 	}
-	for key, t := range h.held {
+	for key, t := range h.holdings {
 		host, address, self := h.opts.Ownership.Owner(key.engine)
-		if host == "" || !t.renewable(now, h.opts.RenewEvery) {
+		if host == "" || !t.shouldRenew(now, h.opts.RenewEvery) {
 			continue
 		}
-		o := ownerOf{host, address, self}
+		o := ownerRef{host, address, self}
 		r := out[o]
 		r.Held = append(r.Held, ledger.Claim{Engine: key.engine, ID: key.id})
 		out[o] = r
-		h.used[key.engine] = now
+		h.lastUsed[key.engine] = now
 	}
 	for o, r := range out {
 		r.Holder = h.opts.Me
@@ -84,14 +84,14 @@
 	return out
 }
 
-// renewable tells whether a holding is to be claimed. The ledger counts its limit
+// shouldRenew tells whether a holding is to be claimed. The ledger counts its limit
 // from the time it first saw a holding, so what is younger than one renewal's
 // time can wait: most short requests end without ever being claimed.
-func (t *tracked) renewable(now time.Time, every time.Duration) bool {
-	return !t.ending && !t.asked && now.Sub(t.began) >= every
+func (t *trackedHolding) shouldRenew(now time.Time, every time.Duration) bool {
+	return !t.ending && !t.awaitingGrant && now.Sub(t.trackedAt) >= every
 }
 
-func (h *Holder) renewAt(ctx context.Context, o ownerOf, r ledger.Renewal) {
+func (h *Holder) sendRenewal(ctx context.Context, o ownerRef, r ledger.Renewal) {
 	var reply ledger.RenewalReply
 	if err := h.call(ctx, o.address, o.self, methodRenew, r, &reply); err != nil {
 		h.opts.Log.WithFields(fields{"owner": o.host}).WithError(err).Warn("renew_failed")
@@ -101,15 +101,15 @@
 		h.opts.Log.WithFields(fields{"owner": o.host, "newer": reply.Newer}).Error("replaced")
 	}
 	for _, c := range reply.Gone {
-		h.lost(c)
+		h.handleLostClaim(c)
 	}
 }
 
-// lost handles a claim that the engine does not hold. A reserve call may be on
+// handleLostClaim handles a claim that the engine does not hold. A reserve call may be on
 // its way past the ledger, so the id is ended rather than forgotten.
-func (h *Holder) lost(c ledger.Claim) {
+func (h *Holder) handleLostClaim(c ledger.Claim) {
 	h.mu.Lock()
-	t := h.held[held{c.Engine, c.ID}]
+	t := h.holdings[holdingKey{c.Engine, c.ID}]
 	claimed := t != nil && !t.ending
 	h.mu.Unlock()
 	if !claimed {
@@ -121,67 +121,67 @@
 	}
 }
 
-// endDue asks for all ends whose time has come.
-func (h *Holder) endDue(ctx context.Context, work *sync.WaitGroup) {
+// startDueEnds asks for all ends whose time has come.
+func (h *Holder) startDueEnds(ctx context.Context, work *sync.WaitGroup) {
 	now := h.opts.Clock()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, key := range h.due(now) {
-		t := h.held[key]
-		if now.Sub(t.since) > h.opts.EndLimit {
-			delete(h.held, key)
-			metricDropped.Inc()
+	for _, key := range h.dueEnds(now) {
+		t := h.holdings[key]
+		if now.Sub(t.endingSince) > h.opts.EndLimit {
+			delete(h.holdings, key)
+			metricEndsGivenUp.Inc()
 			h.opts.Log.WithFields(fields{"engine": key.engine, "id": key.id.Name}).Error("end_given_up")
 			continue
 		}
-		t.busy = true
+		t.endInFlight = true
 		address := t.address
-		work.Go(func() { h.endOne(ctx, key, address) })
+		work.Go(func() { h.tryEnd(ctx, key, address) })
 	}
 }
 
-// maxEndsAtOnce bounds the ends that are asked for at a time.
-const maxEndsAtOnce = 64
+// maxConcurrentEnds bounds the ends that are asked for at a time.
+const maxConcurrentEnds = 64
 
-// due needs the lock.
-func (h *Holder) due(now time.Time) []held {
-	var keys []held
+// dueEnds needs the lock.
+func (h *Holder) dueEnds(now time.Time) []holdingKey {
+	var keys []holdingKey
 	busy := 0
-	for key, t := range h.held {
-		if t.busy {
+	for key, t := range h.holdings {
+		if t.endInFlight {
 			busy++
 			continue
 		}
-		if t.ending && !now.Before(t.next) {
+		if t.ending && !now.Before(t.nextTry) {
 			keys = append(keys, key)
 		}
 	}
-	slices.SortFunc(keys, func(a, b held) int { return cmp.Compare(a.engine+a.id.Name, b.engine+b.id.Name) })
-	return keys[:min(len(keys), max(0, maxEndsAtOnce-busy))]
+	slices.SortFunc(keys, func(a, b holdingKey) int { return cmp.Compare(a.engine+a.id.Name, b.engine+b.id.Name) })
+	return keys[:min(len(keys), max(0, maxConcurrentEnds-busy))]
 }
 
-func (h *Holder) endOne(ctx context.Context, key held, address string) {
-	confirmed := h.askEnd(ctx, key, address)
+func (h *Holder) tryEnd(ctx context.Context, key holdingKey, address string) {
+	confirmed := h.callEnd(ctx, key, address)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	t := h.held[key]
+	t := h.holdings[key]
 	if t == nil {
 		return
 	}
-	t.busy = false
-	if confirmed && (t.settled || key.id.Kind != ledger.Running) {
-		delete(h.held, key)
+	t.endInFlight = false
+	if confirmed && (t.cancelConfirmed || key.id.Kind != ledger.Running) {
+		delete(h.holdings, key)
 		return
 	}
 	if confirmed {
 		// The dispatch may still be under way to an engine that was frozen, and
 		// then comes after its cancel.
-		t.settled = true
-		t.next = h.opts.Clock().Add(h.opts.Settle)
+		t.cancelConfirmed = true
+		t.nextTry = h.opts.Clock().Add(h.opts.Settle)
 		return
 	}
-	t.next = h.opts.Clock().Add(t.wait)
-	t.wait = min(2*t.wait, h.opts.RetryMax)
+	t.nextTry = h.opts.Clock().Add(t.retryDelay)
+	t.retryDelay = min(2*t.retryDelay, h.opts.RetryMax)
 }
 
 // Drain waits until every end is confirmed, for a daemon that leaves. Run has to
@@ -201,9 +201,9 @@
 	}
 }
 
-// askEnd goes to the owner for a reservation, so that its ledger is exact at
+// callEnd goes to the owner for a reservation, so that its ledger is exact at
 // once, and to the engine itself for the rest or when no owner answers.
-func (h *Holder) askEnd(ctx context.Context, key held, address string) bool {
+func (h *Holder) callEnd(ctx context.Context, key holdingKey, address string) bool {
 	if key.id.Kind == ledger.Reservation {
 		var reply ReleaseReply
 		args := ReleaseArgs{Engine: key.engine, ID: key.id, Holder: h.opts.Me}
@@ -211,5 +211,5 @@
 			return true
 		}
 	}
-	return end(ctx, h.opts.Engines, h.opts.CallTimeout, address, key.id) == nil
+	return endHolding(ctx, h.opts.Engines, h.opts.CallTimeout, address, key.id) == nil
 }
--- a/internal/owner/rpc.go
+++ b/internal/owner/rpc.go
@@ -43,7 +43,7 @@
 	s.mu.Lock()
 	acts := s.ledger.Reserve(ask, s.opts.Clock())
 	s.mu.Unlock()
-	for _, v := range s.do(r.ctx, acts) {
+	for _, v := range s.execute(r.ctx, acts) {
 		switch v := v.(type) {
 		case ledger.Grant:
 			*reply = ReserveReply{Granted: true}
@@ -92,7 +92,7 @@
 	s.mu.Lock()
 	acts := s.ledger.Release(args.Engine, args.ID, args.Holder, s.opts.Clock())
 	s.mu.Unlock()
-	for _, v := range s.do(r.ctx, acts) {
+	for _, v := range s.execute(r.ctx, acts) {
 		if e, ok := v.(ledger.Ended); ok && e.ID == args.ID {
 			reply.Confirmed = true
 		}
@@ -107,7 +107,7 @@
 	answer, acts := s.ledger.Renew(args, s.opts.Clock())
 	s.mu.Unlock()
 	metricRenewals.Inc()
-	s.background(r.ctx, acts)
+	s.executeInBackground(r.ctx, acts)
 	*reply = answer
 	return nil
 }
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -15,13 +15,13 @@
 type Service struct {
 	opts Options
 
-	mu     sync.Mutex
-	ledger *ledger.Ledger
-	turns  *ledger.Turns
-	owned  map[string]*poller // by engine
-	spread time.Duration      // time between digests at present
-	work   sync.WaitGroup     // pollers and calls in the background
-	slots  errgroup.Group     // bounds calls in the background
+	mu              sync.Mutex
+	ledger          *ledger.Ledger
+	turns           *ledger.Turns
+	owned           map[string]*poller // by engine
+	publishInterval time.Duration      // time between digests at present
+	pollers         sync.WaitGroup     // pollers and calls in the background
+	backgroundCalls errgroup.Group     // bounds calls in the background
 }
 
 // maxBackgroundCalls bounds the calls to engines that no front waits for.
@@ -31,13 +31,13 @@
 func New(opts Options) *Service {
 	opts = opts.withDefaults()
 	s := &Service{
-		opts:   opts,
-		ledger: ledger.New(opts.Ledger),
-		turns:  ledger.NewTurns(opts.TurnLimit),
-		owned:  map[string]*poller{},
-		spread: opts.PublishEvery,
+		opts:            opts,
+		ledger:          ledger.New(opts.Ledger),
+		turns:           ledger.NewTurns(opts.TurnLimit),
+		owned:           map[string]*poller{},
+		publishInterval: opts.PublishEvery,
 	}
-	s.slots.SetLimit(maxBackgroundCalls)
+	s.backgroundCalls.SetLimit(maxBackgroundCalls)
 	return s
 }
 
@@ -62,22 +62,22 @@
 
 // stop waits for all that Run has started. The context has ended by then.
 func (s *Service) stop() {
-	s.work.Wait()
-	_ = s.slots.Wait() // its functions return no errors
+	s.pollers.Wait()
+	_ = s.backgroundCalls.Wait() // its functions return no errors
 }
 
 // tick follows ownership and lets the ledger look at its limits. Ownership comes
 // first: after a pause another host may own the engines by now.
 func (s *Service) tick(ctx context.Context) {
-	s.followOwnership(ctx)
+	s.updateOwnership(ctx)
 	s.mu.Lock()
 	acts := s.ledger.Tick(s.opts.Clock())
 	s.mu.Unlock()
-	s.background(ctx, acts)
+	s.executeInBackground(ctx, acts)
 }
 
-// followOwnership takes over what this host owns now and lets go of the rest.
-func (s *Service) followOwnership(ctx context.Context) {
+// updateOwnership takes over what this host owns now and lets go of the rest.
+func (s *Service) updateOwnership(ctx context.Context) {
 	mine := map[string]Engine{}
 	for _, e := range s.opts.Catalog() {
 		if _, _, self := s.opts.Ownership.Owner(e.Name); self {
@@ -88,31 +88,31 @@
 	defer s.mu.Unlock()
 	for name, p := range s.owned {
 		if mine[name] != p.engine {
-			s.letGo(name, p)
+			s.disown(name, p)
 		}
 	}
 	for name, e := range mine {
 		if s.owned[name] == nil {
-			s.takeOver(ctx, e)
+			s.own(ctx, e)
 		}
 	}
 }
 
-// letGo needs the lock.
-func (s *Service) letGo(name string, p *poller) {
+// disown needs the lock.
+func (s *Service) disown(name string, p *poller) {
 	p.cancel()
 	delete(s.owned, name)
 	s.ledger.Disown(name)
 	s.opts.Log.WithFields(fields{"engine": name}).Info("engine_disowned")
 }
 
-// takeOver needs the lock.
-func (s *Service) takeOver(ctx context.Context, e Engine) {
+// own needs the lock.
+func (s *Service) own(ctx context.Context, e Engine) {
 	ctx, cancel := context.WithCancel(ctx)
 	p := newPoller(s, e, cancel)
 	s.owned[e.Name] = p
 	s.ledger.Own(e.Name) // its ReadBooks is the poller's first act
-	s.work.Go(func() { p.run(ctx) })
+	s.pollers.Go(func() { p.run(ctx) })
 	s.opts.Log.WithFields(fields{"engine": e.Name, "address": e.Address}).Info("engine_owned")
 }
 
@@ -120,16 +120,16 @@
 // that no front gets is of little use.
 const loadsPerDigest = 2
 
-// idleReads is how many reports in a row must show an engine without work before
+// minIdleReports is how many reports in a row must show an engine without work before
 // it is read less often.
-const idleReads = 20
+const minIdleReports = 20
 
-// loadEvery returns the time until an engine's next load report.
-func (s *Service) loadEvery(p *poller) time.Duration {
+// loadInterval returns the time until an engine's next load report.
+func (s *Service) loadInterval(p *poller) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	every := max(s.opts.LoadEvery, s.spread/loadsPerDigest)
-	if p.idle >= idleReads {
+	every := max(s.opts.LoadEvery, s.publishInterval/loadsPerDigest)
+	if p.idleReports >= minIdleReports {
 		return max(every, s.opts.IdleEvery)
 	}
 	return every
@@ -168,7 +168,7 @@
 	s.mu.Lock()
 	acts := s.ledger.ObserveHolder(h, s.opts.Clock())
 	s.mu.Unlock()
-	s.background(ctx, acts)
+	s.executeInBackground(ctx, acts)
 }
 
 // Hosts returns the hosts that hold something on owned engines.
--- a/internal/owner/site_test.go
+++ b/internal/owner/site_test.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	patience  = 30 * time.Second
+	waitLimit = 30 * time.Second
 	pollEvery = 5 * time.Millisecond
 	memory    = 10_000 // tokens of an engine
 	model     = "m"
@@ -30,15 +30,15 @@
 
 // site is some stand-in engines and hosts that call each other in memory.
 type site struct {
-	t       *testing.T
-	engines []Engine
-	fakes   []*standin.Engine
-	http    *HTTPEngines
-	quiet   *logrus.Logger
+	t        *testing.T
+	engines  []Engine
+	standins []*standin.Engine
+	http     *HTTPEngines
+	logger   *logrus.Logger
 
-	mu    sync.Mutex
-	hosts []*testHost
-	split bool // each host believes that it owns every engine
+	mu        sync.Mutex
+	hosts     []*testHost
+	allOwnAll bool // each host believes that it owns every engine
 }
 
 // testHost is one daemon: an owner and a front.
@@ -56,8 +56,8 @@
 }
 
 func newSite(t *testing.T, engines, hosts int) *site {
-	s := &site{t: t, quiet: logrus.New()}
-	s.quiet.SetOutput(io.Discard)
+	s := &site{t: t, logger: logrus.New()}
+	s.logger.SetOutput(io.Discard)
 	transport := &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
 	s.http = NewHTTPEngines(&http.Client{Transport: transport}, time.Now)
@@ -81,7 +81,7 @@
 	}
 	s.t.Cleanup(server.Close)
 	s.engines = append(s.engines, Engine{Name: name, Address: server.Address, Pool: "p"})
-	s.fakes = append(s.fakes, e)
+	s.standins = append(s.standins, e)
 }
 
 func (s *site) addHost(name, incarnation string) *testHost {
@@ -91,7 +91,7 @@
 		Ownership:    h,
 		Catalog:      func() []Engine { return s.engines },
 		Publisher:    h,
-		Log:          s.quiet,
+		Log:          s.logger,
 		Ledger:       ledger.Options{UnclaimedTimeout: 1500 * time.Millisecond, SilentTimeout: 3 * time.Second, StreamTimeout: 4 * time.Second, RetryEvery: 50 * time.Millisecond},
 		LoadEvery:    50 * time.Millisecond,
 		PublishEvery: 50 * time.Millisecond,
@@ -102,7 +102,7 @@
 	h.rpc = h.service.RPC(h.ctx)
 	h.holder = NewHolder(HolderOptions{
 		Me: ledger.Holder{Host: name, Incarnation: incarnation}, Engines: s.http, Peers: h, Ownership: h,
-		Local: h.rpc, Log: s.quiet, RenewEvery: 100 * time.Millisecond, RetryMin: 20 * time.Millisecond,
+		Local: h.rpc, Log: s.logger, RenewEvery: 100 * time.Millisecond, RetryMin: 20 * time.Millisecond,
 	})
 	h.done.Go(func() { _ = h.service.Run(h.ctx) })
 	h.done.Go(func() { _ = h.holder.Run(h.ctx) })
@@ -127,7 +127,7 @@
 	s := h.site
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.split {
+	if s.allOwnAll {
 		return h.name, h.name, true
 	}
 	var live []string
@@ -196,7 +196,7 @@
 
 func (s *site) eventually(what string, ok func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(pollEvery) {
+	for end := time.Now().Add(waitLimit); !ok(); time.Sleep(pollEvery) {
 		if time.Now().After(end) {
 			s.t.Fatalf("not in time: %s; books: %+v", what, s.books())
 		}
@@ -215,8 +215,8 @@
 	return all
 }
 
-// listed returns the number of holdings of a kind on all engines; 0 is any kind.
-func (s *site) listed(kind ledger.Kind) int {
+// countHoldings returns the number of holdings of a kind on all engines; 0 is any kind.
+func (s *site) countHoldings(kind ledger.Kind) int {
 	n := 0
 	for _, b := range s.books() {
 		for _, it := range b.Items {
@@ -228,10 +228,10 @@
 	return n
 }
 
-func (s *site) booksReturnToZero() {
+func (s *site) waitForEmptyBooks() {
 	defer func(at time.Time) { s.t.Logf("zero after %v", time.Since(at)) }(time.Now())
 	s.t.Helper()
-	s.eventually("books return to zero", func() bool { return s.listed(0) == 0 })
+	s.eventually("books return to zero", func() bool { return s.countHoldings(0) == 0 })
 }
 
 // reserve asks until the reservation is granted.
@@ -244,9 +244,9 @@
 	})
 }
 
-// generate starts a long stream and leaves it open; the returned function cuts
+// startStream starts a long stream and leaves it open; the returned function cuts
 // its connection.
-func (s *site) generate(h *testHost, e Engine, id string) (cut func()) {
+func (s *site) startStream(h *testHost, e Engine, id string) (cut func()) {
 	s.t.Helper()
 	h.holder.Track(e, ledger.ID{Kind: ledger.Running, Name: id, Attempt: 1})
 	req := &engineapi.GenerateRequest{
@@ -277,16 +277,16 @@
 	return res.Body
 }
 
-func (s *site) fault(engine int, path string, kind standin.FaultKind, count int) {
+func (s *site) setFault(engine int, path string, kind standin.FaultKind, count int) {
 	s.t.Helper()
 	f := standin.Fault{Kind: kind, On: true, Count: count, Path: path}
-	if err := s.fakes[engine].SetFault(f); err != nil {
+	if err := s.standins[engine].SetFault(f); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
 func (s *site) gang(id string, tokens int64) ledger.Gang {
-	g := ledger.Gang{Request: id, Pool: "p", Deadline: time.Now().Add(patience)}
+	g := ledger.Gang{Request: id, Pool: "p", Deadline: time.Now().Add(waitLimit)}
 	for _, e := range s.engines {
 		g.Members = append(g.Members, ledger.Member{Engine: e.Name, Tokens: tokens})
 	}
