--- a/internal/front/build.go
+++ b/internal/front/build.go
@@ -44,12 +44,12 @@
 	body   []byte // of a service's call
 	sink   sink   // of a generation
 
-	first    *placement.Decision // place taken by the gate, noted with the router
-	answered int                 // tokens delivered
-	passed   strings.Builder     // text delivered from another run
-	permit   *claim.Permit       // to dispatch once, nil when it may be repeated
-	record   *claims.Recording   // keeps the answer for repeats of the key, nil without
-	needed   func() bool         // the answer is kept for somebody else; set with record
+	first    *placement.Decision  // place taken by the gate, noted with the router
+	answered int                  // tokens delivered
+	passed   strings.Builder      // text delivered from another run
+	permit   *claim.Permit        // to dispatch once, nil when it may be repeated
+	record   *claims.AnswerWriter // keeps the answer for repeats of the key, nil without
+	needed   func() bool          // the answer is kept for somebody else; set with record
 }
 
 // defaults of one call, from the settings or the operation.
@@ -69,7 +69,7 @@
 		ID:         id,
 		Customer:   c.Name,
 		Path:       c.Path,
-		Priority:   askedPriority(p.priority, def.priority, c.Requests.MostUrgent()),
+		Priority:   askedPriority(p.priority, def.priority, c.Requests.MaxPriority()),
 		Arrived:    now,
 		Deadline:   now.Add(deadline),
 		Repeatable: p.repeatable.Or(true) && def.repeatable,
@@ -135,7 +135,7 @@
 // newCall builds the job of a plain service's call.
 func (s *Server) newCall(id string, c *settings.CustomerView, p callParams, service, operation string, body []byte) (*job, *request.Refusal) {
 	snap := s.opts.Settings.Current()
-	op, err := snap.Service(c, service, operation)
+	op, err := snap.Operation(c, service, operation)
 	if err != nil {
 		return nil, asRefusal(err)
 	}
--- a/internal/owner/actions.go
+++ b/internal/owner/actions.go
@@ -62,7 +62,7 @@
 	ctx, cancel := context.WithTimeout(ctx, s.opts.CallTimeout)
 	defer cancel()
 	err := s.opts.Engines.Reserve(ctx, address, ask)
-	var refused *Refused
+	var refused *RefusedError
 	switch {
 	case err == nil:
 		return ledger.Held
