--- a/internal/owner/actions.go
+++ b/internal/owner/actions.go
@@ -11,7 +11,8 @@
 
 type fields = logrus.Fields
 
-// executeInBackground carries out actions that nobody waits for.
+// executeInBackground carries out actions whose results no caller waits for. It
+// skips an action, and counts it, when too many calls are under way.
 func (s *Service) executeInBackground(ctx context.Context, acts []ledger.Action) {
 	for _, a := range acts {
 		if b, ok := a.(ledger.ReadBooks); ok {
@@ -19,14 +20,14 @@
 			continue
 		}
 		if !s.backgroundCalls.TryGo(func() error { s.execute(ctx, []ledger.Action{a}); return nil }) {
-			// The ledger repeats every end that is not confirmed.
+			// The ledger repeats each release or cancel that is not confirmed.
 			metricDeferred.Inc()
 		}
 	}
 }
 
-// execute carries out actions one after another, with those that follow from them,
-// and returns the verdicts for fronts.
+// execute carries out actions one after another, including those that follow from
+// their results, and returns the ledger's verdicts, which are meant for fronts.
 func (s *Service) execute(ctx context.Context, acts []ledger.Action) (verdicts []ledger.Action) {
 	for len(acts) > 0 {
 		a := acts[0]
@@ -54,14 +55,14 @@
 	return s.ledger.HandleReserveAnswer(a.Request, result, s.opts.Clock())
 }
 
-func (s *Service) callReserve(ctx context.Context, ask ledger.ReserveRequest) ledger.Result {
-	address, ok := s.address(ask.Engine)
+func (s *Service) callReserve(ctx context.Context, req ledger.ReserveRequest) ledger.Result {
+	address, ok := s.address(req.Engine)
 	if !ok {
 		return ledger.Refused // never sent
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.opts.CallTimeout)
 	defer cancel()
-	err := s.opts.Engines.Reserve(ctx, address, ask)
+	err := s.opts.Engines.Reserve(ctx, address, req)
 	var refused *RefusedError
 	switch {
 	case err == nil:
@@ -69,7 +70,7 @@
 	case errors.As(err, &refused):
 		return ledger.Refused
 	default:
-		s.opts.Log.WithFields(fields{"engine": ask.Engine, "id": ask.ID}).WithError(err).Warn("reserve_lost")
+		s.opts.Log.WithFields(fields{"engine": req.Engine, "id": req.ID}).WithError(err).Warn("reserve_lost")
 		return ledger.Lost
 	}
 }
@@ -106,7 +107,7 @@
 	entry.Info("holding_ended")
 }
 
-// requestBooks has an engine's books read soon.
+// requestBooks makes the poller of an owned engine read its books soon.
 func (s *Service) requestBooks(engine string) {
 	s.mu.Lock()
 	p := s.owned[engine]
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -16,7 +16,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/ledger"
 )
 
-// renewalItems is what a front holds with one owner in this measurement.
+// renewalItems is the number of holdings that the front in benchRenew renews.
 const renewalItems = 50
 
 func benchClaims() (ledger.Holder, []ledger.Claim, ledger.Books) {
@@ -31,7 +31,7 @@
 	return h, claims, b
 }
 
-// countingConn counts the bytes of both ways.
+// countingConn counts the bytes in both directions.
 type countingConn struct {
 	net.Conn
 	bytes atomic.Int64
@@ -49,7 +49,7 @@
 	return n, err
 }
 
-// benchRenew renews all claims once over net/rpc, some in each message.
+// benchRenew renews all claims once over net/rpc, size of them in each message.
 func benchRenew(b *testing.B, size int) {
 	h, claims, books := benchClaims()
 	s := New(Options{})
@@ -59,9 +59,9 @@
 	if err := server.RegisterName(ServiceName, s.RPC(context.Background())); err != nil {
 		b.Fatal(err)
 	}
-	near, far := net.Pipe()
-	go server.ServeConn(far)
-	conn := &countingConn{Conn: near}
+	clientEnd, serverEnd := net.Pipe()
+	go server.ServeConn(serverEnd)
+	conn := &countingConn{Conn: clientEnd}
 	client := rpc.NewClient(conn)
 	defer client.Close()
 	seq := uint64(0)
@@ -144,6 +144,8 @@
 	})
 }
 
+// TestDigestKeepsEvents checks that cache events with gaps in their sequence numbers
+// survive encoding and decoding.
 func TestDigestKeepsEvents(t *testing.T) {
 	want := []CacheEvent{{Seq: 7, Kind: BlockStored, Block: 1}, {Seq: 9, Kind: BlockEvicted, Block: 1 << 63}, {Seq: 10, Kind: CacheCleared}}
 	var e EngineDigest
@@ -161,8 +163,8 @@
 	}
 }
 
-// BenchmarkBooks reads the books of an engine with 57 running requests, the mean
-// at the size to design for when a request takes 8 s.
+// BenchmarkBooks decodes the books of an engine with 57 running requests and applies
+// them to a ledger. 57 is the mean at the design size when a request takes 8 s.
 func BenchmarkBooks(b *testing.B) {
 	const running = 57
 	books := engineapi.Books{Incarnation: uuid.NewString(), MemoryTotalTokens: 400_000}
--- a/internal/owner/digest.go
+++ b/internal/owner/digest.go
@@ -8,37 +8,37 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Section is the name under which digests are published.
+// Section is the name of the section in which hosts publish their digests.
 const Section = "engines"
 
-// Digest is what an owner tells the fronts of its failure domain about its
-// engines.
+// Digest is the report that an owner publishes about its engines to the fronts of
+// its failure domain.
 type Digest struct {
 	Engines []EngineDigest
 }
 
-// EngineDigest is one engine's part of a digest.
+// EngineDigest is the part of a digest that describes one engine.
 type EngineDigest struct {
 	Name            string
-	Models          string // separated by blanks
+	Models          string // separated by spaces
 	Role            string
 	IncarnationHash uint32 // hash of the engine's incarnation
-	Seq             int64  // of the load report
-	AgeMs           int64  // of the load report when the digest was made
+	Seq             int64  // sequence number of the load report
+	AgeMs           int64  // age of the load report when the digest was made
 	StepUs          int64
-	Prefill         int64 // tokens a second
-	Decode          int64 // tokens a second of one stream, in hundredths
+	Prefill         int64 // tokens per second
+	Decode          int64 // hundredths of a token per second of one stream
 	Queued          int64
 	QueuedTokens    int64 // prompt tokens queued
 	Running         int64
-	Total           int64 // tokens
-	Used            int64 // tokens
-	Block           int64 // tokens of a block
+	Total           int64 // memory in tokens
+	Used            int64 // memory in use in tokens
+	Block           int64 // tokens per cache block
 	Leaving         bool
-	ReservedMs      int64    // a gang starts in this time; zero: none waits
-	ReservedTokens  int64    // tokens it waits for
+	ReservedMs      int64    // time until the start of the gang that memory is reserved for; zero: none
+	ReservedTokens  int64    // tokens reserved for that gang
 	FirstCacheSeq   int64    // sequence number of the first cache event
-	Cache           []uint64 // pairs of (step of sequence number << 2 | kind, block)
+	Cache           []uint64 // pairs of (difference to the previous sequence number << 2 | kind, block)
 }
 
 const (
@@ -48,9 +48,9 @@
 	modelsDivider = " "
 )
 
-// publish spreads the digest of the owned engines and returns when to do so
-// again: later in a large failure domain, so that all digests that a front gets
-// keep within the budget.
+// publish publishes the digest of the owned engines and returns the time until the
+// next one: longer in a large failure domain, so that all digests that a front
+// receives stay within Options.DigestBudget.
 func (s *Service) publish() (next time.Duration) {
 	if s.opts.Publisher == nil {
 		return s.opts.PublishEvery
@@ -66,6 +66,9 @@
 	return s.updatePublishInterval(len(data), len(d.Engines))
 }
 
+// updatePublishInterval sets the interval between digests from the size of the last
+// one, and returns the time until the next: at least IdleEvery while all owned
+// engines are idle.
 func (s *Service) updatePublishInterval(size, engines int) time.Duration {
 	if engines == 0 {
 		return s.opts.IdleEvery
@@ -81,8 +84,8 @@
 	return s.publishInterval
 }
 
-// allIdle reports whether no owned engine has had work for a while. It needs the
-// lock.
+// allIdle reports whether every owned engine was without work in its last
+// minIdleReports load reports. The caller holds the lock.
 func (s *Service) allIdle() bool {
 	for _, p := range s.owned {
 		if p.idleReports < minIdleReports {
@@ -92,7 +95,8 @@
 	return true
 }
 
-// digest leaves out engines that do not answer: fronts then see no fresh report.
+// digest builds the digest of the owned engines. It leaves out engines that do not
+// answer, so that fronts see no fresh report of them.
 func (s *Service) digest() Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,8 +157,8 @@
 	}
 }
 
-// Events returns the last cache events of the engine. A front that has seen an
-// earlier digest ignores those that it knows.
+// Events returns the last cache events of the engine. Digests overlap: a front
+// skips the events that it knows from an earlier one.
 func (e *EngineDigest) Events() []CacheEvent {
 	events := make([]CacheEvent, 0, len(e.Cache)/2)
 	seq := e.FirstCacheSeq
@@ -168,7 +172,8 @@
 	return events
 }
 
-// Load returns the engine's load report, its age counted up to the digest.
+// Load returns the engine's load report. Its age is the one at the time when the
+// digest was made.
 func (e *EngineDigest) Load() Load {
 	return Load{
 		Seq:           e.Seq,
--- a/internal/owner/digest_wire.go
+++ b/internal/owner/digest_wire.go
@@ -7,19 +7,20 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// A digest is sent as two gob values, all texts and all numbers, because gob
-// describes a struct in each message, at a greater length than the engines of one
-// owner take themselves.
+// A digest is sent as two gob values, one with all strings and one with all
+// numbers: gob would describe a struct type in each message, which takes more bytes
+// than the engines of one owner.
 
-// maxDigestBytes bounds what DecodeDigest reads.
+// maxDigestBytes bounds the data that DecodeDigest accepts.
 const maxDigestBytes = 1 << 20
 
-// textsPerEngine is the number of texts of one engine.
+// textsPerEngine is the number of strings sent for one engine.
 const textsPerEngine = 3
 
-var errDigestTruncated = merry.New("digest is cut short")
+var errDigestTruncated = merry.New("digest is truncated")
 
-// numberColumns returns the fixed number columns, in their order on the wire.
+// numberColumns returns the number columns that each engine has, in their order on
+// the wire.
 func (e *EngineDigest) numberColumns() []*int64 {
 	return []*int64{
 		&e.Seq, &e.AgeMs, &e.StepUs, &e.Prefill, &e.Decode, &e.Queued, &e.QueuedTokens, &e.Running,
@@ -27,7 +28,7 @@
 	}
 }
 
-// Encode returns the digest as it is published.
+// Encode returns the digest in the form in which it is published.
 func (d Digest) Encode() ([]byte, error) {
 	var texts []string
 	var nums []int64
@@ -47,6 +48,8 @@
 	return b.Bytes(), nil
 }
 
+// appendNumbers appends the engine's numbers as they are sent: the fixed columns,
+// the extra ones and the cache events.
 func (e *EngineDigest) appendNumbers(nums []int64) []int64 {
 	for _, n := range e.numberColumns() {
 		nums = append(nums, *n)
@@ -62,7 +65,8 @@
 	return nums
 }
 
-// DecodeDigest reads a published digest.
+// DecodeDigest decodes a published digest. Data that is too long, truncated or not
+// valid gob is an error.
 func DecodeDigest(data []byte) (Digest, error) {
 	if len(data) > maxDigestBytes {
 		return Digest{}, merry.Errorf("digest of %d bytes is too long", len(data))
@@ -79,6 +83,7 @@
 	return buildDigest(texts, nums)
 }
 
+// buildDigest distributes the decoded strings and numbers to engines.
 func buildDigest(texts []string, nums []int64) (Digest, error) {
 	var d Digest
 	for len(texts) > 0 {
@@ -97,9 +102,12 @@
 	return d, nil
 }
 
-// extraNumbers is the number of columns after the fixed ones.
+// extraNumbers is the number of columns after the fixed ones: incarnation hash,
+// leaving, and length of the cache events.
 const extraNumbers = 3
 
+// parseNumbers reads one engine's numbers and returns the rest; ok is false when
+// there are too few.
 func (e *EngineDigest) parseNumbers(nums []int64) (rest []int64, ok bool) {
 	fixed := e.numberColumns()
 	if len(nums) < len(fixed)+extraNumbers {
--- a/internal/owner/doc.go
+++ b/internal/owner/doc.go
@@ -1,13 +1,16 @@
-// Package owner holds the two ends of long work on engines.
+// Package owner manages the memory that requests hold on engines, on the side of
+// the host that owns an engine and on the side of the fronts that use it.
 //
-// Service is the owner's end: it polls the engines that this host owns, keeps
-// the ledger of their memory, answers fronts over net/rpc (RPC), ends what
-// nobody claims, and publishes a digest of its engines. Orders keeps the order
-// leases of pools and gives the orders that the settings call for.
+// Service is the owner's side: it polls the engines that this host owns, keeps
+// the ledger of their memory, answers fronts over net/rpc (RPC), ends holdings
+// that no front claims, and publishes a digest of its engines. Orders holds the
+// order leases of pools and sends engines the orders that bring them to the state
+// that the settings describe.
 //
-// Holder is the front's end: it tracks all that this host holds on engines,
-// renews it with one message an owner, gathers gangs, and repeats releases and
-// cancels until they are confirmed, also when the caller has gone.
+// Holder is the front's side: it tracks everything that this host holds on
+// engines, renews it with one message per owner, gathers gangs, and repeats
+// releases and cancels until they are confirmed, even after the caller has
+// disconnected.
 //
 // Decisions are made in core/ledger and core/order.
 package owner
--- a/internal/owner/end.go
+++ b/internal/owner/end.go
@@ -7,7 +7,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/ledger"
 )
 
-// endHolding asks an engine to end a holding.
+// endHolding asks an engine to end a holding: it cancels a running attempt and
+// releases a reservation or an export. No error means that the holding is gone.
 func endHolding(ctx context.Context, engines Engines, timeout time.Duration, address string, id ledger.ID) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/owner/engine.go
+++ b/internal/owner/engine.go
@@ -15,7 +15,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/order"
 )
 
-// HTTPEngines calls engines by the engine API. It implements Engines.
+// HTTPEngines calls engines over the HTTP engine API. It implements Engines.
 type HTTPEngines struct {
 	http    *http.Client
 	clock   Clock
@@ -23,8 +23,8 @@
 	clients map[string]*engineapi.Client // by address
 }
 
-// NewHTTPEngines returns a caller of engines. Each call is bounded by its
-// context.
+// NewHTTPEngines returns an HTTPEngines that uses c. Each call is bounded by its
+// context only.
 func NewHTTPEngines(c *http.Client, clock Clock) *HTTPEngines {
 	return &HTTPEngines{http: c, clock: clock, clients: map[string]*engineapi.Client{}}
 }
@@ -43,8 +43,8 @@
 	return c, nil
 }
 
-// callEngine makes one call and turns a refusal into a *Refused.
-func callEngine[T any, R any](h *HTTPEngines, address, what string, f func(*engineapi.Client) (R, error)) (T, error) {
+// callEngine makes one call and returns a refusal as a *RefusedError.
+func callEngine[T any, R any](h *HTTPEngines, address, operation string, f func(*engineapi.Client) (R, error)) (T, error) {
 	var zero T
 	c, err := h.client(address)
 	if err != nil {
@@ -52,7 +52,7 @@
 	}
 	res, err := f(c)
 	if err != nil {
-		return zero, merry.Prependf(err, "%s at %s", what, address)
+		return zero, merry.Prependf(err, "%s at %s", operation, address)
 	}
 	switch v := any(res).(type) {
 	case T:
@@ -60,24 +60,24 @@
 	case *engineapi.RefusalStatusCode:
 		return zero, &RefusedError{Code: string(v.Response.Code), Message: v.Response.Message}
 	default:
-		return zero, merry.Errorf("%s at %s: unexpected answer %T", what, address, res)
+		return zero, merry.Errorf("%s at %s: unexpected answer type %T", operation, address, res)
 	}
 }
 
 // Books implements Engines.
 func (h *HTTPEngines) Books(ctx context.Context, address string) (ledger.Books, error) {
-	asked := h.clock()
+	readStarted := h.clock()
 	b, err := callEngine[*engineapi.Books](h, address, "read books", func(c *engineapi.Client) (engineapi.GetBooksRes, error) {
 		return c.GetBooks(ctx)
 	})
 	if err != nil {
 		return ledger.Books{}, err
 	}
-	return booksOf(b, asked), nil
+	return booksOf(b, readStarted), nil
 }
 
-func booksOf(b *engineapi.Books, asked time.Time) ledger.Books {
-	out := ledger.Books{Incarnation: b.Incarnation, Total: b.MemoryTotalTokens, ReadStarted: asked}
+func booksOf(b *engineapi.Books, readStarted time.Time) ledger.Books {
+	out := ledger.Books{Incarnation: b.Incarnation, Total: b.MemoryTotalTokens, ReadStarted: readStarted}
 	for _, r := range b.Running {
 		out.Items = append(out.Items, ledger.Item{
 			ID:          ledger.ID{Kind: ledger.Running, Name: r.RequestID, Attempt: r.Attempt},
@@ -131,10 +131,10 @@
 	engineapi.CacheEventKindCleared: CacheCleared,
 }
 
-const blockHashBase = 16 // blocks are 64-bit hashes in hex
+const blockHashBase = 16 // engines send the 64-bit hash of a block in hex
 
-// CacheEvents implements Engines. A block that is no hash is left out, which
-// reads as a gap.
+// CacheEvents implements Engines. It skips an event whose block is not a valid
+// hash; the jump in sequence numbers is a gap to the reader.
 func (h *HTTPEngines) CacheEvents(ctx context.Context, address string, from int64, limit int) (CacheEvents, error) {
 	params := engineapi.GetCacheEventsParams{From: from, Max: engineapi.NewOptInt(limit)}
 	r, err := callEngine[*engineapi.CacheEvents](h, address, "read cache events", func(c *engineapi.Client) (engineapi.GetCacheEventsRes, error) {
@@ -156,16 +156,16 @@
 }
 
 // Reserve implements Engines.
-func (h *HTTPEngines) Reserve(ctx context.Context, address string, ask ledger.ReserveRequest) error {
-	req := &engineapi.Reservation{
-		ID:        ask.ID,
-		RequestID: engineapi.NewOptString(ask.Request),
-		Holder:    engineapi.Holder(ask.Holder),
-		Tokens:    ask.Tokens,
-		GangSize:  engineapi.NewOptInt(max(ask.GangSize, 1)),
+func (h *HTTPEngines) Reserve(ctx context.Context, address string, req ledger.ReserveRequest) error {
+	body := &engineapi.Reservation{
+		ID:        req.ID,
+		RequestID: engineapi.NewOptString(req.Request),
+		Holder:    engineapi.Holder(req.Holder),
+		Tokens:    req.Tokens,
+		GangSize:  engineapi.NewOptInt(max(req.GangSize, 1)),
 	}
 	_, err := callEngine[*engineapi.Reservation](h, address, "reserve", func(c *engineapi.Client) (engineapi.ReserveRes, error) {
-		return c.Reserve(ctx, req)
+		return c.Reserve(ctx, body)
 	})
 	return err
 }
@@ -186,7 +186,8 @@
 	return ignoreNotFound(err)
 }
 
-// ignoreNotFound takes an engine's "not found" for the end that was asked for.
+// ignoreNotFound returns nil for an engine's "not found" refusal: the holding that
+// was to be ended is gone.
 func ignoreNotFound(err error) error {
 	var r *RefusedError
 	if errors.As(err, &r) && r.Code == string(engineapi.RefusalCodeNotFound) {
--- a/internal/owner/gang.go
+++ b/internal/owner/gang.go
@@ -11,19 +11,21 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/ledger"
 )
 
-// turnKey is the key of the host that keeps a pool's turn.
+// turnKey returns the ownership key whose owner grants the turn of a pool: the
+// exclusive right of one gang to gather its members.
 func turnKey(pool string) string { return "gang/" + pool }
 
-// GangError says why a gang was not gathered. Nothing is held, or its release is
-// under way.
+// GangError is the error for a gang that was not gathered. Its members hold nothing,
+// or their release is under way.
 type GangError struct{ Reason ledger.Reason }
 
 // Error implements error.
 func (g *GangError) Error() string { return "gang not gathered: " + string(g.Reason) }
 
 // Gather reserves memory on all engines of a gang or on none, and returns the id
-// of the reservations, the same on each. It ends with the gang's deadline or the
-// context. The caller ends each member with End when the work is over.
+// of the reservations, which is the same on each engine. It gives up at the gang's
+// deadline or when the context ends, with a *GangError. The caller calls End for
+// each member when the work is over.
 func (h *Holder) Gather(ctx context.Context, opts ledger.GatherOptions, gang ledger.Gang, engines []Engine) (id string, err error) {
 	d := &gatherDriver{holder: h, ctx: ctx, engines: map[string]Engine{}}
 	for _, e := range engines {
@@ -39,6 +41,7 @@
 	return d.run()
 }
 
+// gangRand returns a random source seeded by the gang's request and the time.
 func gangRand(g ledger.Gang, now time.Time) *rand.Rand {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(g.Request)) // never fails
@@ -93,14 +96,15 @@
 		err := h.callOwner(d.ctx, turnKey(s.Pool), methodTurn, args, &reply)
 		return d.gather.HandleTurnAnswer(err == nil && reply.OK, reply.Wait, d.now())
 	case ledger.ReleaseTurn:
-		// A turn that is not given back lapses. The caller may be gone by now.
+		// A turn that is not given back expires. The context may have ended with
+		// its caller.
 		ctx := context.WithoutCancel(d.ctx)
 		args := TurnArgs{Pool: s.Pool, Gang: s.Gang, Give: true}
 		_ = h.callOwner(ctx, turnKey(s.Pool), methodTurn, args, &TurnReply{})
 	case ledger.ReserveMember:
 		return d.reserveMember(s.Request)
 	case ledger.ReleaseMember:
-		// The holder keeps on asking until it is confirmed.
+		// The holder repeats the release until it is confirmed.
 		h.End(d.engines[s.Engine], ledger.ID{Kind: ledger.Reservation, Name: s.ID})
 		d.gather.Released(s.Engine, s.ID)
 	case ledger.Gathered:
@@ -111,13 +115,13 @@
 	return nil
 }
 
-func (d *gatherDriver) reserveMember(ask ledger.ReserveRequest) []ledger.Step {
-	reply, err := d.holder.Reserve(d.ctx, d.engines[ask.Engine], ask)
+func (d *gatherDriver) reserveMember(req ledger.ReserveRequest) []ledger.Step {
+	reply, err := d.holder.Reserve(d.ctx, d.engines[req.Engine], req)
 	if err == nil && reply.Granted {
-		return d.gather.Granted(ask, d.now())
+		return d.gather.Granted(req, d.now())
 	}
-	// What Reserve has begun to release must not be asked for again by its id.
+	// Reserve has begun to release this id, so it must not be requested again.
 	lost := err != nil || reply.Reason == ledger.InProgress
-	deny := ledger.Deny{Request: ask, Reason: reply.Reason, RetryAfter: reply.RetryAfter}
+	deny := ledger.Deny{Request: req, Reason: reply.Reason, RetryAfter: reply.RetryAfter}
 	return d.gather.Denied(deny, lost, d.now())
 }
--- a/internal/owner/holder.go
+++ b/internal/owner/holder.go
@@ -12,27 +12,27 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/option"
 )
 
-// HolderOptions are what a Holder needs. Times left zero take the defaults.
+// HolderOptions configure a Holder. Zero durations take the defaults.
 type HolderOptions struct {
 	Self      ledger.Holder
 	Engines   Engines
 	Peers     Peers
 	Ownership Ownership
-	Local     *RPC // of this host's own service
+	Local     *RPC // this host's own service, called without the network; nil: none
 	Clock     Clock
 	Log       logrus.FieldLogger
 
-	// OnLost is called for each reservation that an engine no longer holds though
-	// this front claims it; nil: nobody hears of it.
+	// OnLost is called for each reservation that this front claims and the engine
+	// no longer holds. It may be nil.
 	OnLost func(engine, reservation string)
 
-	RenewEvery        time.Duration // time between renewals; 5 s, a third of the ledger's soft limit
+	RenewEvery        time.Duration // time between renewals; 5 s, a third of ledger.Options.UnclaimedTimeout
 	CallTimeout       time.Duration // of a call to an owner or engine; 2 s
-	RetryMin          time.Duration // first wait before an end is repeated, doubled each time; 200 ms
-	RetryMax          time.Duration // 5 s
-	EndLimit          time.Duration // an end is left to the engine's owner after it; 10 min
-	CancelRepeatDelay time.Duration // a confirmed cancel is asked for once more after it; 200 ms
-	RenewUnused       time.Duration // owners of engines that were used are told, if only that nothing is held, for it; 2 min
+	RetryMin          time.Duration // first wait before a release or cancel is repeated, doubled each time; 200 ms
+	RetryMax          time.Duration // longest such wait; 5 s
+	EndLimit          time.Duration // a release or cancel is repeated for so long, then left to the engine's owner; 10 min
+	CancelRepeatDelay time.Duration // wait until a confirmed cancel is sent a second time; 200 ms
+	RenewUnused       time.Duration // owners get renewals, though empty, for so long after the last use of an engine; 2 min
 }
 
 // Defaults of HolderOptions.
@@ -63,41 +63,43 @@
 	return o
 }
 
-// Holder tracks all that this front has on engines: reservations, running
-// attempts and KV exports. Run renews it and repeats unconfirmed ends.
+// Holder tracks everything that this front holds on engines: reservations, running
+// attempts and KV exports. Run renews it and repeats releases and cancels that are
+// not confirmed.
 //
-// Invariant: an id is tracked before the call that may make an engine hold it,
-// and until the engine or its owner has confirmed that it is gone, or the front
-// has seen its regular end (Done).
+// Invariant: an id is tracked from before the call that may make an engine hold it
+// until the engine or its owner has confirmed that it is gone, or the front has
+// seen its regular end (Untrack), or HolderOptions.EndLimit has passed.
 type Holder struct {
 	opts HolderOptions
 	wake chan struct{}
 
 	mu       sync.Mutex
 	holdings map[holdingKey]*trackedHolding
-	lastUsed map[string]time.Time // by engine: when something was last held there
+	lastUsed map[string]time.Time // by engine: when this front last held something there
 	seq      uint64
 }
 
-// holdingKey names one holding.
+// holdingKey identifies one holding.
 type holdingKey struct {
 	engine string
 	id     ledger.ID
 }
 
+// trackedHolding is the state of one holding.
 type trackedHolding struct {
 	address         string // of the engine
 	trackedAt       time.Time
-	awaitingGrant   bool // a reservation whose grant has not come: not yet to be claimed
+	awaitingGrant   bool // a reservation that is not granted yet, so not claimed in renewals
 	ending          bool
-	cancelConfirmed bool // a cancel was confirmed once
-	endInFlight     bool // an end is being asked for
+	cancelConfirmed bool // a cancel was confirmed; it is sent once more
+	endInFlight     bool // a release or cancel is under way
 	endingSince     time.Time
-	nextTry         time.Time // when the end is asked for again
+	nextTry         time.Time // when the release or cancel is sent again
 	retryDelay      time.Duration
 }
 
-// NewHolder returns a holder of nothing.
+// NewHolder returns a Holder that tracks nothing yet.
 func NewHolder(opts HolderOptions) *Holder {
 	return &Holder{
 		opts:     opts.withDefaults(),
@@ -107,7 +109,8 @@
 	}
 }
 
-// Track notes a holding. It is to be called before the engine hears of it.
+// Track starts tracking a holding. It must be called before the request that makes
+// the engine hold it is sent.
 func (h *Holder) Track(e Engine, id ledger.ID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -118,8 +121,8 @@
 	}
 }
 
-// Untrack forgets a holding that the engine has ended by itself: a request that ran
-// to its final marker or was never sent.
+// Untrack stops tracking a holding that needs no release: a request that ran to its
+// final marker or was never sent. It does nothing once End was called.
 func (h *Holder) Untrack(engine string, id ledger.ID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -129,8 +132,8 @@
 	}
 }
 
-// End has a holding released or cancelled. It returns at once; the end is asked
-// for until it is confirmed.
+// End releases or cancels a holding. It returns at once; Run repeats the call until
+// it is confirmed.
 func (h *Holder) End(e Engine, id ledger.ID) {
 	h.mu.Lock()
 	key := holdingKey{e.Name, id}
@@ -149,7 +152,8 @@
 	h.wakeRun()
 }
 
-// Counts returns the number of holdings, and of those whose end is not confirmed.
+// Counts returns the number of tracked holdings, and how many of them have a
+// release or cancel that is not confirmed.
 func (h *Holder) Counts() (all, ending int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -161,17 +165,17 @@
 	return len(h.holdings), ending
 }
 
-// Reserve asks the engine's owner for memory. When it does not return a grant,
-// nothing is held or its release is under way. An error says that no owner
-// answered: the caller places the request without one or tries later, under a new
-// id, because this one is being released.
-func (h *Holder) Reserve(ctx context.Context, e Engine, ask ledger.ReserveRequest) (ReserveReply, error) {
-	ask.Holder = h.opts.Self
-	id := ledger.ID{Kind: ledger.Reservation, Name: ask.ID}
+// Reserve requests memory from the engine's owner. Unless the reply is a grant,
+// nothing is held or its release is under way. An error means that no owner
+// answered: the caller then places the request without a reservation, or tries
+// later under a new id, because this one is being released.
+func (h *Holder) Reserve(ctx context.Context, e Engine, req ledger.ReserveRequest) (ReserveReply, error) {
+	req.Holder = h.opts.Self
+	id := ledger.ID{Kind: ledger.Reservation, Name: req.ID}
 	h.Track(e, id)
 	h.setAwaitingGrant(e, id, true)
 	var reply ReserveReply
-	err := h.callOwner(ctx, e.Name, methodReserve, ask, &reply)
+	err := h.callOwner(ctx, e.Name, methodReserve, req, &reply)
 	if err != nil {
 		h.End(e, id)
 		return ReserveReply{}, merry.Prependf(err, "reserve on %s", e.Name)
@@ -191,7 +195,8 @@
 	}
 }
 
-// handleDenial forgets what was certainly not taken and ends the rest.
+// handleDenial ends a denied reservation that the engine may hold all the same, and
+// stops tracking any other.
 func (h *Holder) handleDenial(e Engine, id ledger.ID, reason ledger.Reason) {
 	switch reason {
 	case ledger.InProgress, ledger.AnswerLost:
@@ -201,7 +206,8 @@
 	}
 }
 
-// callOwner calls the owner of a key, without the network when it is this host.
+// callOwner calls a method at the owner of a key. It is an error when no owner is
+// known.
 func (h *Holder) callOwner(ctx context.Context, key, method string, args, reply any) error {
 	host, address, self := h.opts.Ownership.Owner(key)
 	if host == "" {
@@ -210,6 +216,8 @@
 	return h.call(ctx, address, self, method, args, reply)
 }
 
+// call calls a method at an address, without the network when self says that it is
+// this host.
 func (h *Holder) call(ctx context.Context, address string, self bool, method string, args, reply any) error {
 	if self && h.opts.Local != nil {
 		return h.opts.Local.dispatch(method, args, reply)
@@ -219,7 +227,7 @@
 	return h.opts.Peers.Call(ctx, address, method, args, reply)
 }
 
-// dispatch calls a method of this host's own service.
+// dispatch calls a method of this host's own service by its name.
 func (r *RPC) dispatch(method string, args, reply any) error {
 	switch method {
 	case methodReserve:
@@ -234,6 +242,7 @@
 	return merry.Errorf("unknown method %s", method)
 }
 
+// wakeRun makes Run send the releases and cancels that are due.
 func (h *Holder) wakeRun() {
 	select {
 	case h.wake <- struct{}{}:
--- a/internal/owner/interfaces.go
+++ b/internal/owner/interfaces.go
@@ -8,21 +8,22 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/order"
 )
 
-// Engines calls engines by their address. An error of Reserve that is a *Refused
-// says that the engine holds nothing; any other error of any call says nothing.
+// Engines calls engines by their address. When Reserve returns a *RefusedError, the
+// engine holds nothing; after any other error, of any method, the engine may or may
+// not have carried out the call.
 type Engines interface {
 	Books(ctx context.Context, address string) (ledger.Books, error)
 	Load(ctx context.Context, address string) (Load, error)
 	CacheEvents(ctx context.Context, address string, from int64, limit int) (CacheEvents, error)
-	Reserve(ctx context.Context, address string, ask ledger.ReserveRequest) error
-	// Release and Cancel are idempotent; no error means that it is gone.
+	Reserve(ctx context.Context, address string, req ledger.ReserveRequest) error
+	// Release and Cancel are idempotent; no error means that the holding is gone.
 	Release(ctx context.Context, address, id string) error
 	Cancel(ctx context.Context, address, requestID string, attempt int) error
 	Order(ctx context.Context, address string, fence int64, o order.Order) error
 	OrderState(ctx context.Context, address string) (order.State, error)
 }
 
-// RefusedError is an engine's clear no.
+// RefusedError is the error for a call that an engine refused.
 type RefusedError struct {
 	Code    string
 	Message string
@@ -35,10 +36,10 @@
 type Load struct {
 	Incarnation   string
 	Seq           int64
-	Age           time.Duration // how old the report was when it was sent
-	Step          time.Duration // of one batch
-	PrefillRate   float64       // tokens a second
-	DecodeRate    float64       // tokens a second of one stream
+	Age           time.Duration // age of the report when it was sent
+	Step          time.Duration // duration of one batch step
+	PrefillRate   float64       // tokens per second
+	DecodeRate    float64       // tokens per second of one stream
 	Queued        int
 	QueuedPrefill int64 // tokens
 	Running       int
@@ -50,9 +51,10 @@
 	BlockTokens   int
 }
 
-// CacheEvents is a part of an engine's cache events; a jump of Seq is a gap.
+// CacheEvents is a range of an engine's cache events. A jump in Seq means that events
+// between are missing.
 type CacheEvents struct {
-	Next   int64
+	Next   int64 // sequence number from which to read on
 	Events []CacheEvent
 }
 
@@ -66,7 +68,7 @@
 // CacheKind says what happened to a block.
 type CacheKind uint8
 
-// Kinds of cache event, in the order of placement's.
+// Kinds of cache event, in the order of the kinds of package placement.
 const (
 	BlockStored CacheKind = iota
 	BlockEvicted
@@ -78,18 +80,18 @@
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// Ownership names the live host of this failure domain that a key belongs to;
-// host is empty when none is known.
+// Ownership returns the live host of this failure domain that owns a key; host is
+// empty when none is known.
 type Ownership interface {
 	Owner(key string) (host, address string, self bool)
 }
 
-// Publisher spreads a named section to the hosts of the failure domain.
+// Publisher distributes a named section to the hosts of the failure domain.
 type Publisher interface {
 	Publish(section string, data []byte)
 }
 
-// Engine is an engine of this failure domain as the settings list it.
+// Engine is an engine of this failure domain as listed in the settings.
 type Engine struct {
 	Name    string
 	Address string // IP:port
@@ -99,5 +101,5 @@
 // Catalog returns the engines of this failure domain.
 type Catalog func() []Engine
 
-// Clock returns the present time, with its monotonic reading.
+// Clock returns the current time, with its monotonic reading.
 type Clock func() time.Time
--- a/internal/owner/options.go
+++ b/internal/owner/options.go
@@ -9,7 +9,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/option"
 )
 
-// Options are what a Service needs. Times left zero take the defaults.
+// Options configure a Service. Zero durations and counts take the defaults.
 type Options struct {
 	Engines   Engines
 	Ownership Ownership
@@ -20,17 +20,17 @@
 
 	Ledger ledger.Options
 
-	LoadEvery    time.Duration // shortest time between load reports of an engine at work; 500 ms
-	IdleEvery    time.Duration // shortest time between load reports, and digests, without work; 500 ms
-	BooksEvery   time.Duration // time between reads of the books without doubt; 10 s
+	LoadEvery    time.Duration // shortest time between reads of the load of a busy engine; 500 ms
+	IdleEvery    time.Duration // shortest time between reads of an idle engine's load, and between digests while all are idle; 500 ms
+	BooksEvery   time.Duration // time between regular reads of an engine's books; 10 s
 	PublishEvery time.Duration // shortest time between digests; 1 s
-	DigestBudget int           // bytes a second of all digests of a failure domain; 6,000
-	TickEvery    time.Duration // time between looks at ownership and limits; 1 s
+	DigestBudget int           // bytes per second of all digests of a failure domain; 6,000
+	TickEvery    time.Duration // time between checks of ownership and of the ledger's timeouts; 1 s
 	CallTimeout  time.Duration // of a call to an engine; 2 s
-	DownAfter    int           // calls in a row without an answer after which an engine is down; 3
+	DownAfter    int           // failed calls in a row after which an engine is down; 3
 	CacheWindow  int           // cache events of an engine in a digest; 8
-	MaxCacheRead int           // cache events of one read; what is beyond is left out; 32
-	TurnLimit    time.Duration // longest time that one gang of a pool may gather alone; 4 s
+	MaxCacheRead int           // cache events of one read; an engine that makes more has some skipped; 32
+	TurnLimit    time.Duration // longest time that one gang has the exclusive right to gather in a pool; 4 s
 }
 
 // Defaults of Options.
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -12,7 +12,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// OrderPool is a pool of this failure domain as orders need it.
+// OrderPool is an engine pool of this failure domain with the state that the
+// settings want its engines to have.
 type OrderPool struct {
 	Name          string
 	ChecksFencing bool
@@ -21,7 +22,7 @@
 	Engines       []Engine
 }
 
-// OrderOptions are what Orders needs. Times left zero take the defaults.
+// OrderOptions configure Orders. Zero durations take the defaults.
 type OrderOptions struct {
 	Domain    string
 	Self      order.Holder
@@ -35,32 +36,32 @@
 
 	Lease       order.Options
 	Plan        order.PlanOptions
-	Interval    time.Duration // time between looks at the log and the pools; 2 s
+	Interval    time.Duration // time between two steps of Run; 2 s
 	CallTimeout time.Duration // of a call to the log or an engine; 2 s
 }
 
-// DefaultOrderInterval is the default of OrderOptions.Every.
+// DefaultOrderInterval is the default of OrderOptions.Interval.
 const DefaultOrderInterval = 2 * time.Second
 
 // maxRecordsPerRead bounds the records of one read of the order stream.
 const maxRecordsPerRead = 1000
 
-// Orders keeps the order leases of the pools whose leader this host is, and
-// brings their engines to the desired state. It has one goroutine, Run's.
+// Orders holds the order leases of the pools that this host leads, and brings
+// their engines to the desired state. Only the goroutine of Run uses its fields.
 type Orders struct {
 	opts    OrderOptions
 	replay  *order.Replay
-	era     int64 // of the log
+	era     int64 // era of the log, as read last
 	pools   map[string]*orderPool
-	permits map[string]time.Time // when a load may start, by engine and order
+	permits map[string]time.Time // when a load may start, by order id
 }
 
 type orderPool struct {
-	keeper  *order.LeaseManager
-	planner *order.Planner
+	leaseManager *order.LeaseManager
+	planner      *order.Planner
 }
 
-// NewOrders returns Orders that hold no lease.
+// NewOrders returns an Orders that holds no lease yet.
 func NewOrders(opts OrderOptions) *Orders {
 	opts.Lease = opts.Lease.WithDefaults()
 	option.Default(&opts.Interval, DefaultOrderInterval)
@@ -79,7 +80,7 @@
 	}
 }
 
-// Run gives orders until the context ends.
+// Run keeps leases and sends orders until the context ends.
 func (o *Orders) Run(ctx context.Context) error {
 	tick := time.NewTicker(o.opts.Interval)
 	defer tick.Stop()
@@ -93,9 +94,11 @@
 	}
 }
 
+// orderKey returns the ownership key whose owner leads the orders of a pool.
 func orderKey(pool string) string { return "orders/" + pool }
 
-// step looks once at every pool. A host that leads none does not read the log.
+// step handles, once, each pool that this host leads or still holds state of. It
+// does not read the log when there is none.
 func (o *Orders) step(ctx context.Context) {
 	var mine []OrderPool
 	wanted := map[string]bool{}
@@ -119,8 +122,8 @@
 	o.expirePermits()
 }
 
-// permitLifetime is how long an unused permit is remembered: its order is no longer
-// due after so long.
+// permitLifetime is how long an unused permit is kept after the time from which it
+// allows a load. Its order is no longer due by then.
 const permitLifetime = 10 * time.Minute
 
 func (o *Orders) expirePermits() {
@@ -132,11 +135,11 @@
 	}
 }
 
-// readLog reads the stream to its end.
+// readLog reads the order stream to its end into the replay.
 func (o *Orders) readLog(ctx context.Context) error {
 	for {
-		call, cancel := context.WithTimeout(ctx, o.opts.CallTimeout)
-		page, err := o.opts.Log.Read(call, order.Stream(o.opts.Domain), o.replay.Next(), maxRecordsPerRead, 0)
+		callCtx, cancel := context.WithTimeout(ctx, o.opts.CallTimeout)
+		page, err := o.opts.Log.Read(callCtx, order.Stream(o.opts.Domain), o.replay.Next(), maxRecordsPerRead, 0)
 		cancel()
 		if err != nil {
 			return err
@@ -155,32 +158,37 @@
 	}
 }
 
-// checkRestored reports whether the log has come back from an older copy since it was read last.
+// checkRestored reports whether the log was restored from an older copy since the
+// last read, and then resets the replay. It stores the era of the log.
 func (o *Orders) checkRestored(era int64) bool {
-	was := o.era
+	previous := o.era
 	o.era = era
-	if was == era || o.replay.Next() == 1 {
+	if previous == era || o.replay.Next() == 1 {
 		return false
 	}
-	o.opts.Logger.WithFields(fields{"was": was, "era": era}).Warn("order_log_restored")
+	o.opts.Logger.WithFields(fields{"was": previous, "era": era}).Warn("order_log_restored")
 	o.replay.HandleLogRestored()
 	return true
 }
 
+// markLogUnavailable tells all lease managers that the log could not be read or written.
 func (o *Orders) markLogUnavailable(err error) {
 	for _, p := range o.pools {
-		p.keeper.MarkLogUnavailable()
+		p.leaseManager.MarkLogUnavailable()
 	}
 	o.opts.Logger.WithError(err).Warn("order_log_away")
 }
 
+// stepPool advances the lease of one pool, sends its due orders if want is set and
+// the lease allows it, and drops the state of a pool that this host no longer
+// leads.
 func (o *Orders) stepPool(ctx context.Context, p OrderPool, want bool) {
 	st := o.poolState(p)
-	rec := st.keeper.Step(o.replay, want, o.opts.Clock())
+	rec := st.leaseManager.Step(o.replay, want, o.opts.Clock())
 	if rec != nil && !o.appendRecord(ctx, *rec) {
 		return
 	}
-	if _, ok := st.keeper.MayOrder(o.opts.Clock()); ok && want {
+	if _, ok := st.leaseManager.MayOrder(o.opts.Clock()); ok && want {
 		o.reconcile(ctx, p, st)
 	}
 	if l, ok := o.replay.Lease(p.Name); !want && (!ok || l.Holder != o.opts.Self || l.Dropped) {
@@ -192,41 +200,43 @@
 	st := o.pools[p.Name]
 	if st == nil {
 		st = &orderPool{
-			keeper:  order.NewLeaseManager(o.opts.Lease, o.opts.Self, p.Name, p.ChecksFencing, p.MaxOrderTime, uuid.NewString),
-			planner: order.NewPlanner(o.opts.Plan),
+			leaseManager: order.NewLeaseManager(o.opts.Lease, o.opts.Self, p.Name, p.ChecksFencing, p.MaxOrderTime, uuid.NewString),
+			planner:      order.NewPlanner(o.opts.Plan),
 		}
 		o.pools[p.Name] = st
 	}
 	return st
 }
 
-// appendRecord writes a record. After an error it may be in the log all the same; the
-// keeper counts only what is read back.
+// appendRecord appends a record to the log and reports success. After an error the
+// record may be in the log nevertheless: the lease manager counts only records that
+// it reads back.
 func (o *Orders) appendRecord(ctx context.Context, rec order.Record) bool {
 	data, err := rec.Encode()
 	if err != nil {
 		o.opts.Logger.WithError(err).Error("order_record_failed")
 		return false
 	}
-	call, cancel := context.WithTimeout(ctx, o.opts.CallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, o.opts.CallTimeout)
 	defer cancel()
-	if _, err := o.opts.Log.Append(call, order.Stream(o.opts.Domain), [][]byte{data}); err != nil {
+	if _, err := o.opts.Log.Append(callCtx, order.Stream(o.opts.Domain), [][]byte{data}); err != nil {
 		o.markLogUnavailable(err)
 		return false
 	}
 	return true
 }
 
-// reconcile reads all engines of a pool back and gives the orders that are due.
+// reconcile reads the state of all engines of a pool and sends the orders that are
+// due.
 func (o *Orders) reconcile(ctx context.Context, p OrderPool, st *orderPool) {
 	addresses := map[string]string{}
 	var engines []order.Engine
 	for _, e := range p.Engines {
-		call, cancel := context.WithTimeout(ctx, o.opts.CallTimeout)
-		state, err := o.opts.Engines.OrderState(call, e.Address)
+		callCtx, cancel := context.WithTimeout(ctx, o.opts.CallTimeout)
+		state, err := o.opts.Engines.OrderState(callCtx, e.Address)
 		cancel()
 		if err != nil {
-			continue // not in reach: repaired when it is back
+			continue // unreachable: gets its orders when it answers again
 		}
 		addresses[e.Name] = e.Address
 		engines = append(engines, order.Engine{Name: e.Name, Desired: p.Desired, State: state})
@@ -235,8 +245,9 @@
 		if ord.IsLoad() && !o.loadPermitted(ctx, ord) {
 			continue
 		}
-		// Asked anew before each order: the reads may have taken long.
-		fence, ok := st.keeper.MayOrder(o.opts.Clock())
+		// The lease is checked before each order: the calls so far may have taken
+		// long.
+		fence, ok := st.leaseManager.MayOrder(o.opts.Clock())
 		if !ok {
 			return
 		}
@@ -244,18 +255,18 @@
 	}
 }
 
-// loadPermitted takes a permit of the weight store for a load, once, and tells
-// whether its time has come.
+// loadPermitted takes a permit from the weight store for a load, once per order,
+// and reports whether the load may start now.
 func (o *Orders) loadPermitted(ctx context.Context, ord order.Order) bool {
 	key := ord.ID(0)
 	now := o.opts.Clock()
 	at, ok := o.permits[key]
 	if !ok {
-		call, cancel := context.WithTimeout(ctx, o.opts.CallTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, o.opts.CallTimeout)
 		defer cancel()
-		wait, err := o.opts.Weights.TakePermit(call, ord.Model)
+		wait, err := o.opts.Weights.TakePermit(callCtx, ord.Model)
 		if err != nil {
-			return false // the weight store is away: so are the weights
+			return false // the weight store is unavailable, and with it the weights
 		}
 		at = now.Add(wait)
 		o.permits[key] = at
@@ -267,11 +278,13 @@
 	return true
 }
 
+// sendOrder sends one order to an engine, under the fencing number of the lease, and
+// logs the result.
 func (o *Orders) sendOrder(ctx context.Context, st *orderPool, fence int64, address string, ord order.Order) {
-	call, cancel := context.WithTimeout(ctx, o.opts.CallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, o.opts.CallTimeout)
 	defer cancel()
 	st.planner.MarkSent(ord, o.opts.Clock())
-	err := o.opts.Engines.Order(call, address, fence, ord)
+	err := o.opts.Engines.Order(callCtx, address, fence, ord)
 	metricOrders.Inc()
 	entry := o.opts.Logger.WithFields(fields{
 		"engine":  ord.Engine,
--- a/internal/owner/orders_restored_test.go
+++ b/internal/owner/orders_restored_test.go
@@ -12,7 +12,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// eraLog is a log that tells its era.
+// eraLog is a log in memory that reports an era.
 type eraLog struct {
 	records []platform.Record
 	era     int64
@@ -28,7 +28,7 @@
 	return page, nil
 }
 
-// claim appends a claim of a host.
+// claim appends a host's claim of the lease.
 func (l *eraLog) claim(t *testing.T, at time.Time, host string) {
 	t.Helper()
 	rec := order.Record{Kind: order.ClaimRecord, Pool: "p", ID: host, Holder: order.Holder{Host: host, Incarnation: "1"}}
@@ -39,8 +39,9 @@
 	l.records = append(l.records, platform.Record{Offset: int64(len(l.records)) + 1, At: at, Data: data})
 }
 
-// TestOrdersRereadARestoredLog guards against hosts that read on from an offset that the log
-// has not reached again, and pass over what is written meanwhile.
+// TestOrdersRereadARestoredLog guards against a host that reads a restored log from
+// its old offset, which the log has not reached again, and misses the records that
+// are written meanwhile.
 func TestOrdersRereadARestoredLog(t *testing.T) {
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
@@ -53,7 +54,7 @@
 		}
 		l, _ := o.replay.Lease("p")
 		if l.Holder.Host != holder {
-			t.Errorf("%q holds, not %s", l.Holder.Host, holder)
+			t.Errorf("%q holds the lease, not %s", l.Holder.Host, holder)
 		}
 		return l
 	}
@@ -65,6 +66,6 @@
 	follow("a")
 	log.claim(t, begin.Add(3*order.DefaultLease), "c")
 	if got := follow("c"); got.Fence <= lost.Fence {
-		t.Errorf("c holds under %d, after b under %d", got.Fence, lost.Fence)
+		t.Errorf("c holds the lease with fence %d, after b with %d", got.Fence, lost.Fence)
 	}
 }
--- a/internal/owner/orders_test.go
+++ b/internal/owner/orders_test.go
@@ -14,7 +14,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/standin"
 )
 
-// orderSite is a site whose hosts keep order leases in a stand-in log.
+// orderSite is a site whose hosts hold order leases in a stand-in log.
 type orderSite struct {
 	*site
 	log     *standin.Log
@@ -71,8 +71,8 @@
 	h.done.Go(func() { _ = o.Run(h.ctx) })
 }
 
-// desired tells whether both engines serve exactly what is wanted, and the lowest
-// fencing number that they have seen.
+// desired reports whether both engines serve exactly the desired models, and returns
+// the lowest fencing number that they have seen.
 func (s *orderSite) desired() (ok bool, fence int64) {
 	for i, e := range s.engines {
 		st, err := s.http.OrderState(context.Background(), e.Address)
@@ -90,6 +90,8 @@
 	return true, fence
 }
 
+// TestOrdersReachAndRepairTheDesiredState checks that another host takes over the
+// lease of a killed leader, with a higher fencing number, and repairs the engines.
 func TestOrdersReachAndRepairTheDesiredState(t *testing.T) {
 	s := newOrderSite(t, time.Second)
 	s.eventually("the desired state", func() bool { ok, _ := s.desired(); return ok })
@@ -104,7 +106,8 @@
 	s.eventually("the next holder's repair", func() bool { ok, fence := s.desired(); return ok && fence > first })
 }
 
-// loadStrayModel loads a model that nobody wants, with the highest fence seen.
+// loadStrayModel loads a model that is not in the desired state on each engine, with
+// the highest fencing number that the engine has seen.
 func (s *orderSite) loadStrayModel() {
 	s.t.Helper()
 	for _, e := range s.engines {
@@ -119,6 +122,8 @@
 	}
 }
 
+// TestNoOrdersWhileTheLogIsUnavailable checks that a leader whose lease is still
+// valid sends no orders during an outage of the log.
 func TestNoOrdersWhileTheLogIsUnavailable(t *testing.T) {
 	s := newOrderSite(t, time.Minute) // longer than the test: only the log stops orders
 	s.eventually("the desired state", func() bool { ok, _ := s.desired(); return ok })
@@ -134,7 +139,7 @@
 		}
 	}
 	if repaired == tries {
-		t.Error("the state was repaired while the log was away")
+		t.Error("the state was repaired while the log was unavailable")
 	}
 	if err := s.log.SetFault(standin.Fault{Kind: standin.FaultOutage, On: false}); err != nil {
 		t.Fatal(err)
@@ -142,8 +147,8 @@
 	s.eventually("repair after the outage", func() bool { ok, _ := s.desired(); return ok })
 }
 
-// repairsStrayModel disturbs the engines and tells whether they are put right within many
-// steps of the leader.
+// repairsStrayModel loads a stray model and reports whether the engines return to
+// the desired state within 50 steps of the leader.
 func (s *orderSite) repairsStrayModel() bool {
 	s.t.Helper()
 	s.loadStrayModel()
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -15,8 +15,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/standin"
 )
 
-// Each case leaves memory held in one of the ways the brief names; nobody but the
-// owners may bring it back.
+// TestHeldMemoryIsReleased guards against memory that stays held after a failure. Each
+// case leaves memory held in another way, and only the owners may free it.
 func TestHeldMemoryIsReleased(t *testing.T) {
 	cases := []struct {
 		name string
@@ -30,9 +30,9 @@
 		{"front replaced by a new incarnation", func(s *site, front *testHost) {
 			s.reserve(front, s.engines[0], "r", 500)
 			front.kill()
-			again := s.addHost(front.name, "2")
-			s.reserve(again, s.engines[0], "s", 500)
-			again.holder.End(s.engines[0], ledger.ID{Kind: ledger.Reservation, Name: "s"})
+			restarted := s.addHost(front.name, "2")
+			s.reserve(restarted, s.engines[0], "s", 500)
+			restarted.holder.End(s.engines[0], ledger.ID{Kind: ledger.Reservation, Name: "s"})
 		}},
 		{"gang half gathered, front killed", func(s *site, front *testHost) {
 			blocker := s.hosts[1]
@@ -58,14 +58,14 @@
 			s.hosts[1].kill()
 			blocker.holder.End(s.engines[2], ledger.ID{Kind: ledger.Reservation, Name: "blocker"})
 			if err := <-gathered; err != nil {
-				s.t.Errorf("the gang did not outlive an owner: %v", err)
+				s.t.Errorf("the gang failed when an owner was killed: %v", err)
 			}
 			front.kill()
 		}},
 		{"owner killed", func(s *site, front *testHost) {
 			s.reserve(front, s.engines[1], "r", 500)
 			if !isOwnedBy(s.hosts[1], s.engines[1].Name) {
-				s.t.Fatal("the site does not give engine 1 to host 1")
+				s.t.Fatal("host 1 does not own engine 1")
 			}
 			s.hosts[1].kill()
 			s.reserve(front, s.engines[1], "after", 500)
@@ -95,8 +95,8 @@
 		{"answer to the reserve call lost", func(s *site, front *testHost) {
 			s.eventually("ready", func() bool { r, ok := s.owner(0).service.Room("e0"); return ok && r.Known })
 			s.setFault(0, "/v1/reservations", standin.FaultDropAnswer, 1)
-			ask := ledger.ReserveRequest{Engine: "e0", ID: "r", Tokens: 500}
-			reply, err := front.holder.Reserve(context.Background(), s.engines[0], ask)
+			req := ledger.ReserveRequest{Engine: "e0", ID: "r", Tokens: 500}
+			reply, err := front.holder.Reserve(context.Background(), s.engines[0], req)
 			if err != nil || reply.Granted || reply.Reason != ledger.AnswerLost {
 				s.t.Errorf("a lost answer gave %+v, %v", reply, err)
 			}
@@ -119,6 +119,7 @@
 	}
 }
 
+// owner returns the live host that owns an engine, or nil.
 func (s *site) owner(engine int) *testHost {
 	for _, h := range s.hosts {
 		if h.alive && isOwnedBy(h, s.engines[engine].Name) {
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// export leaves a KV export behind whose front goes on renewing without it.
+// export leaves a KV export behind whose front goes on renewing but does not claim it.
 func (s *site) export(front *testHost) {
 	e := s.engines[0]
 	c, err := s.http.client(e.Address)
@@ -158,10 +159,13 @@
 	front.holder.End(e, ledger.ID{Kind: ledger.Reservation, Name: "other"})
 }
 
+// TestRenewedHoldingsOutliveTheTimeouts checks that a renewed reservation is kept
+// when an unclaimed one, made after it, is ended.
 func TestRenewedHoldingsOutliveTheTimeouts(t *testing.T) {
 	s := newSite(t, 1, 2)
 	s.reserve(s.hosts[0], s.engines[0], "r", 500)
-	// The hard limit has passed when an unclaimed holding of a stranger ends.
+	// When the reservation of an unknown holder ends, ledger.Options.SilentTimeout has
+	// passed.
 	stranger := ledger.ReserveRequest{Engine: "e0", ID: "s", Holder: ledger.Holder{Host: "stranger", Incarnation: "1"}, Tokens: 10}
 	if err := s.http.Reserve(context.Background(), s.engines[0].Address, stranger); err != nil {
 		t.Fatal(err)
@@ -172,6 +176,8 @@
 	}
 }
 
+// TestTwoOwnersAtOnceStayWithinMemory guards against overcommitted engines while
+// every host believes that it owns them all.
 func TestTwoOwnersAtOnceStayWithinMemory(t *testing.T) {
 	s := newSite(t, 2, 3)
 	s.mu.Lock()
@@ -189,8 +195,8 @@
 			for n := range 40 {
 				e := s.engines[n%2]
 				id := ledger.ID{Kind: ledger.Reservation, Name: fmt.Sprintf("%s-%d", h.name, n)}
-				ask := ledger.ReserveRequest{Engine: e.Name, ID: id.Name, Tokens: 1000 + rand.Int64N(6000)}
-				reply, err := h.holder.Reserve(context.Background(), e, ask)
+				req := ledger.ReserveRequest{Engine: e.Name, ID: id.Name, Tokens: 1000 + rand.Int64N(6000)}
+				reply, err := h.holder.Reserve(context.Background(), e, req)
 				if err == nil && reply.Granted {
 					granted[i]++
 					if n%3 > 0 {
@@ -223,8 +229,8 @@
 	s.waitForEmptyBooks()
 }
 
-// waitForGrants waits until the owner that a host asks has read an engine's books,
-// before which it grants nothing.
+// waitForGrants waits until the owner that a host calls has read an engine's books
+// and so begins to grant reservations.
 func (s *site) waitForGrants(h *testHost, e Engine) {
 	n := 0
 	s.eventually("the owner grants on "+e.Name, func() bool {
@@ -239,6 +245,8 @@
 	})
 }
 
+// TestOverlappingGangsAllFinish guards against a deadlock of gangs that need the same
+// engines.
 func TestOverlappingGangsAllFinish(t *testing.T) {
 	s := newSite(t, 3, 4)
 	var all sync.WaitGroup
@@ -305,6 +313,8 @@
 	})
 }
 
+// TestReadingCacheEventsKeepsUp guards against a reader that falls ever further behind
+// an engine which makes more events than are read.
 func TestReadingCacheEventsKeepsUp(t *testing.T) {
 	s := New(Options{})
 	p := newPoller(s, Engine{}, nil)
--- a/internal/owner/poller.go
+++ b/internal/owner/poller.go
@@ -7,31 +7,32 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/ledger"
 )
 
-// maxCacheSkip bounds how many cache events are left out between two reads.
+// maxCacheSkip bounds how many cache events are skipped between two reads.
 const maxCacheSkip = 1 << 16
 
-// poller reads one owned engine. Its fields after doubt belong to the service's
-// lock.
+// poller reads the books, load and cache events of one owned engine. The service's
+// lock guards the fields after booksRequested.
 type poller struct {
 	service        *Service
 	engine         Engine
 	cancel         context.CancelFunc
-	booksRequested chan struct{} // the books are wanted now
+	booksRequested chan struct{} // the books are to be read now
 
 	failures    int
-	idleReports int // reports in a row without work
+	idleReports int // load reports in a row without work
 	load        Load
-	loadAt      time.Time // when the load was received, less its age; zero: none yet
+	loadAt      time.Time // time of the load report; zero: none yet, or the engine is down
 	cache       []CacheEvent
-	nextSeq     int64 // first cache event not yet read
-	skip        int64 // cache events to leave out after the next full read
+	nextSeq     int64 // sequence number from which cache events are read next
+	skip        int64 // cache events to skip after the next full read
 }
 
 func newPoller(s *Service, e Engine, cancel context.CancelFunc) *poller {
 	return &poller{service: s, engine: e, cancel: cancel, booksRequested: make(chan struct{}, 1)}
 }
 
-// run polls until the engine is no longer owned.
+// run polls the engine until the context ends, as it does when the engine is no
+// longer owned.
 func (p *poller) run(ctx context.Context) {
 	load := time.NewTimer(p.service.loadInterval(p))
 	defer load.Stop()
@@ -57,11 +58,12 @@
 	}
 }
 
+// readBooks reads the engine's books and applies them to the ledger.
 func (p *poller) readBooks(ctx context.Context) {
 	s := p.service
-	call, cancel := context.WithTimeout(ctx, s.opts.CallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, s.opts.CallTimeout)
 	defer cancel()
-	b, err := s.opts.Engines.Books(call, p.engine.Address)
+	b, err := s.opts.Engines.Books(callCtx, p.engine.Address)
 	p.recordAnswer(err)
 	if err != nil {
 		return
@@ -77,7 +79,8 @@
 	s.executeInBackground(ctx, acts)
 }
 
-// recordAnswer counts calls without an answer; a refusal is an answer.
+// recordAnswer counts failed calls in a row and marks the engine as down when there
+// are Options.DownAfter of them.
 func (p *poller) recordAnswer(err error) {
 	s := p.service
 	s.mu.Lock()
@@ -97,11 +100,13 @@
 	s.opts.Log.WithFields(fields{"engine": p.engine.Name}).WithError(err).Warn("engine_down")
 }
 
+// readLoad reads the engine's load report, and its books too when the engine has
+// restarted.
 func (p *poller) readLoad(ctx context.Context) {
 	s := p.service
-	call, cancel := context.WithTimeout(ctx, s.opts.CallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, s.opts.CallTimeout)
 	defer cancel()
-	l, err := s.opts.Engines.Load(call, p.engine.Address)
+	l, err := s.opts.Engines.Load(callCtx, p.engine.Address)
 	p.recordAnswer(err)
 	if err != nil {
 		return
@@ -111,7 +116,8 @@
 	}
 }
 
-// storeLoad stores a report and tells whether the engine has started anew.
+// storeLoad stores a load report and reports whether the engine has restarted since
+// the last one. A restart resets the reading of cache events.
 func (p *poller) storeLoad(l Load) (restarted bool) {
 	s := p.service
 	s.mu.Lock()
@@ -131,8 +137,8 @@
 	return restarted
 }
 
-// readCache keeps the last cache events for the digest. A failure only makes the
-// digest poorer.
+// readCache reads the engine's next cache events and keeps the last ones for the
+// digest. After a failure the digest only lacks the newest events.
 func (p *poller) readCache(ctx context.Context) {
 	s := p.service
 	ctx, cancel := context.WithTimeout(ctx, s.opts.CallTimeout)
@@ -156,9 +162,10 @@
 	}
 }
 
-// nextCacheSeq keeps up with an engine that has more events than are read: after a
-// full read it leaves some out, more each time. A read past the engine's last
-// event is empty until the engine gets there.
+// nextCacheSeq returns the sequence number from which to read after a read of
+// events. To keep up with an engine that makes more events than are read, it skips
+// some after a full read, more each time. A read past the engine's last event is
+// empty until the engine gets there.
 func (p *poller) nextCacheSeq(events CacheEvents) int64 {
 	if len(events.Events) < p.service.opts.MaxCacheRead {
 		p.skip /= 2
--- a/internal/owner/pools.go
+++ b/internal/owner/pools.go
@@ -8,11 +8,12 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// DefaultMaxOrderTime is the longest time of an order of pools whose settings do
-// not say.
+// DefaultMaxOrderTime is the longest time that an order may take in pools whose
+// settings do not set one.
 const DefaultMaxOrderTime = 5 * time.Minute
 
-// EnginesOf returns the engines of a failure domain, for a Catalog.
+// EnginesOf returns the engines of a failure domain in the pools of the settings. A
+// Catalog returns this list.
 func EnginesOf(pools []settings.Pool, domain string) []Engine {
 	var engines []Engine
 	for _, p := range pools {
@@ -28,8 +29,9 @@
 	return engines
 }
 
-// OrderPoolsOf returns what the settings want of the engine pools of a failure
-// domain. A pool without engines there or without models is left out.
+// OrderPoolsOf returns the engine pools of a failure domain with their desired
+// state from the settings. A pool without engines there or without models is left
+// out.
 func OrderPoolsOf(pools []settings.Pool, models []settings.Model, domain string) []OrderPool {
 	var out []OrderPool
 	for _, p := range pools {
@@ -51,6 +53,7 @@
 	return out
 }
 
+// desiredOf returns the models that the engines of a pool are to serve.
 func desiredOf(pool string, models []settings.Model) order.Desired {
 	var d order.Desired
 	for _, m := range models {
--- a/internal/owner/renew.go
+++ b/internal/owner/renew.go
@@ -10,7 +10,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/ledger"
 )
 
-// Run renews holdings and asks for ends until the context ends.
+// Run renews holdings, and sends the releases and cancels that are due, until the
+// context ends.
 func (h *Holder) Run(ctx context.Context) error {
 	renew := time.NewTicker(h.opts.RenewEvery)
 	defer renew.Stop()
@@ -32,16 +33,16 @@
 	}
 }
 
-// ownerRef is the owner of an engine as a call needs it.
+// ownerRef identifies the owner of an engine for a call.
 type ownerRef struct {
 	host    string
 	address string
 	self    bool
 }
 
-// renew sends one message to each owner of an engine that this front has used
-// lately, also when it holds nothing there: the owner then knows that what the
-// engine lists for this front is left over.
+// renew sends one message to each owner of an engine that this front used within
+// HolderOptions.RenewUnused, also when it holds nothing there: the owner then knows
+// that it can end what the engine still lists for this front.
 func (h *Holder) renew(ctx context.Context) {
 	var calls sync.WaitGroup
 	for owner, r := range h.buildRenewals() {
@@ -50,6 +51,8 @@
 	calls.Wait()
 }
 
+// buildRenewals returns the renewal for each owner, and drops engines that were not
+// used for HolderOptions.RenewUnused.
 func (h *Holder) buildRenewals() map[ownerRef]ledger.Renewal {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -84,9 +87,9 @@
 	return out
 }
 
-// shouldRenew tells whether a holding is to be claimed. The ledger counts its limit
-// from the time it first saw a holding, so what is younger than one renewal's
-// time can wait: most short requests end without ever being claimed.
+// shouldRenew reports whether a renewal claims the holding. The ledger counts its
+// timeouts from the time it first saw a holding, so one that is younger than a
+// renewal interval can wait: most short requests end without ever being claimed.
 func (t *trackedHolding) shouldRenew(now time.Time, every time.Duration) bool {
 	return !t.ending && !t.awaitingGrant && now.Sub(t.trackedAt) >= every
 }
@@ -105,8 +108,9 @@
 	}
 }
 
-// handleLostClaim handles a claim that the engine does not hold. A reserve call may be on
-// its way past the ledger, so the id is ended rather than forgotten.
+// handleLostClaim handles a claim of something that the engine does not hold. A
+// reserve call that the ledger does not know of may still reach the engine, so the
+// id is ended rather than untracked.
 func (h *Holder) handleLostClaim(c ledger.Claim) {
 	h.mu.Lock()
 	t := h.holdings[holdingKey{c.Engine, c.ID}]
@@ -121,7 +125,8 @@
 	}
 }
 
-// startDueEnds asks for all ends whose time has come.
+// startDueEnds sends the releases and cancels that are due, in the background, and
+// gives up those that were repeated for HolderOptions.EndLimit.
 func (h *Holder) startDueEnds(ctx context.Context, work *sync.WaitGroup) {
 	now := h.opts.Clock()
 	h.mu.Lock()
@@ -140,10 +145,11 @@
 	}
 }
 
-// maxConcurrentEnds bounds the ends that are asked for at a time.
+// maxConcurrentEnds bounds the releases and cancels that are under way at a time.
 const maxConcurrentEnds = 64
 
-// dueEnds needs the lock.
+// dueEnds returns the holdings whose release or cancel is to be sent now, within
+// maxConcurrentEnds. The caller holds the lock.
 func (h *Holder) dueEnds(now time.Time) []holdingKey {
 	var keys []holdingKey
 	busy := 0
@@ -160,6 +166,8 @@
 	return keys[:min(len(keys), max(0, maxConcurrentEnds-busy))]
 }
 
+// tryEnd sends one release or cancel. A confirmed holding is no longer tracked,
+// except that a cancel is confirmed twice; otherwise the next try is scheduled.
 func (h *Holder) tryEnd(ctx context.Context, key holdingKey, address string) {
 	confirmed := h.callEnd(ctx, key, address)
 	h.mu.Lock()
@@ -174,8 +182,8 @@
 		return
 	}
 	if confirmed {
-		// The dispatch may still be under way to an engine that was frozen, and
-		// then comes after its cancel.
+		// The request may still be on its way to an engine that was frozen, and
+		// then arrives after its cancel.
 		t.cancelConfirmed = true
 		t.nextTry = h.opts.Clock().Add(h.opts.CancelRepeatDelay)
 		return
@@ -184,8 +192,8 @@
 	t.retryDelay = min(2*t.retryDelay, h.opts.RetryMax)
 }
 
-// Drain waits until every end is confirmed, for a daemon that leaves. Run has to
-// go on meanwhile.
+// Drain waits until every release and cancel is confirmed, for a daemon that
+// leaves. Run must still be running. The error is the context's.
 func (h *Holder) Drain(ctx context.Context) error {
 	tick := time.NewTicker(h.opts.RetryMin)
 	defer tick.Stop()
@@ -201,8 +209,9 @@
 	}
 }
 
-// callEnd goes to the owner for a reservation, so that its ledger is exact at
-// once, and to the engine itself for the rest or when no owner answers.
+// callEnd sends a release or cancel and reports whether it is confirmed. A
+// reservation is released at the owner, so that its ledger is exact at once;
+// everything else, or when the owner does not confirm, is ended at the engine.
 func (h *Holder) callEnd(ctx context.Context, key holdingKey, address string) bool {
 	if key.id.Kind == ledger.Reservation {
 		var reply ReleaseReply
--- a/internal/owner/rpc.go
+++ b/internal/owner/rpc.go
@@ -7,10 +7,10 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/ledger"
 )
 
-// ServiceName is the name under which RPC is to be registered.
+// ServiceName is the name under which RPC must be registered.
 const ServiceName = "Owner"
 
-// Methods of RPC.
+// Names of the methods of RPC for calls.
 const (
 	methodReserve = ServiceName + ".Reserve"
 	methodRelease = ServiceName + ".Release"
@@ -24,24 +24,24 @@
 	service *Service
 }
 
-// RPC returns the receiver; calls to engines end with the context.
+// RPC returns the net/rpc receiver of the service. Its calls to engines end with ctx.
 func (s *Service) RPC(ctx context.Context) *RPC {
 	return &RPC{ctx: ctx, service: s}
 }
 
-// ReserveReply answers Reserve. When Granted is false the front holds nothing,
-// or what it holds is being released.
+// ReserveReply is the reply of Reserve. When Granted is false, the front holds
+// nothing, or what it holds is being released.
 type ReserveReply struct {
 	Granted    bool
 	Reason     ledger.Reason
-	RetryAfter time.Duration // zero: asking again does not help
+	RetryAfter time.Duration // zero: trying again does not help
 }
 
-// Reserve asks for memory on an engine that this host owns.
-func (r *RPC) Reserve(ask ledger.ReserveRequest, reply *ReserveReply) error {
+// Reserve reserves memory on an engine that this host owns.
+func (r *RPC) Reserve(req ledger.ReserveRequest, reply *ReserveReply) error {
 	s := r.service
 	s.mu.Lock()
-	acts := s.ledger.Reserve(ask, s.opts.Clock())
+	acts := s.ledger.Reserve(req, s.opts.Clock())
 	s.mu.Unlock()
 	for _, v := range s.execute(r.ctx, acts) {
 		switch v := v.(type) {
@@ -51,17 +51,18 @@
 			*reply = ReserveReply{Reason: v.Reason, RetryAfter: v.RetryAfter}
 		}
 	}
-	s.logVerdict(ask, *reply)
+	s.logVerdict(req, *reply)
 	return nil
 }
 
-func (s *Service) logVerdict(ask ledger.ReserveRequest, reply ReserveReply) {
+// logVerdict logs and counts the reply to a reserve request.
+func (s *Service) logVerdict(req ledger.ReserveRequest, reply ReserveReply) {
 	f := fields{
-		"engine":    ask.Engine,
-		"id":        ask.ID,
-		"holder":    ask.Holder.Host,
-		"tokens":    ask.Tokens,
-		"gang_size": ask.GangSize,
+		"engine":    req.Engine,
+		"id":        req.ID,
+		"holder":    req.Holder.Host,
+		"tokens":    req.Tokens,
+		"gang_size": req.GangSize,
 		"granted":   reply.Granted,
 	}
 	if reply.Granted {
@@ -74,16 +75,16 @@
 	s.opts.Log.WithFields(f).Info("reserve")
 }
 
-// ReleaseArgs names a holding to end.
+// ReleaseArgs identifies a holding to end.
 type ReleaseArgs struct {
 	Engine string
 	ID     ledger.ID
 	Holder ledger.Holder
 }
 
-// ReleaseReply answers Release.
+// ReleaseReply is the reply of Release.
 type ReleaseReply struct {
-	Confirmed bool // the engine holds it no longer; else ask again
+	Confirmed bool // the engine no longer holds it; if false, call again
 }
 
 // Release ends a holding on an engine that this host owns. It is idempotent.
@@ -100,7 +101,8 @@
 	return nil
 }
 
-// Renew takes the list of all that a front holds on engines of this host.
+// Renew applies a front's list of everything that it holds on engines of this
+// host.
 func (r *RPC) Renew(args ledger.Renewal, reply *ledger.RenewalReply) error {
 	s := r.service
 	s.mu.Lock()
@@ -112,20 +114,21 @@
 	return nil
 }
 
-// TurnArgs asks for a pool's turn to gather a gang, or gives it back.
+// TurnArgs requests a pool's turn, the exclusive right to gather a gang there, or
+// gives it back.
 type TurnArgs struct {
 	Pool string
 	Gang string
-	Give bool
+	Give bool // give the turn back
 }
 
-// TurnReply answers Turn.
+// TurnReply is the reply of Turn.
 type TurnReply struct {
 	OK   bool
-	Wait time.Duration // when to ask again
+	Wait time.Duration // time to wait before the next request, if not OK
 }
 
-// Turn lets one gang of a pool gather at a time.
+// Turn grants a pool's turn to one gang at a time, or takes it back.
 func (r *RPC) Turn(args TurnArgs, reply *TurnReply) error {
 	s := r.service
 	s.mu.Lock()
@@ -139,13 +142,14 @@
 	return nil
 }
 
-// BooksReply is what this host knows of one engine's memory.
+// BooksReply is the state of one engine's memory in this host's ledger.
 type BooksReply struct {
 	Owned bool
 	Room  ledger.Room
 }
 
-// Books returns the ledger's hint for an engine, for status and explain.
+// Books returns what the ledger knows about an engine's memory, for status and
+// explain.
 func (r *RPC) Books(engine string, reply *BooksReply) error {
 	reply.Room, reply.Owned = r.service.Room(engine)
 	return nil
--- a/internal/owner/service.go
+++ b/internal/owner/service.go
@@ -10,8 +10,9 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/ledger"
 )
 
-// Service owns engines. Use New, register RPC with the peers' net/rpc server and
-// run Run.
+// Service polls the engines that this host owns and keeps the ledger of their
+// memory. Create it with New, register RPC with the net/rpc server for peers, and
+// call Run.
 type Service struct {
 	opts Options
 
@@ -19,15 +20,15 @@
 	ledger          *ledger.Ledger
 	turns           *ledger.Turns
 	owned           map[string]*poller // by engine
-	publishInterval time.Duration      // time between digests at present
-	pollers         sync.WaitGroup     // pollers and calls in the background
-	backgroundCalls errgroup.Group     // bounds calls in the background
+	publishInterval time.Duration      // current time between digests
+	pollers         sync.WaitGroup     // running pollers
+	backgroundCalls errgroup.Group     // calls to engines in the background, bounded
 }
 
-// maxBackgroundCalls bounds the calls to engines that no front waits for.
+// maxBackgroundCalls bounds the concurrent calls to engines that no front waits for.
 const maxBackgroundCalls = 64
 
-// New returns a service that owns nothing before Run.
+// New returns a Service that owns no engine until Run.
 func New(opts Options) *Service {
 	opts = opts.withDefaults()
 	s := &Service{
@@ -41,7 +42,7 @@
 	return s
 }
 
-// Run owns engines until the context ends.
+// Run owns engines and publishes digests until the context ends.
 func (s *Service) Run(ctx context.Context) error {
 	tick := time.NewTicker(s.opts.TickEvery)
 	defer tick.Stop()
@@ -60,14 +61,14 @@
 	}
 }
 
-// stop waits for all that Run has started. The context has ended by then.
+// stop waits for everything that Run has started. The context has ended by then.
 func (s *Service) stop() {
 	s.pollers.Wait()
 	_ = s.backgroundCalls.Wait() // its functions return no errors
 }
 
-// tick follows ownership and lets the ledger look at its limits. Ownership comes
-// first: after a pause another host may own the engines by now.
+// tick updates ownership and lets the ledger check its timeouts. Ownership comes
+// first: after a pause of this process another host may own the engines.
 func (s *Service) tick(ctx context.Context) {
 	s.updateOwnership(ctx)
 	s.mu.Lock()
@@ -76,7 +77,8 @@
 	s.executeInBackground(ctx, acts)
 }
 
-// updateOwnership takes over what this host owns now and lets go of the rest.
+// updateOwnership starts to own the engines that now belong to this host and stops
+// owning all others.
 func (s *Service) updateOwnership(ctx context.Context) {
 	mine := map[string]Engine{}
 	for _, e := range s.opts.Catalog() {
@@ -98,7 +100,8 @@
 	}
 }
 
-// disown needs the lock.
+// disown stops the poller of an engine and removes the engine from the ledger. The
+// caller holds the lock.
 func (s *Service) disown(name string, p *poller) {
 	p.cancel()
 	delete(s.owned, name)
@@ -106,25 +109,25 @@
 	s.opts.Log.WithFields(fields{"engine": name}).Info("engine_disowned")
 }
 
-// own needs the lock.
+// own adds an engine to the ledger and starts its poller. The caller holds the lock.
 func (s *Service) own(ctx context.Context, e Engine) {
 	ctx, cancel := context.WithCancel(ctx)
 	p := newPoller(s, e, cancel)
 	s.owned[e.Name] = p
-	s.ledger.Own(e.Name) // its ReadBooks is the poller's first act
+	s.ledger.Own(e.Name) // the poller reads the books first, so the returned ReadBooks is not needed
 	s.pollers.Go(func() { p.run(ctx) })
 	s.opts.Log.WithFields(fields{"engine": e.Name, "address": e.Address}).Info("engine_owned")
 }
 
-// loadsPerDigest is how often an engine's load is read for one digest: a report
-// that no front gets is of little use.
+// loadsPerDigest is how often an engine's load is read per digest. Reports that are
+// read more often would not reach any front.
 const loadsPerDigest = 2
 
-// minIdleReports is how many reports in a row must show an engine without work before
-// it is read less often.
+// minIdleReports is how many load reports in a row must show an engine without work
+// before its load is read less often.
 const minIdleReports = 20
 
-// loadInterval returns the time until an engine's next load report.
+// loadInterval returns the time until an engine's load is read next.
 func (s *Service) loadInterval(p *poller) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +138,7 @@
 	return every
 }
 
-// address returns where an owned engine is; ok is false when it is not owned.
+// address returns the address of an owned engine; ok is false when it is not owned.
 func (s *Service) address(engine string) (address string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,24 +149,25 @@
 	return p.engine.Address, true
 }
 
-// Room returns the ledger's hint for an owned engine.
+// Room returns what the ledger knows about an owned engine's memory; the boolean is
+// false when the engine is not owned.
 func (s *Service) Room(engine string) (ledger.Room, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.Room(engine, s.opts.Clock())
 }
 
-// MarkHostGone says that a host has left the site for good: what it holds is ended
-// soon. It is for a caller that knows from more than a lack of heartbeats, such
-// as the platform's list; a renewal of the host takes it back.
+// MarkHostGone records that a host has left the site for good: what it holds is
+// ended soon. Missing heartbeats alone are no reason to call it; the platform's list
+// of hosts is one. A renewal by the host undoes it.
 func (s *Service) MarkHostGone(host string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.MarkHostGone(host, s.opts.Clock())
 }
 
-// ObserveHolder says that a host lives in an incarnation: what its former ones hold
-// is ended at once.
+// ObserveHolder records that a host runs in an incarnation: what its earlier ones
+// hold is ended at once.
 func (s *Service) ObserveHolder(ctx context.Context, h ledger.Holder) {
 	s.mu.Lock()
 	acts := s.ledger.ObserveHolder(h, s.opts.Clock())
@@ -171,7 +175,7 @@
 	s.executeInBackground(ctx, acts)
 }
 
-// Hosts returns the hosts that hold something on owned engines.
+// Hosts returns the hosts that hold memory on owned engines.
 func (s *Service) Hosts() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/owner/site_test.go
+++ b/internal/owner/site_test.go
@@ -28,7 +28,7 @@
 	model     = "m"
 )
 
-// site is some stand-in engines and hosts that call each other in memory.
+// site is a group of stand-in engines, and of hosts that call each other in memory.
 type site struct {
 	t        *testing.T
 	engines  []Engine
@@ -41,7 +41,7 @@
 	allOwnAll bool // each host believes that it owns every engine
 }
 
-// testHost is one daemon: an owner and a front.
+// testHost is one daemon with its owner and its front.
 type testHost struct {
 	site    *site
 	name    string
@@ -51,7 +51,7 @@
 	cancel  context.CancelFunc
 	done    sync.WaitGroup
 	alive   bool
-	digest  []byte // the last that its service published
+	digest  []byte // the last one that its service published
 	ctx     context.Context
 }
 
@@ -113,7 +113,7 @@
 	return h
 }
 
-// kill ends a host at once; what it holds stays behind.
+// kill stops a host at once; what it holds on engines stays held.
 func (h *testHost) kill() {
 	h.site.mu.Lock()
 	h.alive = false
@@ -122,7 +122,8 @@
 	h.done.Wait()
 }
 
-// Owner implements Ownership: live hosts take the keys in turn.
+// Owner implements Ownership: keys are assigned to live hosts round-robin by their
+// last byte.
 func (h *testHost) Owner(key string) (host, address string, self bool) {
 	s := h.site
 	s.mu.Lock()
@@ -150,7 +151,7 @@
 	h.digest = data
 }
 
-// Call implements Peers. Arguments and answers go through gob as in net/rpc.
+// Call implements Peers. Arguments are encoded with gob, as in net/rpc.
 func (h *testHost) Call(_ context.Context, address, method string, args, reply any) error {
 	s := h.site
 	s.mu.Lock()
@@ -166,6 +167,7 @@
 	return s.hosts[i].rpc.dispatchGob(method, &b, reply)
 }
 
+// dispatchGob decodes the arguments of a call and dispatches it.
 func (r *RPC) dispatchGob(method string, b *bytes.Buffer, reply any) error {
 	decode := gob.NewDecoder(b).Decode
 	var err error
@@ -194,6 +196,7 @@
 	return err
 }
 
+// eventually waits until ok returns true, for waitLimit.
 func (s *site) eventually(what string, ok func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(waitLimit); !ok(); time.Sleep(pollEvery) {
@@ -215,7 +218,8 @@
 	return all
 }
 
-// countHoldings returns the number of holdings of a kind on all engines; 0 is any kind.
+// countHoldings returns the number of holdings of a kind on all engines; kind 0
+// counts all kinds.
 func (s *site) countHoldings(kind ledger.Kind) int {
 	n := 0
 	for _, b := range s.books() {
@@ -228,23 +232,25 @@
 	return n
 }
 
+// waitForEmptyBooks waits until no engine lists any holding, and logs how long it
+// took.
 func (s *site) waitForEmptyBooks() {
 	defer func(at time.Time) { s.t.Logf("zero after %v", time.Since(at)) }(time.Now())
 	s.t.Helper()
 	s.eventually("books return to zero", func() bool { return s.countHoldings(0) == 0 })
 }
 
-// reserve asks until the reservation is granted.
+// reserve requests a reservation until it is granted.
 func (s *site) reserve(h *testHost, e Engine, id string, tokens int64) {
 	s.t.Helper()
-	ask := ledger.ReserveRequest{Engine: e.Name, ID: id, Request: id, Tokens: tokens}
+	req := ledger.ReserveRequest{Engine: e.Name, ID: id, Request: id, Tokens: tokens}
 	s.eventually("grant of "+id, func() bool {
-		reply, err := h.holder.Reserve(context.Background(), e, ask)
+		reply, err := h.holder.Reserve(context.Background(), e, req)
 		return err == nil && reply.Granted
 	})
 }
 
-// startStream starts a long stream and leaves it open; the returned function cuts
+// startStream starts a long stream and leaves it open; the returned function closes
 // its connection.
 func (s *site) startStream(h *testHost, e Engine, id string) (cut func()) {
 	s.t.Helper()
