--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -15,10 +15,10 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/membership"
 )
 
-// BenchmarkIdleSite runs nodes with the default timings over loopback and
-// reports what each spends when nothing happens: bytes on the wire with TLS,
-// processor time, memory, and open outgoing connections. One iteration takes
-// half a minute.
+// BenchmarkIdleSite runs nodes with the default timings over loopback and reports
+// what an idle node uses: bytes on the wire including TLS, processor time, memory,
+// and open outgoing connections. One iteration takes 20 s, after up to a minute for
+// the site to converge.
 func BenchmarkIdleSite(b *testing.B) {
 	for _, c := range []struct{ domains, hosts int }{{1, 3}, {3, 4}, {3, 8}, {1, 60}, {7, 60}} {
 		b.Run(fmt.Sprintf("domains=%d/hosts=%d", c.domains, c.hosts), func(b *testing.B) {
@@ -101,7 +101,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	b.Fatal("the site did not come together")
+	b.Fatal("not all nodes see each other live after 60 s")
 }
 
 func trafficOf(nodes []*Node) (sent, received uint64) {
@@ -113,7 +113,7 @@
 	return sent, received
 }
 
-// trafficEach returns the bytes of each node, both ways.
+// trafficEach returns the bytes sent and received by each node.
 func trafficEach(nodes []*Node) []uint64 {
 	each := make([]uint64, len(nodes))
 	for i, n := range nodes {
--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -11,14 +11,14 @@
 )
 
 var (
-	errDropped  = errors.New("call given up before it was sent")
-	errBadReply = errors.New("reply must be a non-nil pointer")
+	errCallAbandoned = errors.New("call abandoned before it was sent")
+	errBadReply      = errors.New("reply must be a non-nil pointer")
 )
 
-// Call calls a method, as "Service.Method", at a peer's address. A context
+// Call calls a method, named "Service.Method", of the peer at an address. A context
 // without a deadline gets Options.CallTimeout. Reply is written only when the
-// error is nil. Args must not be changed afterwards, also after a timeout. The
-// error is a *CallError, which tells whether the peer may have run the method.
+// error is nil. Args must not be changed afterwards, even after a timeout. The
+// error is a *CallError, which says whether the peer may have run the method.
 func (n *Node) Call(ctx context.Context, address, method string, args, reply any) error {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
@@ -26,8 +26,8 @@
 		defer cancel()
 	}
 	sent, err := n.callOnce(ctx, address, method, args, reply)
-	if stale(err) && !sent && ctx.Err() == nil {
-		// The pooled connection had ended before anything was written to it.
+	if connectionEnded(err) && !sent && ctx.Err() == nil {
+		// The pooled connection was closed before anything was written to it.
 		sent, err = n.callOnce(ctx, address, method, args, reply)
 	}
 	if err == nil {
@@ -39,10 +39,13 @@
 	return merry.Wrap(&CallError{Address: address, Method: method, Sent: sent, Err: err})
 }
 
-func stale(err error) bool {
+// connectionEnded reports whether a call failed because its connection had ended.
+func connectionEnded(err error) bool {
 	return errors.Is(err, rpc.ErrShutdown)
 }
 
+// callOnce makes a call over the pooled connection to an address. Sent says whether
+// the peer may have run the method.
 func (n *Node) callOnce(ctx context.Context, address, method string, args, reply any) (sent bool, err error) {
 	target := reflect.ValueOf(reply)
 	if target.Kind() != reflect.Pointer || target.IsNil() {
@@ -56,30 +59,31 @@
 		return false, err
 	}
 	start := time.Now()
-	// A reply may come after the caller has gone, so it gets a value of its own.
-	fresh := reflect.New(target.Type().Elem())
-	b := &body{args: args}
+	// The reply may arrive after the caller has returned, so it is decoded into a
+	// value of its own.
+	result := reflect.New(target.Type().Elem())
+	b := &callBody{args: args}
 	done := make(chan error, 1)
-	go func() { done <- l.client.Call(method, b, fresh.Interface()) }()
+	go func() { done <- l.client.Call(method, b, result.Interface()) }()
 	select {
 	case err = <-done:
 		n.pool.release(l, err != nil && !IsRemote(err))
 		if err == nil {
-			target.Elem().Set(fresh.Elem())
+			target.Elem().Set(result.Elem())
 		}
-		return !b.drop(), err
+		return !b.abandon(), err
 	case <-ctx.Done():
 		silent := errors.Is(ctx.Err(), context.DeadlineExceeded) && l.silentSince(start)
 		if silent {
-			replaced.Inc()
+			silentReplaced.Inc()
 		}
-		sent = !b.drop()
+		sent = !b.abandon()
 		n.pool.release(l, silent)
 		return sent, ctx.Err()
 	}
 }
 
-// addressCut tells whether a cut covers a known address.
+// addressCut reports whether SetCut cuts this node off from the host at an address.
 func (n *Node) addressCut(address string) bool {
 	if !n.opts.TestFaults {
 		return false
--- a/internal/peer/call_test.go
+++ b/internal/peer/call_test.go
@@ -12,19 +12,21 @@
 	"time"
 )
 
-// alone returns options of a node that starts no exchange by itself.
-func alone(host string) Options {
+// isolatedOptions returns options of a node that starts no exchange.
+func isolatedOptions(host string) Options {
 	o := testOptions(host, "a")
 	o.Interval = time.Hour
 	return o
 }
 
-func TestStrangersAreRefused(t *testing.T) {
-	server, e := startEcho(t, alone("server"))
-	o := alone("stranger")
+// TestUntrustedPeersAreRefused checks that a peer without the shared key gets no call
+// through and no connection kept open, whatever it sends.
+func TestUntrustedPeersAreRefused(t *testing.T) {
+	server, e := startEcho(t, isolatedOptions("server"))
+	o := isolatedOptions("stranger")
 	o.Key = "another key, also long enough"
 	stranger := newNode(t, o)
-	if err := say(stranger, server.Addr()); !errors.Is(err, ErrUntrustedPeer) || !NotSent(err) {
+	if err := callEcho(stranger, server.Addr()); !errors.Is(err, ErrUntrustedPeer) || !NotSent(err) {
 		t.Errorf("caller with another key: %v", err)
 	}
 	anyServer := &tls.Config{InsecureSkipVerify: true}
@@ -50,17 +52,19 @@
 		_ = raw.Close()
 	}
 	if got := e.calls.Load(); got != 0 {
-		t.Errorf("%d calls of strangers reached net/rpc", got)
+		t.Errorf("%d calls of untrusted peers reached net/rpc", got)
 	}
-	member := newNode(t, alone("member"))
-	if err := say(member, server.Addr()); err != nil {
+	member := newNode(t, isolatedOptions("member"))
+	if err := callEcho(member, server.Addr()); err != nil {
 		t.Errorf("a member is refused: %v", err)
 	}
 }
 
-func TestGarbageOfATrustedPeerEndsItsConnection(t *testing.T) {
-	server, e := startEcho(t, alone("server"))
-	member := newNode(t, alone("member"))
+// TestGarbageFromTrustedPeerClosesConnection checks that data which is no gob message
+// costs only its connection.
+func TestGarbageFromTrustedPeerClosesConnection(t *testing.T) {
+	server, e := startEcho(t, isolatedOptions("server"))
+	member := newNode(t, isolatedOptions("member"))
 	for name, garbage := range map[string][]byte{
 		"text":                  []byte(strings.Repeat("not a gob message ", 50)),
 		"announced as gigantic": {0xf8, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
@@ -81,7 +85,7 @@
 		}
 		_ = raw.Close()
 	}
-	if err := say(member, server.Addr()); err != nil {
+	if err := callEcho(member, server.Addr()); err != nil {
 		t.Errorf("after the garbage: %v", err)
 	}
 	if got := e.calls.Load(); got != 1 {
@@ -94,8 +98,10 @@
 	return errors.As(err, &n) && n.Timeout()
 }
 
-func TestStrangerThatSaysNothingIsClosed(t *testing.T) {
-	o := alone("server")
+// TestSilentHandshakeTimesOut guards against connections that occupy all handshakes by
+// sending nothing.
+func TestSilentHandshakeTimesOut(t *testing.T) {
+	o := isolatedOptions("server")
 	o.HandshakeTimeout = 50 * time.Millisecond
 	o.MaxHandshakes = 1
 	server, _ := startEcho(t, o)
@@ -106,16 +112,18 @@
 	defer raw.Close()
 	_ = raw.SetReadDeadline(time.Now().Add(testLimit))
 	if _, err := raw.Read(make([]byte, 1)); err == nil || isTimeout(err) {
-		t.Errorf("silent stranger: %v", err)
+		t.Errorf("peer that sends nothing: %v", err)
 	}
-	member := newNode(t, alone("member"))
-	eventually(t, "its place is free again", func() bool { return say(member, server.Addr()) == nil })
+	member := newNode(t, isolatedOptions("member"))
+	eventually(t, "its handshake is free again", func() bool { return callEcho(member, server.Addr()) == nil })
 }
 
+// TestSilentConnectionIsReplaced checks that the call after a timeout on a connection
+// which carries no data any more dials a new one.
 func TestSilentConnectionIsReplaced(t *testing.T) {
-	server, e := startEcho(t, alone("server"))
-	client := newNode(t, alone("client"))
-	if err := say(client, server.Addr()); err != nil {
+	server, e := startEcho(t, isolatedOptions("server"))
+	client := newNode(t, isolatedOptions("client"))
+	if err := callEcho(client, server.Addr()); err != nil {
 		t.Fatal(err)
 	}
 	if err := server.SilenceConnections(); err != nil {
@@ -131,7 +139,7 @@
 	if reply != "untouched" {
 		t.Errorf("a failed call wrote %q", reply)
 	}
-	if err := say(client, server.Addr()); err != nil {
+	if err := callEcho(client, server.Addr()); err != nil {
 		t.Errorf("call after the silence: %v", err)
 	}
 	if got := e.calls.Load(); got != 2 {
@@ -139,9 +147,11 @@
 	}
 }
 
-func TestTimeoutLeavesOtherCallsAlone(t *testing.T) {
-	server, e := startEcho(t, alone("server"))
-	client := newNode(t, alone("client"))
+// TestTimeoutDoesNotAffectOtherCalls checks that a call keeps its connection when
+// another call on it times out.
+func TestTimeoutDoesNotAffectOtherCalls(t *testing.T) {
+	server, e := startEcho(t, isolatedOptions("server"))
+	client := newNode(t, isolatedOptions("client"))
 	var reply string
 	other := make(chan error, 1)
 	go func() { other <- client.Call(context.Background(), server.Addr(), "Echo.Wait", "", &reply) }()
@@ -164,9 +174,9 @@
 	return len(n.pool.links)
 }
 
-func TestCallErrorsTellWhetherItRan(t *testing.T) {
-	server, _ := startEcho(t, alone("server"))
-	client := newNode(t, alone("client"))
+func TestCallErrorsTellWhetherCallWasSent(t *testing.T) {
+	server, _ := startEcho(t, isolatedOptions("server"))
+	client := newNode(t, isolatedOptions("client"))
 	var reply string
 	ctx := context.Background()
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
@@ -176,11 +186,11 @@
 	_ = closed.Close()
 	err = client.Call(ctx, closed.Addr().String(), "Echo.Say", "x", &reply)
 	if err == nil || !NotSent(err) {
-		t.Errorf("nobody listens: %v", err)
+		t.Errorf("address without a listener: %v", err)
 	}
 	err = client.Call(ctx, closed.Addr().String(), "Echo.Say", "x", &reply)
 	if !errors.Is(err, ErrBackoff) || !NotSent(err) {
-		t.Errorf("at once again: %v", err)
+		t.Errorf("second call at once: %v", err)
 	}
 	err = client.Call(ctx, server.Addr(), "Echo.Say", "", &reply)
 	if !IsRemote(err) || NotSent(err) {
@@ -192,21 +202,21 @@
 	if err = client.Call(ctx, server.Addr(), "Echo.Say", "x", reply); !errors.Is(err, errBadReply) {
 		t.Errorf("reply by value: %v", err)
 	}
-	gone, cancel := context.WithCancel(ctx)
+	cancelled, cancel := context.WithCancel(ctx)
 	cancel()
-	if err = client.Call(gone, server.Addr(), "Echo.Say", "x", &reply); !errors.Is(err, context.Canceled) {
-		t.Errorf("caller has gone: %v", err)
+	if err = client.Call(cancelled, server.Addr(), "Echo.Say", "x", &reply); !errors.Is(err, context.Canceled) {
+		t.Errorf("cancelled call: %v", err)
 	}
-	if err = say(client, server.Addr()); err != nil {
-		t.Errorf("after all that: %v", err)
+	if err = callEcho(client, server.Addr()); err != nil {
+		t.Errorf("valid call after the failed ones: %v", err)
 	}
 }
 
 func TestLargeMessagesAreRefused(t *testing.T) {
-	so := alone("server")
+	so := isolatedOptions("server")
 	so.MaxMessageBytes = 10_000
 	server, e := startEcho(t, so)
-	co := alone("client")
+	co := isolatedOptions("client")
 	co.MaxMessageBytes = 100_000
 	client := newNode(t, co)
 	var reply string
@@ -222,34 +232,34 @@
 	if got := e.calls.Load(); got != 0 {
 		t.Errorf("%d large calls ran", got)
 	}
-	if err := say(client, server.Addr()); err != nil {
+	if err := callEcho(client, server.Addr()); err != nil {
 		t.Errorf("small call after them: %v", err)
 	}
 }
 
 func TestRestartedPeerIsReachedAtOnce(t *testing.T) {
-	o := alone("server")
+	o := isolatedOptions("server")
 	server := newNode(t, o)
 	if err := server.Register("Echo", &echo{}); err != nil {
 		t.Fatal(err)
 	}
 	stop := start(t, server)
-	client := newNode(t, alone("client"))
-	if err := say(client, server.Addr()); err != nil {
+	client := newNode(t, isolatedOptions("client"))
+	if err := callEcho(client, server.Addr()); err != nil {
 		t.Fatal(err)
 	}
 	o.Listen = server.Addr()
 	stop()
 	startEcho(t, o)
-	eventually(t, "call at the new process", func() bool { return say(client, o.Listen) == nil })
+	eventually(t, "call at the new process", func() bool { return callEcho(client, o.Listen) == nil })
 }
 
 func TestIdleConnectionsAreClosed(t *testing.T) {
-	server, _ := startEcho(t, alone("server"))
-	o := alone("client")
+	server, _ := startEcho(t, isolatedOptions("server"))
+	o := isolatedOptions("client")
 	o.IdleTimeout = time.Minute
 	client := newNode(t, o)
-	if err := say(client, server.Addr()); err != nil {
+	if err := callEcho(client, server.Addr()); err != nil {
 		t.Fatal(err)
 	}
 	client.pool.sweep(time.Now())
@@ -260,42 +270,42 @@
 	if openLinks(client) != 0 {
 		t.Error("an idle connection stays open")
 	}
-	if err := say(client, server.Addr()); err != nil {
+	if err := callEcho(client, server.Addr()); err != nil {
 		t.Errorf("call after the idle close: %v", err)
 	}
 }
 
 func TestConnectionLimit(t *testing.T) {
-	o := alone("server")
+	o := isolatedOptions("server")
 	o.MaxConns = 2
 	server, _ := startEcho(t, o)
 	var clients []*Node
 	for _, host := range []string{"one", "two", "three"} {
-		clients = append(clients, newNode(t, alone(host)))
+		clients = append(clients, newNode(t, isolatedOptions(host)))
 	}
 	for _, c := range clients[:2] {
-		if err := say(c, server.Addr()); err != nil {
+		if err := callEcho(c, server.Addr()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := say(clients[2], server.Addr()); err == nil {
+	if err := callEcho(clients[2], server.Addr()); err == nil {
 		t.Error("a connection above the limit was served")
 	}
 	clients[0].Close()
-	eventually(t, "a place is free", func() bool { return say(clients[2], server.Addr()) == nil })
+	eventually(t, "a connection is free", func() bool { return callEcho(clients[2], server.Addr()) == nil })
 }
 
 func TestBytesAreCountedByPurpose(t *testing.T) {
-	server, _ := startEcho(t, alone("server"))
-	client := newNode(t, alone("client"))
+	server, _ := startEcho(t, isolatedOptions("server"))
+	client := newNode(t, isolatedOptions("client"))
 	if err := client.Register("Echo", &echo{}); err != nil {
 		t.Fatal(err)
 	}
-	before := client.traffic.known.get("echo").sent.Get()
-	if err := say(client, server.Addr()); err != nil {
+	before := client.traffic.purposes.get("echo").sent.Get()
+	if err := callEcho(client, server.Addr()); err != nil {
 		t.Fatal(err)
 	}
-	if after := client.traffic.known.get("echo").sent.Get(); after <= before {
+	if after := client.traffic.purposes.get("echo").sent.Get(); after <= before {
 		t.Error("no bytes counted for the service")
 	}
 	sent, received := client.Traffic()
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -10,16 +10,17 @@
 	"time"
 )
 
-// keptBuffer is the largest write buffer that a quiet connection keeps.
+// keptBuffer is the largest write buffer in bytes that a connection keeps between
+// messages.
 const keptBuffer = 64 << 10
 
-// budgetReader fails when one part of a message is longer than allowed.
+// budgetReader returns errTooLarge when one part of a message is longer than allowed.
 type budgetReader struct {
 	r    *bufio.Reader
-	left int64
+	left int64 // bytes that the part may still have
 }
 
-// Read reads within the budget.
+// Read implements io.Reader within the budget.
 func (b *budgetReader) Read(p []byte) (int, error) {
 	if b.left <= 0 {
 		return 0, errTooLarge
@@ -32,8 +33,8 @@
 	return n, err
 }
 
-// ReadByte keeps gob from wrapping the reader in a buffer of its own, which
-// would read past the budget.
+// ReadByte implements io.ByteReader. Without it gob would wrap the reader in a buffer
+// of its own, which would read past the budget.
 func (b *budgetReader) ReadByte() (byte, error) {
 	if b.left <= 0 {
 		return 0, errTooLarge
@@ -42,8 +43,9 @@
 	return b.r.ReadByte()
 }
 
-// stream is one end of a connection: gob both ways, bounded and counted. The
-// reading half is used by one goroutine, and net/rpc serialises the writing one.
+// stream encodes and decodes the gob messages of one connection, bounds their size
+// and counts their bytes. One goroutine does all reads, and net/rpc serialises
+// writes.
 type stream struct {
 	link     *link
 	in       budgetReader
@@ -61,13 +63,14 @@
 	return s
 }
 
+// read decodes one part of a message, of at most maxBytes.
 func (s *stream) read(v any) error {
 	s.in.left = s.maxBytes
 	return s.dec.Decode(v)
 }
 
-// write sends a header and a body at once. After an error the encoder may have
-// told its types only to the buffer, so the connection is of no use any more.
+// write sends a header and a body in one write. After an error it closes the
+// connection: the encoder may have written type definitions that were never sent.
 func (s *stream) write(header, body any, purpose string) error {
 	s.out.Reset()
 	err := s.enc.Encode(header)
@@ -90,39 +93,42 @@
 	return err
 }
 
-// States of a call's body.
+// States of a callBody.
 const (
-	bodyWaiting int32 = iota
-	bodyStarted       // bytes of it may have left
-	bodyDropped       // the caller gave up before that
+	bodyWaiting   int32 = iota
+	bodyStarted         // some of its bytes may have been sent
+	bodyAbandoned       // the caller gave up before any were sent
 )
 
-// body carries a call's arguments to the codec and tells whether they left.
-type body struct {
+// callBody passes a call's arguments to the codec and records whether they may have
+// been sent.
+type callBody struct {
 	args  any
 	state atomic.Int32
 }
 
-// drop gives up on a body and reports false when it may have left already.
-func (b *body) drop() bool {
-	return b.state.CompareAndSwap(bodyWaiting, bodyDropped) || b.state.Load() == bodyDropped
+// abandon prevents the body from being sent. It returns false when some of it may
+// have been sent already.
+func (b *callBody) abandon() bool {
+	return b.state.CompareAndSwap(bodyWaiting, bodyAbandoned) || b.state.Load() == bodyAbandoned
 }
 
+// clientCodec is the rpc.ClientCodec of an outgoing connection.
 type clientCodec struct {
 	*stream
 	method string // of the response being read
 }
 
-// WriteRequest sends a call, unless its caller has given up.
+// WriteRequest sends a call. It returns errCallAbandoned when the caller has given up.
 func (c *clientCodec) WriteRequest(r *rpc.Request, v any) error {
-	b := v.(*body)
+	b := v.(*callBody)
 	if !b.state.CompareAndSwap(bodyWaiting, bodyStarted) {
-		return errDropped
+		return errCallAbandoned
 	}
 	return c.write(r, b.args, purposeOf(r.ServiceMethod))
 }
 
-// ReadResponseHeader reads the next header.
+// ReadResponseHeader reads the header of the next response.
 func (c *clientCodec) ReadResponseHeader(r *rpc.Response) error {
 	if err := c.read(r); err != nil {
 		return err
@@ -131,7 +137,7 @@
 	return nil
 }
 
-// ReadResponseBody reads the body that follows a header.
+// ReadResponseBody reads the body that follows a response header.
 func (c *clientCodec) ReadResponseBody(v any) error {
 	err := c.read(v)
 	c.link.countReceived(purposeOf(c.method))
@@ -144,16 +150,17 @@
 	return nil
 }
 
+// serverCodec is the rpc.ServerCodec of an incoming connection.
 type serverCodec struct {
 	*stream
-	idle     time.Duration // longest silence between two calls
-	body     time.Duration // longest wait for the rest of a call
-	method   string        // of the request being read
-	inFlight chan struct{}
+	idleTimeout time.Duration // longest wait for the next call
+	bodyTimeout time.Duration // longest wait for the rest of a call
+	method      string        // of the request being read
+	inFlight    chan struct{} // one element per call being served
 }
 
-// ReadRequestHeader waits for the next call, for a place among those in flight
-// first.
+// ReadRequestHeader waits until fewer than Options.MaxInFlight calls are being
+// served, then for the header of the next call.
 func (c *serverCodec) ReadRequestHeader(r *rpc.Request) error {
 	c.inFlight <- struct{}{}
 	if err := c.readHeader(r); err != nil {
@@ -164,28 +171,30 @@
 	return nil
 }
 
+// readHeader reads a header within the idle timeout and starts the timeout of its
+// body.
 func (c *serverCodec) readHeader(r *rpc.Request) error {
-	if err := c.link.tls.SetReadDeadline(time.Now().Add(c.idle)); err != nil {
+	if err := c.link.tls.SetReadDeadline(time.Now().Add(c.idleTimeout)); err != nil {
 		return err
 	}
 	if err := c.read(r); err != nil {
 		return err
 	}
-	return c.link.tls.SetReadDeadline(time.Now().Add(c.body))
+	return c.link.tls.SetReadDeadline(time.Now().Add(c.bodyTimeout))
 }
 
-// ReadRequestBody reads the body that follows a header.
+// ReadRequestBody reads the body that follows a request header.
 func (c *serverCodec) ReadRequestBody(v any) error {
 	err := c.read(v)
 	c.link.countReceived(purposeOf(c.method))
 	if err != nil {
-		// What follows cannot be told apart from the rest of this body.
+		// The start of the next message cannot be found.
 		c.link.close()
 	}
 	return err
 }
 
-// WriteResponse sends an answer.
+// WriteResponse sends a response.
 func (c *serverCodec) WriteResponse(r *rpc.Response, v any) error {
 	defer func() { <-c.inFlight }()
 	return c.write(r, v, purposeOf(r.ServiceMethod))
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// countingConn counts the bytes on the wire, TLS included, and bounds each
-// write. It may be made silent, as a connection is of which something between
-// the ends lost track.
+// countingConn counts the bytes on the wire, including those of TLS, and gives each
+// write a timeout. For tests it can be made silent, like a connection whose state a
+// device between the ends has lost.
 type countingConn struct {
 	net.Conn
 	writeTimeout time.Duration
 	sent         atomic.Uint64
 	received     atomic.Uint64
-	lastRead     atomic.Int64 // UnixNano
-	silent       atomic.Bool
+	lastRead     atomic.Int64 // time of the last read of data, as UnixNano
+	silent       atomic.Bool  // discards all data read and written
 	closed       atomic.Bool
 }
 
@@ -23,7 +23,7 @@
 	return &countingConn{Conn: c, writeTimeout: writeTimeout}
 }
 
-// Read counts what it reads.
+// Read reads from the connection and counts the bytes.
 func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	for c.silent.Load() && err == nil {
@@ -36,7 +36,8 @@
 	return n, err
 }
 
-// Write counts what it writes and fails after the write timeout.
+// Write writes to the connection, fails after the write timeout, and counts the
+// bytes.
 func (c *countingConn) Write(p []byte) (int, error) {
 	if c.silent.Load() {
 		return len(p), nil
@@ -49,7 +50,7 @@
 	return n, err
 }
 
-// SetWriteDeadline does nothing: Write sets its own.
+// SetWriteDeadline does nothing, because Write sets its own deadline.
 func (c *countingConn) SetWriteDeadline(time.Time) error {
 	return nil
 }
@@ -62,7 +63,7 @@
 	return c.Conn.Close()
 }
 
-// readSince tells whether anything arrived after a time.
+// readSince reports whether any data was read after t.
 func (c *countingConn) readSince(t time.Time) bool {
 	return c.lastRead.Load() > t.UnixNano()
 }
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -3,11 +3,11 @@
 // machine of internal/core/membership with timers and these calls.
 //
 // All daemons share one key from the daemon file. Each derives the same ed25519
-// key pair from it and accepts only a peer that proves to hold it, so that a
-// stranger is refused before a byte of it reaches net/rpc.
+// key pair from it and accepts only a peer that proves to hold it, so that an
+// untrusted peer is refused before any of its data reaches net/rpc.
 //
-// There is at most one pooled connection to each peer. A call that times out
-// while nothing at all arrived on its connection takes the connection out of
-// the pool: a connection that went silent for good costs one timeout, and the
-// next call dials anew.
+// There is at most one pooled connection to each peer. When a call times out and
+// no data at all arrived on its connection meanwhile, the connection is removed
+// from the pool: a connection that no longer carries data costs one timeout, and
+// the next call dials again.
 package peer
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -6,7 +6,7 @@
 	"net/rpc"
 )
 
-// Reasons why a call failed, found by errors.Is.
+// Reasons why a call failed, for errors.Is, and other errors of a Node.
 var (
 	ErrBackoff            = errors.New("waiting after a failed dial")
 	ErrCut                = errors.New("cut off by a test")
@@ -17,8 +17,9 @@
 	errSuperseded         = errors.New("a newer incarnation of this host runs")
 )
 
-// CallError is the error of a failed Call. Err is the cause: the context's
-// error after a timeout, an rpc.ServerError when the method returned an error.
+// CallError is the error of a failed Call. Err is the cause: for example the
+// context's error after a timeout, or an rpc.ServerError when the method returned
+// an error.
 type CallError struct {
 	Address string
 	Method  string
@@ -26,7 +27,7 @@
 	Err     error
 }
 
-// Error returns one line.
+// Error implements error.
 func (e *CallError) Error() string {
 	return fmt.Sprintf("call %s at %s: %v", e.Method, e.Address, e.Err)
 }
@@ -36,14 +37,16 @@
 	return e.Err
 }
 
-// NotSent tells whether the call certainly did not reach the peer's method, so
-// that it may be made elsewhere whatever it does.
+// NotSent reports whether err is the error of a call that certainly did not reach
+// the peer's method, so that it is safe to repeat it elsewhere even if it is not
+// idempotent.
 func NotSent(err error) bool {
 	var c *CallError
 	return errors.As(err, &c) && !c.Sent
 }
 
-// IsRemote tells whether the peer's method itself returned the error.
+// IsRemote reports whether the peer returned the error: its method, or its net/rpc
+// server when there is no such method.
 func IsRemote(err error) bool {
 	var s rpc.ServerError
 	return errors.As(err, &s)
--- a/internal/peer/faults.go
+++ b/internal/peer/faults.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// faults cuts this node off from others, for tests only.
+// faults holds the hosts and domains that tests cut this node off from.
 type faults struct {
 	mu  sync.RWMutex
-	cut map[string]bool // hosts and domains
+	cut map[string]bool // by name of host or domain
 }
 
 func (f *faults) isCut(r remote) bool {
@@ -24,9 +24,9 @@
 	f.cut = cut
 }
 
-// SetCut cuts this node off from the named hosts and domains, both ways, and
-// heals what is not named. Open connections to them are closed. It returns
-// ErrNoFaults unless Options.TestFaults is set.
+// SetCut cuts this node off from the named hosts and domains, in both directions,
+// and ends all earlier cuts. Open connections to them are closed. It returns
+// ErrTestFaultsDisabled unless Options.TestFaults is set.
 func (n *Node) SetCut(hostsOrDomains []string) error {
 	if !n.opts.TestFaults {
 		return ErrTestFaultsDisabled
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// SilenceConnections makes all connections that are open now silent for good:
-// they stay open and carry nothing, while new ones work. It returns ErrNoFaults
+// SilenceConnections makes all connections that are open now silent: they stay open
+// but carry no more data, while new ones work. It returns ErrTestFaultsDisabled
 // unless Options.TestFaults is set.
 func (n *Node) SilenceConnections() error {
 	if !n.opts.TestFaults {
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -9,7 +9,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/wait"
 )
 
-// Names of the heartbeat service.
+// Names of the heartbeat service and its methods.
 const (
 	heartbeatService = "Heartbeat"
 	exchangeMethod   = heartbeatService + ".Exchange"
@@ -19,17 +19,18 @@
 // Ack is an empty reply.
 type Ack struct{}
 
-// heartbeats is the net/rpc face of the state machine.
+// heartbeats is the net/rpc receiver of the heartbeat service. It passes messages to
+// the state machine.
 type heartbeats struct {
-	n *Node
+	node *Node
 }
 
-// Exchange answers an exchange.
+// Exchange answers another host's exchange request.
 func (h *heartbeats) Exchange(req *membership.Request, resp *membership.Response) error {
 	var answer *membership.Response
 	var err error
-	h.n.step(func(m *membership.Members, now time.Time) {
-		answer, err = m.HandleRequest(now, req, h.n.rng)
+	h.node.step(func(m *membership.Members, now time.Time) {
+		answer, err = m.HandleRequest(now, req, h.node.rng)
 	})
 	if err != nil {
 		return err
@@ -38,29 +39,29 @@
 	return nil
 }
 
-// Push takes news.
+// Push takes records that another host pushes.
 func (h *heartbeats) Push(push *membership.Push, _ *Ack) error {
 	var err error
-	h.n.step(func(m *membership.Members, now time.Time) {
+	h.node.step(func(m *membership.Members, now time.Time) {
 		err = m.HandlePush(now, push)
 	})
 	return err
 }
 
-// step runs one input of the state machine and sends what it wants to pass on.
+// step applies one input to the state machine and sends the pushes that it produces.
 func (n *Node) step(input func(m *membership.Members, now time.Time)) {
 	n.mu.Lock()
 	before := n.members.SectionsVersion()
 	input(n.members, time.Now())
 	if n.members.SectionsVersion() != before {
 		select {
-		case n.news <- struct{}{}:
+		case n.sectionsChanged <- struct{}{}:
 		default:
 		}
 	}
 	forwards := n.members.TakePushes(n.rng)
 	if len(forwards) > 0 {
-		n.refresh()
+		n.refreshView()
 	}
 	n.mu.Unlock()
 	for _, out := range forwards {
@@ -68,12 +69,12 @@
 	}
 }
 
-// tick opens the exchanges that are due.
+// tick starts the exchanges that are due and closes idle connections.
 func (n *Node) tick() {
 	var due []membership.Outgoing
 	n.step(func(m *membership.Members, now time.Time) {
 		due = m.Tick(now, n.rng)
-		n.refresh()
+		n.refreshView()
 	})
 	for _, out := range due {
 		n.send(out)
@@ -81,8 +82,8 @@
 	n.pool.sweep(time.Now())
 }
 
-// refresh makes the view that readers see; the caller holds the lock.
-func (n *Node) refresh() {
+// refreshView updates the view that Members returns. The caller holds the lock.
+func (n *Node) refreshView() {
 	view := n.members.View(time.Now())
 	n.view.Store(&view)
 	if n.members.Superseded() && !n.superseded.Swap(true) {
@@ -90,8 +91,8 @@
 	}
 }
 
-// send delivers one message of the state machine in the background. While an
-// exchange with an address is under way no other is opened there.
+// send delivers one message of the state machine in the background. It drops an
+// exchange request while another exchange with the address is under way.
 func (n *Node) send(out membership.Outgoing) {
 	if out.Request != nil {
 		if _, busy := n.exchanging.LoadOrStore(out.Address, true); busy {
@@ -106,6 +107,8 @@
 	})
 }
 
+// deliver sends one message of the state machine, within Options.HeartbeatTimeout,
+// and reports a failure to the state machine.
 func (n *Node) deliver(ctx context.Context, out membership.Outgoing) error {
 	ctx, cancel := context.WithTimeout(ctx, n.opts.HeartbeatTimeout)
 	defer cancel()
@@ -116,13 +119,15 @@
 		err = n.Call(ctx, out.Address, pushMethod, out.Push, &Ack{})
 	}
 	if err != nil {
-		exchangeErr.Inc()
+		heartbeatErrors.Inc()
 		n.log.WithError(err).Debug("heartbeat_failed")
 		n.step(func(m *membership.Members, now time.Time) { m.DeliveryFailed(now, out.Address) })
 	}
 	return err
 }
 
+// deliverExchange sends an exchange request, applies the response, and sends the push
+// that completes the exchange, if any.
 func (n *Node) deliverExchange(ctx context.Context, out membership.Outgoing) error {
 	var resp membership.Response
 	if err := n.Call(ctx, out.Address, exchangeMethod, out.Request, &resp); err != nil {
@@ -139,32 +144,32 @@
 	return n.Call(ctx, out.Address, pushMethod, push, &Ack{})
 }
 
-// followList reads the platform's list now and then. A failed read changes
-// nothing.
-func (n *Node) followList(ctx context.Context) {
+// pollHostList reads the platform's list of hosts from time to time until the
+// context ends. A failed read changes nothing.
+func (n *Node) pollHostList(ctx context.Context) {
 	for ctx.Err() == nil {
-		n.readList(ctx)
-		wait.For(ctx, n.jitter(min(n.opts.ListEvery, listEvery(len(n.Members())))))
+		n.readHostList(ctx)
+		wait.For(ctx, n.jitter(min(n.opts.ListEvery, hostListInterval(len(n.Members())))))
 	}
 }
 
-// listEvery returns the time between two reads of the list, so that the whole
-// site reads it about as often whatever its size: what the list alone tells is
-// then heard within seconds, as the first to read of it tells the others.
-func listEvery(hosts int) time.Duration {
+// hostListInterval returns the time between two reads of the list, such that the
+// whole site reads it about equally often at any size. A change that is only in the
+// list then reaches all hosts within seconds, from the first host that reads it.
+func hostListInterval(hosts int) time.Duration {
 	if hosts <= 1 {
-		return listEveryAlone
+		return hostListIntervalAlone
 	}
-	return max(listEveryLeast, time.Duration(hosts)*time.Second/listReadsPerSecond)
+	return max(minHostListInterval, time.Duration(hosts)*time.Second/hostListReadsPerSecond)
 }
 
 const (
-	listEveryAlone     = time.Second // while no other host is known
-	listEveryLeast     = 2 * time.Second
-	listReadsPerSecond = 14 // of the whole site
+	hostListIntervalAlone  = time.Second // while no other host is known
+	minHostListInterval    = 2 * time.Second
+	hostListReadsPerSecond = 14 // by the whole site
 )
 
-func (n *Node) readList(ctx context.Context) {
+func (n *Node) readHostList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, n.opts.CallTimeout)
 	defer cancel()
 	hosts, err := n.opts.HostList(ctx)
@@ -175,10 +180,11 @@
 	listed := listedHosts(hosts)
 	n.step(func(m *membership.Members, now time.Time) {
 		m.ApplyHostList(now, listed)
-		n.refresh()
+		n.refreshView()
 	})
 }
 
+// listedHosts returns the daemons' hosts in the platform's list.
 func listedHosts(hosts []platform.Host) []membership.ListedHost {
 	var listed []membership.ListedHost
 	for _, h := range hosts {
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -8,8 +8,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// purposes holds one pair of counters for each service. A service that is not
-// registered here is counted as other, so that a peer cannot add metrics.
+// purposes holds a pair of counters for each registered service. Bytes of any other
+// service are counted as purposeOther, so that a peer cannot add metrics.
 type purposes struct {
 	mu     sync.RWMutex
 	byName map[string]purposeCounters
@@ -49,19 +49,19 @@
 
 func (t *traffic) addSent(purpose string, n uint64) {
 	t.sent.Add(n)
-	t.known.get(purpose).sent.Add(int(n))
+	t.purposes.get(purpose).sent.Add(int(n))
 }
 
 func (t *traffic) addReceived(purpose string, n uint64) {
 	t.received.Add(n)
-	t.known.get(purpose).received.Add(int(n))
+	t.purposes.get(purpose).received.Add(int(n))
 }
 
 var (
-	dials       = metrics.NewCounter("buckthorndock_peer_dials_total")
-	dialErrors  = metrics.NewCounter("buckthorndock_peer_dial_errors_total")
-	replaced    = metrics.NewCounter("buckthorndock_peer_silent_connections_replaced_total")
-	refused     = metrics.NewCounter("buckthorndock_peer_refused_connections_total")
-	callErrors  = metrics.NewCounter("buckthorndock_peer_call_errors_total")
-	exchangeErr = metrics.NewCounter("buckthorndock_peer_heartbeat_errors_total")
+	dials           = metrics.NewCounter("buckthorndock_peer_dials_total")
+	dialErrors      = metrics.NewCounter("buckthorndock_peer_dial_errors_total")
+	silentReplaced  = metrics.NewCounter("buckthorndock_peer_silent_connections_replaced_total")
+	refusedConns    = metrics.NewCounter("buckthorndock_peer_refused_connections_total")
+	callErrors      = metrics.NewCounter("buckthorndock_peer_call_errors_total")
+	heartbeatErrors = metrics.NewCounter("buckthorndock_peer_heartbeat_errors_total")
 )
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -15,8 +15,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/wait"
 )
 
-// Node is this daemon among its peers. All methods may be called from any
-// goroutine.
+// Node connects this daemon with its peers: it serves and makes calls, and keeps the
+// membership of the site. Its methods are safe for concurrent use.
 type Node struct {
 	opts      Options
 	log       *logrus.Entry
@@ -31,26 +31,26 @@
 	members *membership.Members
 	rng     *rand.Rand
 
-	view       atomic.Pointer[[]membership.Member]
-	superseded atomic.Bool
-	news       chan struct{} // some host's section is new
-	exchanging sync.Map      // addresses with an exchange under way
+	view            atomic.Pointer[[]membership.Member]
+	superseded      atomic.Bool
+	sectionsChanged chan struct{} // gets a value when some host's section may be new
+	exchanging      sync.Map      // addresses with an exchange under way
 
-	background context.Context // of work that no caller waits for
+	background context.Context // context of work that no caller waits for
 	stop       context.CancelFunc
-	wgMu       sync.Mutex // orders the start of work before the wait for its end
+	wgMu       sync.Mutex // no work is started after Close begins to wait
 	wg         sync.WaitGroup
 }
 
-// New checks the options and opens the listener; Run serves it.
+// New checks the options and opens the listener, which Run serves.
 func New(opts Options) (*Node, error) {
 	opts.setDefaults()
-	if err := opts.check(); err != nil {
+	if err := opts.validate(); err != nil {
 		return nil, err
 	}
-	n := &Node{opts: opts, news: make(chan struct{}, 1)}
+	n := &Node{opts: opts, sectionsChanged: make(chan struct{}, 1)}
 	n.log = opts.Logger.WithField("component", "peer")
-	n.traffic.known = newPurposes()
+	n.traffic.purposes = newPurposes()
 	n.rng = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	n.background, n.stop = context.WithCancel(context.Background())
 	n.pool = newPool(n)
@@ -71,21 +71,21 @@
 	}
 	n.members = membership.New(cfg, time.Now())
 	n.members.AddSeeds(opts.Seeds)
-	n.refresh()
+	n.refreshView()
 	if err := n.Register(heartbeatService, &heartbeats{n}); err != nil {
 		return nil, err
 	}
 	return n, nil
 }
 
-// Register offers the methods of a receiver to peers, by the rules of net/rpc,
-// and counts their bytes under the name in lower case. It must be called before
-// Run.
+// Register makes the methods of a receiver available to peers, by the rules of
+// net/rpc, and counts their bytes under the name in lower case. It must be called
+// before Run.
 func (n *Node) Register(name string, rcvr any) error {
 	if err := n.server.rpc.RegisterName(name, rcvr); err != nil {
 		return merry.Prependf(err, "register %s", name)
 	}
-	n.traffic.known.add(name)
+	n.traffic.purposes.add(name)
 	return nil
 }
 
@@ -94,7 +94,7 @@
 func (n *Node) Run(ctx context.Context) error {
 	n.inBackground(func() { n.server.run(n.background) })
 	if n.opts.HostList != nil {
-		n.inBackground(func() { n.followList(n.background) })
+		n.inBackground(func() { n.pollHostList(n.background) })
 	}
 	n.log.WithFields(logrus.Fields{
 		"address":     n.Addr(),
@@ -108,14 +108,14 @@
 	return nil
 }
 
-// Exchanges cost each host in proportion to the hosts of its domain, so a small
-// domain can have them more often within the same budget.
+// The cost of exchanges for each host is proportional to the number of hosts in its
+// domain, so a small domain can have them more often within the same budget.
 const (
-	fullDomain = 30 // hosts from which Interval is not shortened
-	mostOften  = 6  // times as often at the most
+	fullIntervalHosts = 30 // number of hosts from which Interval is not shortened
+	maxSpeedup        = 6  // Interval is divided by at most this
 )
 
-// interval returns the time until the next exchange with the own domain.
+// interval returns the time until the next exchange within the own domain.
 func (n *Node) interval() time.Duration {
 	if n.opts.Busy != nil && !n.opts.Busy() {
 		return n.opts.Interval
@@ -126,16 +126,16 @@
 			hosts++
 		}
 	}
-	part := max(min(hosts, fullDomain), fullDomain/mostOften)
+	scaledHosts := max(min(hosts, fullIntervalHosts), fullIntervalHosts/maxSpeedup)
 	n.mu.Lock()
-	pace := n.members.ExchangeIntervalFactor()
+	factor := n.members.ExchangeIntervalFactor()
 	n.mu.Unlock()
-	return time.Duration(float64(n.opts.Interval) * pace * float64(part) / fullDomain)
+	return time.Duration(float64(n.opts.Interval) * factor * float64(scaledHosts) / fullIntervalHosts)
 }
 
-// Close ends the listener, all connections and the background work, but does
-// not wait for registered methods that still run. It is called by Run, and
-// needed only for a node that never ran.
+// Close closes the listener and all connections and ends the background work. It
+// does not wait for registered methods that still run. Run calls it; callers need
+// it only for a node that never ran.
 func (n *Node) Close() {
 	n.wgMu.Lock()
 	n.stop()
@@ -154,37 +154,37 @@
 	}
 }
 
-// jitter spreads a period by a tenth, so that hosts started together do not
-// stay in step.
+// jitter changes a period by up to a tenth at random, so that hosts that were started
+// together do not stay synchronised.
 func (n *Node) jitter(d time.Duration) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return time.Duration(float64(d) * (0.9 + 0.2*n.rng.Float64()))
 }
 
-// Leave tells peers that this host leaves, and returns when a few of them have
-// confirmed it, from where it spreads. It cannot be taken back. An error means
-// that no peer could be told; the platform's list is then the only source.
+// Leave announces to a few peers that this host leaves; they pass it on. It returns
+// when each of them has confirmed it or failed, and cannot be undone. An error means
+// that no peer confirmed; others then learn it only from the platform's list.
 func (n *Node) Leave(ctx context.Context) error {
 	n.mu.Lock()
 	n.members.Leave(time.Now())
 	pushes := n.members.TakePushes(n.rng)
-	n.refresh()
+	n.refreshView()
 	n.mu.Unlock()
 	errs := make(chan error, len(pushes))
 	for _, out := range pushes {
 		go func() { errs <- n.deliver(ctx, out) }()
 	}
 	var failed error
-	told := len(pushes) == 0
+	confirmed := len(pushes) == 0
 	for range pushes {
 		if err := <-errs; err != nil {
 			failed = err
 		} else {
-			told = true
+			confirmed = true
 		}
 	}
-	if told {
+	if confirmed {
 		return nil
 	}
 	return merry.Prepend(failed, "leave")
@@ -195,7 +195,7 @@
 	return n.server.listener.Addr().String()
 }
 
-// Self returns the own identity.
+// Self returns this host as a member.
 func (n *Node) Self() membership.Member {
 	for _, m := range n.Members() {
 		if m.Host == n.opts.Host {
@@ -205,47 +205,47 @@
 	return membership.Member{}
 }
 
-// Superseded tells whether a newer incarnation of this host runs elsewhere.
-// This process then has to stop taking work.
+// Superseded reports whether a newer incarnation of this host is running. This
+// process must then stop accepting work.
 func (n *Node) Superseded() bool {
 	return n.superseded.Load()
 }
 
-// Members returns all known hosts ordered by name, this one among them, as of
-// the last tick. The slice is shared and must not be changed.
+// Members returns all known hosts, including this one, ordered by name, as of the
+// last update of the view. The slice is shared and must not be changed.
 func (n *Node) Members() []membership.Member {
 	return *n.view.Load()
 }
 
-// Owner returns the live host of the whole site that comes first for a key.
+// Owner returns the live host of the whole site that ranks first for a key.
 func (n *Node) Owner(key string) (membership.Member, bool) {
 	return membership.Owner(key, n.Members())
 }
 
-// Rank returns up to limit live hosts of the whole site in order for a key.
+// Rank returns up to limit live hosts of the whole site, in their order for a key.
 func (n *Node) Rank(key string, limit int) []membership.Member {
 	return membership.Rank(key, n.Members(), limit)
 }
 
-// LocalOwner returns the live host of the own domain that comes first for a
-// key.
+// LocalOwner returns the live host of the own domain that ranks first for a key.
 func (n *Node) LocalOwner(key string) (membership.Member, bool) {
 	return membership.LocalOwner(key, n.opts.Domain, n.Members())
 }
 
-// LocalRank returns up to limit live hosts of the own domain in order for a key.
+// LocalRank returns up to limit live hosts of the own domain, in their order for a
+// key.
 func (n *Node) LocalRank(key string, limit int) []membership.Member {
 	return membership.LocalRank(key, n.opts.Domain, n.Members(), limit)
 }
 
-// Publish spreads a section of up to membership.MaxSectionBytes to the hosts of
-// the own domain, in place of its former data. Data must not be changed
+// Publish distributes a section of up to membership.MaxSectionBytes to the hosts of
+// the own domain. It replaces the section's former data. Data must not be changed
 // afterwards.
 func (n *Node) Publish(section string, data []byte) error {
 	return n.publish(section, data, false)
 }
 
-// PublishWide is Publish to the hosts of all domains.
+// PublishWide is like Publish, but distributes to the hosts of all domains.
 func (n *Node) PublishWide(section string, data []byte) error {
 	return n.publish(section, data, true)
 }
@@ -258,19 +258,20 @@
 	return err
 }
 
-// Sections returns a section of each host that published it and is not dead,
-// this one included, ordered by host.
+// Sections returns the section of that name from each host that published one and is
+// not dead, including this host, ordered by host.
 func (n *Node) Sections(section string) []membership.SectionView {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.members.Sections(time.Now(), section)
 }
 
-// SectionsChanged tells that some host's section may be new since the last look.
-func (n *Node) SectionsChanged() <-chan struct{} { return n.news }
+// SectionsChanged returns a channel that gets a value when some host's section may
+// have changed since the last receive.
+func (n *Node) SectionsChanged() <-chan struct{} { return n.sectionsChanged }
 
-// Traffic returns the bytes sent and received so far over all connections, TLS
-// included.
+// Traffic returns the bytes sent and received so far over all connections, including
+// those of TLS.
 func (n *Node) Traffic() (sent, received uint64) {
 	return n.traffic.sent.Load(), n.traffic.received.Load()
 }
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -17,7 +17,7 @@
 
 const (
 	testKey   = "a key for tests, long enough"
-	testLimit = 30 * time.Second // of a wait for a condition
+	testLimit = 30 * time.Second // longest wait for a condition
 )
 
 func testOptions(host, domain string) Options {
@@ -44,7 +44,7 @@
 	return n
 }
 
-// start runs a node until the test or the returned function ends it.
+// start runs a node until the test ends or the returned function is called.
 func start(t *testing.T, n *Node) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -88,7 +88,7 @@
 	t.Fatalf("did not happen: %s", what)
 }
 
-// inState counts the members of a domain that a node sees in a state.
+// inState returns the number of members of a domain that a node sees in a state.
 func inState(n *Node, domain string, state membership.State) int {
 	count := 0
 	for _, m := range n.Members() {
@@ -99,6 +99,7 @@
 	return count
 }
 
+// allSee returns a condition: each node sees count members of a domain in a state.
 func allSee(nodes []*Node, domain string, state membership.State, count int) func() bool {
 	return func() bool {
 		for _, n := range nodes {
@@ -131,6 +132,7 @@
 	return nil
 }
 
+// startEcho runs a node that serves an echo, registered as "Echo".
 func startEcho(t *testing.T, o Options) (*Node, *echo) {
 	t.Helper()
 	e := &echo{hold: make(chan struct{})}
@@ -142,7 +144,8 @@
 	return n, e
 }
 
-func say(n *Node, address string) error {
+// callEcho calls Echo.Say at an address and checks the reply.
+func callEcho(n *Node, address string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
 	var reply string
@@ -158,23 +161,23 @@
 	for domain, count := range map[string]int{"a": 3, "b": 3, "c": 2} {
 		eventually(t, "all live in "+domain, allSee(nodes, domain, membership.Live, count))
 	}
-	if err := nodes[0].Publish("near", []byte("n")); err != nil {
+	if err := nodes[0].Publish("local", []byte("n")); err != nil {
 		t.Fatal(err)
 	}
-	if err := nodes[0].PublishWide("far", []byte("f")); err != nil {
+	if err := nodes[0].PublishWide("wide", []byte("f")); err != nil {
 		t.Fatal(err)
 	}
 	for _, n := range nodes {
-		eventually(t, "wide section at "+n.Self().Host, func() bool { return len(n.Sections("far")) == 1 })
+		eventually(t, "wide section at "+n.Self().Host, func() bool { return len(n.Sections("wide")) == 1 })
 	}
 	for _, n := range nodes[1:3] {
-		eventually(t, "section at "+n.Self().Host, func() bool { return len(n.Sections("near")) == 1 })
+		eventually(t, "section at "+n.Self().Host, func() bool { return len(n.Sections("local")) == 1 })
 	}
-	if got := nodes[1].Sections("near")[0]; string(got.Data) != "n" || got.Host != "h00" || got.Domain != "a" {
+	if got := nodes[1].Sections("local")[0]; string(got.Data) != "n" || got.Host != "h00" || got.Domain != "a" {
 		t.Errorf("section is %+v", got)
 	}
 	for _, n := range nodes[3:] {
-		if len(n.Sections("near")) != 0 {
+		if len(n.Sections("local")) != 0 {
 			t.Errorf("%s has a section of another domain", n.Self().Host)
 		}
 	}
@@ -219,7 +222,7 @@
 	if !allSee(a, "a", membership.Live, 2)() || !allSee(b, "b", membership.Live, 2)() {
 		t.Error("the cut reached into a domain")
 	}
-	if err := say(nodes[0], b[0].Addr()); !errors.Is(err, ErrCut) || !NotSent(err) {
+	if err := callEcho(nodes[0], b[0].Addr()); !errors.Is(err, ErrCut) || !NotSent(err) {
 		t.Errorf("call over the cut: %v", err)
 	}
 	for _, n := range a {
@@ -231,7 +234,7 @@
 	eventually(t, "a back at b", allSee(b, "a", membership.Live, 2))
 }
 
-func TestHostListIsEnoughToMeetAndMayFail(t *testing.T) {
+func TestHostListFindsPeersAndMayFail(t *testing.T) {
 	first := newNode(t, testOptions("first", "a"))
 	start(t, first)
 	var down atomic.Bool
@@ -251,14 +254,14 @@
 	both := []*Node{first, second}
 	eventually(t, "both live", allSee(both, "a", membership.Live, 2))
 	down.Store(true)
-	beat := second.Members()[0].Version
-	eventually(t, "beats go on without the list", func() bool { return second.Members()[0].Version > beat+5 })
+	version := second.Members()[0].Version
+	eventually(t, "heartbeats go on without the list", func() bool { return second.Members()[0].Version > version+5 })
 	if !allSee(both, "a", membership.Live, 2)() {
 		t.Error("a list that is down changed the view")
 	}
 }
 
-func TestFaultsNeedTheFlag(t *testing.T) {
+func TestFaultsNeedTestFaultsOption(t *testing.T) {
 	o := testOptions("h", "a")
 	o.TestFaults = false
 	n := newNode(t, o)
@@ -271,17 +274,17 @@
 }
 
 func TestBadOptions(t *testing.T) {
-	for name, spoil := range map[string]func(*Options){
-		"no host":       func(o *Options) { o.Host = "" },
-		"no domain":     func(o *Options) { o.Domain = "" },
-		"short key":     func(o *Options) { o.Key = "short" },
-		"host name":     func(o *Options) { o.Listen = "localhost:0" },
-		"any address":   func(o *Options) { o.Listen = "0.0.0.0:0" },
-		"seed by name":  func(o *Options) { o.Seeds = []string{"peer:1"} },
-		"port in use 1": func(o *Options) { o.Listen = "127.0.0.1:99999" },
+	for name, invalidate := range map[string]func(*Options){
+		"no host":      func(o *Options) { o.Host = "" },
+		"no domain":    func(o *Options) { o.Domain = "" },
+		"short key":    func(o *Options) { o.Key = "short" },
+		"host name":    func(o *Options) { o.Listen = "localhost:0" },
+		"any address":  func(o *Options) { o.Listen = "0.0.0.0:0" },
+		"seed by name": func(o *Options) { o.Seeds = []string{"peer:1"} },
+		"invalid port": func(o *Options) { o.Listen = "127.0.0.1:99999" },
 	} {
 		o := testOptions("h", "a")
-		spoil(&o)
+		invalidate(&o)
 		if n, err := New(o); err == nil {
 			n.Close()
 			t.Errorf("%s: no error", name)
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -18,29 +18,29 @@
 	Host        string   // name of this host, unique in the site
 	Domain      string   // failure domain
 	Region      string   // region of the domain
-	Incarnation uint64   // must rise with each start on this host; default the clock in ms
+	Incarnation uint64   // must increase with each start on this host; default the clock in ms
 	Listen      string   // IP:port of the peer listener, as other daemons reach it
 	Key         string   // key shared by all daemons, at least MinKeyBytes long
 	Seeds       []string // IP:port of peers to start from while the platform is down
 
-	// HostList reads the platform's list; nil when there is none.
+	// HostList reads the platform's list of hosts; nil when there is none.
 	HostList func(ctx context.Context) ([]platform.Host, error)
 
-	Interval         time.Duration // between two exchanges with the own domain; default 500 ms
-	Busy             func() bool   // whether there is work that makes exchanges worth having more often; nil: always
+	Interval         time.Duration // between two exchanges within the own domain, less in small ones; default 500 ms
+	Busy             func() bool   // whether there is work, so that a small domain shortens Interval; nil: always
 	HeartbeatTimeout time.Duration // of one heartbeat call; default 2 s
-	ListEvery        time.Duration // longest time between two reads of HostList, less at small sites; default 30 s
+	ListEvery        time.Duration // longest time between two reads of HostList, less in small sites; default 30 s
 	CallTimeout      time.Duration // of a call whose context has no deadline; default 5 s
 	DialTimeout      time.Duration // of connect and handshake; default 2 s
 	HandshakeTimeout time.Duration // of an incoming connection; default 3 s
 	WriteTimeout     time.Duration // of one write; default 5 s
 	IdleTimeout      time.Duration // after which an unused connection is closed; default 60 s
 	BackoffMin       time.Duration // wait after a first failed dial; default 100 ms
-	BackoffMax       time.Duration // longest wait between dials; default 5 s
+	BackoffMax       time.Duration // longest wait after a failed dial; default 5 s
 
 	MaxConns        int   // incoming connections; default 1024
-	MaxHandshakes   int   // incoming connections that are not yet trusted; default 64
-	MaxMessageBytes int64 // of one net/rpc message part; default 8 MiB
+	MaxHandshakes   int   // concurrent handshakes of incoming connections; default 64
+	MaxMessageBytes int64 // of the header or the body of a net/rpc message; default 8 MiB
 	MaxInFlight     int   // calls served at once for one connection; default 256
 
 	// Membership overrides the timings of the state machine; Self is ignored.
@@ -52,8 +52,8 @@
 	Logger *logrus.Entry // default the standard logger
 }
 
-// MinKeyBytes is the least length of the shared key. The public half of the key
-// pair is shown to whoever connects, so a short key could be guessed offline.
+// MinKeyBytes is the minimum length of the shared key. Anyone who connects sees the
+// public key derived from it, so a short key could be guessed offline.
 const MinKeyBytes = 16
 
 const (
@@ -96,7 +96,7 @@
 	}
 }
 
-func (o *Options) check() error {
+func (o *Options) validate() error {
 	if o.Host == "" || o.Domain == "" {
 		return merry.New("peer: host and domain must be set")
 	}
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -11,45 +11,45 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// pool holds at most one connection in use to each address. Connections are
-// opened by the first call and closed when they were idle for a while, so a
-// node keeps as many as it has peers that it really talks to.
+// pool holds the outgoing connections: at most one that takes new calls to each
+// address. A connection is opened by the first call and closed after
+// Options.IdleTimeout without one, so a node keeps only connections that it uses.
 type pool struct {
-	n      *Node
+	node   *Node
 	mu     sync.Mutex
 	slots  map[string]*slot
-	links  map[*pooled]struct{} // all that are open, retired ones too
+	links  map[*pooled]struct{} // all open connections, including retired ones
 	closed bool
 }
 
-// slot is what the pool knows of one address.
+// slot is the state of one address in the pool.
 type slot struct {
 	link      *pooled
-	dialing   chan struct{} // closed when the dial under way ends, nil without one
+	dialing   chan struct{} // closed when the dial under way ends; nil: none is
 	backoff   *backoff.ExponentialBackOff
-	notBefore time.Time // no dial before it
+	notBefore time.Time // after a failed dial: earliest time of the next
 	lastErr   error
 	lastUsed  time.Time
 }
 
-// pooled is an outgoing connection. Its fields are guarded by the pool.
+// pooled is an outgoing connection. The pool's lock guards its fields.
 type pooled struct {
 	*link
 	client   *rpc.Client
 	inFlight int
 	lastUsed time.Time
-	retired  bool // takes no new call, closed when the last one ends
+	retired  bool // takes no new calls and is closed when the last one ends
 }
 
 func newPool(n *Node) *pool {
-	return &pool{n: n, slots: make(map[string]*slot), links: make(map[*pooled]struct{})}
+	return &pool{node: n, slots: make(map[string]*slot), links: make(map[*pooled]struct{})}
 }
 
-// acquire returns the connection to an address, dialing when there is none.
-// Each acquire needs a release.
+// acquire returns a connection to an address for one call, and dials when there is
+// none. The caller must release it.
 func (p *pool) acquire(ctx context.Context, address string) (*pooled, error) {
 	for {
-		l, dialing, err := p.take(address)
+		l, dialing, err := p.tryAcquire(address)
 		if l != nil || err != nil {
 			return l, err
 		}
@@ -61,7 +61,9 @@
 	}
 }
 
-func (p *pool) take(address string) (*pooled, chan struct{}, error) {
+// tryAcquire returns a connection for one call, or a channel that is closed when the
+// dial of one has ended, or an error.
+func (p *pool) tryAcquire(address string) (*pooled, chan struct{}, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -86,19 +88,23 @@
 	return nil, s.dialing, nil
 }
 
+// slot returns the state of an address, and creates it if needed. The caller holds
+// the lock.
 func (p *pool) slot(address string) *slot {
 	s := p.slots[address]
 	if s == nil {
 		b := backoff.NewExponentialBackOff()
-		b.InitialInterval = p.n.opts.BackoffMin
-		b.MaxInterval = p.n.opts.BackoffMax
+		b.InitialInterval = p.node.opts.BackoffMin
+		b.MaxInterval = p.node.opts.BackoffMax
 		s = &slot{backoff: b}
 		p.slots[address] = s
 	}
 	return s
 }
 
-// dial runs apart from the calls that wait for it, whose deadlines differ.
+// dial connects to an address and stores the connection or the error in its slot. It
+// runs in its own goroutine, because the calls that wait for it have different
+// deadlines.
 func (p *pool) dial(address string, s *slot) {
 	l, err := p.connect(address)
 	p.mu.Lock()
@@ -117,23 +123,24 @@
 	}
 	s.backoff.Reset()
 	s.link = &pooled{link: l, lastUsed: time.Now()}
-	s.link.client = rpc.NewClientWithCodec(&clientCodec{stream: newStream(l, p.n.opts.MaxMessageBytes)})
+	s.link.client = rpc.NewClientWithCodec(&clientCodec{stream: newStream(l, p.node.opts.MaxMessageBytes)})
 	p.links[s.link] = struct{}{}
 }
 
 func (p *pool) connect(address string) (*link, error) {
 	dials.Inc()
-	ctx, cancel := context.WithTimeout(context.Background(), p.n.opts.DialTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), p.node.opts.DialTimeout)
 	defer cancel()
 	var d net.Dialer
 	raw, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return handshake(ctx, raw, p.n.clientTLS, true, p.n)
+	return handshake(ctx, raw, p.node.clientTLS, true, p.node)
 }
 
-// release ends a call. A retired connection takes no further one.
+// release returns a connection after a call. If retire is set, the connection takes
+// no further calls.
 func (p *pool) release(l *pooled, retire bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,6 +152,7 @@
 	p.closeIfDone(l)
 }
 
+// retire makes a connection take no further calls. The caller holds the lock.
 func (p *pool) retire(l *pooled) {
 	l.retired = true
 	for _, s := range p.slots {
@@ -154,6 +162,7 @@
 	}
 }
 
+// closeIfDone closes a retired connection without calls. The caller holds the lock.
 func (p *pool) closeIfDone(l *pooled) {
 	if l.retired && l.inFlight == 0 {
 		delete(p.links, l)
@@ -161,11 +170,11 @@
 	}
 }
 
-// sweep closes idle connections and forgets addresses that are no longer used.
+// sweep closes idle connections and removes addresses that are no longer used.
 func (p *pool) sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	idle := p.n.opts.IdleTimeout
+	idle := p.node.opts.IdleTimeout
 	for l := range p.links {
 		if l.inFlight == 0 && now.Sub(l.lastUsed) >= idle {
 			p.retire(l)
@@ -180,7 +189,8 @@
 	}
 }
 
-// closeCut closes what a cut forbids and lets all others be dialed at once.
+// closeCut closes the connections to hosts that are cut off, and resets the backoff
+// of all addresses.
 func (p *pool) closeCut() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -189,7 +199,7 @@
 		s.backoff.Reset()
 	}
 	for l := range p.links {
-		if p.n.faults.isCut(l.remote) {
+		if p.node.faults.isCut(l.remote) {
 			p.retire(l)
 			l.close()
 			p.closeIfDone(l)
@@ -197,6 +207,7 @@
 	}
 }
 
+// silence makes all open connections silent.
 func (p *pool) silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -205,6 +216,7 @@
 	}
 }
 
+// close closes all connections and makes further calls fail with ErrClosed.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,20 +13,21 @@
 	"golang.org/x/time/rate"
 )
 
-// acceptPause is the wait after a failed accept, as when files run out.
+// acceptPause is the wait after a failed accept, for example when the process has
+// no file descriptors left.
 const acceptPause = 50 * time.Millisecond
 
-// refusalLogs is the number of refused connections logged a second; all of them
-// are counted.
-const refusalLogs = 1
+// refusalLogsPerSecond bounds the log lines about refused connections; all refused
+// connections are counted.
+const refusalLogsPerSecond = 1
 
-// server takes connections of peers.
+// server accepts connections from peers and serves their calls.
 type server struct {
-	n          *Node
-	listener   net.Listener
-	rpc        *rpc.Server
-	handshakes chan struct{}
-	refusals   *rate.Limiter // of log lines, which strangers could cause without end
+	node        *Node
+	listener    net.Listener
+	rpc         *rpc.Server
+	handshakes  chan struct{} // one element per handshake under way
+	refusalLogs *rate.Limiter // limits log lines, which untrusted peers could cause without end
 
 	mu     sync.Mutex
 	links  map[*link]struct{}
@@ -39,16 +40,16 @@
 		return nil, merry.Prepend(err, "peer listener")
 	}
 	return &server{
-		n:          n,
-		listener:   l,
-		rpc:        rpc.NewServer(),
-		handshakes: make(chan struct{}, n.opts.MaxHandshakes),
-		refusals:   rate.NewLimiter(refusalLogs, 1),
-		links:      make(map[*link]struct{}),
+		node:        n,
+		listener:    l,
+		rpc:         rpc.NewServer(),
+		handshakes:  make(chan struct{}, n.opts.MaxHandshakes),
+		refusalLogs: rate.NewLimiter(refusalLogsPerSecond, 1),
+		links:       make(map[*link]struct{}),
 	}, nil
 }
 
-// run accepts until the listener is closed.
+// run accepts connections until the listener is closed.
 func (s *server) run(ctx context.Context) {
 	for {
 		raw, err := s.listener.Accept()
@@ -56,12 +57,12 @@
 			return
 		}
 		if err != nil {
-			s.n.log.WithError(err).Warn("peer_accept_failed")
+			s.node.log.WithError(err).Warn("peer_accept_failed")
 			wait.For(ctx, acceptPause)
 			continue
 		}
-		if !s.admit() {
-			refused.Inc()
+		if !s.tryBeginHandshake() {
+			refusedConns.Inc()
 			_ = raw.Close()
 			continue
 		}
@@ -69,10 +70,11 @@
 	}
 }
 
-// admit takes a handshake's place, which serve gives back.
-func (s *server) admit() bool {
+// tryBeginHandshake reserves one of Options.MaxHandshakes, which serve gives back. It
+// returns false when there is none or the server has Options.MaxConns connections.
+func (s *server) tryBeginHandshake() bool {
 	s.mu.Lock()
-	full := len(s.links) >= s.n.opts.MaxConns
+	full := len(s.links) >= s.node.opts.MaxConns
 	s.mu.Unlock()
 	if full {
 		return false
@@ -85,15 +87,16 @@
 	}
 }
 
+// serve does the handshake on a connection and serves its calls until it ends.
 func (s *server) serve(ctx context.Context, raw net.Conn) {
-	l, err := s.trust(ctx, raw)
+	l, err := s.handshake(ctx, raw)
 	<-s.handshakes
 	if err != nil {
-		refused.Inc()
-		if !s.refusals.Allow() {
+		refusedConns.Inc()
+		if !s.refusalLogs.Allow() {
 			return
 		}
-		s.n.log.WithError(err).WithField("from", raw.RemoteAddr().String()).Warn("peer_refused")
+		s.node.log.WithError(err).WithField("from", raw.RemoteAddr().String()).Warn("peer_refused")
 		return
 	}
 	defer l.close()
@@ -102,23 +105,26 @@
 	}
 	defer s.remove(l)
 	s.rpc.ServeCodec(&serverCodec{
-		stream:   newStream(l, s.n.opts.MaxMessageBytes),
-		idle:     2 * s.n.opts.IdleTimeout, // the dialing end closes first
-		body:     s.n.opts.CallTimeout,
-		inFlight: make(chan struct{}, s.n.opts.MaxInFlight),
+		stream:      newStream(l, s.node.opts.MaxMessageBytes),
+		idleTimeout: 2 * s.node.opts.IdleTimeout, // the dialing end closes first
+		bodyTimeout: s.node.opts.CallTimeout,
+		inFlight:    make(chan struct{}, s.node.opts.MaxInFlight),
 	})
 }
 
-func (s *server) trust(ctx context.Context, raw net.Conn) (*link, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.n.opts.HandshakeTimeout)
+// handshake does the TLS handshake within Options.HandshakeTimeout.
+func (s *server) handshake(ctx context.Context, raw net.Conn) (*link, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.node.opts.HandshakeTimeout)
 	defer cancel()
-	return handshake(ctx, raw, s.n.serverTLS, false, s.n)
+	return handshake(ctx, raw, s.node.serverTLS, false, s.node)
 }
 
+// add registers a link. It returns false when the server is closed or has
+// Options.MaxConns links.
 func (s *server) add(l *link) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || len(s.links) >= s.n.opts.MaxConns {
+	if s.closed || len(s.links) >= s.node.opts.MaxConns {
 		return false
 	}
 	s.links[l] = struct{}{}
@@ -131,19 +137,22 @@
 	delete(s.links, l)
 }
 
+// closeCut closes the connections from hosts that are cut off.
 func (s *server) closeCut() {
-	s.each(func(l *link) {
-		if s.n.faults.isCut(l.remote) {
+	s.forEachLink(func(l *link) {
+		if s.node.faults.isCut(l.remote) {
 			l.close()
 		}
 	})
 }
 
+// silence makes all open connections silent.
 func (s *server) silence() {
-	s.each(func(l *link) { l.conn.silent.Store(true) })
+	s.forEachLink(func(l *link) { l.conn.silent.Store(true) })
 }
 
-func (s *server) each(do func(*link)) {
+// forEachLink calls do for each link while it holds the lock.
+func (s *server) forEachLink(do func(*link)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for l := range s.links {
@@ -151,12 +160,12 @@
 	}
 }
 
-// close ends the listener and all connections. It does not wait for methods
-// that still run; their answers are lost.
+// close closes the listener and all connections. It does not wait for methods that
+// still run; their responses are lost.
 func (s *server) close() {
 	_ = s.listener.Close()
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.each(func(l *link) { l.close() })
+	s.forEachLink(func(l *link) { l.close() })
 }
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -14,20 +14,21 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// keyInfo binds the derived key to this use of the shared key.
+// keyInfo is the HKDF info string. It binds the derived key to this use.
 const keyInfo = "buckthorndock peer tls v1"
 
+// certLifetime is how long before and after its creation a certificate is valid.
 const certLifetime = 10 * 365 * 24 * time.Hour
 
-// remote is who a trusted peer says it is, in its certificate.
+// remote is the identity that a trusted peer states in its certificate.
 type remote struct {
 	host   string
 	domain string
 }
 
-// newTLS returns the configurations for dialing and for serving. Trust rests on
-// the key alone: the certificate's dates and names are not checked, so a wrong
-// clock locks nobody out. TLS 1.3 makes each side sign the handshake with it.
+// newTLS returns the TLS configurations for dialing and for serving. Only the public
+// key is checked: the certificate's dates and names are not, so a wrong clock does
+// not lock out a host. In TLS 1.3 each side signs the handshake with its key.
 func newTLS(shared, host, domain string) (client, server *tls.Config, err error) {
 	seed, err := hkdf.Key(sha256.New, []byte(shared), nil, keyInfo, ed25519.SeedSize)
 	if err != nil {
@@ -51,6 +52,8 @@
 	return client, server, nil
 }
 
+// newCertificate returns a self-signed certificate that names the host and its
+// failure domain.
 func newCertificate(key ed25519.PrivateKey, host, domain string) (tls.Certificate, error) {
 	now := time.Now()
 	template := &x509.Certificate{
@@ -67,6 +70,7 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}, nil
 }
 
+// verifier returns a check that the peer's certificate has the pinned public key.
 func verifier(pinned ed25519.PublicKey) func(tls.ConnectionState) error {
 	return func(s tls.ConnectionState) error {
 		if len(s.PeerCertificates) == 0 {
@@ -80,7 +84,8 @@
 	}
 }
 
-func remoteOf(s tls.ConnectionState) remote {
+// remoteFromCert returns the identity in the peer's certificate.
+func remoteFromCert(s tls.ConnectionState) remote {
 	name := s.PeerCertificates[0].Subject
 	r := remote{host: name.CommonName}
 	if len(name.OrganizationalUnit) > 0 {
