--- a/internal/owner/digest.go
+++ b/internal/owner/digest.go
@@ -112,6 +112,7 @@
 	return d
 }
 
+// digest returns the engine's part of a digest. The caller holds the service's lock.
 func (p *poller) digest(now time.Time) EngineDigest {
 	l := p.load
 	e := EngineDigest{
--- a/internal/owner/holder.go
+++ b/internal/owner/holder.go
@@ -187,11 +187,12 @@
 	return reply, nil
 }
 
-func (h *Holder) setAwaitingGrant(e Engine, id ledger.ID, asked bool) {
+// setAwaitingGrant sets whether a tracked reservation is still to be granted.
+func (h *Holder) setAwaitingGrant(e Engine, id ledger.ID, awaiting bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if t := h.holdings[holdingKey{e.Name, id}]; t != nil {
-		t.awaitingGrant = asked
+		t.awaitingGrant = awaiting
 	}
 }
 
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -171,7 +171,8 @@
 	return true
 }
 
-// markLogUnavailable tells all lease managers that the log could not be read or written.
+// markLogUnavailable reports to all lease managers that the log could not be read or
+// written.
 func (o *Orders) markLogUnavailable(err error) {
 	for _, p := range o.pools {
 		p.leaseManager.MarkLogUnavailable()
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -170,7 +170,7 @@
 	if err := s.http.Reserve(context.Background(), s.engines[0].Address, stranger); err != nil {
 		t.Fatal(err)
 	}
-	s.eventually("the stranger's reservation ends", func() bool { return s.countHoldings(ledger.Reservation) == 1 })
+	s.eventually("the unknown holder's reservation ends", func() bool { return s.countHoldings(ledger.Reservation) == 1 })
 	if name := s.books()[0].Items[0].Name; name != "r" {
 		t.Errorf("kept %s, want r", name)
 	}
