--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -68,7 +68,7 @@
 	l.countedReceived = now
 }
 
-// silentSince reports whether no data was read after t.
+// silentSince reports whether no data was read from the raw connection after t.
 func (l *link) silentSince(t time.Time) bool {
 	return !l.conn.readSince(t)
 }
