--- a/internal/core/settings/replay_test.go
+++ b/internal/core/settings/replay_test.go
@@ -198,8 +198,8 @@
 	}{
 		{setChange("a", 0, "/t", 0), Accepted, ""},
 		{setChange("b", 0, "/t", 0), Conflict, "/t has version 1, the edit is based on 0"},
-		{setChange("c", 0, "/t/x", 0), Overtaken, "the change at offset 1, at, above or below /t/x, was accepted first"},
-		{setChange("d", 0, "/", 0), Overtaken, "the change at offset 1, at, above or below /, was accepted first"},
+		{setChange("c", 0, "/t/x", 0), Overtaken, "the change at offset 1, at, above or below /t/x, came first"},
+		{setChange("d", 0, "/", 0), Overtaken, "the change at offset 1, at, above or below /, came first"},
 		{setChange("a", 4, "/u", 0), Repeated, "repeats the change at offset 1"},
 		{setChange("e", 5, "/t/x", 0), Accepted, ""},
 		{setChange("f", 7, "/v", 0), Stale, "checked against offset 7, too far from offset 7"},
--- a/internal/core/settings/verdict.go
+++ b/internal/core/settings/verdict.go
@@ -57,7 +57,7 @@
 	case Conflict:
 		return fmt.Sprintf("%s has version %d, the edit is based on %d", v.Path, v.PriorOffset, v.Base)
 	case Overtaken:
-		return fmt.Sprintf("the change at offset %d, at, above or below %s, was accepted first", v.PriorOffset, v.Path)
+		return fmt.Sprintf("the change at offset %d, at, above or below %s, came first", v.PriorOffset, v.Path)
 	case Stale:
 		return fmt.Sprintf("checked against offset %d, too far from offset %d", v.Base, v.Offset)
 	case Repeated:
