--- a/internal/claims/follow.go
+++ b/internal/claims/follow.go
@@ -136,7 +136,7 @@
 		c.appliedAt = c.o.Now()
 	}
 	c.reportStats(before, replay.Stats())
-	if len(page.Records) == 0 || replay.Next() >= page.Next {
+	if len(page.Records) == 0 || replay.Next() >= page.EndOffset {
 		c.requeue(read)
 	}
 }
@@ -239,8 +239,8 @@
 			replay.Apply(replayInput(r))
 			from = r.Offset + 1
 		}
-		if len(page.Records) == 0 || from >= page.Next {
-			return page.Next, nil
+		if len(page.Records) == 0 || from >= page.EndOffset {
+			return page.EndOffset, nil
 		}
 	}
 }
@@ -248,11 +248,11 @@
 // windowStart returns the last offset old enough that a replay from it makes the
 // verdicts on new claims certain, or the first retained offset.
 func (c *combiner) windowStart(ctx context.Context, head platform.Page) (int64, error) {
-	first, count := head.FirstKept, head.Next-head.FirstKept
+	first, count := head.FirstKept, head.EndOffset-head.FirstKept
 	if count < minSearchRecords {
 		return max(first, 1), nil
 	}
-	last, err := c.timeAt(ctx, head.Next-1)
+	last, err := c.timeAt(ctx, head.EndOffset-1)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/edge/evacuations.go
+++ b/internal/edge/evacuations.go
@@ -15,7 +15,7 @@
 	var records []fleet.EvacuationRecord
 	var unreadable []string
 	for _, r := range b.Records {
-		domain, ok := p.provider.EvacuationOf(r.Key)
+		domain, ok := p.provider.EvacuationDomain(r.Key)
 		if !ok {
 			continue
 		}
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -82,7 +82,7 @@
 	o.Timeout = settingsTimeout
 	o.PeerTimeout = fractionOf(ms, peerTimeoutFraction)
 	o.MaxAge = 2*o.ReadInterval + o.LongPoll + transferTime
-	o.RankOf = p.provider.RankOfSettings
+	o.RankOf = p.provider.SettingsRank
 	o.RewriteTime = operatorRewriteTime
 	o.Apply = p.applySettings
 	return keyed.New(o)
@@ -98,7 +98,7 @@
 	o.Timeout = upstreamsTimeout
 	o.PeerTimeout = upstreamsPeerTimeout
 	o.MaxAge = 2*o.ReadInterval + transferTime
-	o.RankOf = p.provider.RankOfUpstream
+	o.RankOf = p.provider.UpstreamRank
 	o.RewriteTime = relistTime
 	o.IsSignificant = func(before, after []byte) bool { return !p.provider.SameUpstream(before, after) }
 	o.OnRegained = regained
@@ -146,7 +146,7 @@
 // host whose copy was read, empty for the store.
 func (p *process) applyTable(r platform.KeyedRecord, from string) {
 	log := p.log.WithFields(logrus.Fields{"offset": r.Offset, "from": cmp.Or(from, "store")})
-	spec, err := p.provider.DecodeTable(r.Value)
+	spec, err := p.provider.DecodeSettings(r.Value)
 	if err != nil {
 		log.WithError(err).Error("settings_unreadable")
 		return
--- a/internal/edge/provider.go
+++ b/internal/edge/provider.go
@@ -23,14 +23,14 @@
 	UpstreamsStream() string
 	// EvidenceStream names the daemons' own stream, which records requests that crash upstreams.
 	EvidenceStream() string
-	// DecodeTable decodes the value of the settings.
-	DecodeTable(value []byte) (route.Spec, error)
-	// RankOfSettings and RankOfUpstream return the rank of a value of their stream; see keyed.RankOf.
-	RankOfSettings(key string, value []byte) (rank keyed.Rank, ok bool)
-	RankOfUpstream(key string, value []byte) (rank keyed.Rank, ok bool)
-	// EvacuationOf returns the failure domain whose evacuation a key of the settings stream is
+	// DecodeSettings decodes the value of the settings.
+	DecodeSettings(value []byte) (route.Spec, error)
+	// SettingsRank and RankOfUpstream return the rank of a value of their stream; see keyed.RankOf.
+	SettingsRank(key string, value []byte) (rank keyed.Rank, ok bool)
+	UpstreamRank(key string, value []byte) (rank keyed.Rank, ok bool)
+	// EvacuationDomain returns the failure domain whose evacuation a key of the settings stream is
 	// about; ok is false for other keys. CheckEvacuation checks the value of such a key.
-	EvacuationOf(key string) (domain string, ok bool)
+	EvacuationDomain(key string) (domain string, ok bool)
 	CheckEvacuation(domain string, value []byte) error
 	// SameUpstream reports whether two records of one upstream differ only in the number of the
 	// heartbeat.
--- a/internal/follow/snapshots.go
+++ b/internal/follow/snapshots.go
@@ -88,7 +88,7 @@
 		if err != nil {
 			return platform.Page{}, err
 		}
-		from = max(1, page.FirstKept, page.Next-latestSnapshots)
+		from = max(1, page.FirstKept, page.EndOffset-latestSnapshots)
 	}
 	return f.o.Log.Read(ctx, SnapshotStream, from, readLimit, 0)
 }
@@ -133,7 +133,7 @@
 	for _, r := range page.Records {
 		f.snapshots.add(r, f.readSnapshot(r))
 	}
-	f.snapshots.next = page.Next
+	f.snapshots.next = page.EndOffset
 	if !f.snapshotDue() {
 		return nil
 	}
--- a/internal/follow/tail.go
+++ b/internal/follow/tail.go
@@ -123,9 +123,9 @@
 	if page.Era != at.era {
 		return f.switchEra(ctx, page, at.era)
 	}
-	if page.Next < from {
+	if page.EndOffset < from {
 		logBehind.Inc()
-		return merry.Errorf("settings log ends before offset %d, state is at %d", page.Next, from-1)
+		return merry.Errorf("settings log ends before offset %d, state is at %d", page.EndOffset, from-1)
 	}
 	if page.FirstKept > from {
 		trimmedGaps.Inc()
@@ -134,7 +134,7 @@
 	f.apply(at.era, recordsOf(page))
 	// The end of the page was the newest offset when the log answered, which is after start. So
 	// start is a safe, slightly early time.
-	f.markCurrent(at.era, page.Next-1, start)
+	f.markCurrent(at.era, page.EndOffset-1, start)
 	return nil
 }
 
--- a/internal/keyed/apply.go
+++ b/internal/keyed/apply.go
@@ -81,7 +81,7 @@
 	err = f.checkEra(&page)
 	switch {
 	case errors.Is(err, errLaterEra), f.hasNoData():
-		f.applyEra(page, eraStart{since: began, certain: page.Next}, began, fromStore)
+		f.applyEra(page, eraStart{since: began, certain: page.NextOffset}, began, fromStore)
 		err = nil
 	case err == nil:
 		err = f.applyFullPage(page, began, fromStore)
@@ -114,9 +114,9 @@
 func (f *Follower) applyFullPage(page platform.KeyedPage, at time.Time, from string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if page.Next < f.state.endOffset() {
+	if page.NextOffset < f.state.endOffset() {
 		f.log.WithFields(logrus.Fields{
-			"next": page.Next, "known": f.state.endOffset(), "era": page.Era, "from": from,
+			"next": page.NextOffset, "known": f.state.endOffset(), "era": page.Era, "from": from,
 		}).Info("stream_copy_old")
 		return platform.ErrBusy
 	}
--- a/internal/keyed/era.go
+++ b/internal/keyed/era.go
@@ -136,8 +136,8 @@
 // records from offset certain on were written in it. It returns the records that changed.
 func (s *streamState) enterEra(page platform.KeyedPage, since time.Time, certain int64) []platform.KeyedRecord {
 	past := *s
-	s.era, s.next = page.Era, page.Next
-	s.recent, s.recentFrom = nil, page.Next
+	s.era, s.next = page.Era, page.NextOffset
+	s.recent, s.recentFrom = nil, page.NextOffset
 	s.version++
 	s.unresolved = newUnresolved(since, certain)
 	var changed []platform.KeyedRecord
--- a/internal/keyed/feed.go
+++ b/internal/keyed/feed.go
@@ -223,7 +223,7 @@
 func (f *Follower) applyReply(host string, reply SinceReply, records []platform.KeyedRecord, began time.Time, maxAge time.Duration) bool {
 	pos := f.position()
 	f.eraUnknown = f.eraUnknown || reply.Version < versionOfEras && pos.era == platform.NoEra
-	page := platform.KeyedPage{Records: records, Next: reply.Next, Era: reply.Era}
+	page := platform.KeyedPage{Records: records, NextOffset: reply.Next, Era: reply.Era}
 	read := began.Add(reply.Held - reply.Age)
 	switch {
 	case pos.next < 0 && reply.Age > maxAge:
--- a/internal/keyed/state.go
+++ b/internal/keyed/state.go
@@ -80,7 +80,7 @@
 		s.recentFrom = s.recent[excess-1].Offset + 1
 		s.recent = slices.Delete(s.recent, 0, excess)
 	}
-	s.next = max(s.next, page.Next)
+	s.next = max(s.next, page.NextOffset)
 	s.prune()
 	return fresh
 }
@@ -98,13 +98,13 @@
 	for key, r := range s.records {
 		_, doubted := s.unresolved.doubtful[key]
 		if !listed[key] && (r.Value != nil && r.Era == s.era || doubted) {
-			s.put(platform.KeyedRecord{Era: s.era, Offset: page.Next - 1, Key: key})
+			s.put(platform.KeyedRecord{Era: s.era, Offset: page.NextOffset - 1, Key: key})
 		}
 	}
-	s.next = page.Next
+	s.next = page.NextOffset
 	s.add(page, nil)
 	s.markMissing(listed)
-	s.recent, s.recentFrom = nil, page.Next
+	s.recent, s.recentFrom = nil, page.NextOffset
 }
 
 // listedKeys returns the keys that have a value in the page, of the page's era.
