--- a/internal/claims/bench_test.go
+++ b/internal/claims/bench_test.go
@@ -134,7 +134,7 @@
 func (h httpLog) Read(ctx context.Context, p platformapi.ReadParams) (*platformapi.ReadResult, error) {
 	wait := time.Duration(p.WaitMs.Or(0)) * time.Millisecond
 	page, err := h.log.Read(ctx, p.Stream, p.From, p.Max.Or(pageRecords), wait)
-	res := &platformapi.ReadResult{FirstKept: page.FirstKept, Next: page.Next, Records: []platformapi.Record{}}
+	res := &platformapi.ReadResult{FirstKept: page.FirstKept, Next: page.EndOffset, Records: []platformapi.Record{}}
 	for _, r := range page.Records {
 		res.Records = append(res.Records, platformapi.Record{Offset: r.Offset, AtMs: r.At.UnixMilli(), Data: r.Data})
 	}
--- a/internal/claims/fake_test.go
+++ b/internal/claims/fake_test.go
@@ -108,10 +108,10 @@
 	defer cancel()
 	for {
 		l.mu.Lock()
-		page := platform.Page{FirstKept: max(l.first[stream], 1), Next: int64(len(l.streams[stream])) + 1, Era: l.era}
+		page := platform.Page{FirstKept: max(l.first[stream], 1), EndOffset: int64(len(l.streams[stream])) + 1, Era: l.era}
 		from = max(from, page.FirstKept)
-		if from < page.Next {
-			page.Records = slices.Clone(l.streams[stream][from-1 : min(from-1+int64(limit), page.Next-1)])
+		if from < page.EndOffset {
+			page.Records = slices.Clone(l.streams[stream][from-1 : min(from-1+int64(limit), page.EndOffset-1)])
 		}
 		failed, changed := l.noReads || l.noLog, l.changed
 		l.mu.Unlock()
--- a/internal/claims/follow.go
+++ b/internal/claims/follow.go
@@ -131,7 +131,7 @@
 		c.appliedAt = c.o.Now()
 	}
 	c.report(before, replay.Stats())
-	if len(page.Records) == 0 || replay.Next() >= page.Next {
+	if len(page.Records) == 0 || replay.Next() >= page.EndOffset {
 		c.requeue(read)
 	}
 }
@@ -231,8 +231,8 @@
 			replay.Apply(input(r))
 			from = r.Offset + 1
 		}
-		if len(page.Records) == 0 || from >= page.Next {
-			return page.Next, nil
+		if len(page.Records) == 0 || from >= page.EndOffset {
+			return page.EndOffset, nil
 		}
 	}
 }
@@ -240,11 +240,11 @@
 // windowStart returns the last offset that is old enough for all later claims
 // to be certain, or the first kept one.
 func (c *combiner) windowStart(ctx context.Context, head platform.Page) (int64, error) {
-	first, count := head.FirstKept, head.Next-head.FirstKept
+	first, count := head.FirstKept, head.EndOffset-head.FirstKept
 	if count < searchFrom {
 		return max(first, 1), nil
 	}
-	last, err := c.timeAt(ctx, head.Next-1)
+	last, err := c.timeAt(ctx, head.EndOffset-1)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/follow/restored.go
+++ b/internal/follow/restored.go
@@ -220,7 +220,7 @@
 	newest := settings.NewStateIn(era)
 	for _, r := range page.Records {
 		s := f.readSnapshot(r)
-		if s != nil && s.Era() <= era && s.Offset() < head.Next && s.Offset() > newest.Offset() {
+		if s != nil && s.Era() <= era && s.Offset() < head.EndOffset && s.Offset() > newest.Offset() {
 			newest = s
 		}
 	}
@@ -249,7 +249,7 @@
 				f.keep(r)
 			}
 		}
-		if len(page.Records) == 0 || state.Offset() >= page.Next-1 {
+		if len(page.Records) == 0 || state.Offset() >= page.EndOffset-1 {
 			return state, nil
 		}
 	}
--- a/internal/follow/site_test.go
+++ b/internal/follow/site_test.go
@@ -99,7 +99,7 @@
 			return platform.Page{}, errAway
 		}
 		s := l.stream(name)
-		page := platform.Page{FirstKept: s.first, Next: s.next(), Era: l.era}
+		page := platform.Page{FirstKept: s.first, EndOffset: s.next(), Era: l.era}
 		for _, r := range s.records {
 			if r.Offset >= from && len(page.Records) < limit {
 				page.Records = append(page.Records, r)
--- a/internal/follow/snapshots.go
+++ b/internal/follow/snapshots.go
@@ -87,7 +87,7 @@
 		if err != nil {
 			return platform.Page{}, err
 		}
-		from = max(1, page.FirstKept, page.Next-latestSnapshots)
+		from = max(1, page.FirstKept, page.EndOffset-latestSnapshots)
 	}
 	return f.o.Log.Read(ctx, SnapshotStream, from, readLimit, 0)
 }
@@ -131,7 +131,7 @@
 	for _, r := range page.Records {
 		f.snapshots.see(r, f.readSnapshot(r))
 	}
-	f.snapshots.next = page.Next
+	f.snapshots.next = page.EndOffset
 	if !f.snapshotDue() {
 		return nil
 	}
--- a/internal/follow/tail.go
+++ b/internal/follow/tail.go
@@ -122,9 +122,9 @@
 	if page.Era != at.era {
 		return f.followEra(ctx, page, at.era)
 	}
-	if page.Next < from {
+	if page.EndOffset < from {
 		logBehind.Inc()
-		return merry.Errorf("settings log ends before offset %d, state is at %d", page.Next, from-1)
+		return merry.Errorf("settings log ends before offset %d, state is at %d", page.EndOffset, from-1)
 	}
 	if page.FirstKept > from {
 		trimmedGaps.Inc()
@@ -133,7 +133,7 @@
 	f.apply(at.era, recordsOf(page))
 	// What the page ended with was the newest when the log answered. That is
 	// after start, so start understates how recent the state is.
-	f.markCurrent(at.era, page.Next-1, start)
+	f.markCurrent(at.era, page.EndOffset-1, start)
 	return nil
 }
 
--- a/internal/keyed/copied.go
+++ b/internal/keyed/copied.go
@@ -80,7 +80,7 @@
 		c.recentFrom = c.recent[over-1].Offset + 1
 		c.recent = slices.Delete(c.recent, 0, over)
 	}
-	c.next = max(c.next, page.Next)
+	c.next = max(c.next, page.NextOffset)
 	c.prune()
 	return fresh
 }
@@ -98,13 +98,13 @@
 	for key, r := range c.records {
 		_, doubted := c.doubts.older[key]
 		if !listed[key] && (r.Value != nil && r.Era == c.era || doubted) {
-			c.put(platform.KeyedRecord{Era: c.era, Offset: page.Next - 1, Key: key})
+			c.put(platform.KeyedRecord{Era: c.era, Offset: page.NextOffset - 1, Key: key})
 		}
 	}
-	c.next = page.Next
+	c.next = page.NextOffset
 	c.add(page, nil)
 	c.miss(listed)
-	c.recent, c.recentFrom = nil, page.Next
+	c.recent, c.recentFrom = nil, page.NextOffset
 }
 
 // listedKeys returns the keys of which the store had values in a page's era.
--- a/internal/keyed/era.go
+++ b/internal/keyed/era.go
@@ -132,8 +132,8 @@
 // an offset on were all written in it. It returns the records by which what is known changes.
 func (c *copied) enter(page platform.KeyedPage, since time.Time, certain int64) []platform.KeyedRecord {
 	past := *c
-	c.era, c.next = page.Era, page.Next
-	c.recent, c.recentFrom = nil, page.Next
+	c.era, c.next = page.Era, page.NextOffset
+	c.recent, c.recentFrom = nil, page.NextOffset
 	c.changes++
 	c.doubts = newDoubts(since, certain)
 	var changed []platform.KeyedRecord
--- a/internal/keyed/fake_test.go
+++ b/internal/keyed/fake_test.go
@@ -60,7 +60,7 @@
 	for _, r := range seen {
 		newest[r.Key] = r
 	}
-	page := platform.KeyedPage{Next: int64(len(seen)), Era: s.era}
+	page := platform.KeyedPage{NextOffset: int64(len(seen)), Era: s.era}
 	for _, r := range newest {
 		if r.Value != nil {
 			page.Records = append(page.Records, r)
@@ -80,7 +80,7 @@
 	if from < s.kept || from > length && s.era > 0 {
 		return platform.KeyedPage{}, merry.Wrap(platform.ErrTrimmed)
 	}
-	return platform.KeyedPage{Records: slices.Clone(s.records[min(from, length):]), Next: length, Era: s.era}, nil
+	return platform.KeyedPage{Records: slices.Clone(s.records[min(from, length):]), NextOffset: length, Era: s.era}, nil
 }
 
 func (s *fakeStore) Put(context.Context, string, string, []byte) error { return nil }
--- a/internal/keyed/follower_test.go
+++ b/internal/keyed/follower_test.go
@@ -240,9 +240,9 @@
 
 func TestOnlyTheNewestRecordsAreKeptInOrder(t *testing.T) {
 	c := copied{next: -1, records: map[string]platform.KeyedRecord{}}
-	c.replace(platform.KeyedPage{Next: 0})
+	c.replace(platform.KeyedPage{NextOffset: 0})
 	for i := range int64(mostRecent + 10) {
-		c.add(platform.KeyedPage{Next: i + 1, Records: []platform.KeyedRecord{{Offset: i, Key: "k", Value: []byte("v")}}}, nil)
+		c.add(platform.KeyedPage{NextOffset: i + 1, Records: []platform.KeyedRecord{{Offset: i, Key: "k", Value: []byte("v")}}}, nil)
 	}
 	if n := len(c.since(15)); n != mostRecent-5 {
 		t.Errorf("%d records since 15", n)
--- a/internal/keyed/spread.go
+++ b/internal/keyed/spread.go
@@ -216,7 +216,7 @@
 func (f *Follower) takeReply(host string, reply SinceReply, records []platform.KeyedRecord, began time.Time, most time.Duration) bool {
 	at := f.position()
 	f.untold = f.untold || reply.Version < versionOfEras && at.era == platform.NoEra
-	page := platform.KeyedPage{Records: records, Next: reply.Next, Era: reply.Era}
+	page := platform.KeyedPage{Records: records, NextOffset: reply.Next, Era: reply.Era}
 	read := began.Add(reply.Held - reply.Age)
 	switch {
 	case at.next < 0 && reply.Age > most:
--- a/internal/keyed/take.go
+++ b/internal/keyed/take.go
@@ -80,7 +80,7 @@
 	err = f.date(&page)
 	switch {
 	case errors.Is(err, errLaterEra), f.knowsNothing():
-		f.takeEra(page, eraStart{since: began, certain: page.Next}, began, fromStore)
+		f.takeEra(page, eraStart{since: began, certain: page.NextOffset}, began, fromStore)
 		err = nil
 	case err == nil:
 		err = f.takeWhole(page, began, fromStore)
@@ -113,9 +113,9 @@
 func (f *Follower) takeWhole(page platform.KeyedPage, at time.Time, from string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if page.Next < f.copied.newest() {
+	if page.NextOffset < f.copied.newest() {
 		f.log.WithFields(logrus.Fields{
-			"next": page.Next, "known": f.copied.newest(), "era": page.Era, "from": from,
+			"next": page.NextOffset, "known": f.copied.newest(), "era": page.Era, "from": from,
 		}).Info("stream_copy_old")
 		return platform.ErrBusy
 	}
--- a/internal/obs/bytes.go
+++ b/internal/obs/bytes.go
@@ -32,12 +32,12 @@
 	}}
 }
 
-// Dial opens a connection.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens a connection.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // CountBytes wraps a Dial so that the bytes of its connections are counted under
 // a purpose.
-func CountBytes(purpose string, dial Dial) Dial {
+func CountBytes(purpose string, dial DialFunc) DialFunc {
 	sent := metrics.GetOrCreateCounter(fmt.Sprintf(`buckthorndock_control_sent_bytes_total{purpose=%q}`, purpose))
 	received := metrics.GetOrCreateCounter(fmt.Sprintf(`buckthorndock_control_received_bytes_total{purpose=%q}`, purpose))
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -149,7 +149,7 @@
 				o.opts.Logger.WithFields(fields{"offset": r.Offset}).WithError(err).Warn("order_record_refused")
 			}
 		}
-		if len(page.Records) == 0 || o.replay.Next() >= page.Next {
+		if len(page.Records) == 0 || o.replay.Next() >= page.EndOffset {
 			return nil
 		}
 	}
--- a/internal/owner/restored_test.go
+++ b/internal/owner/restored_test.go
@@ -21,8 +21,8 @@
 func (l *eraLog) Append(context.Context, string, [][]byte) (int64, error) { return 0, nil }
 
 func (l *eraLog) Read(_ context.Context, _ string, from int64, _ int, _ time.Duration) (platform.Page, error) {
-	page := platform.Page{FirstKept: 1, Next: int64(len(l.records)) + 1, Era: l.era}
-	if from < page.Next {
+	page := platform.Page{FirstKept: 1, EndOffset: int64(len(l.records)) + 1, Era: l.era}
+	if from < page.EndOffset {
 		page.Records = l.records[max(from, 1)-1:]
 	}
 	return page, nil
--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return Page{}, merry.Prependf(err, "read stream %s from %d", stream, from)
 	}
-	page := Page{FirstKept: res.FirstKept, Next: res.Next, Era: res.Era.Or(NoEra)}
+	page := Page{FirstKept: res.FirstKept, EndOffset: res.Next, Era: res.Era.Or(NoEra)}
 	for _, r := range res.Records {
 		page.Records = append(page.Records, Record{Offset: r.Offset, At: time.UnixMilli(r.AtMs), Data: r.Data})
 	}
--- a/internal/platform/keyed.go
+++ b/internal/platform/keyed.go
@@ -21,8 +21,8 @@
 
 // KeyedPage is what a read of a keyed stream returned, in the order of offsets.
 type KeyedPage struct {
-	Records []KeyedRecord
-	Next    int64 // offset to read on from
+	Records    []KeyedRecord
+	NextOffset int64 // offset to read on from
 	// Era rises each time that the store has come back from an older copy of itself: what it had
 	// taken in since is gone, and its offsets are given out again.
 	Era int64
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -15,7 +15,7 @@
 // Page is the answer to a read.
 type Page struct {
 	FirstKept int64 // lowest offset still kept
-	Next      int64 // offset that the next append gets
+	EndOffset int64 // offset that the next append gets
 	Records   []Record
 	// Era rises each time that the log has come back from an older copy of itself; NoEra: it never
 	// has. What was appended after that copy is gone, and its offsets are given out again.
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -44,7 +44,7 @@
 
 func TestLogOffsets(t *testing.T) {
 	c := platformClient(t, start(t, NewLog(LogOptions{})).Address)
-	if page := read(t, c, 1, 0); page.FirstKept != 1 || page.Next != 1 {
+	if page := read(t, c, 1, 0); page.FirstKept != 1 || page.EndOffset != 1 {
 		t.Fatalf("empty: %+v", page)
 	}
 	if first := appendOne(t, c, "a"); first != 1 {
@@ -55,7 +55,7 @@
 		t.Fatalf("offset %d, %v", first, err)
 	}
 	page := read(t, c, 2, 0)
-	if len(page.Records) != 3 || page.Next != 5 || page.Records[2].Offset != 4 {
+	if len(page.Records) != 3 || page.EndOffset != 5 || page.Records[2].Offset != 4 {
 		t.Fatalf("page %+v", page)
 	}
 	if !bytes.Equal(page.Records[0].Data, []byte{0, 255}) || string(page.Records[2].Data) != "d" {
@@ -77,7 +77,7 @@
 	if page := <-pages; len(page.Records) != 1 {
 		t.Fatalf("page %+v", page)
 	}
-	if page := read(t, c, 2, 10*time.Millisecond); len(page.Records) != 0 || page.Next != 2 {
+	if page := read(t, c, 2, 10*time.Millisecond); len(page.Records) != 0 || page.EndOffset != 2 {
 		t.Fatalf("after its wait: %+v", page)
 	}
 }
@@ -88,14 +88,14 @@
 		appendOne(t, c, fmt.Sprint(i))
 	}
 	page := read(t, c, 1, 0)
-	if page.FirstKept != 3 || page.Next != 6 || len(page.Records) != 3 || page.Records[0].Offset != 3 {
+	if page.FirstKept != 3 || page.EndOffset != 6 || len(page.Records) != 3 || page.Records[0].Offset != 3 {
 		t.Fatalf("by count: %+v", page)
 	}
 	aged := platformClient(t, start(t, NewLog(LogOptions{Retention: 20 * time.Millisecond})).Address)
 	appendOne(t, aged, "a")
 	eventually(t, "trimmed by age", func() bool {
 		page := read(t, aged, 1, 0)
-		return page.FirstKept == 2 && page.Next == 2
+		return page.FirstKept == 2 && page.EndOffset == 2
 	})
 	if first := appendOne(t, aged, "b"); first != 2 {
 		t.Fatalf("offset after a trim: %d", first)
@@ -108,8 +108,8 @@
 	if _, err := c.Append(context.Background(), "s", [][]byte{{1}}); err == nil {
 		t.Fatal("a second append in ten seconds was taken")
 	}
-	if page := read(t, c, 1, 0); page.Next != 2 {
-		t.Fatalf("next %d", page.Next)
+	if page := read(t, c, 1, 0); page.EndOffset != 2 {
+		t.Fatalf("next %d", page.EndOffset)
 	}
 }
 
@@ -121,7 +121,7 @@
 	if _, err := c.Append(context.Background(), "s", [][]byte{{1}}); err == nil {
 		t.Fatal("the answer was not dropped")
 	}
-	if page := read(t, c, 1, 0); page.Next != 2 {
+	if page := read(t, c, 1, 0); page.EndOffset != 2 {
 		t.Fatalf("the append took no effect: %+v", page)
 	}
 
@@ -149,7 +149,7 @@
 	if _, err := c.Read(context.Background(), "s", 1, 1, 0); err == nil {
 		t.Fatal("a read was not refused")
 	}
-	if page := read(t, c, 1, 0); page.Next != 5 {
+	if page := read(t, c, 1, 0); page.EndOffset != 5 {
 		t.Fatalf("after all faults: %+v", page)
 	}
 }
@@ -184,7 +184,7 @@
 	if err := l.SetFault(Fault{Kind: FaultFreeze}); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the late append", func() bool { return read(t, c, 1, 0).Next == 2 })
+	eventually(t, "the late append", func() bool { return read(t, c, 1, 0).EndOffset == 2 })
 }
 
 func TestHostsLag(t *testing.T) {
--- a/internal/suspects/keep_test.go
+++ b/internal/suspects/keep_test.go
@@ -76,7 +76,7 @@
 	for _, r := range m.records {
 		newest[r.Key] = r
 	}
-	page := platform.KeyedPage{Next: int64(len(m.records)), Era: m.era}
+	page := platform.KeyedPage{NextOffset: int64(len(m.records)), Era: m.era}
 	for _, r := range newest {
 		if r.Value != nil {
 			page.Records = append(page.Records, r)
@@ -94,7 +94,7 @@
 		if away {
 			return platform.KeyedPage{}, errAway
 		}
-		page := platform.KeyedPage{Next: int64(len(records)), Era: era}
+		page := platform.KeyedPage{NextOffset: int64(len(records)), Era: era}
 		if from < int64(len(records)) {
 			page.Records = records[from:]
 			return page, nil
@@ -130,7 +130,7 @@
 	if errors.Is(err, errBeyond) {
 		err = nil
 	}
-	page := platform.Page{FirstKept: 1, Next: kept.Next + 1, Era: kept.Era}
+	page := platform.Page{FirstKept: 1, EndOffset: kept.NextOffset + 1, Era: kept.Era}
 	for _, r := range kept.Records[:min(limit, len(kept.Records))] {
 		page.Records = append(page.Records, platform.Record{Offset: r.Offset + 1, Data: r.Value})
 	}
--- a/internal/suspects/store.go
+++ b/internal/suspects/store.go
@@ -69,7 +69,7 @@
 		s.reading = errors.Is(err, platform.ErrBusy)
 		return Batch{}, err
 	}
-	s.next = page.Next
+	s.next = page.NextOffset
 	return Batch{Records: keyedRecords(page)}, nil
 }
 
@@ -78,7 +78,7 @@
 	if err != nil {
 		return Batch{}, err
 	}
-	s.next, s.era, s.reading = page.Next, page.Era, true
+	s.next, s.era, s.reading = page.NextOffset, page.Era, true
 	slices.SortFunc(page.Records, func(a, b platform.KeyedRecord) int { return cmp.Compare(a.Offset, b.Offset) })
 	return Batch{Records: keyedRecords(page), Whole: true}, nil
 }
