--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -24,10 +24,10 @@
 		Customers: []Customer{{Name: "a", Token: "ta", Weight: 3}, {Name: "b", Token: "tb", Weight: 1}},
 		Classes: []Class{
 			{Name: "draft", Share: 3, Model: "m", Deadline: Duration(time.Second),
-				PromptTokens: Lengths{Min: 1000, Max: 100_000, TailShare: 0.02, TailMax: 1_000_000}, AnswerTokens: Lengths{Min: 8, Max: 8}},
+				PromptTokens: LengthDistribution{Min: 1000, Max: 100_000, TailShare: 0.02, TailMax: 1_000_000}, AnswerTokens: LengthDistribution{Min: 8, Max: 8}},
 			{Name: "stock", Share: 1, Service: "s", Operation: "o", Deadline: Duration(time.Second), Customers: []string{"b"}},
 			{Name: "archive", Count: 2, Model: "m", Deadline: Duration(time.Second),
-				PromptTokens: Lengths{Min: 1_000_000, Max: 1_000_000}, AnswerTokens: Lengths{Min: 8, Max: 8}},
+				PromptTokens: LengthDistribution{Min: 1_000_000, Max: 1_000_000}, AnswerTokens: LengthDistribution{Min: 8, Max: 8}},
 		},
 	}
 }
@@ -61,11 +61,11 @@
 		}
 		if a.Class.Name == "draft" {
 			completions++
-			if a.LengthTokens > 100_000 {
+			if a.UnscaledPromptTokens > 100_000 {
 				tail++
 			}
-			if a.PromptTokens != scaleTokens(a.LengthTokens, 0.5) {
-				t.Fatalf("length %d scaled to %d", a.LengthTokens, a.PromptTokens)
+			if a.PromptTokens != scaleTokens(a.UnscaledPromptTokens, 0.5) {
+				t.Fatalf("length %d scaled to %d", a.UnscaledPromptTokens, a.PromptTokens)
 			}
 		}
 	}
@@ -81,12 +81,12 @@
 func TestShortsAreTheSameRequests(t *testing.T) {
 	m := testMix()
 	all := Schedule(m, Scale{}, 1)
-	short := ShortsOf(m, all)
+	short := ShortArrivals(m, all)
 	if len(short) == 0 || len(short) >= len(all) {
 		t.Fatalf("%d short of %d", len(short), len(all))
 	}
 	for _, a := range short {
-		if !reflect.DeepEqual(a, all[a.Seq]) || !a.Short(m) {
+		if !reflect.DeepEqual(a, all[a.Seq]) || !a.IsShort(m) {
 			t.Fatalf("short request %d differs from the one in the mix", a.Seq)
 		}
 	}
@@ -94,7 +94,7 @@
 
 // record builds a record of the first class of the mix.
 func record(m *Mix, customer int, tokens int, started, total, first time.Duration, o request.Outcome) Record {
-	a := &Arrival{Class: &m.Classes[0], Customer: &m.Customers[customer], LengthTokens: tokens, Deadline: time.Second, At: started}
+	a := &Arrival{Class: &m.Classes[0], Customer: &m.Customers[customer], UnscaledPromptTokens: tokens, Deadline: time.Second, At: started}
 	return Record{Arrival: a, Started: started, Ended: started + total, Total: total, FirstToken: first, Outcome: o}
 }
 
@@ -104,7 +104,7 @@
 	wrong := record(m, 1, 2000, 0, time.Second, 400*time.Millisecond, request.Complete)
 	wrong.Mismatch = true
 	refused := record(m, 0, 2000, 5*time.Second, 3*time.Second, 0, request.NotRun)
-	refused.RetryAfter, refused.RetriedAt, refused.RefusedIn = time.Second, 6*time.Second, 2*time.Millisecond
+	refused.RetryAfter, refused.RetriedAt, refused.RefusalLatency = time.Second, 6*time.Second, 2*time.Millisecond
 	records := []Record{
 		late, wrong, refused,
 		record(m, 0, 500_000, 0, time.Second, 900*time.Millisecond, request.Failed),
--- a/internal/bench/compare.go
+++ b/internal/bench/compare.go
@@ -18,12 +18,12 @@
 	Policy   string        `json:"policy"`
 	Mix      *Report       `json:"mix"`
 	Alone    *Report       `json:"alone"` // the short requests alone, same seed
-	Slowdown SlowdownShort `json:"slowdown_of_short"`
+	Slowdown ShortSlowdown `json:"slowdown_of_short"`
 }
 
-// SlowdownShort is the first token of short requests in the mix against the same
+// ShortSlowdown is the first token of short requests in the mix against the same
 // requests alone.
-type SlowdownShort struct {
+type ShortSlowdown struct {
 	MixP95Ms   float64 `json:"mix_p95_ms"`
 	AloneP95Ms float64 `json:"alone_p95_ms"`
 	Ratio      float64 `json:"ratio"`
@@ -36,8 +36,8 @@
 	SetPolicy func(ctx context.Context, policy string) error
 	// Send sends a schedule; Run with its options in practice.
 	Send func(ctx context.Context, arrivals []Arrival) []Record
-	// Rest is the time between two runs, in which the site comes to rest.
-	Rest time.Duration
+	// Pause is the time between two runs, in which the site comes to rest.
+	Pause time.Duration
 	// Daemons is the number of daemons that take the load.
 	Daemons int
 }
@@ -45,14 +45,14 @@
 // Compare runs a mix and its short requests alone under each policy.
 func Compare(ctx context.Context, m *Mix, s Scale, seed uint64, o CompareOptions) (*Comparison, error) {
 	arrivals := Schedule(m, s, seed)
-	alone := ShortsOf(m, arrivals)
+	alone := ShortArrivals(m, arrivals)
 	c := &Comparison{}
 	for _, policy := range o.Policies {
 		if err := o.SetPolicy(ctx, policy); err != nil {
 			return nil, merry.Prependf(err, "set policy %s", policy)
 		}
 		report := func(as []Arrival) *Report {
-			wait.For(ctx, o.Rest)
+			wait.For(ctx, o.Pause)
 			r := NewReport(m, s, seed, o.Daemons, o.Send(ctx, as))
 			r.Policy = policy
 			return r
@@ -67,8 +67,8 @@
 	return c, nil
 }
 
-func newSlowdown(mix, alone *Report) SlowdownShort {
-	s := SlowdownShort{MixP95Ms: mix.Short.FirstTokenMs.P95, AloneP95Ms: alone.Short.FirstTokenMs.P95}
+func newSlowdown(mix, alone *Report) ShortSlowdown {
+	s := ShortSlowdown{MixP95Ms: mix.Short.FirstTokenMs.P95, AloneP95Ms: alone.Short.FirstTokenMs.P95}
 	s.Ratio = ratio(s.MixP95Ms, s.AloneP95Ms)
 	return s
 }
--- a/internal/bench/mix.go
+++ b/internal/bench/mix.go
@@ -40,33 +40,33 @@
 // plain service. Share gives it a part of the mix's rate, Count a fixed number of
 // requests beside that rate.
 type Class struct {
-	Name          string   `yaml:"name"`
-	Share         float64  `yaml:"share,omitempty"` // relative to the other classes
-	Count         int      `yaml:"count,omitempty"`
-	Model         string   `yaml:"model,omitempty"`
-	Service       string   `yaml:"service,omitempty"`
-	Operation     string   `yaml:"operation,omitempty"`
-	Priority      string   `yaml:"priority,omitempty"`
-	Deadline      Duration `yaml:"deadline"`
-	Keyed         bool     `yaml:"keyed,omitempty"`          // each request has an idempotency key
-	NotRepeatable bool     `yaml:"not_repeatable,omitempty"` // each request runs at most once
-	PromptTokens  Lengths  `yaml:"prompt_tokens,omitempty"`
-	AnswerTokens  Lengths  `yaml:"answer_tokens,omitempty"`
-	Prefix        *Prefix  `yaml:"shared_prefix,omitempty"`
-	Customers     []string `yaml:"customers,omitempty"` // empty: all
+	Name          string             `yaml:"name"`
+	Share         float64            `yaml:"share,omitempty"` // relative to the other classes
+	Count         int                `yaml:"count,omitempty"`
+	Model         string             `yaml:"model,omitempty"`
+	Service       string             `yaml:"service,omitempty"`
+	Operation     string             `yaml:"operation,omitempty"`
+	Priority      string             `yaml:"priority,omitempty"`
+	Deadline      Duration           `yaml:"deadline"`
+	Keyed         bool               `yaml:"keyed,omitempty"`          // each request has an idempotency key
+	NotRepeatable bool               `yaml:"not_repeatable,omitempty"` // each request runs at most once
+	PromptTokens  LengthDistribution `yaml:"prompt_tokens,omitempty"`
+	AnswerTokens  LengthDistribution `yaml:"answer_tokens,omitempty"`
+	SharedPrefix  *SharedPrefix      `yaml:"shared_prefix,omitempty"`
+	Customers     []string           `yaml:"customers,omitempty"` // empty: all
 }
 
-// Lengths is a log-uniform distribution from Min to Max. A share of TailShare is
+// LengthDistribution is a log-uniform distribution from Min to Max. A share of TailShare is
 // drawn from Max to TailMax instead.
-type Lengths struct {
+type LengthDistribution struct {
 	Min       int     `yaml:"min"`
 	Max       int     `yaml:"max"`
 	TailShare float64 `yaml:"tail_share,omitempty"`
 	TailMax   int     `yaml:"tail_max,omitempty"`
 }
 
-// Prefix is text that the prompts of a class have in common.
-type Prefix struct {
+// SharedPrefix is text that the prompts of a class have in common.
+type SharedPrefix struct {
 	Tokens   int `yaml:"tokens"`
 	Variants int `yaml:"variants"` // number of different prefixes
 }
@@ -172,7 +172,7 @@
 	if !c.AnswerTokens.valid() {
 		bad(key+".answer_tokens", "needs 1 <= min <= max, and with a tail_share a tail_max above max")
 	}
-	if c.Prefix != nil && (c.Prefix.Tokens < 1 || c.Prefix.Variants < 1) {
+	if c.SharedPrefix != nil && (c.SharedPrefix.Tokens < 1 || c.SharedPrefix.Variants < 1) {
 		bad(key+".shared_prefix", "needs tokens and variants of at least 1")
 	}
 }
@@ -185,7 +185,7 @@
 	return total
 }
 
-func (l Lengths) valid() bool {
+func (l LengthDistribution) valid() bool {
 	tail := l.TailShare == 0 || (l.TailShare > 0 && l.TailShare <= 1 && l.TailMax > l.Max)
 	return l.Min >= 1 && l.Max >= l.Min && tail
 }
--- a/internal/bench/prompts.go
+++ b/internal/bench/prompts.go
@@ -35,14 +35,14 @@
 
 // shared returns the prefix that the arrival has in common with others.
 func (p *promptSource) shared(a *Arrival) string {
-	if a.Class.Prefix == nil {
+	if a.Class.SharedPrefix == nil {
 		return ""
 	}
 	key := fmt.Sprintf("%s %d", a.Class.Name, a.Variant)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, ok := p.head[key]; !ok {
-		text := caller.Prompt(a.Class.Prefix.Tokens, p.seed+uint64(a.Variant)+1)
+		text := caller.Prompt(a.Class.SharedPrefix.Tokens, p.seed+uint64(a.Variant)+1)
 		p.head[key] = key + " " + text
 	}
 	return p.head[key]
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -43,19 +43,19 @@
 	RetryAfterSeen int            `json:"retry_after_seen"`
 	GoodShare      float64        `json:"good_share"` // right answers in time
 	FirstTokenMs   Quantiles      `json:"first_token_ms"`
-	BetweenTokenMs Quantiles      `json:"between_token_ms"`
+	InterTokenMs   Quantiles      `json:"between_token_ms"`
 	StalledS       float64        `json:"stalled_s"` // longest time with requests waiting and none completed
 	Codes          map[string]int `json:"codes,omitempty"`
 }
 
 // Retries tells how clients came back after a Retry-After.
 type Retries struct {
-	Count         int       `json:"count"`
-	Amplification float64   `json:"amplification"` // attempts for each request
-	PeakPerS      int       `json:"peak_per_s"`
-	MeanPerS      float64   `json:"mean_per_s"` // from the first second with one to the last
-	PeakToMean    float64   `json:"peak_to_mean"`
-	RefusedInMs   Quantiles `json:"refused_in_ms"`
+	Count            int       `json:"count"`
+	Amplification    float64   `json:"amplification"` // attempts for each request
+	PeakPerS         int       `json:"peak_per_s"`
+	MeanPerS         float64   `json:"mean_per_s"` // from the first second with one to the last
+	PeakToMean       float64   `json:"peak_to_mean"`
+	RefusalLatencyMs Quantiles `json:"refused_in_ms"`
 }
 
 // Fairness compares the customers' first tokens.
@@ -118,7 +118,7 @@
 	}
 	all := pointers(records)
 	r.All = newRow("", "", all)
-	r.Short = newRow("", "", filter(all, func(x *Record) bool { return x.Arrival.Short(m) }))
+	r.Short = newRow("", "", filter(all, func(x *Record) bool { return x.Arrival.IsShort(m) }))
 	r.addGroups(m, all)
 	r.Retries = newRetries(all)
 	r.Fairness = newFairness(m, all)
@@ -142,14 +142,14 @@
 		}
 		r.Classes = append(r.Classes, newRow(c.Name, "", of))
 		for _, b := range buckets {
-			cell := filter(of, func(x *Record) bool { return completion(x) && bucketOf(x.Arrival.LengthTokens) == b.name })
+			cell := filter(of, func(x *Record) bool { return completion(x) && bucketOf(x.Arrival.UnscaledPromptTokens) == b.name })
 			if len(cell) > 0 {
 				r.Cells = append(r.Cells, newRow(c.Name, b.name, cell))
 			}
 		}
 	}
 	for _, b := range buckets {
-		of := filter(all, func(x *Record) bool { return completion(x) && bucketOf(x.Arrival.LengthTokens) == b.name })
+		of := filter(all, func(x *Record) bool { return completion(x) && bucketOf(x.Arrival.UnscaledPromptTokens) == b.name })
 		if len(of) > 0 {
 			r.Buckets = append(r.Buckets, newRow("", b.name, of))
 		}
@@ -175,7 +175,7 @@
 	if len(records) > 0 {
 		row.GoodShare = float64(good) / float64(len(records))
 	}
-	row.FirstTokenMs, row.BetweenTokenMs = first.quantiles(), between.quantiles()
+	row.FirstTokenMs, row.InterTokenMs = first.quantiles(), between.quantiles()
 	return row
 }
 
@@ -236,14 +236,14 @@
 	r := Retries{}
 	for _, x := range records {
 		if x.RetryAfter > 0 {
-			refused.record(x.RefusedIn)
+			refused.record(x.RefusalLatency)
 		}
 		if x.RetriedAt > 0 {
 			r.Count++
 			perSecond[int(x.RetriedAt/time.Second)]++
 		}
 	}
-	r.RefusedInMs = refused.quantiles()
+	r.RefusalLatencyMs = refused.quantiles()
 	if len(records) > 0 {
 		r.Amplification = float64(len(records)+r.Count) / float64(len(records))
 	}
@@ -268,7 +268,7 @@
 func newFairness(m *Mix, records []*Record) Fairness {
 	byCustomer := map[string]*histogram{}
 	for _, x := range records {
-		if !x.Arrival.Short(m) || x.FirstToken == 0 {
+		if !x.Arrival.IsShort(m) || x.FirstToken == 0 {
 			continue
 		}
 		name := x.Arrival.Customer.Name
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -28,19 +28,19 @@
 // Record is the end of one request: of its last attempt when the client came
 // back after a Retry-After.
 type Record struct {
-	Arrival    *Arrival
-	Started    time.Duration // from the start of the run
-	Ended      time.Duration
-	Outcome    request.Outcome
-	Code       request.Code
-	RequestID  string
-	Mismatch   bool // complete, and not the answer to its own prompt
-	FirstToken time.Duration
-	Total      time.Duration // from the arrival to the end, waits included
-	Gaps       []time.Duration
-	RetryAfter time.Duration // of the first refusal, zero without one
-	RetriedAt  time.Duration // when the client came back, zero when it did not
-	RefusedIn  time.Duration // how long the first refusal took, zero without one
+	Arrival        *Arrival
+	Started        time.Duration // from the start of the run
+	Ended          time.Duration
+	Outcome        request.Outcome
+	Code           request.Code
+	RequestID      string
+	Mismatch       bool // complete, and not the answer to its own prompt
+	FirstToken     time.Duration
+	Total          time.Duration // from the arrival to the end, waits included
+	Gaps           []time.Duration
+	RetryAfter     time.Duration // of the first refusal, zero without one
+	RetriedAt      time.Duration // when the client came back, zero when it did not
+	RefusalLatency time.Duration // how long the first refusal took, zero without one
 }
 
 // Late says that the answer was whole, but after its deadline.
@@ -92,7 +92,7 @@
 	rec := Record{Arrival: a, Started: time.Since(r.start)}
 	res := r.client.Do(ctx, call, nil)
 	if res.Outcome == request.NotRun && res.RetryAfter > 0 {
-		rec.RetryAfter, rec.RefusedIn = res.RetryAfter, res.Total
+		rec.RetryAfter, rec.RefusalLatency = res.RetryAfter, res.Total
 		if wait.For(ctx, res.RetryAfter) {
 			rec.RetriedAt = time.Since(r.start)
 			call.Address = r.opts.Addresses[(a.Seq+1)%len(r.opts.Addresses)]
@@ -121,7 +121,7 @@
 	}
 	if a.Class.Service != "" {
 		body := fmt.Sprintf(`{"ref":"%016x"}`, a.Unique)
-		c.Service = &caller.Service{Name: a.Class.Service, Operation: a.Class.Operation, Body: json.RawMessage(body)}
+		c.Service = &caller.ServiceCall{Name: a.Class.Service, Operation: a.Class.Operation, Body: json.RawMessage(body)}
 		return c, func(answer string) bool {
 			return r.opts.VerifyService == nil || r.opts.VerifyService(body, answer)
 		}
--- a/internal/bench/schedule.go
+++ b/internal/bench/schedule.go
@@ -19,21 +19,21 @@
 
 // Arrival is one request of a schedule.
 type Arrival struct {
-	Seq          int           // position in the whole schedule
-	At           time.Duration // from the start
-	Class        *Class
-	Customer     *Customer
-	Deadline     time.Duration
-	LengthTokens int    // prompt length before scaling; it gives the bucket
-	PromptTokens int    // after scaling
-	AnswerTokens int    // after scaling
-	Variant      int    // of the shared prefix
-	Unique       uint64 // makes the prompt and the key differ from all others
+	Seq                  int           // position in the whole schedule
+	At                   time.Duration // from the start
+	Class                *Class
+	Customer             *Customer
+	Deadline             time.Duration
+	UnscaledPromptTokens int    // prompt length before scaling; it gives the bucket
+	PromptTokens         int    // after scaling
+	AnswerTokens         int    // after scaling
+	Variant              int    // of the shared prefix
+	Unique               uint64 // makes the prompt and the key differ from all others
 }
 
-// Short says that the arrival is a completion with a short prompt.
-func (a *Arrival) Short(m *Mix) bool {
-	return a.Class.Model != "" && a.LengthTokens < m.ShortBelowTokens
+// IsShort says that the arrival is a completion with a short prompt.
+func (a *Arrival) IsShort(m *Mix) bool {
+	return a.Class.Model != "" && a.UnscaledPromptTokens < m.ShortBelowTokens
 }
 
 // Schedule returns the arrivals of a mix in the order of their time. They follow
@@ -63,11 +63,11 @@
 	return arrivals
 }
 
-// ShortsOf returns the short requests of a schedule, at the same times.
-func ShortsOf(m *Mix, arrivals []Arrival) []Arrival {
+// ShortArrivals returns the short requests of a schedule, at the same times.
+func ShortArrivals(m *Mix, arrivals []Arrival) []Arrival {
 	var short []Arrival
 	for _, a := range arrivals {
-		if a.Short(m) {
+		if a.IsShort(m) {
 			short = append(short, a)
 		}
 	}
@@ -91,11 +91,11 @@
 	if c.Model == "" {
 		return a
 	}
-	a.LengthTokens = c.PromptTokens.draw(rng)
-	a.PromptTokens = scaleTokens(a.LengthTokens, s.Lengths)
+	a.UnscaledPromptTokens = c.PromptTokens.draw(rng)
+	a.PromptTokens = scaleTokens(a.UnscaledPromptTokens, s.Lengths)
 	a.AnswerTokens = scaleTokens(c.AnswerTokens.draw(rng), s.Answers)
-	if c.Prefix != nil {
-		a.Variant = rng.IntN(c.Prefix.Variants)
+	if c.SharedPrefix != nil {
+		a.Variant = rng.IntN(c.SharedPrefix.Variants)
 	}
 	return a
 }
@@ -142,7 +142,7 @@
 	return len(c.Customers) == 0
 }
 
-func (l Lengths) draw(rng *rand.Rand) int {
+func (l LengthDistribution) draw(rng *rand.Rand) int {
 	lo, hi := l.Min, l.Max
 	if rng.Float64() < l.TailShare {
 		lo, hi = l.Max, l.TailMax
--- a/internal/bench/text.go
+++ b/internal/bench/text.go
@@ -34,7 +34,7 @@
 	r.Short.write(tw, fmt.Sprintf("below %d", r.ShortBelowTokens))
 	tw.Flush()
 	fmt.Fprintf(w, "\nretries %d, attempts a request %.3f, peak %d a second, peak to mean %.2f, refused in p95 %.1f ms\n",
-		r.Retries.Count, r.Retries.Amplification, r.Retries.PeakPerS, r.Retries.PeakToMean, r.Retries.RefusedInMs.P95)
+		r.Retries.Count, r.Retries.Amplification, r.Retries.PeakPerS, r.Retries.PeakToMean, r.Retries.RefusalLatencyMs.P95)
 	fmt.Fprintf(w, "customers: worst %s with p95 %.1f ms, median %.1f ms, ratio %.2f\n",
 		r.Fairness.WorstCustomer, r.Fairness.WorstP95Ms, r.Fairness.MedianP95Ms, r.Fairness.Ratio)
 	if len(r.All.Codes) > 0 {
@@ -47,7 +47,7 @@
 	f := r.FirstTokenMs
 	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f%%\t%.1f s\t\n",
 		name, r.Sent, r.Complete, r.NotRun, r.Failed, r.Unknown, r.Late, r.Mismatched,
-		f.P50, f.P95, f.P99, r.BetweenTokenMs.P95, 100*r.GoodShare, r.StalledS)
+		f.P50, f.P95, f.P99, r.InterTokenMs.P95, 100*r.GoodShare, r.StalledS)
 }
 
 // codes lists how often each code was given, by name.
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -148,7 +148,7 @@
 		Policies:  c.StringSlice(flagPolicy),
 		SetPolicy: setter.set,
 		Send:      send,
-		Rest:      c.Duration(flagRest),
+		Pause:     c.Duration(flagRest),
 		Daemons:   len(list),
 	})
 	restoreErr := setter.restore(context.WithoutCancel(ctx))
--- a/internal/cli/call.go
+++ b/internal/cli/call.go
@@ -129,7 +129,7 @@
 	if !json.Valid([]byte(body)) {
 		return exitf(ExitUsage, "the body is not JSON")
 	}
-	return sendCalls(ctx, c, caller.Call{Service: &caller.Service{
+	return sendCalls(ctx, c, caller.Call{Service: &caller.ServiceCall{
 		Name: c.Args().Get(0), Operation: c.Args().Get(1), Body: json.RawMessage(body),
 	}})
 }
--- a/internal/cli/caller/caller.go
+++ b/internal/cli/caller/caller.go
@@ -42,7 +42,7 @@
 
 	Completion *Completion
 	Chat       *Chat
-	Service    *Service
+	Service    *ServiceCall
 
 	Deadline      time.Duration // zero: the daemon's default
 	Priority      string        // empty: the daemon's default
@@ -72,8 +72,8 @@
 	Content string `json:"content"`
 }
 
-// Service is a call of a plain service.
-type Service struct {
+// ServiceCall is a call of a plain service.
+type ServiceCall struct {
 	Name      string
 	Operation string
 	Body      json.RawMessage
--- a/test/bench/summary/engines.go
+++ b/test/bench/summary/engines.go
@@ -10,8 +10,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/standin"
 )
 
-// EngineUse tells what engines ran that was of no use to a caller.
-type EngineUse struct {
+// EngineRuns tells what engines ran that was of no use to a caller.
+type EngineRuns struct {
 	Runs            int `json:"runs"`              // executions that an engine began
 	RanAfterRefusal int `json:"ran_after_refusal"` // of requests that were refused as not run
 }
@@ -21,7 +21,7 @@
 
 // engineUse sets what the engines of a site began beside the ends that its daemons
 // have logged. It returns nil without a record of the engines.
-func engineUse(dir string) (*EngineUse, error) {
+func engineUse(dir string) (*EngineRuns, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "witness-*.jsonl"))
 	if err != nil || len(files) == 0 {
 		return nil, err
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, err
 	}
-	use := &EngineUse{}
+	use := &EngineRuns{}
 	for _, file := range files {
 		err := eachLine(file, func(line []byte) {
 			var run standin.Run
--- a/test/bench/summary/main.go
+++ b/test/bench/summary/main.go
@@ -30,7 +30,7 @@
 	Wake     *bench.Report     `json:"wake,omitempty"`
 	Faults   *bench.Report     `json:"faults,omitempty"`    // an engine killed and one stopped in the middle
 	FourLeft *bench.Report     `json:"four_left,omitempty"` // the same arrivals with both gone
-	Engines  *EngineUse        `json:"engines,omitempty"`
+	Engines  *EngineRuns       `json:"engines,omitempty"`
 }
 
 func main() {
--- a/test/bench/summary/targets.go
+++ b/test/bench/summary/targets.go
@@ -10,12 +10,12 @@
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Bound float64 `json:"bound"`
-	Least bool    `json:"least"` // the bound is the least value, not the most
+	IsMin bool    `json:"least"` // the bound is the least value, not the most
 	Met   bool    `json:"met"`
 }
 
 func (t *Target) sign() string {
-	if t.Least {
+	if t.IsMin {
 		return ">="
 	}
 	return "<="
@@ -33,7 +33,7 @@
 }
 
 func atLeast(name string, value, bound float64) Target {
-	return Target{Name: name, Value: value, Bound: bound, Least: true, Met: value >= bound}
+	return Target{Name: name, Value: value, Bound: bound, IsMin: true, Met: value >= bound}
 }
 
 // longBuckets are those whose first tokens must not pay for the short ones.
@@ -120,7 +120,7 @@
 	good := func(r *bench.Report) float64 { return r.All.GoodShare * float64(r.All.Sent) }
 	return []Target{
 		atLeast("answers in time at 150% load / at 100%", good(over)/good(full), 0.9),
-		atMost("refusals at 150% load p95, ms", over.Retries.RefusedInMs.P95, 50),
+		atMost("refusals at 150% load p95, ms", over.Retries.RefusalLatencyMs.P95, 50),
 	}
 }
 
