--- a/internal/cli/verify.go
+++ b/internal/cli/verify.go
@@ -11,7 +11,7 @@
 // verifyCompletion says whether an answer is the one that a stand-in engine gives
 // to the prompt.
 func verifyCompletion(prompt string, answerTokens int, got string) bool {
-	return got == answer.Whole(prompt, answerTokens)
+	return got == answer.FullText(prompt, answerTokens)
 }
 
 // echo is the part of a stand-in service's answer that names its request.
--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -21,8 +21,8 @@
 	return Seed(xxhash.Sum64String(prompt))
 }
 
-// Text returns the token at an index counted from 0.
-func (s Seed) Text(index int) string {
+// Token returns the token at an index counted from 0.
+func (s Seed) Token(index int) string {
 	h := uint64(s) + uint64(index+1)*0x9e3779b97f4a7c15
 	h ^= h >> 31
 	h *= 0xbf58476d1ce4e5b9
@@ -30,17 +30,17 @@
 	return fmt.Sprintf(" w%04x", h&0xffff)
 }
 
-// Text returns the token of a prompt's answer at an index counted from 0.
-func Text(prompt string, index int) string {
-	return NewSeed(prompt).Text(index)
+// Token returns the token of a prompt's answer at an index counted from 0.
+func Token(prompt string, index int) string {
+	return NewSeed(prompt).Token(index)
 }
 
-// Whole returns the first n tokens of a prompt's answer, joined.
-func Whole(prompt string, n int) string {
+// FullText returns the first n tokens of a prompt's answer, joined.
+func FullText(prompt string, n int) string {
 	seed := NewSeed(prompt)
 	var b strings.Builder
 	for i := range n {
-		b.WriteString(seed.Text(i))
+		b.WriteString(seed.Token(i))
 	}
 	return b.String()
 }
--- a/internal/standin/answer/answer_test.go
+++ b/internal/standin/answer/answer_test.go
@@ -14,15 +14,15 @@
 	props.Property("tokens join to the whole", prop.ForAll(func(prompt string, n int) bool {
 		text := ""
 		for i := range n {
-			text += Text(prompt, i)
+			text += Token(prompt, i)
 		}
-		return text == Whole(prompt, n) && len(strings.Fields(text)) == n
+		return text == FullText(prompt, n) && len(strings.Fields(text)) == n
 	}, gen.AnyString(), gen.IntRange(0, 50)))
 	props.Property("another prompt has another answer", prop.ForAll(func(prompt string) bool {
-		return Whole(prompt, 8) != Whole(prompt+"x", 8) && Whole(prompt, 8) != Whole("x"+prompt, 8)
+		return FullText(prompt, 8) != FullText(prompt+"x", 8) && FullText(prompt, 8) != FullText("x"+prompt, 8)
 	}, gen.AnyString()))
 	props.Property("no token stands for its neighbours", prop.ForAll(func(prompt string) bool {
-		tokens := strings.Fields(Whole(prompt, 20))
+		tokens := strings.Fields(FullText(prompt, 20))
 		return strings.Join(tokens[:10], " ") != strings.Join(tokens[10:], " ")
 	}, gen.AnyString()))
 	props.TestingRun(t)
--- a/internal/standin/engine_chunks.go
+++ b/internal/standin/engine_chunks.go
@@ -93,7 +93,7 @@
 		}
 	}
 	x := c.chunk()
-	x.Text = c.run.seed.Text(c.next)
+	x.Text = c.run.seed.Token(c.next)
 	if c.next == c.run.req.ResumeFrom {
 		x.CachedTokens = &p.cached
 	}
@@ -104,13 +104,13 @@
 func (c *chunkWriter) sendForeign() error {
 	other := c.chunk()
 	other.RequestID = foreignRequest + other.RequestID
-	other.Text = c.run.seed.Text(c.next + 1)
+	other.Text = c.run.seed.Token(c.next + 1)
 	if err := c.write(other); err != nil {
 		return err
 	}
 	late := c.chunk()
 	late.Attempt++
-	late.Text = c.run.seed.Text(c.next + 2)
+	late.Text = c.run.seed.Token(c.next + 2)
 	late.Done = c.next%2 == 1
 	return c.write(late)
 }
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -20,7 +20,7 @@
 		req := generateRequest(fmt.Sprintf("r%d", i), prompt, 1+i%20)
 		wg.Go(func() {
 			all, _ := chunks(t, open(t, context.Background(), s.Address, req))
-			if got, want := whole(t, req, all), answer.Whole(prompt, req.MaxTokens); got != want {
+			if got, want := whole(t, req, all), answer.FullText(prompt, req.MaxTokens); got != want {
 				t.Errorf("%s: %q, want %q", req.RequestID, got, want)
 			}
 		})
@@ -52,7 +52,7 @@
 	}
 	req.ResumeFrom = 7
 	all, _ := chunks(t, open(t, context.Background(), s.Address, req))
-	if got := answer.Whole(req.Prompt, 7) + whole(t, req, all); got != answer.Whole(req.Prompt, 60) {
+	if got := answer.FullText(req.Prompt, 7) + whole(t, req, all); got != answer.FullText(req.Prompt, 60) {
 		t.Fatalf("resumed: %q", got)
 	}
 	eventually(t, "books empty", func() bool { return len(books(t, e).Running) == 0 })
@@ -67,7 +67,7 @@
 	first := open(t, context.Background(), s.Address, req)
 	second := open(t, context.Background(), s.Address, req)
 	all, _ := chunks(t, second)
-	if whole(t, req, all) != answer.Whole(req.Prompt, 60) {
+	if whole(t, req, all) != answer.FullText(req.Prompt, 60) {
 		t.Fatal("wrong answer")
 	}
 	old, _ := chunks(t, first)
--- a/internal/standin/reserve_test.go
+++ b/internal/standin/reserve_test.go
@@ -121,7 +121,7 @@
 	release(t, engines[2], "g")
 	reserve(t, engines[2], "g", 9_000)
 	all, _ := chunks(t, open(t, context.Background(), addresses[0], req))
-	if whole(t, req, all) != answer.Whole(req.Prompt, 10) {
+	if whole(t, req, all) != answer.FullText(req.Prompt, 10) {
 		t.Fatal("wrong answer")
 	}
 	release(t, engines[2], "other")
--- a/internal/standin/stream_fault_test.go
+++ b/internal/standin/stream_fault_test.go
@@ -32,7 +32,7 @@
 	if foreign != 8 || late != 8 || garbage == 0 {
 		t.Fatalf("foreign %d, late %d, garbage %d", foreign, late, garbage)
 	}
-	if whole(t, req, own) != answer.Whole(req.Prompt, 8) {
+	if whole(t, req, own) != answer.FullText(req.Prompt, 8) {
 		t.Fatal("wrong answer")
 	}
 }
--- a/test/scenarios/commands_test.go
+++ b/test/scenarios/commands_test.go
@@ -172,7 +172,7 @@
 		prompt = strings.TrimSuffix(prompt, "\n")
 	}
 	// The command-line tool ends what it prints by a newline.
-	text := answer.Whole(prompt, n) + "\n"
+	text := answer.FullText(prompt, n) + "\n"
 	ts.Check(os.WriteFile(ts.MkAbs(args[0]), []byte(text), 0o600))
 }
 
--- a/test/scenarios/crowd_test.go
+++ b/test/scenarios/crowd_test.go
@@ -85,7 +85,7 @@
 	if err := json.Unmarshal(text, &a); err != nil {
 		return err
 	}
-	if len(a.Choices) != 1 || a.Choices[0].Text != answer.Whole(prompt, tokens) {
+	if len(a.Choices) != 1 || a.Choices[0].Text != answer.FullText(prompt, tokens) {
 		return fmt.Errorf("another answer than that to %q", prompt)
 	}
 	return nil
--- a/test/scenarios/rush_test.go
+++ b/test/scenarios/rush_test.go
@@ -99,7 +99,7 @@
 	if err := json.Unmarshal(text, &got); err != nil {
 		return err
 	}
-	if want := answer.Whole(c.Prompt, c.MaxTokens); len(got.Choices) != 1 || got.Choices[0].Text != want {
+	if want := answer.FullText(c.Prompt, c.MaxTokens); len(got.Choices) != 1 || got.Choices[0].Text != want {
 		return fmt.Errorf("%.12s: not its own answer: %s", c.Prompt, text)
 	}
 	return nil
