--- a/internal/edge/evacuations.go
+++ b/internal/edge/evacuations.go
@@ -14,7 +14,7 @@
 	var wishes []fleet.EvacuationRecord
 	var unreadable []string
 	for _, r := range b.Records {
-		domain, is := p.provider.EvacuationOf(r.Key)
+		domain, is := p.provider.EvacuationDomain(r.Key)
 		if !is {
 			continue
 		}
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -79,7 +79,7 @@
 	o.Timeout = settingsTimeout
 	o.PeerTimeout = within(ms, peerWaitPart)
 	o.MaxAge = 2*o.ReadInterval + o.LongPoll + wayAge
-	o.RankOf = p.provider.RankOfSettings
+	o.RankOf = p.provider.SettingsRank
 	o.RewriteTime = rewrittenByOperators
 	o.Apply = p.applySettings
 	return keyed.New(o)
@@ -95,7 +95,7 @@
 	o.Timeout = upstreamsWait
 	o.PeerTimeout = upstreamsPeerWait
 	o.MaxAge = 2*o.ReadInterval + wayAge
-	o.RankOf = p.provider.RankOfUpstream
+	o.RankOf = p.provider.UpstreamRank
 	o.RewriteTime = lapsedReturn
 	o.IsSignificant = func(before, after []byte) bool { return !p.provider.SameUpstream(before, after) }
 	o.OnRegained = regained
@@ -141,7 +141,7 @@
 // applyTable takes a table in, as the copy of a host has it, or the store.
 func (p *process) applyTable(r platform.KeyedRecord, from string) {
 	log := p.log.WithFields(logrus.Fields{"offset": r.Offset, "from": cmp.Or(from, "store")})
-	spec, err := p.provider.DecodeTable(r.Value)
+	spec, err := p.provider.DecodeSettings(r.Value)
 	if err != nil {
 		log.WithError(err).Error("settings_unreadable")
 		return
--- a/internal/edge/provider.go
+++ b/internal/edge/provider.go
@@ -21,13 +21,13 @@
 	UpstreamsStream() string
 	// EvidenceStream is the product's own, for requests that crash upstreams.
 	EvidenceStream() string
-	DecodeTable(value []byte) (route.Spec, error)
-	// RankOfSettings and RankOfUpstream read the rank of a value of their stream; see keyed.RankOf.
-	RankOfSettings(key string, value []byte) (rank keyed.Rank, ok bool)
-	RankOfUpstream(key string, value []byte) (rank keyed.Rank, ok bool)
-	// EvacuationOf returns the failure domain that a key of the settings stream is about;
+	DecodeSettings(value []byte) (route.Spec, error)
+	// SettingsRank and RankOfUpstream read the rank of a value of their stream; see keyed.RankOf.
+	SettingsRank(key string, value []byte) (rank keyed.Rank, ok bool)
+	UpstreamRank(key string, value []byte) (rank keyed.Rank, ok bool)
+	// EvacuationDomain returns the failure domain that a key of the settings stream is about;
 	// ok is false for a key of another kind. CheckEvacuation checks the record of it.
-	EvacuationOf(key string) (domain string, ok bool)
+	EvacuationDomain(key string) (domain string, ok bool)
 	CheckEvacuation(domain string, value []byte) error
 	// SameUpstream reports whether two records of one upstream differ in nothing but the
 	// number of its heartbeat.
--- a/test/soak/callers_test.go
+++ b/test/soak/callers_test.go
@@ -94,17 +94,17 @@
 		panic(err)
 	}
 	req.Host = "h"
-	call := standin.Call{ID: id, Key: key(keyOf), Patience: callerDeadline}
+	call := standin.Call{ID: id, Key: key(keyOf), Timeout: callerDeadline}
 	if kind == kindStream {
-		call.Prompt, call.Answer, call.Part = 2000, 100, c.rng.Uint32()
+		call.PromptTokens, call.MaxTokens, call.PromptPart = 2000, 100, c.rng.Uint32()
 		if c.rng.IntN(4) == 0 {
-			call.Prompt = 200_000 // is read by several engines
+			call.PromptTokens = 200_000 // is read by several engines
 		}
 	}
 	if strings.Contains(query, "endless") {
-		call.Patience = endlessCount * endlessPause
+		call.Timeout = endlessCount * endlessPause
 	}
-	call.SetOn(req.Header)
+	call.SetHeaders(req.Header)
 	return req, body
 }
 
@@ -122,7 +122,7 @@
 		var text []byte
 		text, err = io.ReadAll(res.Body)
 		res.Body.Close()
-		o.own = standin.Proven(res.Header) && string(text) == wanted(kind, o.id, body)
+		o.own = standin.HasProof(res.Header) && string(text) == wanted(kind, o.id, body)
 	}
 	o.failed, o.done = err, time.Now()
 	c.rig.history.add(o)
--- a/test/soak/crashes_test.go
+++ b/test/soak/crashes_test.go
@@ -125,11 +125,11 @@
 		return outcome{}
 	}
 	req.Host = "h"
-	call := standin.Call{ID: id, Key: key(c.r.history.newest()), Patience: callerDeadline}
+	call := standin.Call{ID: id, Key: key(c.r.history.newest()), Timeout: callerDeadline}
 	if kind == kindStream {
-		call.Prompt, call.Answer, call.Part = 2000, 100, 7
+		call.PromptTokens, call.MaxTokens, call.PromptPart = 2000, 100, 7
 	}
-	call.SetOn(req.Header)
+	call.SetHeaders(req.Header)
 	o := outcome{id: id, kind: kind, daemon: d.name, sent: time.Now()}
 	res, err := http.DefaultTransport.RoundTrip(req)
 	if err == nil {
--- a/test/soak/records_test.go
+++ b/test/soak/records_test.go
@@ -62,5 +62,5 @@
 
 // putSettings writes the newest settings. The caller holds the lock.
 func (r *rig) putSettings() {
-	r.tell(r.store, command{Op: "put", Stream: standin.Settings, Key: standin.SettingsKey, Value: standin.KindsText(r.version, maxAttempts, key(r.version-1), key(r.version))})
+	r.tell(r.store, command{Op: "put", Stream: standin.Settings, Key: standin.SettingsKey, Value: standin.SettingsText(r.version, maxAttempts, key(r.version-1), key(r.version))})
 }
--- a/test/soak/roles_test.go
+++ b/test/soak/roles_test.go
@@ -50,13 +50,13 @@
 	"limits":  {Status: http.StatusTooManyRequests},
 	"hangs":   {Hang: true},
 	"slow":    {Delay: 300 * time.Millisecond},
-	"loses":   {Lose: true},
+	"loses":   {DropAnswers: true},
 	"trimmed": {Trimmed: true},
 }
 
 func playStore(ip string) {
 	store, l := standin.NewStore(), listen(ip)
-	store.PageItems = 500
+	store.PageSize = 500
 	go func() { panic(http.Serve(l, store)) }()
 	tell(report{What: "listening", Address: l.Addr().String()})
 	commands(func(c command) {
@@ -97,11 +97,11 @@
 	}
 	var backOff atomic.Value // seconds, zero: it serves
 	backOff.Store(0.0)
-	s.Set(func(w *bufio.Writer, r *http.Request) bool {
+	s.SetAnswer(func(w *bufio.Writer, r *http.Request) bool {
 		id := standin.ID(r.Header)
 		if seconds := backOff.Load().(float64); seconds > 0 {
 			tell(report{What: "turned", ID: id, Server: name, Number: seconds, At: time.Now().UnixNano()})
-			return s.TurnAway(w, r, seconds)
+			return s.AnswerNotExecuted(w, r, seconds)
 		}
 		tell(report{What: "ran", ID: id, Server: name, At: time.Now().UnixNano()})
 		if r.URL.Query().Has("deadly") {
@@ -122,15 +122,15 @@
 	commands(func(c command) {
 		switch c.Op {
 		case "limit":
-			s.Limit(c.Number)
+			s.SetLimit(c.Number)
 			tell(report{What: "limits", Server: name, Number: c.Number, At: time.Now().UnixNano()})
 		case "leave":
-			s.Leave()
+			s.MarkLeaving()
 			tell(report{What: "leaves", Server: name, At: time.Now().UnixNano()})
 		case "turn away":
 			backOff.Store(c.Number)
 		case "cool":
-			s.Cool(time.Duration(c.Number * float64(time.Second)))
+			s.SetCold(time.Duration(c.Number * float64(time.Second)))
 			tell(report{What: "cold", Server: name, Number: c.Number, At: time.Now().UnixNano()})
 		}
 	})
@@ -146,7 +146,7 @@
 			return false
 		}
 		text := ownAnswer(id, string(body))
-		s.Head(w, r, fmt.Sprintf("Content-Length: %d\r\n", len(text)))
+		s.WriteHead(w, r, fmt.Sprintf("Content-Length: %d\r\n", len(text)))
 		fmt.Fprint(w, text)
 		return w.Flush() == nil
 	}
@@ -154,7 +154,7 @@
 	if query.Get("stream") == "endless" {
 		events, pause = endlessCount, endlessPause
 	}
-	return s.Events(w, r, events, pause, func(n int) string { return ownEvent(id, n) })
+	return s.WriteEvents(w, r, events, pause, func(n int) string { return ownEvent(id, n) })
 }
 
 // playMutant stands before a daemon and breaks one promise, to show that its check can
@@ -279,7 +279,7 @@
 	out.URL = &url.URL{Scheme: "http", Host: to, Path: r.URL.Path, RawQuery: r.URL.RawQuery}
 	out.Body, out.ContentLength = io.NopCloser(strings.NewReader(string(body))), int64(len(body))
 	if instance != "" {
-		standin.SetMeantFor(out.Header, instance)
+		standin.SetExpectedInstance(out.Header, instance)
 	}
 	return http.DefaultTransport.RoundTrip(out)
 }
@@ -298,6 +298,6 @@
 func (m *mutant) reserve() {
 	for _, s := range m.listed() {
 		address, _, _ := strings.Cut(s, "/")
-		_ = standin.LeaseAt(address, "leak", 10*time.Minute) // one that has gone leaks nothing
+		_ = standin.ReserveLease(address, "leak", 10*time.Minute) // one that has gone leaks nothing
 	}
 }
--- a/test/soak/slow_test.go
+++ b/test/soak/slow_test.go
@@ -63,7 +63,7 @@
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(2 * slowWork))
 	head := fmt.Sprintf("POST /%s/x?work=%d HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n%s\r\n",
-		kindOnce, slowWork.Milliseconds(), slowBody, standin.HeadText(fmt.Sprint("slow-", n), key(r.history.newest())))
+		kindOnce, slowWork.Milliseconds(), slowBody, standin.HeaderLines(fmt.Sprint("slow-", n), key(r.history.newest())))
 	if _, err := c.Write([]byte(head)); err != nil {
 		return
 	}
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -174,7 +174,7 @@
 	}
 	for _, s := range r.servers {
 		free := func() bool {
-			n, err := standin.LeasesAt(s.direct)
+			n, err := standin.CountLeases(s.direct)
 			return err == nil && n == 0
 		}
 		if !r.eventually(within, free) {
