--- a/cmd/buckthorndockd/main.go
+++ b/cmd/buckthorndockd/main.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// logLines is how many log lines wait for a slow reader of the output before further
+// maxQueuedLogLines is how many log lines wait for a slow reader of the output before further
 // ones are dropped and counted.
-const logLines = 4096
+const maxQueuedLogLines = 4096
 
 func runEdge(ctx context.Context, file string) error {
 	// Before all else and to the very end: a signal without a handler kills.
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	out := obs.NewBoundedWriter(os.Stdout, logLines)
+	out := obs.NewBoundedWriter(os.Stdout, maxQueuedLogLines)
 	defer out.Close()
 	log, err := obs.NewLogger(out, cfg.LogLevel)
 	if err != nil {
--- a/cmd/buckthorndockd/main_test.go
+++ b/cmd/buckthorndockd/main_test.go
@@ -12,11 +12,11 @@
 	"testing"
 )
 
-// asDaemon makes this test binary the daemon itself.
-const asDaemon = "TEST_AS_DAEMON"
+// runAsDaemonEnv makes this test binary the daemon itself.
+const runAsDaemonEnv = "TEST_AS_DAEMON"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asDaemon) != "" {
+	if os.Getenv(runAsDaemonEnv) != "" {
 		main()
 		return
 	}
@@ -26,8 +26,8 @@
 // daemonFile names addresses of one loopback host that no other test uses; the store
 // does not answer there.
 func daemonFile() string {
-	const most = 250
-	ip := fmt.Sprintf("127.%d.251.1", 1+os.Getpid()%most)
+	const networks = 250
+	ip := fmt.Sprintf("127.%d.251.1", 1+os.Getpid()%networks)
 	return strings.ReplaceAll(`host: h1
 domain: z1
 region: r1
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0], "edge", "--config", file)
-	cmd.Env = append(os.Environ(), asDaemon+"=1")
+	cmd.Env = append(os.Environ(), runAsDaemonEnv+"=1")
 	var out bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &out
 	if err := cmd.Start(); err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -62,10 +62,10 @@
 // Parse checks the text of a daemon file. The Daemon is usable only when there
 // are no findings.
 func Parse(file string, text []byte) (*Daemon, finding.List) {
-	p := &parser{file: file, seen: map[string]field{}}
+	p := &parser{file: file, fields: map[string]field{}}
 	p.flatten(text)
 	d := p.daemon()
-	p.unknownKeys()
+	p.reportUnknownKeys()
 	p.findings.Sort()
 	return d, p.findings
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -110,15 +110,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &parser{file: "f", seen: map[string]field{}}
+	p := &parser{file: "f", fields: map[string]field{}}
 	p.daemon()
-	for _, key := range p.known {
+	for _, key := range p.knownKeys {
 		if !strings.Contains(string(page), "| `"+key+"` |") {
 			t.Errorf("docs/CONFIG.md does not name %s", key)
 		}
 	}
 	rows := strings.Count(string(page), "\n| `")
-	if rows != len(p.known) {
-		t.Errorf("docs/CONFIG.md has %d keys, the parser %d", rows, len(p.known))
+	if rows != len(p.knownKeys) {
+		t.Errorf("docs/CONFIG.md has %d keys, the parser %d", rows, len(p.knownKeys))
 	}
 }
--- a/internal/config/parser.go
+++ b/internal/config/parser.go
@@ -35,10 +35,10 @@
 
 // parser collects the fields of a file and the findings about them.
 type parser struct {
-	file     string
-	seen     map[string]field
-	known    []string // keys that the daemon has asked for
-	findings finding.List
+	file      string
+	fields    map[string]field
+	knownKeys []string // keys that the daemon has asked for
+	findings  finding.List
 }
 
 func (p *parser) addf(line int, key, format string, args ...any) {
@@ -56,59 +56,59 @@
 		p.addf(1, "", "the file is empty")
 		return
 	}
-	p.walk("", f.Docs[0].Body)
+	p.collect("", f.Docs[0].Body)
 }
 
-func (p *parser) walk(prefix string, n ast.Node) {
+func (p *parser) collect(prefix string, n ast.Node) {
 	switch n := n.(type) {
 	case *ast.MappingNode:
 		for _, v := range n.Values {
-			p.entry(prefix, v)
+			p.collectEntry(prefix, v)
 		}
 	case *ast.MappingValueNode:
-		p.entry(prefix, n)
+		p.collectEntry(prefix, n)
 	default:
 		p.addf(n.GetToken().Position.Line, prefix, "expected keys and values")
 	}
 }
 
-func (p *parser) entry(prefix string, v *ast.MappingValueNode) {
+func (p *parser) collectEntry(prefix string, v *ast.MappingValueNode) {
 	name := v.Key.GetToken().Value
 	key := name
 	if prefix != "" {
 		key = prefix + "." + name
 	}
 	line := v.Key.GetToken().Position.Line
-	if _, twice := p.seen[key]; twice {
+	if _, duplicate := p.fields[key]; duplicate {
 		p.addf(line, key, "the key stands twice")
 		return
 	}
 	switch value := v.Value.(type) {
 	case *ast.MappingNode, *ast.MappingValueNode:
-		p.seen[key] = field{line: line, kind: mapping, taken: true}
-		p.walk(key, value)
+		p.fields[key] = field{line: line, kind: mapping, taken: true}
+		p.collect(key, value)
 	case *ast.SequenceNode:
 		f := field{line: line, kind: sequence}
 		for _, item := range value.Values {
 			f.list = append(f.list, item.GetToken().Value)
 		}
-		p.seen[key] = f
+		p.fields[key] = f
 	case *ast.NullNode:
-		p.seen[key] = field{line: line}
+		p.fields[key] = field{line: line}
 	default:
-		p.seen[key] = field{line: line, value: value.GetToken().Value}
+		p.fields[key] = field{line: line, value: value.GetToken().Value}
 	}
 }
 
 // take returns a scalar field and marks the key as known.
 func (p *parser) take(key string) (field, bool) {
-	p.known = append(p.known, key)
-	f, ok := p.seen[key]
+	p.knownKeys = append(p.knownKeys, key)
+	f, ok := p.fields[key]
 	if !ok {
 		return field{}, false
 	}
 	f.taken = true
-	p.seen[key] = f
+	p.fields[key] = f
 	if f.kind != scalar {
 		p.addf(f.line, key, "expected one value")
 		return field{}, false
@@ -117,8 +117,8 @@
 }
 
 func (p *parser) required(key string) (field, bool) {
-	if _, there := p.seen[key]; !there {
-		p.known = append(p.known, key)
+	if _, found := p.fields[key]; !found {
+		p.knownKeys = append(p.knownKeys, key)
 		p.addf(0, key, "missing")
 		return field{}, false
 	}
@@ -154,13 +154,13 @@
 }
 
 func (p *parser) addresses(key string) []string {
-	p.known = append(p.known, key)
-	f, ok := p.seen[key]
+	p.knownKeys = append(p.knownKeys, key)
+	f, ok := p.fields[key]
 	if !ok {
 		return nil
 	}
 	f.taken = true
-	p.seen[key] = f
+	p.fields[key] = f
 	if f.kind != sequence {
 		p.addf(f.line, key, "expected a list of IP:port")
 		return nil
@@ -199,25 +199,25 @@
 // logRetention refuses a log that forgets claims while they still protect a key.
 // The daemon leaves the times of the claims at their defaults.
 func (p *parser) logRetention(key string) time.Duration {
-	f, there := p.seen[key]
+	f, found := p.fields[key]
 	before := len(p.findings)
 	d := p.seconds(key)
-	if !there {
+	if !found {
 		return DefaultLogRetention
 	}
-	least := claims.Options{}.MinRetention()
-	if d < least && len(p.findings) == before {
+	minRetention := claims.Options{}.MinRetention()
+	if d < minRetention && len(p.findings) == before {
 		p.addf(f.line, key, "%d: claims of idempotency keys need a log that keeps records for %d seconds at least",
-			int(d.Seconds()), int(least.Seconds()))
+			int(d.Seconds()), int(minRetention.Seconds()))
 	}
 	return d
 }
 
-// count returns a number of at least one.
-func (p *parser) count(key string, byDefault int) int {
+// positiveCount returns a number of at least one.
+func (p *parser) positiveCount(key string, defaultValue int) int {
 	f, ok := p.take(key)
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	n, err := strconv.Atoi(f.value)
 	if err != nil || n < 1 {
@@ -277,17 +277,17 @@
 		LogLevel:            p.logLevel("log_level"),
 		OperatorTokenSHA256: p.tokenHash("operator_token_sha256"),
 		ShutdownTimeout:     p.seconds("shutdown_timeout_seconds"),
-		MaxConnections:      p.count("max_connections", DefaultMaxConnections),
+		MaxConnections:      p.positiveCount("max_connections", DefaultMaxConnections),
 		TestFaults:          p.boolean("test_faults"),
 	}
 	if d.Listen != "" && d.Listen == d.PeerListen {
-		p.addf(p.seen["peer_listen"].line, "peer_listen", "the same as listen")
+		p.addf(p.fields["peer_listen"].line, "peer_listen", "the same as listen")
 	}
 	return d
 }
 
-func (p *parser) unknownKeys() {
-	for key, f := range p.seen {
+func (p *parser) reportUnknownKeys() {
+	for key, f := range p.fields {
 		switch {
 		case f.kind == mapping && key != "platform":
 			p.addf(f.line, key, "unknown key")
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -51,10 +51,10 @@
 	cfg         *config.Daemon
 	log         *logrus.Entry
 	incarnation uint64
-	work        context.Context // of the background work
+	workCtx     context.Context // of the background work
 
 	logService platform.Log
-	list       *hostList
+	hostList   *hostList
 	weights    platform.Weights
 
 	node     *peer.Node
@@ -79,8 +79,8 @@
 }
 
 // newProcess builds a daemon that does nothing yet but listen to peers.
-func newProcess(work context.Context, cfg *config.Daemon, log *logrus.Entry) (*process, error) {
-	p := &process{cfg: cfg, log: log, work: work, incarnation: uint64(time.Now().UnixMilli())}
+func newProcess(workCtx context.Context, cfg *config.Daemon, log *logrus.Entry) (*process, error) {
+	p := &process{cfg: cfg, log: log, workCtx: workCtx, incarnation: uint64(time.Now().UnixMilli())}
 	steps := []func() error{p.buildPlatform, p.buildPeers, p.buildFollower, p.buildUpstreams, p.buildOwner, p.buildOrders, p.buildClaims, p.buildJoin, p.buildFront}
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -90,12 +90,12 @@
 	return p, nil
 }
 
-func (p *process) holderName() ledger.Holder {
+func (p *process) selfHolder() ledger.Holder {
 	return holderOf(p.cfg.Host, p.incarnation)
 }
 
-// incarnationText is a host's incarnation as engines and their owners know it.
-func incarnationText(incarnation uint64) string { return strconv.FormatUint(incarnation, 10) }
+// formatIncarnation is a host's incarnation as engines and their owners know it.
+func formatIncarnation(incarnation uint64) string { return strconv.FormatUint(incarnation, 10) }
 
 func (p *process) buildPlatform() error {
 	logService, err := platform.NewHTTP(p.cfg.Platform.Log, obs.CountedClient(obs.PurposeLog))
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	p.logService, p.list, p.weights = logService, &hostList{source: hosts}, weights
+	p.logService, p.hostList, p.weights = logService, &hostList{source: hosts}, weights
 	return nil
 }
 
@@ -123,7 +123,7 @@
 		Listen:      p.cfg.PeerListen,
 		Key:         p.cfg.PeerKey,
 		Seeds:       p.cfg.Seeds,
-		HostList:    p.list.List,
+		HostList:    p.hostList.List,
 		Busy:        func() bool { return p.router.Busy() },
 		TestFaults:  p.cfg.TestFaults,
 		Logger:      p.log,
@@ -160,7 +160,7 @@
 		SpillDomains: p.peers.reachableDomains,
 		Seed:         p.incarnation,
 	})
-	p.watcher = upstream.NewWatcher(p.client, p.router, upstream.WatchOptions{Interval: watchEach, Timeout: watchAnswer})
+	p.watcher = upstream.NewWatcher(p.client, p.router, upstream.WatchOptions{Interval: watchInterval, Timeout: watchTimeout})
 	p.engines = owner.NewHTTPEngines(obs.CountedClient(obs.PurposeEngines), time.Now)
 	return nil
 }
@@ -176,9 +176,9 @@
 		PublishEvery: publishEvery,
 		DigestBudget: digestBudget,
 	})
-	rpc := p.owner.RPC(p.work)
+	rpc := p.owner.RPC(p.workCtx)
 	p.holder = owner.NewHolder(owner.HolderOptions{
-		Self:      p.holderName(),
+		Self:      p.selfHolder(),
 		Engines:   p.engines,
 		Peers:     p.peers,
 		Ownership: p.peers,
@@ -216,21 +216,21 @@
 
 func (p *process) buildJoin() error {
 	p.join = join.New(join.Options{Host: p.cfg.Host, Incarnation: p.incarnation, Peers: p.peers})
-	return p.node.Register(join.ServiceName, p.join.RPC(p.work))
+	return p.node.Register(join.ServiceName, p.join.RPC(p.workCtx))
 }
 
 func (p *process) buildFront() error {
-	holds := newHolds(p.log)
-	var atPoint func(front.DispatchPoint)
+	hold := newDispatchHold(p.log)
+	var onDispatchPoint func(front.DispatchPoint)
 	if p.cfg.TestFaults {
-		atPoint = holds.wait
+		onDispatchPoint = hold.wait
 	}
 	var err error
 	p.front, err = front.NewServer(front.Options{
-		OnDispatchPoint:     atPoint,
+		OnDispatchPoint:     onDispatchPoint,
 		Host:                p.cfg.Host,
 		Domain:              p.cfg.Domain,
-		Incarnation:         p.holderName().Incarnation,
+		Incarnation:         p.selfHolder().Incarnation,
 		Settings:            p.follower,
 		Router:              p.router,
 		Journal:             router.NewJournal(journalSize),
@@ -249,7 +249,7 @@
 	}
 	handler := p.front.Handler()
 	if p.cfg.TestFaults {
-		handler = withFaults(handler, p.node, holds)
+		handler = withFaults(handler, p.node, hold)
 	}
 	p.server = &http.Server{
 		Handler:           handler,
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -19,20 +19,20 @@
 
 // Times of a graceful end.
 const (
-	// lameDuck is how long a leaving daemon still takes requests, while the
+	// lameDuckPeriod is how long a leaving daemon still takes requests, while the
 	// balancer finds out.
-	lameDuck   = 2 * time.Second
-	drainCheck = 50 * time.Millisecond
-	endsWait   = 2 * time.Second // for ends of attempts that no engine has confirmed
-	closeWait  = 2 * time.Second
+	lameDuckPeriod        = 2 * time.Second
+	drainPollInterval     = 50 * time.Millisecond
+	maxEndsWait           = 2 * time.Second // for ends of attempts that no engine has confirmed
+	serverShutdownTimeout = 2 * time.Second
 )
 
 // Run runs the daemon until the context ends, and then until all requests in
 // progress have ended. The error is nil after a graceful end.
 func Run(ctx context.Context, cfg *config.Daemon, log *logrus.Entry) error {
-	work, stopWork := context.WithCancel(context.Background())
+	workCtx, stopWork := context.WithCancel(context.Background())
 	defer stopWork()
-	p, err := newProcess(work, cfg, log)
+	p, err := newProcess(workCtx, cfg, log)
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 		p.node.Close()
 		return merry.Prepend(err, "listen for callers")
 	}
-	limited := &limitedListener{Listener: listener, most: int64(cfg.MaxConnections)}
+	limited := &limitedListener{Listener: listener, max: int64(cfg.MaxConnections)}
 	gauges := metrics.NewSet()
 	gauges.NewGauge("buckthorndock_connections_open", func() float64 { return float64(limited.open.Load()) })
 	p.follower.RegisterMetrics(gauges)
@@ -68,7 +68,7 @@
 	var wg sync.WaitGroup
 	run := func(name string, loop func(context.Context) error) {
 		wg.Go(func() {
-			if err := loop(p.work); err != nil {
+			if err := loop(p.workCtx); err != nil {
 				p.log.WithError(err).WithField("part", name).Error("part_ended")
 			}
 		})
@@ -77,10 +77,10 @@
 	run("follower", p.follower.Run)
 	run("settings", p.applySettings)
 	run("digests", p.readDigests)
-	run("listed", p.applyListed)
+	run("listed", p.shareListed)
 	run("watch", p.watch)
 	run("owner", p.owner.Run)
-	run("hosts", p.followHosts)
+	run("hosts", p.trackHosts)
 	run("holder", p.holder.Run)
 	run("orders", p.orders.Run)
 	run("claims", p.claims.Run)
@@ -91,7 +91,7 @@
 		return p.suspects.SyncWithStore(ctx, suspects.NewLogStore(p.logService, evidenceStream), p.peers)
 	})
 	run("front", p.front.Run)
-	run("successor", p.yieldToSuccessor)
+	run("successor", p.stopWhenSuperseded)
 	return &wg
 }
 
@@ -100,7 +100,7 @@
 func (p *process) drain() {
 	p.log.WithField("in_flight", p.front.InFlight()).Info("leaving")
 	p.front.MarkLeaving()
-	ctx, cancel := context.WithTimeout(context.Background(), lameDuck)
+	ctx, cancel := context.WithTimeout(context.Background(), lameDuckPeriod)
 	defer cancel()
 	if err := p.node.Leave(ctx); err != nil {
 		p.log.WithError(err).Warn("leaving_untold")
@@ -110,7 +110,7 @@
 	p.log.WithField("in_flight", p.front.InFlight()).Info("refusing")
 	p.waitDrained()
 	p.closeServer()
-	p.waitEnds()
+	p.waitAttemptEnds()
 }
 
 func (p *process) waitDrained() {
@@ -120,38 +120,38 @@
 			p.log.WithField("in_flight", p.front.InFlight()).Warn("shutdown_timeout")
 			return
 		}
-		time.Sleep(drainCheck)
+		time.Sleep(drainPollInterval)
 	}
 }
 
 func (p *process) closeServer() {
-	ctx, cancel := context.WithTimeout(context.Background(), closeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), serverShutdownTimeout)
 	defer cancel()
 	if err := p.server.Shutdown(ctx); err != nil {
 		p.log.WithError(err).Warn("connections_closed")
 	}
 }
 
-// waitEnds gives cancels and releases that no engine has confirmed a little
+// waitAttemptEnds gives cancels and releases that no engine has confirmed a little
 // time; the engines' owners see to the rest.
-func (p *process) waitEnds() {
-	deadline := time.Now().Add(endsWait)
+func (p *process) waitAttemptEnds() {
+	deadline := time.Now().Add(maxEndsWait)
 	for time.Now().Before(deadline) {
 		if _, ending := p.holder.Counts(); ending == 0 {
 			return
 		}
-		time.Sleep(drainCheck)
+		time.Sleep(drainPollInterval)
 	}
 }
 
-// supersededEvery is the time between two looks for a newer daemon with this
+// supersededCheckInterval is the time between two looks for a newer daemon with this
 // host's name.
-const supersededEvery = time.Second
+const supersededCheckInterval = time.Second
 
-// yieldToSuccessor stops taking work when a newer daemon runs under this host's
+// stopWhenSuperseded stops taking work when a newer daemon runs under this host's
 // name: peers and engine owners count only the newer one's word.
-func (p *process) yieldToSuccessor(ctx context.Context) error {
-	ticker := time.NewTicker(supersededEvery)
+func (p *process) stopWhenSuperseded(ctx context.Context) error {
+	ticker := time.NewTicker(supersededCheckInterval)
 	defer ticker.Stop()
 	for !p.node.Superseded() {
 		select {
--- a/internal/daemon/faults.go
+++ b/internal/daemon/faults.go
@@ -20,7 +20,7 @@
 //	POST /test-faults/cut?from=NAME,NAME     cuts this host off from hosts and domains
 //	POST /test-faults/silence                makes open peer connections silent
 //	POST /test-faults/hold?at=POINT          stops each dispatch at a front.Point; without at all go on
-func withFaults(next http.Handler, node *peer.Node, holds *holds) http.Handler {
+func withFaults(next http.Handler, node *peer.Node, hold *dispatchHold) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", next)
 	mux.HandleFunc("POST "+faultPath+"cut", func(w http.ResponseWriter, r *http.Request) {
@@ -28,19 +28,19 @@
 		if from := r.URL.Query().Get("from"); from != "" {
 			names = strings.Split(from, ",")
 		}
-		answerFault(w, node.SetCut(names))
+		writeFaultResult(w, node.SetCut(names))
 	})
 	mux.HandleFunc("POST "+faultPath+"silence", func(w http.ResponseWriter, _ *http.Request) {
-		answerFault(w, node.SilenceConnections())
+		writeFaultResult(w, node.SilenceConnections())
 	})
 	mux.HandleFunc("POST "+faultPath+"hold", func(w http.ResponseWriter, r *http.Request) {
-		holds.set(front.DispatchPoint(r.URL.Query().Get("at")))
-		answerFault(w, nil)
+		hold.moveTo(front.DispatchPoint(r.URL.Query().Get("at")))
+		writeFaultResult(w, nil)
 	})
 	return mux
 }
 
-func answerFault(w http.ResponseWriter, err error) {
+func writeFaultResult(w http.ResponseWriter, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusForbidden)
 		return
@@ -48,37 +48,37 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// holds stops requests at one point of their way until it is lifted.
-type holds struct {
+// dispatchHold stops requests at one point of their way until it is lifted.
+type dispatchHold struct {
 	log *logrus.Entry
 
-	mu     sync.Mutex
-	at     front.DispatchPoint
-	lifted chan struct{} // closed when at changes
+	mu       sync.Mutex
+	point    front.DispatchPoint
+	released chan struct{} // closed when at changes
 }
 
-func newHolds(log *logrus.Entry) *holds {
-	return &holds{log: log, lifted: make(chan struct{})}
+func newDispatchHold(log *logrus.Entry) *dispatchHold {
+	return &dispatchHold{log: log, released: make(chan struct{})}
 }
 
-// set moves the hold to a point, or nowhere, and lets go what it held.
-func (h *holds) set(at front.DispatchPoint) {
+// moveTo moves the hold to a point, or nowhere, and lets go what it held.
+func (h *dispatchHold) moveTo(point front.DispatchPoint) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.at = at
-	close(h.lifted)
-	h.lifted = make(chan struct{})
+	h.point = point
+	close(h.released)
+	h.released = make(chan struct{})
 }
 
 // wait implements front.Options.AtPoint.
-func (h *holds) wait(p front.DispatchPoint) {
+func (h *dispatchHold) wait(point front.DispatchPoint) {
 	h.mu.Lock()
-	at, lifted := h.at, h.lifted
+	heldPoint, released := h.point, h.released
 	h.mu.Unlock()
-	if at != p {
+	if heldPoint != point {
 		return
 	}
-	h.log.WithField("point", string(p)).Info("held")
-	<-lifted
-	h.log.WithField("point", string(p)).Info("held_no_more")
+	h.log.WithField("point", string(point)).Info("held")
+	<-released
+	h.log.WithField("point", string(point)).Info("held_no_more")
 }
--- a/internal/daemon/feed.go
+++ b/internal/daemon/feed.go
@@ -20,10 +20,10 @@
 
 // Times of the loops that feed the router.
 const (
-	digestEvery = 20 * time.Millisecond  // between two looks at the owners' digests
-	watchEvery  = 200 * time.Millisecond // between two choices of what to watch
-	watchEach   = 100 * time.Millisecond // between two looks at one of them
-	watchAnswer = 400 * time.Millisecond // in which it has to answer
+	digestReadInterval   = 20 * time.Millisecond  // between two looks at the owners' digests
+	watchTargetsInterval = 200 * time.Millisecond // between two choices of what to watch
+	watchInterval        = 100 * time.Millisecond // between two looks at one of them
+	watchTimeout         = 400 * time.Millisecond // in which it has to answer
 )
 
 // A report is stale, and its engine is looked at directly, when it is much older
@@ -31,10 +31,10 @@
 // staleMost, and a little more for each engine of the domain: owners tell less often
 // where there are more of them.
 const (
-	staleFactor = 3                      // times the median age
-	staleLeast  = 700 * time.Millisecond // never stale before
-	staleMost   = 2500 * time.Millisecond
-	stalePerOne = 60 * time.Millisecond
+	staleMedianFactor = 3                      // times the median age
+	minStaleAge       = 700 * time.Millisecond // never stale before
+	maxStaleAgeBase   = 2500 * time.Millisecond
+	staleAgePerEngine = 60 * time.Millisecond
 )
 
 // applySettings passes new settings on.
@@ -54,8 +54,8 @@
 	}
 }
 
-// digestKey names one host's life.
-type digestKey struct {
+// incarnationKey names one host's life.
+type incarnationKey struct {
 	host        string
 	incarnation uint64
 }
@@ -63,21 +63,21 @@
 // readDigests passes the load reports and cache events that engine owners spread
 // on to the router.
 func (p *process) readDigests(ctx context.Context) error {
-	seen := map[digestKey]uint64{} // version last read
-	wait.Every(ctx, digestEvery, func(time.Time) {
+	seen := map[incarnationKey]uint64{} // version last read
+	wait.Every(ctx, digestReadInterval, func(time.Time) {
 		for _, section := range p.node.Sections(owner.Section) {
-			key := digestKey{section.Host, section.Incarnation}
+			key := incarnationKey{section.Host, section.Incarnation}
 			if section.Domain != p.cfg.Domain || seen[key] == section.Version {
 				continue
 			}
 			seen[key] = section.Version
-			p.takeDigest(section)
+			p.applyDigest(section)
 		}
 	})
 	return nil
 }
 
-func (p *process) takeDigest(section membership.SectionView) {
+func (p *process) applyDigest(section membership.SectionView) {
 	digest, err := owner.DecodeDigest(section.Data)
 	if err != nil {
 		p.log.WithError(err).WithField("from", section.Host).Warn("digest_undecodable")
@@ -122,10 +122,10 @@
 // known to be well: failing ones, and engines whose owner tells nothing fresh.
 func (p *process) watch(ctx context.Context) error {
 	defer p.watcher.Wait()
-	ticker := time.NewTicker(watchEvery)
+	ticker := time.NewTicker(watchTargetsInterval)
 	defer ticker.Stop()
 	for {
-		p.watcher.SetTargets(ctx, p.unsure())
+		p.watcher.SetTargets(ctx, p.watchTargets())
 		if n := p.router.Expire(); n > 0 {
 			p.log.WithField("attempts", n).Error("attempts_without_end")
 		}
@@ -137,13 +137,13 @@
 	}
 }
 
-func (p *process) unsure() []upstream.Target {
+func (p *process) watchTargets() []upstream.Target {
 	var targets []upstream.Target
 	for _, pool := range p.follower.Current().Pools() {
 		isEngine := pool.Kind == settings.PoolEngine
-		own, others := p.byDomain(p.router.Upstreams(pool.Name))
+		own, others := p.splitByDomain(p.router.Upstreams(pool.Name))
 		served := false
-		limit := staleLimit(own)
+		limit := staleAge(own)
 		for _, u := range own {
 			stale := isEngine && (!u.Reported || u.ReportAge > limit)
 			failing := u.State == placement.Dead || u.State == placement.Suspect
@@ -153,7 +153,7 @@
 			}
 		}
 		if !served && pool.Routing.Spill != settings.SpillNever {
-			for _, u := range p.spillChoice(others) {
+			for _, u := range p.spillTargets(others) {
 				targets = append(targets, upstream.Target{Name: u.Name, Address: u.Address, IsEngine: isEngine})
 			}
 		}
@@ -161,23 +161,23 @@
 	return targets
 }
 
-// staleLimit returns the age from which a report of one of these engines is stale.
-func staleLimit(engines []router.UpstreamStatus) time.Duration {
+// staleAge returns the age from which a report of one of these engines is stale.
+func staleAge(engines []router.UpstreamStatus) time.Duration {
 	var ages []time.Duration
 	for _, u := range engines {
 		if u.Reported {
 			ages = append(ages, u.ReportAge)
 		}
 	}
-	most := staleMost + time.Duration(len(engines))*stalePerOne
+	maxAge := maxStaleAgeBase + time.Duration(len(engines))*staleAgePerEngine
 	if len(ages) == 0 {
-		return most
+		return maxAge
 	}
 	slices.Sort(ages)
-	return min(max(staleFactor*ages[len(ages)/2], staleLeast), most)
+	return min(max(staleMedianFactor*ages[len(ages)/2], minStaleAge), maxAge)
 }
 
-func (p *process) byDomain(all []router.UpstreamStatus) (own, others []router.UpstreamStatus) {
+func (p *process) splitByDomain(all []router.UpstreamStatus) (own, others []router.UpstreamStatus) {
 	for _, u := range all {
 		if u.Domain == p.cfg.Domain {
 			own = append(own, u)
@@ -188,14 +188,14 @@
 	return own, others
 }
 
-// spillWatched bounds the upstreams of other domains that one front watches when
+// maxSpillTargets bounds the upstreams of other domains that one front watches when
 // its own domain has none. Each front takes others, so that they share the load.
-const spillWatched = 8
+const maxSpillTargets = 8
 
-// spillChoice returns the upstreams that come first for this host by rendezvous
+// spillTargets returns the upstreams that come first for this host by rendezvous
 // hashing.
-func (p *process) spillChoice(others []router.UpstreamStatus) []router.UpstreamStatus {
+func (p *process) spillTargets(others []router.UpstreamStatus) []router.UpstreamStatus {
 	score := func(u router.UpstreamStatus) uint64 { return xxhash.Sum64String(p.cfg.Host + "\x00" + u.Name) }
 	slices.SortFunc(others, func(a, b router.UpstreamStatus) int { return cmp.Compare(score(a), score(b)) })
-	return others[:min(len(others), spillWatched)]
+	return others[:min(len(others), maxSpillTargets)]
 }
--- a/internal/daemon/feed_test.go
+++ b/internal/daemon/feed_test.go
@@ -22,12 +22,12 @@
 		engines []router.UpstreamStatus
 		want    time.Duration
 	}{
-		{aged(100*ms, 200*ms, 5000*ms), staleLeast},
+		{aged(100*ms, 200*ms, 5000*ms), minStaleAge},
 		{aged(900*ms, 800*ms, 700*ms), 2400 * ms},
-		{aged(3000*ms, 3000*ms, 3000*ms), staleMost + 4*stalePerOne},
-		{aged(), staleMost + stalePerOne},
+		{aged(3000*ms, 3000*ms, 3000*ms), maxStaleAgeBase + 4*staleAgePerEngine},
+		{aged(), maxStaleAgeBase + staleAgePerEngine},
 	} {
-		if got := staleLimit(c.engines); got != c.want {
+		if got := staleAge(c.engines); got != c.want {
 			t.Errorf("%v: stale after %v, want %v", c.engines, got, c.want)
 		}
 	}
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -15,9 +15,9 @@
 	domainUsageSection = "limits-domain"
 )
 
-// limitsPace is the time between two divisions of the shared limits. Its most is
+// limitsInterval is the time between two divisions of the shared limits. Its most is
 // under half of the time after which a host that tells nothing counts as silent.
-var limitsPace = pace{least: 2 * time.Second, perHost: 250 * time.Millisecond, most: 14 * time.Second}
+var limitsInterval = shareInterval{min: 2 * time.Second, perHost: 250 * time.Millisecond, max: 14 * time.Second}
 
 // gatewayKey is the key whose owner tells the other domains the sum of its own.
 const gatewayKey = "limits-gateway"
@@ -27,13 +27,13 @@
 	seen := map[sectionKey]uint64{} // version last taken
 	for {
 		p.gate.SetExpectedHosts(p.hostCount())
-		own, domain := p.gate.ExchangeUsage(p.heardUsage(seen))
+		own, domain := p.gate.ExchangeUsage(p.newPeerUsage(seen))
 		p.publishUsage(usageSection, own, p.node.Publish)
 		if _, _, self := p.peers.Owner(gatewayKey); self {
 			p.publishUsage(domainUsageSection, domain, p.node.PublishWide)
 		}
 		select {
-		case <-time.After(p.every(limitsPace)):
+		case <-time.After(p.domainInterval(limitsInterval)):
 		case <-ctx.Done():
 			return nil
 		}
@@ -57,9 +57,9 @@
 	incarnation uint64
 }
 
-// heardUsage returns the digests that came since the last call.
-func (p *process) heardUsage(seen map[sectionKey]uint64) []admission.Usage {
-	var heard []admission.Usage
+// newPeerUsage returns the digests that came since the last call.
+func (p *process) newPeerUsage(seen map[sectionKey]uint64) []admission.Usage {
+	var digests []admission.Usage
 	for _, section := range []string{usageSection, domainUsageSection} {
 		for _, v := range p.node.Sections(section) {
 			ownDomain := v.Domain == p.cfg.Domain
@@ -80,10 +80,10 @@
 				p.log.WithError(err).WithField("from", v.Host).Warn("usage_undecodable")
 				continue
 			}
-			heard = append(heard, usage)
+			digests = append(digests, usage)
 		}
 	}
-	return heard
+	return digests
 }
 
 func (p *process) publishUsage(section string, u admission.Usage, publish func(string, []byte) error) {
--- a/internal/daemon/limits_wire.go
+++ b/internal/daemon/limits_wire.go
@@ -17,7 +17,7 @@
 // usageColumns is the number of columns of a node.
 const usageColumns = 3
 
-var errUsage = merry.New("usage is not a list of whole columns")
+var errInvalidUsage = merry.New("usage is not a list of whole columns")
 
 func encodeUsage(u admission.Usage) ([]byte, error) {
 	n := len(u.Nodes)
@@ -48,7 +48,7 @@
 		return admission.Usage{}, merry.Prepend(err, "decode usage")
 	}
 	if len(nums)%usageColumns != 1 {
-		return admission.Usage{}, errUsage
+		return admission.Usage{}, errInvalidUsage
 	}
 	u := admission.Usage{Hosts: int(nums[0])}
 	steps, requests, tokens := columns(nums[1:])
--- a/internal/daemon/listed.go
+++ b/internal/daemon/listed.go
@@ -16,12 +16,12 @@
 // domain.
 const listedSection = "listed-leaving"
 
-// listedEvery is the time between two looks at what the hosts have read.
-const listedEvery = 200 * time.Millisecond
+// listedInterval is the time between two looks at what the hosts have read.
+const listedInterval = 200 * time.Millisecond
 
-// leavingUpstreams returns the addresses of leaving upstreams, in order and with
+// leavingAddresses returns the addresses of leaving upstreams, in order and with
 // blanks between: the list's names of hosts need not be those of the settings.
-func leavingUpstreams(hosts []platform.Host) string {
+func leavingAddresses(hosts []platform.Host) string {
 	var addresses []string
 	for _, h := range hosts {
 		if h.Kind == platform.HostUpstream && h.State == platform.HostLeaving {
@@ -32,12 +32,12 @@
 	return strings.Join(addresses, " ")
 }
 
-// applyListed tells the domain what this host has read, and the router what any
+// shareListed tells the domain what this host has read, and the router what any
 // host has.
-func (p *process) applyListed(ctx context.Context) error {
-	told := "" // nothing is as good as no section
-	wait.Every(ctx, listedEvery, func(time.Time) {
-		told = p.tellListed(told)
+func (p *process) shareListed(ctx context.Context) error {
+	published := "" // nothing is as good as no section
+	wait.Every(ctx, listedInterval, func(time.Time) {
+		published = p.publishListed(published)
 		leaving := map[string]bool{}
 		dead := p.deadHosts()
 		for _, section := range p.node.Sections(listedSection) {
@@ -53,20 +53,20 @@
 	return nil
 }
 
-// tellListed publishes what the last list has as leaving, when that is not what
+// publishListed publishes what the last list has as leaving, when that is not what
 // was told before. It returns what has been told. A list that cannot be read
 // changes nothing.
-func (p *process) tellListed(told string) string {
-	hosts, _ := p.list.last()
-	now := leavingUpstreams(hosts)
-	if now == told {
-		return told
+func (p *process) publishListed(published string) string {
+	hosts, _ := p.hostList.last()
+	addresses := leavingAddresses(hosts)
+	if addresses == published {
+		return published
 	}
-	if err := p.node.Publish(listedSection, []byte(now)); err != nil {
+	if err := p.node.Publish(listedSection, []byte(addresses)); err != nil {
 		p.log.WithError(err).Error("section_not_published")
-		return told
+		return published
 	}
-	return now
+	return addresses
 }
 
 func (p *process) deadHosts() map[string]bool {
--- a/internal/daemon/listener.go
+++ b/internal/daemon/listener.go
@@ -14,7 +14,7 @@
 // who open many cannot use up the files of the process.
 type limitedListener struct {
 	net.Listener
-	most int64
+	max  int64
 	open atomic.Int64
 }
 
@@ -25,8 +25,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) <= l.most {
-			return &limitedConn{Conn: conn, l: l}, nil
+		if l.open.Add(1) <= l.max {
+			return &limitedConn{Conn: conn, listener: l}, nil
 		}
 		l.open.Add(-1)
 		connectionsRefused.Inc()
@@ -37,12 +37,12 @@
 // limitedConn gives its place back when it is closed.
 type limitedConn struct {
 	net.Conn
-	l    *limitedListener
-	once sync.Once
+	listener *limitedListener
+	once     sync.Once
 }
 
 // Close implements net.Conn.
 func (c *limitedConn) Close() error {
-	c.once.Do(func() { c.l.open.Add(-1) })
+	c.once.Do(func() { c.listener.open.Add(-1) })
 	return c.Conn.Close()
 }
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -7,7 +7,7 @@
 )
 
 func (p *process) buildOrders() error {
-	me := p.holderName()
+	me := p.selfHolder()
 	p.orders = owner.NewOrders(owner.OrderOptions{
 		Domain:    p.cfg.Domain,
 		Self:      order.Holder{Host: me.Host, Incarnation: me.Incarnation},
--- a/internal/daemon/work.go
+++ b/internal/daemon/work.go
@@ -20,19 +20,19 @@
 // ones.
 const workSection = "work"
 
-// workPace is the time between two digests of the offered work. The work is faded
+// workInterval is the time between two digests of the offered work. The work is faded
 // over tens of seconds, so that a few seconds of age do not matter; the most is
 // under half of the time for which a digest counts.
-var workPace = pace{least: 2 * time.Second, perHost: 100 * time.Millisecond, most: 6 * time.Second}
+var workInterval = shareInterval{min: 2 * time.Second, perHost: 100 * time.Millisecond, max: 6 * time.Second}
 
 // shareWork exchanges the offered work with the peers.
 func (p *process) shareWork(ctx context.Context) error {
-	seen := map[digestKey]uint64{} // version last taken
+	seen := map[incarnationKey]uint64{} // version last taken
 	for {
 		p.publishWork()
-		p.takeWork(seen)
+		p.applyPeerWork(seen)
 		select {
-		case <-time.After(p.every(workPace)):
+		case <-time.After(p.domainInterval(workInterval)):
 		case <-ctx.Done():
 			return nil
 		}
@@ -49,9 +49,9 @@
 	}
 }
 
-func (p *process) takeWork(seen map[digestKey]uint64) {
+func (p *process) applyPeerWork(seen map[incarnationKey]uint64) {
 	for _, section := range p.node.Sections(workSection) {
-		key := digestKey{section.Host, section.Incarnation}
+		key := incarnationKey{section.Host, section.Incarnation}
 		if section.Domain != p.cfg.Domain || section.Host == p.cfg.Host || seen[key] == section.Version {
 			continue
 		}
@@ -65,7 +65,7 @@
 	}
 }
 
-var errWork = merry.New("work is not one list of bands for each pool")
+var errInvalidWork = merry.New("work is not one list of bands for each pool")
 
 // encodeWork writes the pools' names and then all bands, rounded: gob describes a
 // struct or map in each message, and writes a number of few bits in few bytes.
@@ -106,7 +106,7 @@
 		return nil, merry.Prepend(err, "decode offered work")
 	}
 	if len(bands) != len(names)*placement.NumBands {
-		return nil, errWork
+		return nil, errInvalidWork
 	}
 	pools := make(map[string]placement.Work, len(names))
 	for i, name := range names {
--- a/internal/obs/bounded.go
+++ b/internal/obs/bounded.go
@@ -23,16 +23,16 @@
 	return w
 }
 
-// batchBytes is how much is written at once at the most: lines that wait together cost
+// maxBatchBytes is how much is written at once at the most: lines that wait together cost
 // one system call.
-const batchBytes = 16 << 10
+const maxBatchBytes = 16 << 10
 
 func (w *BoundedWriter) copy(out io.Writer) {
-	batch := make([]byte, 0, batchBytes)
+	batch := make([]byte, 0, maxBatchBytes)
 	for line := range w.lines {
 		batch = append(batch[:0], line...)
 	more:
-		for len(batch) < batchBytes {
+		for len(batch) < maxBatchBytes {
 			select {
 			case next, open := <-w.lines:
 				if !open {
--- a/internal/obs/page_test.go
+++ b/internal/obs/page_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// event matches a log line of a level that operators see.
-var event = regexp.MustCompile(`\.(?:Info|Warn|Error)\("([a-z_ ]+)"\)`)
+// eventCall matches a log line of a level that operators see.
+var eventCall = regexp.MustCompile(`\.(?:Info|Warn|Error)\("([a-z_ ]+)"\)`)
 
 // TestPageNamesEveryEvent keeps docs/OPERATIONS.md in step with the daemon's log
 // lines.
@@ -22,14 +22,14 @@
 	page := string(text)
 	named := 0
 	err = filepath.WalkDir("..", func(path string, d fs.DirEntry, err error) error {
-		if err != nil || d.IsDir() || !ofDaemon(path) {
+		if err != nil || d.IsDir() || !isDaemonCode(path) {
 			return err
 		}
 		code, err := os.ReadFile(path)
 		if err != nil {
 			return err
 		}
-		for _, m := range event.FindAllStringSubmatch(string(code), -1) {
+		for _, m := range eventCall.FindAllStringSubmatch(string(code), -1) {
 			named++
 			if !strings.Contains(page, "`"+m[1]+"`") && !strings.HasSuffix(m[1], "_undecodable") {
 				t.Errorf("%s: docs/OPERATIONS.md does not name the event %q", path, m[1])
@@ -45,8 +45,8 @@
 	}
 }
 
-// ofDaemon reports whether a file is code that a daemon runs.
-func ofDaemon(path string) bool {
+// isDaemonCode reports whether a file is code that a daemon runs.
+func isDaemonCode(path string) bool {
 	if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.HasSuffix(path, "_gen.go") {
 		return false
 	}
