--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -26,32 +26,32 @@
 	"github.com/buckthorndock/buckthorndock/internal/upstream"
 )
 
-// Bounds of the HTTP server.
+// Limits of the HTTP server and of the journal.
 const (
 	headerTimeout  = 5 * time.Second
 	maxHeaderBytes = 32 << 10
 	idleTimeout    = 2 * time.Minute
-	journalSize    = 2000
+	journalSize    = 2000 // routing decisions
 )
 
-// Shortest times between two load reports of an engine that this host owns, and
-// between two digests of these engines. The owner stretches both in a large
-// failure domain, to keep its digests within their budget.
+// loadEvery and publishEvery are the shortest times between two load reports of an
+// engine that this host owns and between two digests of these engines. The owner
+// extends both in a large failure domain to keep its digests within digestBudget.
 const (
 	loadEvery    = 50 * time.Millisecond
 	publishEvery = 100 * time.Millisecond
 )
 
-// digestBudget bounds the bytes a second of all digests of a failure domain, as
-// one front receives them; in a large domain they come less often for it.
+// digestBudget limits the digests of a failure domain that one front receives, in
+// bytes per second. In a large domain they are sent less often to stay within it.
 const digestBudget = 3000
 
-// process holds the parts of a running daemon.
+// process holds the components of a running daemon.
 type process struct {
 	cfg         *config.Daemon
 	log         *logrus.Entry
 	incarnation uint64
-	workCtx     context.Context // of the background work
+	workCtx     context.Context // of the background goroutines
 
 	logService platform.Log
 	hostList   *hostList
@@ -78,7 +78,7 @@
 	server *http.Server
 }
 
-// newProcess builds a daemon that does nothing yet but listen to peers.
+// newProcess builds a daemon. Its peer listener is open, but nothing runs yet.
 func newProcess(workCtx context.Context, cfg *config.Daemon, log *logrus.Entry) (*process, error) {
 	p := &process{cfg: cfg, log: log, workCtx: workCtx, incarnation: uint64(time.Now().UnixMilli())}
 	steps := []func() error{p.buildPlatform, p.buildPeers, p.buildFollower, p.buildUpstreams, p.buildOwner, p.buildOrders, p.buildClaims, p.buildJoin, p.buildFront}
@@ -90,11 +90,13 @@
 	return p, nil
 }
 
+// selfHolder returns the identity under which this process holds reservations.
 func (p *process) selfHolder() ledger.Holder {
 	return holderOf(p.cfg.Host, p.incarnation)
 }
 
-// formatIncarnation is a host's incarnation as engines and their owners know it.
+// formatIncarnation returns a host's incarnation in the form that engines and their
+// owners use.
 func formatIncarnation(incarnation uint64) string { return strconv.FormatUint(incarnation, 10) }
 
 func (p *process) buildPlatform() error {
@@ -136,6 +138,8 @@
 	return nil
 }
 
+// upstreamDomain returns the failure domain of an upstream, or "" if the settings
+// have none of that name.
 func (p *process) upstreamDomain(name string) string {
 	if u := p.follower.Current().Upstream(name); u != nil {
 		return u.Domain
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -14,21 +14,22 @@
 	"github.com/buckthorndock/buckthorndock/internal/suspects"
 )
 
-// evidenceStream has the evidence on requests that crash engines.
+// evidenceStream is the log stream of the evidence on requests that crash engines.
 const evidenceStream = "evidence"
 
-// Times of a graceful end.
+// Times of a graceful shutdown.
 const (
-	// lameDuckPeriod is how long a leaving daemon still takes requests, while the
-	// balancer finds out.
+	// lameDuckPeriod is how long a leaving daemon still accepts requests while the
+	// load balancer notices that it is not ready.
 	lameDuckPeriod        = 2 * time.Second
 	drainPollInterval     = 50 * time.Millisecond
-	maxEndsWait           = 2 * time.Second // for ends of attempts that no engine has confirmed
+	maxEndsWait           = 2 * time.Second // for engines to confirm the ends of attempts
 	serverShutdownTimeout = 2 * time.Second
 )
 
-// Run runs the daemon until the context ends, and then until all requests in
-// progress have ended. The error is nil after a graceful end.
+// Run runs the daemon until ctx is cancelled, then lets the requests in progress
+// finish, within cfg.ShutdownTimeout if that is set. It returns nil after a graceful
+// shutdown.
 func Run(ctx context.Context, cfg *config.Daemon, log *logrus.Entry) error {
 	workCtx, stopWork := context.WithCancel(context.Background())
 	defer stopWork()
@@ -63,7 +64,8 @@
 	return err
 }
 
-// start starts the background work, which ends with the work context.
+// start starts the background goroutines, which end when workCtx is cancelled. The
+// WaitGroup waits for them.
 func (p *process) start() *sync.WaitGroup {
 	var wg sync.WaitGroup
 	run := func(name string, loop func(context.Context) error) {
@@ -95,8 +97,8 @@
 	return &wg
 }
 
-// drain ends gracefully: balancer and peers are told first, requests in progress
-// are finished, then all is closed.
+// drain shuts down gracefully: it announces the end to load balancer and peers, lets
+// the requests in progress finish and then closes the server.
 func (p *process) drain() {
 	p.log.WithField("in_flight", p.front.InFlight()).Info("leaving")
 	p.front.MarkLeaving()
@@ -132,8 +134,8 @@
 	}
 }
 
-// waitAttemptEnds gives cancels and releases that no engine has confirmed a little
-// time; the engines' owners see to the rest.
+// waitAttemptEnds waits up to maxEndsWait for engines to confirm cancels and
+// releases. The engines' owners end the rest.
 func (p *process) waitAttemptEnds() {
 	deadline := time.Now().Add(maxEndsWait)
 	for time.Now().Before(deadline) {
@@ -144,12 +146,12 @@
 	}
 }
 
-// supersededCheckInterval is the time between two looks for a newer daemon with this
-// host's name.
+// supersededCheckInterval is the time between two checks for a newer daemon with
+// this host's name.
 const supersededCheckInterval = time.Second
 
-// stopWhenSuperseded stops taking work when a newer daemon runs under this host's
-// name: peers and engine owners count only the newer one's word.
+// stopWhenSuperseded stops accepting requests when a newer daemon runs under this
+// host's name: peers and engine owners accept messages of the newer one only.
 func (p *process) stopWhenSuperseded(ctx context.Context) error {
 	ticker := time.NewTicker(supersededCheckInterval)
 	defer ticker.Stop()
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,3 +1,3 @@
-// Package daemon puts the parts of the daemon together and runs them from start
-// to a graceful end.
+// Package daemon assembles the components of the daemon and runs them from start
+// to graceful shutdown.
 package daemon
--- a/internal/daemon/faults.go
+++ b/internal/daemon/faults.go
@@ -11,15 +11,15 @@
 	"github.com/buckthorndock/buckthorndock/internal/peer"
 )
 
-// faultPath leads to the fault switches of the scenarios. They are there only
-// with test_faults in the daemon file.
+// faultPath is the path prefix of the fault switches that the scenarios use. They
+// are served only with test_faults in the daemon file.
 const faultPath = "/test-faults/"
 
 // withFaults adds the fault switches to a handler:
 //
 //	POST /test-faults/cut?from=NAME,NAME     cuts this host off from hosts and domains
 //	POST /test-faults/silence                makes open peer connections silent
-//	POST /test-faults/hold?at=POINT          stops each dispatch at a front.Point; without at all go on
+//	POST /test-faults/hold?at=POINT          holds each dispatch at a front.DispatchPoint; without at, releases all
 func withFaults(next http.Handler, node *peer.Node, hold *dispatchHold) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", next)
@@ -48,20 +48,20 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// dispatchHold stops requests at one point of their way until it is lifted.
+// dispatchHold holds requests at one dispatch point until the point changes.
 type dispatchHold struct {
 	log *logrus.Entry
 
 	mu       sync.Mutex
 	point    front.DispatchPoint
-	released chan struct{} // closed when at changes
+	released chan struct{} // closed when point changes
 }
 
 func newDispatchHold(log *logrus.Entry) *dispatchHold {
 	return &dispatchHold{log: log, released: make(chan struct{})}
 }
 
-// moveTo moves the hold to a point, or nowhere, and lets go what it held.
+// moveTo releases the held requests and holds further ones at a point; empty: none.
 func (h *dispatchHold) moveTo(point front.DispatchPoint) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -70,7 +70,7 @@
 	h.released = make(chan struct{})
 }
 
-// wait implements front.Options.AtPoint.
+// wait implements front.Options.OnDispatchPoint.
 func (h *dispatchHold) wait(point front.DispatchPoint) {
 	h.mu.Lock()
 	heldPoint, released := h.point, h.released
--- a/internal/daemon/feed.go
+++ b/internal/daemon/feed.go
@@ -18,26 +18,26 @@
 	"github.com/buckthorndock/buckthorndock/internal/wait"
 )
 
-// Times of the loops that feed the router.
+// Times of the loops that update the router.
 const (
-	digestReadInterval   = 20 * time.Millisecond  // between two looks at the owners' digests
-	watchTargetsInterval = 200 * time.Millisecond // between two choices of what to watch
-	watchInterval        = 100 * time.Millisecond // between two looks at one of them
-	watchTimeout         = 400 * time.Millisecond // in which it has to answer
+	digestReadInterval   = 20 * time.Millisecond  // between two reads of the owners' digests
+	watchTargetsInterval = 200 * time.Millisecond // between two selections of the upstreams to poll directly
+	watchInterval        = 100 * time.Millisecond // between two polls of one of them
+	watchTimeout         = 400 * time.Millisecond // of one poll
 )
 
-// A report is stale, and its engine is looked at directly, when it is much older
-// than those of most engines of the pool, and in any case when it is older than
-// staleMost, and a little more for each engine of the domain: owners tell less often
-// where there are more of them.
+// A report is stale, and its engine is polled directly, when it is much older than
+// the median report of the pool, and in any case when it is older than
+// maxStaleAgeBase plus staleAgePerEngine for each engine of the pool in this domain:
+// owners publish less often where there are more engines.
 const (
-	staleMedianFactor = 3                      // times the median age
-	minStaleAge       = 700 * time.Millisecond // never stale before
+	staleMedianFactor = 3                      // multiple of the median age
+	minStaleAge       = 700 * time.Millisecond // a younger report is never stale
 	maxStaleAgeBase   = 2500 * time.Millisecond
 	staleAgePerEngine = 60 * time.Millisecond
 )
 
-// applySettings passes new settings on.
+// applySettings passes each version of the settings to the components that use them.
 func (p *process) applySettings(ctx context.Context) error {
 	changed, cancel := p.follower.Subscribe()
 	defer cancel()
@@ -54,14 +54,14 @@
 	}
 }
 
-// incarnationKey names one host's life.
+// incarnationKey identifies one incarnation of a host.
 type incarnationKey struct {
 	host        string
 	incarnation uint64
 }
 
-// readDigests passes the load reports and cache events that engine owners spread
-// on to the router.
+// readDigests passes the load reports and cache events that engine owners publish
+// to the router.
 func (p *process) readDigests(ctx context.Context) error {
 	seen := map[incarnationKey]uint64{} // version last read
 	wait.Every(ctx, digestReadInterval, func(time.Time) {
@@ -118,8 +118,8 @@
 	return out
 }
 
-// watch has those upstreams of the own domain looked at directly that are not
-// known to be well: failing ones, and engines whose owner tells nothing fresh.
+// watch polls the watchTargets directly. It also drops attempts whose end was never
+// reported to the router.
 func (p *process) watch(ctx context.Context) error {
 	defer p.watcher.Wait()
 	ticker := time.NewTicker(watchTargetsInterval)
@@ -137,6 +137,9 @@
 	}
 }
 
+// watchTargets returns the upstreams of this domain that are not known to work:
+// failing ones, and engines without a fresh report. If none of a pool works, it adds
+// upstreams of other domains, unless the pool never spills over.
 func (p *process) watchTargets() []upstream.Target {
 	var targets []upstream.Target
 	for _, pool := range p.follower.Current().Pools() {
@@ -177,6 +180,7 @@
 	return min(max(staleMedianFactor*ages[len(ages)/2], minStaleAge), maxAge)
 }
 
+// splitByDomain separates the upstreams of this failure domain from all others.
 func (p *process) splitByDomain(all []router.UpstreamStatus) (own, others []router.UpstreamStatus) {
 	for _, u := range all {
 		if u.Domain == p.cfg.Domain {
@@ -188,12 +192,13 @@
 	return own, others
 }
 
-// maxSpillTargets bounds the upstreams of other domains that one front watches when
-// its own domain has none. Each front takes others, so that they share the load.
+// maxSpillTargets limits the upstreams of other domains that one front polls for a
+// pool when none of its own domain works. Fronts select different ones, so that they
+// share the load.
 const maxSpillTargets = 8
 
-// spillTargets returns the upstreams that come first for this host by rendezvous
-// hashing.
+// spillTargets returns the maxSpillTargets upstreams that rank first for this host by
+// rendezvous hashing. It sorts others in place.
 func (p *process) spillTargets(others []router.UpstreamStatus) []router.UpstreamStatus {
 	score := func(u router.UpstreamStatus) uint64 { return xxhash.Sum64String(p.cfg.Host + "\x00" + u.Name) }
 	slices.SortFunc(others, func(a, b router.UpstreamStatus) int { return cmp.Compare(score(a), score(b)) })
--- a/internal/daemon/feed_test.go
+++ b/internal/daemon/feed_test.go
@@ -7,15 +7,15 @@
 	"github.com/buckthorndock/buckthorndock/internal/router"
 )
 
-// TestStaleLimitFollowsTheMedian: an engine whose reports stop is found early where
-// reports are fresh, and not suspected where all are old.
-func TestStaleLimitFollowsTheMedian(t *testing.T) {
+// TestStaleAgeFollowsMedian checks that an engine whose reports stop is noticed early
+// where the other reports are fresh, and not suspected where all are old.
+func TestStaleAgeFollowsMedian(t *testing.T) {
 	aged := func(ages ...time.Duration) []router.UpstreamStatus {
 		var all []router.UpstreamStatus
 		for _, age := range ages {
 			all = append(all, router.UpstreamStatus{Reported: true, ReportAge: age})
 		}
-		return append(all, router.UpstreamStatus{}) // one that never reported
+		return append(all, router.UpstreamStatus{}) // an engine without any report
 	}
 	const ms = time.Millisecond
 	for _, c := range []struct {
--- a/internal/daemon/hosts.go
+++ b/internal/daemon/hosts.go
@@ -10,18 +10,18 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// Times of what follows the platform's list of hosts.
+// Times around the platform's list of hosts.
 const (
-	hostsInterval = time.Second // between two looks at which hosts live and which have gone
-	// listIntervalPerHost is the least time between two reads for each host that the list
-	// had, at some 110 bytes a host, and listEveryMost bounds it.
+	hostsInterval = time.Second // between two reports of the hosts to the engines' owner
+	// listIntervalPerHost is the shortest time between two reads for each host on the
+	// last list, at some 110 bytes per host. maxListInterval limits the product.
 	listIntervalPerHost = 40 * time.Millisecond
 	maxListInterval     = time.Minute
-	// maxListAge is the age up to which a read list says who has gone.
+	// maxListAge is the age up to which a host that the list lacks counts as gone.
 	maxListAge = 2 * time.Minute
 )
 
-// hostList keeps the platform's list as it was last read.
+// hostList caches the platform's list of hosts.
 type hostList struct {
 	source platform.Hosts
 
@@ -30,8 +30,8 @@
 	hosts  []platform.Host
 }
 
-// List reads the list and keeps it. A long list that was read a short while ago is
-// not read again.
+// List reads the list and caches it. A long list that was read a short time ago is
+// returned from the cache.
 func (l *hostList) List(ctx context.Context) ([]platform.Host, error) {
 	if listed, read := l.last(); time.Since(read) < min(time.Duration(len(listed))*listIntervalPerHost, maxListInterval) {
 		return listed, nil
@@ -47,15 +47,15 @@
 	return hosts, nil
 }
 
-// last returns the list as it was last read, and when that was.
+// last returns the cached list and the time when it was read.
 func (l *hostList) last() ([]platform.Host, time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.hosts, l.readAt
 }
 
-// mayContain reports whether a fresh list has an entry host. A list that is not fresh
-// is taken to have it.
+// mayContain reports whether the cached list has an entry host of this name. A list
+// that was never read or is older than maxListAge is assumed to have it.
 func (l *hostList) mayContain(host string, now time.Time) bool {
 	listed, read := l.last()
 	if read.IsZero() || now.Sub(read) > maxListAge {
@@ -69,8 +69,8 @@
 	return false
 }
 
-// trackHosts tells the engines' owner which hosts have gone for good, so that
-// what they held is ended soon.
+// trackHosts reports to this host's engine owner which incarnations run and which
+// hosts have gone for good, so that what former ones and gone hosts hold ends soon.
 func (p *process) trackHosts(ctx context.Context) error {
 	ticker := time.NewTicker(hostsInterval)
 	defer ticker.Stop()
@@ -85,15 +85,15 @@
 	}
 }
 
-// reportIncarnations tells the owner the incarnations of all hosts.
+// reportIncarnations reports the incarnations of all hosts to the owner.
 func (p *process) reportIncarnations(ctx context.Context) {
 	for _, m := range p.node.Members() {
 		p.owner.ObserveHolder(ctx, holderOf(m.Host, m.Incarnation))
 	}
 }
 
-// reportGoneHosts tells the owner which hosts have gone: they are silent, or were never
-// heard, and the platform's list has them no longer.
+// reportGoneHosts reports to the owner which hosts have gone: those that are dead in
+// the membership or not part of it, and no longer on the platform's list.
 func (p *process) reportGoneHosts(now time.Time) {
 	live := map[string]bool{}
 	for _, m := range p.node.Members() {
@@ -106,6 +106,7 @@
 	}
 }
 
+// holderOf returns an incarnation of a host as a holder of reservations.
 func holderOf(host string, incarnation uint64) ledger.Holder {
 	return ledger.Holder{Host: host, Incarnation: formatIncarnation(incarnation)}
 }
--- a/internal/daemon/interval.go
+++ b/internal/daemon/interval.go
@@ -6,18 +6,19 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/membership"
 )
 
-// shareInterval is how often a host tells all others of its failure domain something: in a
-// large domain less often, since each host hears all of them.
+// shareInterval is the time between two digests of a host to all others of its
+// failure domain. It grows with the domain, since each host receives all digests.
 type shareInterval struct {
-	min     time.Duration // between two digests
-	perHost time.Duration // for each host of the domain, when that is more
+	min     time.Duration
+	perHost time.Duration // for each host of the domain, if that is more than min
 	max     time.Duration
 }
 
-func (c shareInterval) forHosts(hosts int) time.Duration {
-	return min(max(time.Duration(hosts)*c.perHost, c.min), c.max)
+func (s shareInterval) forHosts(hosts int) time.Duration {
+	return min(max(time.Duration(hosts)*s.perHost, s.min), s.max)
 }
 
-func (p *process) domainInterval(c shareInterval) time.Duration {
-	return c.forHosts(len(membership.InDomain(p.node.Members(), p.cfg.Domain)))
+// domainInterval returns the interval for the present size of this failure domain.
+func (p *process) domainInterval(s shareInterval) time.Duration {
+	return s.forHosts(len(membership.InDomain(p.node.Members(), p.cfg.Domain)))
 }
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -8,23 +8,23 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/membership"
 )
 
-// Sections that carry the demand for shared limits: a host's own within its
-// failure domain, and its domain's sum to the others.
+// Sections that carry the demand for shared limits: that of a host to its failure
+// domain, and the sum of a domain to the other domains.
 const (
 	usageSection       = "limits"
 	domainUsageSection = "limits-domain"
 )
 
-// limitsInterval is the time between two divisions of the shared limits. Its most is
-// under half of the time after which a host that tells nothing counts as silent.
+// limitsInterval is the time between two divisions of the shared limits. Its max is
+// less than half of the time after which a host without digests counts as silent.
 var limitsInterval = shareInterval{min: 2 * time.Second, perHost: 250 * time.Millisecond, max: 14 * time.Second}
 
-// gatewayKey is the key whose owner tells the other domains the sum of its own.
+// gatewayKey is the key whose owner publishes the sum of its domain to the others.
 const gatewayKey = "limits-gateway"
 
-// shareLimits exchanges demand with the peers and divides the limits by it.
+// shareLimits exchanges demand with the peers and divides the shared limits by it.
 func (p *process) shareLimits(ctx context.Context) error {
-	seen := map[sectionKey]uint64{} // version last taken
+	seen := map[sectionKey]uint64{} // version last read
 	for {
 		p.gate.SetExpectedHosts(p.hostCount())
 		own, domain := p.gate.ExchangeUsage(p.newPeerUsage(seen))
@@ -40,7 +40,7 @@
 	}
 }
 
-// hostCount returns the number of hosts that are part of the site now.
+// hostCount returns the number of hosts of the site that are not dead.
 func (p *process) hostCount() int {
 	n := 0
 	for _, m := range p.node.Members() {
@@ -51,13 +51,15 @@
 	return n
 }
 
+// sectionKey identifies a section of one incarnation of a host.
 type sectionKey struct {
 	section     string
 	host        string
 	incarnation uint64
 }
 
-// newPeerUsage returns the digests that came since the last call.
+// newPeerUsage returns the peers' digests that are newer than those in seen, and
+// updates seen.
 func (p *process) newPeerUsage(seen map[sectionKey]uint64) []admission.Usage {
 	var digests []admission.Usage
 	for _, section := range []string{usageSection, domainUsageSection} {
@@ -86,6 +88,7 @@
 	return digests
 }
 
+// publishUsage publishes a digest in a section and logs errors.
 func (p *process) publishUsage(section string, u admission.Usage, publish func(string, []byte) error) {
 	data, err := encodeUsage(u)
 	if err == nil {
--- a/internal/daemon/listed.go
+++ b/internal/daemon/listed.go
@@ -11,16 +11,16 @@
 	"github.com/buckthorndock/buckthorndock/internal/wait"
 )
 
-// listedSection carries the upstreams that the platform's list has as leaving.
-// Each host reads the list now and then; so the first that reads of one tells its
-// domain.
+// listedSection carries the addresses of the upstreams that the platform's list shows
+// as leaving. Each host reads the list only from time to time, so the first one to
+// read of a leaving upstream reports it to its failure domain.
 const listedSection = "listed-leaving"
 
-// listedInterval is the time between two looks at what the hosts have read.
+// listedInterval is the time between two reads of the hosts' sections.
 const listedInterval = 200 * time.Millisecond
 
-// leavingAddresses returns the addresses of leaving upstreams, in order and with
-// blanks between: the list's names of hosts need not be those of the settings.
+// leavingAddresses returns the addresses of leaving upstreams, sorted and separated
+// by blanks. The list's host names need not be those of the settings.
 func leavingAddresses(hosts []platform.Host) string {
 	var addresses []string
 	for _, h := range hosts {
@@ -32,17 +32,17 @@
 	return strings.Join(addresses, " ")
 }
 
-// shareListed tells the domain what this host has read, and the router what any
-// host has.
+// shareListed publishes the leaving upstreams that this host has read, and passes
+// those that any host has read to the router.
 func (p *process) shareListed(ctx context.Context) error {
-	published := "" // nothing is as good as no section
+	published := "" // an empty section is equivalent to none
 	wait.Every(ctx, listedInterval, func(time.Time) {
 		published = p.publishListed(published)
 		leaving := map[string]bool{}
 		dead := p.deadHosts()
 		for _, section := range p.node.Sections(listedSection) {
 			if dead[section.Host] {
-				continue // its word cannot be taken back
+				continue // it can no longer withdraw what it published
 			}
 			for _, address := range strings.Fields(string(section.Data)) {
 				leaving[address] = true
@@ -53,9 +53,9 @@
 	return nil
 }
 
-// publishListed publishes what the last list has as leaving, when that is not what
-// was told before. It returns what has been told. A list that cannot be read
-// changes nothing.
+// publishListed publishes the leaving upstreams of the cached list if they differ
+// from those published before, and returns what is published now. A list that cannot
+// be read changes nothing.
 func (p *process) publishListed(published string) string {
 	hosts, _ := p.hostList.last()
 	addresses := leavingAddresses(hosts)
@@ -69,6 +69,7 @@
 	return addresses
 }
 
+// deadHosts returns for each member host whether it is dead.
 func (p *process) deadHosts() map[string]bool {
 	dead := map[string]bool{}
 	for _, m := range p.node.Members() {
--- a/internal/daemon/listener.go
+++ b/internal/daemon/listener.go
@@ -10,8 +10,8 @@
 
 var connectionsRefused = metrics.NewCounter("buckthorndock_connections_refused_total")
 
-// limitedListener closes connections beyond a number at once, so that callers
-// who open many cannot use up the files of the process.
+// limitedListener allows max open connections and closes further ones at once, so
+// that callers cannot use up the file descriptors of the process.
 type limitedListener struct {
 	net.Listener
 	max  int64
@@ -34,7 +34,7 @@
 	}
 }
 
-// limitedConn gives its place back when it is closed.
+// limitedConn is a connection that is counted until it is closed.
 type limitedConn struct {
 	net.Conn
 	listener *limitedListener
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -21,8 +21,9 @@
 	return nil
 }
 
-// orderPools returns the engine pools of this failure domain with what the
-// settings want of their engines, but for evacuated ones.
+// orderPools returns the engine pools with the models that the settings require, and
+// their engines in this failure domain that are not evacuated. Pools without such
+// engines are left out.
 func (p *process) orderPools() []owner.OrderPool {
 	var pools []owner.OrderPool
 	for _, pool := range p.follower.Current().Pools() {
@@ -47,6 +48,7 @@
 	return pools
 }
 
+// desiredOf returns the models that the settings require on a pool's engines.
 func desiredOf(pool *settings.PoolView) order.Desired {
 	var d order.Desired
 	for _, m := range pool.Models {
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -17,10 +17,10 @@
 // from the log; the others get them from peers.
 const numTailers = 2
 
-// tailerKey is the key whose first owners are the tailers.
+// tailerKey is the key for which the tailers rank first.
 const tailerKey = "settings-tailer"
 
-// peers shows the node to the packages that need a part of it.
+// peers adapts the node to the interfaces of the packages that use it.
 type peers struct {
 	*peer.Node
 	host   string
@@ -59,15 +59,15 @@
 	return slices.DeleteFunc(slices.Clone(p.Members()), func(m membership.Member) bool { return m.Domain != p.domain })
 }
 
-// others returns the hosts that can be expected to answer, without this one.
+// others returns the hosts that are not dead, without this one.
 func (p *peers) others() []membership.Member {
 	return slices.DeleteFunc(slices.Clone(p.Members()), func(m membership.Member) bool {
 		return m.Host == p.host || m.State == membership.Dead
 	})
 }
 
-// Owner implements owner.Ownership: the live host that comes first for a key, of
-// the failure domain of the upstream that the key names, else of this one.
+// Owner implements owner.Ownership: the live host that ranks first for a key, in the
+// failure domain of the upstream that the key names, else in this one.
 func (p *peers) Owner(key string) (host, address string, self bool) {
 	domain := p.upstreamDomain(key)
 	if domain == "" {
@@ -89,11 +89,11 @@
 	return domains
 }
 
-// numCombiners is how many hosts are offered as combiners of a partition.
+// numCombiners is the number of hosts offered as combiners of a partition.
 const numCombiners = 3
 
-// Combiners implements claims.Peers: the first live hosts of the whole site, so
-// that a partition has one combiner as long as all hosts see each other.
+// Combiners implements claims.Peers: the live hosts of the whole site that rank first
+// for a partition, so that it has one combiner as long as all hosts see each other.
 func (p *peers) Combiners(partition int) []claims.PeerRef {
 	var refs []claims.PeerRef
 	for _, m := range p.Rank("claims-"+strconv.Itoa(partition), numCombiners) {
--- a/internal/daemon/wire_test.go
+++ b/internal/daemon/wire_test.go
@@ -14,7 +14,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// fullUsage is a digest of a busy front: 64 of 210 customers.
+// fullUsage returns the digest of a busy front: 64 of 210 customers.
 func fullUsage() admission.Usage {
 	rng := rand.New(rand.NewPCG(1, 2))
 	u := admission.Usage{Hosts: 1}
@@ -93,7 +93,7 @@
 	}
 }
 
-// countedHosts is a list of hosts that counts its reads.
+// countedHosts is a platform.Hosts that counts its reads.
 type countedHosts struct {
 	hosts []platform.Host
 	reads int
--- a/internal/daemon/work.go
+++ b/internal/daemon/work.go
@@ -14,20 +14,19 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/placement"
 )
 
-// workSection carries the work that a front was offered, by length of the prompt,
-// to the other fronts of its failure domain. All divide the engines by the sum,
-// so that no front sends long prompts to the engines that another keeps for short
-// ones.
+// workSection carries the work offered to a front, by length of the prompt, to the
+// other fronts of its failure domain. All divide the engines by the sum, so that no
+// front sends long prompts to the engines that another reserves for short ones.
 const workSection = "work"
 
-// workInterval is the time between two digests of the offered work. The work is faded
-// over tens of seconds, so that a few seconds of age do not matter; the most is
-// under half of the time for which a digest counts.
+// workInterval is the time between two digests of the offered work. The work decays
+// over tens of seconds, so an age of a few seconds does not matter; max is less than
+// half of the time for which a digest counts.
 var workInterval = shareInterval{min: 2 * time.Second, perHost: 100 * time.Millisecond, max: 6 * time.Second}
 
 // shareWork exchanges the offered work with the peers.
 func (p *process) shareWork(ctx context.Context) error {
-	seen := map[incarnationKey]uint64{} // version last taken
+	seen := map[incarnationKey]uint64{} // version last read
 	for {
 		p.publishWork()
 		p.applyPeerWork(seen)
@@ -39,6 +38,7 @@
 	}
 }
 
+// publishWork publishes the work offered to this front and logs errors.
 func (p *process) publishWork() {
 	data, err := encodeWork(p.router.OfferedWork())
 	if err == nil {
@@ -49,6 +49,8 @@
 	}
 }
 
+// applyPeerWork passes the domain's digests that are newer than those in seen to the
+// router, and updates seen.
 func (p *process) applyPeerWork(seen map[incarnationKey]uint64) {
 	for _, section := range p.node.Sections(workSection) {
 		key := incarnationKey{section.Host, section.Incarnation}
@@ -65,9 +67,9 @@
 	}
 }
 
-var errInvalidWork = merry.New("work is not one list of bands for each pool")
+var errInvalidWork = merry.New("work digest does not have all bands of each pool")
 
-// encodeWork writes the pools' names and then all bands, rounded: gob describes a
+// encodeWork encodes the pools' names and then all bands, rounded: gob describes a
 // struct or map in each message, and writes a number of few bits in few bytes.
 func encodeWork(pools map[string]placement.Work) ([]byte, error) {
 	names := slices.Sorted(maps.Keys(pools))
@@ -86,14 +88,15 @@
 	return b.Bytes(), merry.Prepend(err, "encode offered work")
 }
 
-// roundWork keeps five binary digits, an error of 3% at the most: sign, exponent
-// and these fit two bytes.
+// roundWork rounds to five binary digits, an error of at most 3%: sign, exponent and
+// digits fit in two bytes.
 func roundWork(work float64) float64 {
 	const digits = 5
 	fraction, exponent := math.Frexp(work)
 	return math.Ldexp(math.Round(math.Ldexp(fraction, digits)), exponent-digits)
 }
 
+// decodeWork decodes the offered work by pool.
 func decodeWork(data []byte) (map[string]placement.Work, error) {
 	var names []string
 	var bands []float64
