--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -1,5 +1,5 @@
-// Package platform meets the platform's services: the append-only log, the list
-// of hosts and the weight store. The interfaces here are all that the rest of
-// the program knows of them; a client of another wire format is added beside
-// HTTP and touches no other package.
+// Package platform holds the interfaces to the platform's services: the append-only
+// log, the list of hosts, the weight store and the keyed store. Other packages use
+// only these interfaces, so a client of another wire format is added here, beside
+// HTTP, without changes elsewhere.
 package platform
