--- a/internal/obs/bounded.go
+++ b/internal/obs/bounded.go
@@ -9,30 +9,31 @@
 
 var droppedLines = metrics.NewCounter("buckthorndock_log_lines_dropped_total")
 
-// BoundedWriter writes lines in the background. A reader that does not keep up costs
-// log lines, which are counted, and never holds up who writes them.
+// BoundedWriter writes lines in the background. When the output does not keep up, it
+// drops lines and counts them; writers never wait.
 type BoundedWriter struct {
 	lines chan []byte
 	done  sync.WaitGroup
 }
 
-// NewBoundedWriter returns a writer to out that keeps up to n lines waiting.
+// NewBoundedWriter returns a writer to out that queues up to n lines.
 func NewBoundedWriter(out io.Writer, n int) *BoundedWriter {
 	w := &BoundedWriter{lines: make(chan []byte, n)}
 	w.done.Go(func() { w.copy(out) })
 	return w
 }
 
-// maxBatchBytes is how much is written at once at the most: lines that wait together cost
-// one system call.
-const maxBatchBytes = 16 << 10
+// batchFlushBytes is the size from which a batch gets no more lines. Queued lines are
+// written together in one system call.
+const batchFlushBytes = 16 << 10
 
+// copy writes the queued lines to out until lines is closed.
 func (w *BoundedWriter) copy(out io.Writer) {
-	batch := make([]byte, 0, maxBatchBytes)
+	batch := make([]byte, 0, batchFlushBytes)
 	for line := range w.lines {
 		batch = append(batch[:0], line...)
 	more:
-		for len(batch) < maxBatchBytes {
+		for len(batch) < batchFlushBytes {
 			select {
 			case next, open := <-w.lines:
 				if !open {
@@ -44,7 +45,7 @@
 			}
 		}
 		if _, err := out.Write(batch); err != nil {
-			droppedLines.Inc() // there is nowhere to say so but the metrics
+			droppedLines.Inc() // only the metrics can report this
 		}
 	}
 }
@@ -60,7 +61,8 @@
 	return len(p), nil
 }
 
-// Close writes what waits. Nothing may be written afterwards.
+// Close writes the queued lines and returns when that is done. Write must not be
+// called afterwards.
 func (w *BoundedWriter) Close() {
 	close(w.lines)
 	w.done.Wait()
--- a/internal/obs/bytes.go
+++ b/internal/obs/bytes.go
@@ -10,7 +10,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Purposes of the connections whose bytes are counted.
+// Purposes under which the bytes of connections are counted.
 const (
 	PurposeLog     = "log"     // the platform's log
 	PurposeHosts   = "hosts"   // the platform's list of hosts
@@ -18,11 +18,11 @@
 	PurposeEngines = "engines" // polls and orders, not requests
 )
 
-// DefaultDialTimeout bounds the opening of a counted connection.
+// DefaultDialTimeout limits the time to open a counted connection.
 const DefaultDialTimeout = 2 * time.Second
 
-// CountedClient returns an HTTP client without an overall timeout whose bytes, as
-// they stand on the connection, are counted under a purpose.
+// CountedClient returns an HTTP client without an overall timeout that counts the
+// bytes sent and received on its connections under a purpose.
 func CountedClient(purpose string) *http.Client {
 	dialer := &net.Dialer{Timeout: DefaultDialTimeout}
 	return &http.Client{Transport: &http.Transport{
@@ -49,7 +49,7 @@
 	}
 }
 
-// countedConn counts what passes over a connection.
+// countedConn counts the bytes sent and received on a connection.
 type countedConn struct {
 	net.Conn
 	sent, received *metrics.Counter
--- a/internal/obs/obs.go
+++ b/internal/obs/obs.go
@@ -1,4 +1,4 @@
-// Package obs sets up logging and names the metrics that several packages share.
+// Package obs sets up logging and counts the bytes of control connections.
 package obs
 
 import (
@@ -8,10 +8,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// DefaultLevel is the log level without a setting.
+// DefaultLevel is the log level if none is set.
 const DefaultLevel = "info"
 
-// NewLogger returns a logger that writes one line of key=value pairs an event.
+// NewLogger returns a logger that writes each event to w as one line of key=value
+// pairs. An empty level means DefaultLevel; an unknown one is an error.
 func NewLogger(w io.Writer, level string) (*logrus.Logger, error) {
 	if level == "" {
 		level = DefaultLevel
--- a/internal/obs/page_test.go
+++ b/internal/obs/page_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// eventCall matches a log line of a level that operators see.
+// eventCall matches a call that logs an event at a level that operators see.
 var eventCall = regexp.MustCompile(`\.(?:Info|Warn|Error)\("([a-z_ ]+)"\)`)
 
-// TestPageNamesEveryEvent keeps docs/OPERATIONS.md in step with the daemon's log
-// lines.
+// TestPageNamesEveryEvent checks that docs/OPERATIONS.md names each event that the
+// daemon logs.
 func TestPageNamesEveryEvent(t *testing.T) {
 	text, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
@@ -45,7 +45,8 @@
 	}
 }
 
-// isDaemonCode reports whether a file is code that a daemon runs.
+// isDaemonCode reports whether a file is Go code that a daemon runs, neither a test
+// nor generated.
 func isDaemonCode(path string) bool {
 	if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.HasSuffix(path, "_gen.go") {
 		return false
