--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -7,7 +7,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/finding"
 )
 
-// Daemon is a checked daemon file.
+// Daemon holds the checked content of a daemon file.
 type Daemon struct {
 	Host       string   // name of this host, unique in the site
 	Domain     string   // failure domain
@@ -15,22 +15,22 @@
 	Listen     string   // IP:port for callers and operators
 	PeerListen string   // IP:port for other daemons
 	PeerKey    string   // shared by all daemons of the site
-	Seeds      []string // IP:port of peers to ask first when the platform is away
+	Seeds      []string // IP:port of peers to contact first when the platform is unavailable
 	Platform   Platform
 	LogLevel   string
-	// OperatorTokenSHA256 is the hex hash of the site's first operator token. Its
-	// bearer may change the settings at every path, also before there are any.
+	// OperatorTokenSHA256 is the hex SHA-256 of the site's first operator token. Its
+	// bearer may change the settings at every path, even before there are any.
 	OperatorTokenSHA256 string
-	// ShutdownTimeout is the longest a graceful shutdown waits for requests in
-	// progress; zero waits until all have ended.
+	// ShutdownTimeout is the longest time that a graceful shutdown waits for requests
+	// in progress; zero means until all have ended.
 	ShutdownTimeout time.Duration
-	// MaxConnections bounds the open connections of callers and operators.
+	// MaxConnections limits the open connections of callers and operators.
 	MaxConnections int
-	// TestFaults opens the fault switches used by the scenarios.
+	// TestFaults enables the fault switches used by the scenarios.
 	TestFaults bool
 }
 
-// Platform holds the IP:port of the platform's services.
+// Platform holds the addresses (IP:port) of the platform's services.
 type Platform struct {
 	Log     string
 	Hosts   string
@@ -49,7 +49,7 @@
 const MinPeerKeyLen = 32
 
 // Load reads and checks a daemon file. The error is a finding.List with every
-// fault of the file, or that of reading it.
+// fault of the file, or the error of reading it.
 func Load(file string) (*Daemon, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -76,8 +76,8 @@
 func TestLogRetention(t *testing.T) {
 	for value, want := range map[string]string{
 		"1260": "",
-		"1259": "daemon.yaml:11: platform.log_retention_seconds: 1259: claims of idempotency keys need a log that keeps records for 1260 seconds at least",
-		"0":    "daemon.yaml:11: platform.log_retention_seconds: 0: claims of idempotency keys need a log that keeps records for 1260 seconds at least",
+		"1259": "daemon.yaml:11: platform.log_retention_seconds: 1259: claims of idempotency keys need a log that keeps records for at least 1260 seconds",
+		"0":    "daemon.yaml:11: platform.log_retention_seconds: 0: claims of idempotency keys need a log that keeps records for at least 1260 seconds",
 		"long": `daemon.yaml:11: platform.log_retention_seconds: "long" is not a number of seconds`,
 	} {
 		text := strings.Replace(valid, "7003\n", "7003\n  log_retention_seconds: "+value+"\n", 1)
@@ -104,7 +104,7 @@
 	})
 }
 
-// TestPageNamesEveryKey keeps docs/CONFIG.md in step with the parser.
+// TestPageNamesEveryKey checks that docs/CONFIG.md has exactly the keys of the parser.
 func TestPageNamesEveryKey(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CONFIG.md")
 	if err != nil {
--- a/internal/config/parser.go
+++ b/internal/config/parser.go
@@ -16,13 +16,13 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/finding"
 )
 
-// field is one key of the file with the line it stands on.
+// field is one key of the file with its line and its value.
 type field struct {
 	line  int
 	value string
 	list  []string
 	kind  fieldKind
-	taken bool
+	taken bool // the parser knows the key
 }
 
 type fieldKind uint8
@@ -37,7 +37,7 @@
 type parser struct {
 	file      string
 	fields    map[string]field
-	knownKeys []string // keys that the daemon has asked for
+	knownKeys []string // keys that the parser has looked up
 	findings  finding.List
 }
 
@@ -45,7 +45,7 @@
 	p.findings.Addf(finding.Place{File: p.file, Line: line, Key: key}, format, args...)
 }
 
-// flatten fills seen with dotted keys.
+// flatten parses the file and fills fields, whose keys are dotted paths.
 func (p *parser) flatten(text []byte) {
 	f, err := yamlparser.ParseBytes(text, 0)
 	if err != nil {
@@ -59,6 +59,7 @@
 	p.collect("", f.Docs[0].Body)
 }
 
+// collect adds the entries of a mapping to fields.
 func (p *parser) collect(prefix string, n ast.Node) {
 	switch n := n.(type) {
 	case *ast.MappingNode:
@@ -80,7 +81,7 @@
 	}
 	line := v.Key.GetToken().Position.Line
 	if _, duplicate := p.fields[key]; duplicate {
-		p.addf(line, key, "the key stands twice")
+		p.addf(line, key, "duplicate key")
 		return
 	}
 	switch value := v.Value.(type) {
@@ -110,12 +111,13 @@
 	f.taken = true
 	p.fields[key] = f
 	if f.kind != scalar {
-		p.addf(f.line, key, "expected one value")
+		p.addf(f.line, key, "expected a single value")
 		return field{}, false
 	}
 	return f, true
 }
 
+// required returns a scalar field. A missing or empty one is a finding.
 func (p *parser) required(key string) (field, bool) {
 	if _, found := p.fields[key]; !found {
 		p.knownKeys = append(p.knownKeys, key)
@@ -196,8 +198,9 @@
 	return time.Duration(n) * time.Second
 }
 
-// logRetention refuses a log that forgets claims while they still protect a key.
-// The daemon leaves the times of the claims at their defaults.
+// logRetention returns the retention of the log. One that drops claims while they
+// still protect an idempotency key is a finding; the daemon leaves the times of the
+// claims at their defaults.
 func (p *parser) logRetention(key string) time.Duration {
 	f, found := p.fields[key]
 	before := len(p.findings)
@@ -207,13 +210,13 @@
 	}
 	minRetention := claims.Options{}.MinRetention()
 	if d < minRetention && len(p.findings) == before {
-		p.addf(f.line, key, "%d: claims of idempotency keys need a log that keeps records for %d seconds at least",
+		p.addf(f.line, key, "%d: claims of idempotency keys need a log that keeps records for at least %d seconds",
 			int(d.Seconds()), int(minRetention.Seconds()))
 	}
 	return d
 }
 
-// positiveCount returns a number of at least one.
+// positiveCount returns a number of at least 1, or defaultValue for a missing key.
 func (p *parser) positiveCount(key string, defaultValue int) int {
 	f, ok := p.take(key)
 	if !ok {
@@ -257,7 +260,7 @@
 	return f.value
 }
 
-// daemon takes every known key.
+// daemon reads every known key.
 func (p *parser) daemon() *Daemon {
 	d := &Daemon{
 		Host:       p.name("host"),
@@ -286,6 +289,7 @@
 	return d
 }
 
+// reportUnknownKeys adds a finding for each key that daemon has not read.
 func (p *parser) reportUnknownKeys() {
 	for key, f := range p.fields {
 		switch {
