--- a/cmd/buckthorndockd/main.go
+++ b/cmd/buckthorndockd/main.go
@@ -1,5 +1,5 @@
-// Command buckthorndockd is the daemon: the front for callers and operators on
-// one entry host. It keeps nothing on disk.
+// Command buckthorndockd is the daemon that serves callers and operators on one
+// entry host. It keeps nothing on disk.
 package main
 
 import (
@@ -29,9 +29,9 @@
 func main() {
 	cmd := &cli.Command{
 		Name:  "buckthorndockd",
-		Usage: "serve prompts of very unlike lengths on one entry host",
+		Usage: "serve prompts of widely different lengths on one entry host",
 		Description: `Reads the daemon file, follows the settings on the platform's log and serves
-callers until SIGTERM or SIGINT, after which it finishes all that is in progress.
+callers until SIGTERM or SIGINT, after which it finishes the requests in progress.
 
 Example:
    buckthorndockd --config daemon.yaml`,
@@ -55,13 +55,14 @@
 	os.Exit(exitFailed)
 }
 
-// edgeCommand runs on a platform that keeps the settings and the list of upstreams.
+// edgeCommand returns the subcommand for a platform that stores the settings and the
+// list of upstreams.
 func edgeCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "edge",
 		Usage: "serve behind the platform's entry, with settings and upstreams from its store",
 		Description: `Reads the daemon file that the platform has filled in and serves until SIGTERM,
-after which it finishes what is in progress within the grace.
+after which it finishes the requests in progress within the grace period.
 
 Example:
    buckthorndockd edge --config daemon.yaml`,
@@ -74,12 +75,12 @@
 	}
 }
 
-// maxQueuedLogLines is how many log lines wait for a slow reader of the output before further
-// ones are dropped and counted.
+// maxQueuedLogLines is how many log lines are queued for a slow reader of the output
+// before further ones are dropped and counted.
 const maxQueuedLogLines = 4096
 
 func runEdge(ctx context.Context, file string) error {
-	// Before all else and to the very end: a signal without a handler kills.
+	// Signals are handled from the start to the end: without a handler they kill.
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
@@ -97,7 +98,7 @@
 	return edge.Run(ctx, cfg, platform.Provider{}, reloads, log.WithField("host", cfg.Host))
 }
 
-// errNoConfig is the error of a command line without a daemon file.
+// errNoConfig reports a command line without a daemon file.
 var errNoConfig = errors.New("--config is missing")
 
 func run(ctx context.Context, file string) error {
--- a/cmd/buckthorndockd/main_test.go
+++ b/cmd/buckthorndockd/main_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// runAsDaemonEnv makes this test binary the daemon itself.
+// runAsDaemonEnv is the environment variable that makes this test binary run the
+// daemon.
 const runAsDaemonEnv = "TEST_AS_DAEMON"
 
 func TestMain(m *testing.M) {
@@ -23,8 +24,8 @@
 	os.Exit(m.Run())
 }
 
-// daemonFile names addresses of one loopback host that no other test uses; the store
-// does not answer there.
+// daemonFile returns a daemon file with addresses of one loopback host that no other
+// test uses. No store answers there.
 func daemonFile() string {
 	const networks = 250
 	ip := fmt.Sprintf("127.%d.251.1", 1+os.Getpid()%networks)
@@ -39,8 +40,8 @@
 `, "IP", ip)
 }
 
-// TestSignalsDuringTheStartDoNotKill holds the daemon at the reading of its file, which
-// is a pipe, and signals it there.
+// TestSignalsDuringTheStartDoNotKill makes the daemon block on reading its file, a
+// named pipe, and signals it meanwhile.
 func TestSignalsDuringTheStartDoNotKill(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "daemon.yaml")
 	if err := syscall.Mkfifo(file, 0o600); err != nil {
@@ -71,6 +72,6 @@
 	}
 	pipe.Close()
 	if err := cmd.Wait(); err != nil || !strings.Contains(out.String(), "msg=stopped") {
-		t.Errorf("it ended with %v:\n%s", err, out.String())
+		t.Errorf("the daemon ended with %v:\n%s", err, out.String())
 	}
 }
