--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -26,35 +26,35 @@
 	"github.com/buckthorndock/buckthorndock/internal/upstream"
 )
 
-// Bounds of the HTTP server.
+// Limits of the HTTP server and of the journal.
 const (
 	headerTimeout  = 5 * time.Second
 	maxHeaderBytes = 32 << 10
 	idleTimeout    = 2 * time.Minute
-	journalSize    = 2000
+	journalSize    = 2000 // routing decisions
 )
 
-// Shortest times between two load reports of an engine that this host owns, and
-// between two digests of these engines. The owner stretches both in a large
-// failure domain, to keep its digests within their budget.
+// loadEvery and publishEvery are the shortest times between two load reports of an
+// engine that this host owns and between two digests of these engines. The owner
+// extends both in a large failure domain to keep its digests within digestBudget.
 const (
 	loadEvery    = 50 * time.Millisecond
 	publishEvery = 100 * time.Millisecond
 )
 
-// digestBudget bounds the bytes a second of all digests of a failure domain, as
-// one front receives them; in a large domain they come less often for it.
+// digestBudget limits the digests of a failure domain that one front receives, in
+// bytes per second. In a large domain they are sent less often to stay within it.
 const digestBudget = 3000
 
-// process holds the parts of a running daemon.
+// process holds the components of a running daemon.
 type process struct {
 	cfg         *config.Daemon
 	log         *logrus.Entry
 	incarnation uint64
-	work        context.Context // of the background work
+	workCtx     context.Context // of the background goroutines
 
 	logService platform.Log
-	list       *hostList
+	hostList   *hostList
 	weights    platform.Weights
 
 	node     *peer.Node
@@ -78,9 +78,9 @@
 	server *http.Server
 }
 
-// newProcess builds a daemon that does nothing yet but listen to peers.
-func newProcess(work context.Context, cfg *config.Daemon, log *logrus.Entry) (*process, error) {
-	p := &process{cfg: cfg, log: log, work: work, incarnation: uint64(time.Now().UnixMilli())}
+// newProcess builds a daemon. Its peer listener is open, but nothing runs yet.
+func newProcess(workCtx context.Context, cfg *config.Daemon, log *logrus.Entry) (*process, error) {
+	p := &process{cfg: cfg, log: log, workCtx: workCtx, incarnation: uint64(time.Now().UnixMilli())}
 	steps := []func() error{p.buildPlatform, p.buildPeers, p.buildFollower, p.buildUpstreams, p.buildOwner, p.buildOrders, p.buildClaims, p.buildJoin, p.buildFront}
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -90,12 +90,14 @@
 	return p, nil
 }
 
-func (p *process) holderName() ledger.Holder {
+// selfHolder returns the identity under which this process holds reservations.
+func (p *process) selfHolder() ledger.Holder {
 	return holderOf(p.cfg.Host, p.incarnation)
 }
 
-// incarnationText is a host's incarnation as engines and their owners know it.
-func incarnationText(incarnation uint64) string { return strconv.FormatUint(incarnation, 10) }
+// formatIncarnation returns a host's incarnation in the form that engines and their
+// owners use.
+func formatIncarnation(incarnation uint64) string { return strconv.FormatUint(incarnation, 10) }
 
 func (p *process) buildPlatform() error {
 	logService, err := platform.NewHTTP(p.cfg.Platform.Log, obs.CountedClient(obs.PurposeLog))
@@ -110,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	p.logService, p.list, p.weights = logService, &hostList{source: hosts}, weights
+	p.logService, p.hostList, p.weights = logService, &hostList{source: hosts}, weights
 	return nil
 }
 
@@ -123,7 +125,7 @@
 		Listen:      p.cfg.PeerListen,
 		Key:         p.cfg.PeerKey,
 		Seeds:       p.cfg.Seeds,
-		HostList:    p.list.List,
+		HostList:    p.hostList.List,
 		Busy:        func() bool { return p.router.Busy() },
 		TestFaults:  p.cfg.TestFaults,
 		Logger:      p.log,
@@ -136,6 +138,8 @@
 	return nil
 }
 
+// upstreamDomain returns the failure domain of an upstream, or "" if the settings
+// have none of that name.
 func (p *process) upstreamDomain(name string) string {
 	if u := p.follower.Current().Upstream(name); u != nil {
 		return u.Domain
@@ -160,7 +164,7 @@
 		SpillDomains: p.peers.reachableDomains,
 		Seed:         p.incarnation,
 	})
-	p.watcher = upstream.NewWatcher(p.client, p.router, upstream.WatchOptions{Interval: watchEach, Timeout: watchAnswer})
+	p.watcher = upstream.NewWatcher(p.client, p.router, upstream.WatchOptions{Interval: watchInterval, Timeout: watchTimeout})
 	p.engines = owner.NewHTTPEngines(obs.CountedClient(obs.PurposeEngines), time.Now)
 	return nil
 }
@@ -176,9 +180,9 @@
 		PublishEvery: publishEvery,
 		DigestBudget: digestBudget,
 	})
-	rpc := p.owner.RPC(p.work)
+	rpc := p.owner.RPC(p.workCtx)
 	p.holder = owner.NewHolder(owner.HolderOptions{
-		Self:      p.holderName(),
+		Self:      p.selfHolder(),
 		Engines:   p.engines,
 		Peers:     p.peers,
 		Ownership: p.peers,
@@ -216,21 +220,21 @@
 
 func (p *process) buildJoin() error {
 	p.join = join.New(join.Options{Host: p.cfg.Host, Incarnation: p.incarnation, Peers: p.peers})
-	return p.node.Register(join.ServiceName, p.join.RPC(p.work))
+	return p.node.Register(join.ServiceName, p.join.RPC(p.workCtx))
 }
 
 func (p *process) buildFront() error {
-	holds := newHolds(p.log)
-	var atPoint func(front.DispatchPoint)
+	hold := newDispatchHold(p.log)
+	var onDispatchPoint func(front.DispatchPoint)
 	if p.cfg.TestFaults {
-		atPoint = holds.wait
+		onDispatchPoint = hold.wait
 	}
 	var err error
 	p.front, err = front.NewServer(front.Options{
-		OnDispatchPoint:     atPoint,
+		OnDispatchPoint:     onDispatchPoint,
 		Host:                p.cfg.Host,
 		Domain:              p.cfg.Domain,
-		Incarnation:         p.holderName().Incarnation,
+		Incarnation:         p.selfHolder().Incarnation,
 		Settings:            p.follower,
 		Router:              p.router,
 		Journal:             router.NewJournal(journalSize),
@@ -249,7 +253,7 @@
 	}
 	handler := p.front.Handler()
 	if p.cfg.TestFaults {
-		handler = withFaults(handler, p.node, holds)
+		handler = withFaults(handler, p.node, hold)
 	}
 	p.server = &http.Server{
 		Handler:           handler,
--- a/internal/daemon/listener.go
+++ b/internal/daemon/listener.go
@@ -10,11 +10,11 @@
 
 var connectionsRefused = metrics.NewCounter("buckthorndock_connections_refused_total")
 
-// limitedListener closes connections beyond a number at once, so that callers
-// who open many cannot use up the files of the process.
+// limitedListener allows max open connections and closes further ones at once, so
+// that callers cannot use up the file descriptors of the process.
 type limitedListener struct {
 	net.Listener
-	most int64
+	max  int64
 	open atomic.Int64
 }
 
@@ -25,8 +25,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) <= l.most {
-			return &limitedConn{Conn: conn, l: l}, nil
+		if l.open.Add(1) <= l.max {
+			return &limitedConn{Conn: conn, listener: l}, nil
 		}
 		l.open.Add(-1)
 		connectionsRefused.Inc()
@@ -34,15 +34,15 @@
 	}
 }
 
-// limitedConn gives its place back when it is closed.
+// limitedConn is a connection that is counted until it is closed.
 type limitedConn struct {
 	net.Conn
-	l    *limitedListener
-	once sync.Once
+	listener *limitedListener
+	once     sync.Once
 }
 
 // Close implements net.Conn.
 func (c *limitedConn) Close() error {
-	c.once.Do(func() { c.l.open.Add(-1) })
+	c.once.Do(func() { c.listener.open.Add(-1) })
 	return c.Conn.Close()
 }
