--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
 // Command standin runs one of the small stand-ins that tests and demos use in
-// place of model engines, plain services and the platform.
+// place of model engines, plain services and the platform's services.
 package main
 
 import (
--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -1,6 +1,6 @@
-// Package answer gives the verifiable answers of the engine stand-in: each token
-// depends on the whole prompt and on its index, so that a caller can tell a
-// foreign, doubled or missing token from its own.
+// Package answer generates the verifiable answers of the engine stand-in. Each token
+// depends on the whole prompt and on its index, so that a caller can detect foreign,
+// repeated and missing tokens.
 package answer
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bytesPerToken is how the stand-ins count a prompt's tokens.
+// bytesPerToken is the number of prompt bytes that the stand-ins count as a token.
 const bytesPerToken = 4
 
-// Seed condenses a prompt, so that a long one is hashed only once.
+// Seed is the hash of a prompt. With it, a long prompt is hashed only once.
 type Seed uint64
 
 // NewSeed returns the seed of a prompt.
@@ -21,7 +21,7 @@
 	return Seed(xxhash.Sum64String(prompt))
 }
 
-// Text returns the token at an index counted from 0.
+// Text returns the token of the answer at an index that counts from 0.
 func (s Seed) Text(index int) string {
 	h := uint64(s) + uint64(index+1)*0x9e3779b97f4a7c15
 	h ^= h >> 31
@@ -30,12 +30,12 @@
 	return fmt.Sprintf(" w%04x", h&0xffff)
 }
 
-// Text returns the token of a prompt's answer at an index counted from 0.
+// Text returns the token of a prompt's answer at an index that counts from 0.
 func Text(prompt string, index int) string {
 	return NewSeed(prompt).Text(index)
 }
 
-// Whole returns the first n tokens of a prompt's answer, joined.
+// Whole returns the first n tokens of a prompt's answer as one text.
 func Whole(prompt string, n int) string {
 	seed := NewSeed(prompt)
 	var b strings.Builder
--- a/internal/standin/base.go
+++ b/internal/standin/base.go
@@ -17,20 +17,21 @@
 	generatePath   = "/v1/generate"
 	maxControlBody = 1 << 20
 	exitDie        = 1 // exit code of the fault die
-	exitCrash      = 3 // exit code after a prompt with CrashMarker
+	exitCrash      = 3 // exit code of an engine that prefills a prompt with CrashMarker
 	garbageText    = "%%% this is not JSON \x00\xff\n"
 )
 
-// base is what every stand-in shares: faults, the witness and the control paths.
+// base holds what every stand-in shares: its faults, its witness and the handlers
+// of the control paths under /standin/.
 type base struct {
-	name    string
-	faults  *faults
-	witness *witness
-	api     http.Handler
-	control *http.ServeMux
-	failure func(w http.ResponseWriter, status int, message string)
-
-	exit   func(code int) // nil: die inside this process
+	name         string
+	faults       *faults
+	witness      *witness
+	api          http.Handler
+	control      *http.ServeMux
+	writeFailure func(w http.ResponseWriter, status int, message string)
+
+	exit   func(code int) // nil: terminate closes the server, not the process
 	closed chan struct{}
 	once   sync.Once
 
@@ -41,13 +42,13 @@
 
 func newBase(name string, exit func(code int)) *base {
 	b := &base{
-		name:    name,
-		faults:  newFaults(),
-		witness: &witness{},
-		control: http.NewServeMux(),
-		failure: writeProblem,
-		exit:    exit,
-		closed:  make(chan struct{}),
+		name:         name,
+		faults:       newFaults(),
+		witness:      &witness{},
+		control:      http.NewServeMux(),
+		writeFailure: writeProblem,
+		exit:         exit,
+		closed:       make(chan struct{}),
 	}
 	b.control.HandleFunc("POST /standin/fault", b.handleFault)
 	b.control.HandleFunc("GET /standin/faults", b.handleFaults)
@@ -55,25 +56,25 @@
 	return b
 }
 
-// attach implements attacher.
+// attach implements connAttacher.
 func (b *base) attach(conns *connSet, kill func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.conns, b.kill = conns, kill
 }
 
-// Close ends the stand-in's goroutines and cuts its streams.
+// Close ends the stand-in's goroutines and aborts its streams.
 func (b *base) Close() error {
 	b.once.Do(func() { close(b.closed) })
 	return nil
 }
 
-// SetFault switches a fault, as POST /standin/fault does.
+// SetFault switches a fault on or off, as POST /standin/fault does.
 func (b *base) SetFault(x Fault) error {
 	return b.switchFault(context.Background(), x)
 }
 
-// Runs returns the witnessed runs, as GET /standin/witness does.
+// Runs returns the recorded runs, as GET /standin/witness does.
 func (b *base) Runs() []Run {
 	return b.witness.list()
 }
@@ -90,7 +91,7 @@
 	}
 	switch x.Kind {
 	case FaultDie:
-		b.die(exitDie)
+		b.terminate(exitDie)
 	case FaultSilent:
 		b.silence(ctx)
 	}
@@ -106,8 +107,9 @@
 	}
 }
 
-// die ends the process, or inside a test's process this stand-in alone.
-func (b *base) die(code int) {
+// terminate exits the process with a code. Without an exit function, as in tests,
+// it closes this stand-in and its server instead.
+func (b *base) terminate(code int) {
 	logrus.WithFields(logrus.Fields{"standin": b.name, "code": code}).Warn("exit")
 	if b.exit != nil {
 		b.exit(code)
@@ -128,22 +130,23 @@
 		b.control.ServeHTTP(w, r)
 		return
 	}
-	b.thaw()
+	b.waitUnfrozen()
 	b.delay(r.URL.Path)
-	if b.fails(w, r) {
+	if b.injectFailure(w, r) {
 		return
 	}
-	if _, hit := b.strikeEffect(r); hit {
+	if _, hit := b.triggerDropAnswer(r); hit {
 		b.dropAnswer(r)
 	}
 	b.api.ServeHTTP(w, r)
 }
 
-// thaw waits while the stand-in is frozen. What arrived meanwhile is done after
-// it, like by a process that was paused.
-func (b *base) thaw() {
+// waitUnfrozen waits while the fault freeze is on. Calls that arrive meanwhile are
+// handled afterwards, as by a process that was paused. It aborts the call if the
+// stand-in is closed.
+func (b *base) waitUnfrozen() {
 	for {
-		changed := b.faults.wait()
+		changed := b.faults.nextChange()
 		if !b.faults.isOn(FaultFreeze) {
 			break
 		}
@@ -160,8 +163,9 @@
 	}
 }
 
+// delay waits for the duration of the fault slow, if it is on for the path.
 func (b *base) delay(path string) {
-	x, hit := b.faults.strike(FaultSlow, path)
+	x, hit := b.faults.trigger(FaultSlow, path)
 	if !hit {
 		return
 	}
@@ -171,25 +175,26 @@
 	}
 }
 
-// fails answers a call that a fault makes fail.
-func (b *base) fails(w http.ResponseWriter, r *http.Request) bool {
-	if _, hit := b.faults.strike(FaultOutage, r.URL.Path); hit {
-		b.failure(w, http.StatusServiceUnavailable, "outage")
+// injectFailure answers the call with the error or garbage of a fault that is on,
+// and reports whether it did.
+func (b *base) injectFailure(w http.ResponseWriter, r *http.Request) bool {
+	if _, hit := b.faults.trigger(FaultOutage, r.URL.Path); hit {
+		b.writeFailure(w, http.StatusServiceUnavailable, "outage")
 		return true
 	}
-	if _, hit := b.faults.strike(FaultRefuse, r.URL.Path); hit {
-		b.failure(w, http.StatusInternalServerError, "refused")
+	if _, hit := b.faults.trigger(FaultRefuse, r.URL.Path); hit {
+		b.writeFailure(w, http.StatusInternalServerError, "refused")
 		return true
 	}
-	if x, hit := b.faults.strike(FaultTurnAway, r.URL.Path); hit {
+	if x, hit := b.faults.trigger(FaultTurnAway, r.URL.Path); hit {
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(x.Ms)/1000, 'f', 3, 64))
-		b.failure(w, http.StatusServiceUnavailable, "turned away")
+		b.writeFailure(w, http.StatusServiceUnavailable, "turned away")
 		return true
 	}
 	if r.URL.Path == generatePath {
-		return false // the engine puts garbage into the stream itself
+		return false // chunkWriter writes the garbage into the stream
 	}
-	if _, hit := b.faults.strike(FaultGarbage, r.URL.Path); hit {
+	if _, hit := b.faults.trigger(FaultGarbage, r.URL.Path); hit {
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = w.Write([]byte(garbageText))
 		return true
@@ -197,41 +202,43 @@
 	return false
 }
 
-// strikeEffect tells whether the answer to a call with an effect is to be lost.
-func (b *base) strikeEffect(r *http.Request) (Fault, bool) {
+// triggerDropAnswer reports whether the fault drop_answer applies. Only POST calls
+// have effects, so it leaves the others alone.
+func (b *base) triggerDropAnswer(r *http.Request) (Fault, bool) {
 	if r.Method != http.MethodPost {
 		return Fault{}, false
 	}
-	return b.faults.strike(FaultDropAnswer, r.URL.Path)
+	return b.faults.trigger(FaultDropAnswer, r.URL.Path)
 }
 
-// dropAnswer does what is asked and cuts the connection.
+// dropAnswer executes the call, discards the answer and closes the connection. A
+// generate call is executed with a cancelled context, so that its run is orphaned.
 func (b *base) dropAnswer(r *http.Request) {
 	if r.URL.Path == generatePath {
 		ctx, cancel := context.WithCancel(r.Context())
 		cancel()
 		r = r.WithContext(ctx)
 	}
-	b.api.ServeHTTP(&discard{header: make(http.Header)}, r)
+	b.api.ServeHTTP(&discardWriter{header: make(http.Header)}, r)
 	panic(http.ErrAbortHandler)
 }
 
-// discard is a ResponseWriter whose answer nobody gets.
-type discard struct {
+// discardWriter is an http.ResponseWriter that discards the answer.
+type discardWriter struct {
 	header http.Header
 }
 
 // Header implements http.ResponseWriter.
-func (d *discard) Header() http.Header { return d.header }
+func (d *discardWriter) Header() http.Header { return d.header }
 
 // Write implements http.ResponseWriter.
-func (d *discard) Write(p []byte) (int, error) { return len(p), nil }
+func (d *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
 
 // WriteHeader implements http.ResponseWriter.
-func (d *discard) WriteHeader(int) {}
+func (d *discardWriter) WriteHeader(int) {}
 
 // Flush implements http.Flusher.
-func (d *discard) Flush() {}
+func (d *discardWriter) Flush() {}
 
 func (b *base) handleFault(w http.ResponseWriter, r *http.Request) {
 	var x Fault
@@ -262,7 +269,8 @@
 	Runs []Run `json:"runs"`
 }
 
-// readControl decodes the body of a control call, or answers that it is bad.
+// readControl decodes the JSON body of a control call into v. If it cannot, it
+// answers 400 and returns false.
 func readControl(w http.ResponseWriter, r *http.Request, v any) bool {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControlBody))
 	d.DisallowUnknownFields()
--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of the stand-ins.
+// Package command implements the command line of the stand-ins.
 package command
 
 import (
@@ -14,17 +14,17 @@
 	"github.com/buckthorndock/buckthorndock/internal/standin"
 )
 
-// listeningLine is the first line on the standard output, for scripts.
+// listeningLine is the format of the first output line, which scripts wait for.
 const listeningLine = "listening address=%s\n"
 
-// New returns the command line; what it prints goes to out.
+// New returns the command line, which prints to out.
 func New(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:  "standin",
-		Usage: "small stand-ins of model engines, plain services and the platform, for tests and demos",
-		Description: "Each prints 'listening address=IP:PORT' first and ends at SIGTERM.\n" +
+		Usage: "small stand-ins for model engines, plain services and the platform, for tests and demos",
+		Description: "Each prints 'listening address=IP:PORT' first and ends on SIGTERM.\n" +
 			"Faults are switched by POST /standin/fault {\"kind\":\"slow\",\"on\":true,\"ms\":50};\n" +
-			"GET /standin/faults lists them, GET /standin/witness tells what was run.",
+			"GET /standin/faults lists them, GET /standin/witness lists the runs.",
 		Writer:                out,
 		EnableShellCompletion: true,
 		Commands: []*cli.Command{
@@ -39,12 +39,12 @@
 	}
 }
 
-// witnessFlag keeps what a process ran beyond its end.
+// witnessFlag is the file in which the record of runs outlives the process.
 func witnessFlag() cli.Flag {
 	return &cli.StringFlag{Name: "witness-file", Usage: "append each change of a run to the file, as a JSON line"}
 }
 
-// openWitness returns nil when no file is wanted.
+// openWitness opens the file of witnessFlag, or returns nil if there is none.
 func openWitness(c *cli.Command) (io.Writer, error) {
 	path := c.String("witness-file")
 	if path == "" {
@@ -54,7 +54,7 @@
 }
 
 func listenFlag() cli.Flag {
-	return &cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "IP:port to listen at; port 0 takes a free one"}
+	return &cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "IP:port to listen on; port 0 takes a free one"}
 }
 
 // serve runs a stand-in until the context ends.
@@ -80,19 +80,19 @@
 			listenFlag(),
 			witnessFlag(),
 			&cli.StringFlag{Name: "name", Value: "engine", Usage: "name in log lines"},
-			&cli.StringSliceFlag{Name: "model", Usage: "model that is loaded from the start, `NAME[@VERSION]`; repeatable"},
-			&cli.StringFlag{Name: "role", Usage: "role that is reported until an order changes it"},
-			&cli.Int64Flag{Name: "memory-tokens", Value: standin.DefaultMemoryTokens, Usage: "KV memory"},
-			&cli.FloatFlag{Name: "prefill-tps", Value: standin.DefaultPrefillTPS, Usage: "prompt tokens computed a second"},
-			&cli.DurationFlag{Name: "decode-step", Value: standin.DefaultDecodeStep, Usage: "time for one token of each stream"},
-			&cli.IntFlag{Name: "batch", Value: standin.DefaultBatch, Usage: "requests that run at a time"},
-			&cli.IntFlag{Name: "chunk-tokens", Value: standin.DefaultChunkTokens, Usage: "prompt tokens of one step"},
-			&cli.IntFlag{Name: "block-tokens", Value: standin.DefaultBlockTokens, Usage: "tokens of a prefix block"},
-			&cli.Int64Flag{Name: "cache-tokens", Usage: "most that the prefix cache keeps; 0: all free memory"},
-			&cli.DurationFlag{Name: "event-delay", Usage: "how late cache events show"},
-			&cli.DurationFlag{Name: "load-lag", Usage: "how old load reports are"},
+			&cli.StringSliceFlag{Name: "model", Usage: "model to load at the start, `NAME[@VERSION]`; repeatable"},
+			&cli.StringFlag{Name: "role", Usage: "role to report until an order changes it"},
+			&cli.Int64Flag{Name: "memory-tokens", Value: standin.DefaultMemoryTokens, Usage: "size of the KV memory"},
+			&cli.FloatFlag{Name: "prefill-tps", Value: standin.DefaultPrefillTPS, Usage: "prompt tokens prefilled a second"},
+			&cli.DurationFlag{Name: "decode-step", Value: standin.DefaultDecodeStep, Usage: "time to decode one token of each run"},
+			&cli.IntFlag{Name: "batch", Value: standin.DefaultBatch, Usage: "maximum number of running requests"},
+			&cli.IntFlag{Name: "chunk-tokens", Value: standin.DefaultChunkTokens, Usage: "maximum prompt tokens of one step"},
+			&cli.IntFlag{Name: "block-tokens", Value: standin.DefaultBlockTokens, Usage: "tokens in a prefix block"},
+			&cli.Int64Flag{Name: "cache-tokens", Usage: "maximum size of the prefix cache; 0: all free memory"},
+			&cli.DurationFlag{Name: "event-delay", Usage: "delay before cache events appear"},
+			&cli.DurationFlag{Name: "load-lag", Usage: "age of load reports"},
 			&cli.DurationFlag{Name: "load-time", Value: standin.DefaultLoadTime, Usage: "time to load a model or adapter"},
-			&cli.BoolFlag{Name: "checks-fencing", Usage: "refuse orders with an old fencing number"},
+			&cli.BoolFlag{Name: "checks-fencing", Usage: "refuse orders with a lower fencing number than the last"},
 			&cli.FloatFlag{Name: "time-scale", Value: 1, Usage: "engine seconds in a real second, for steps and loads"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -136,8 +136,8 @@
 			listenFlag(),
 			witnessFlag(),
 			&cli.StringFlag{Name: "name", Value: "service", Usage: "name in answers"},
-			&cli.StringSliceFlag{Name: "operation", Usage: "operation that it has; repeatable"},
-			&cli.DurationFlag{Name: "latency", Value: 5 * time.Millisecond, Usage: "time of each call"},
+			&cli.StringSliceFlag{Name: "operation", Usage: "operation of the service; repeatable"},
+			&cli.DurationFlag{Name: "latency", Value: 5 * time.Millisecond, Usage: "duration of each call"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			witness, err := openWitness(c)
@@ -163,7 +163,7 @@
 			listenFlag(),
 			&cli.DurationFlag{Name: "retention", Value: standin.DefaultRetention, Usage: "age at which records are dropped"},
 			&cli.IntFlag{Name: "retention-records", Value: standin.DefaultRetentionRecords, Usage: "records kept per stream"},
-			&cli.FloatFlag{Name: "append-rate", Value: standin.DefaultAppendRate, Usage: "appends a second; more wait up to a second"},
+			&cli.FloatFlag{Name: "append-rate", Value: standin.DefaultAppendRate, Usage: "appends a second; excess appends wait up to a second"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			return serve(ctx, c, out, standin.NewLog(standin.LogOptions{
@@ -179,10 +179,10 @@
 func hostsCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:  "hosts",
-		Usage: "the lagging list of hosts; POST /standin/hosts replaces it",
+		Usage: "the list of hosts, which lags; POST /standin/hosts replaces it",
 		Flags: []cli.Flag{
 			listenFlag(),
-			&cli.DurationFlag{Name: "lag", Usage: "how late a change shows"},
+			&cli.DurationFlag{Name: "lag", Usage: "delay before a change appears"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			return serve(ctx, c, out, standin.NewHosts(standin.HostsOptions{Lag: c.Duration("lag"), Exit: os.Exit}))
@@ -197,7 +197,7 @@
 		Flags: []cli.Flag{
 			listenFlag(),
 			&cli.FloatFlag{Name: "permit-rate", Value: standin.DefaultPermitRate, Usage: "loads that may start a second"},
-			&cli.IntFlag{Name: "burst", Value: 1, Usage: "loads that may start at once after a rest"},
+			&cli.IntFlag{Name: "burst", Value: 1, Usage: "loads that may start at once after an idle time"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			return serve(ctx, c, out, standin.NewWeights(standin.WeightsOptions{
--- a/internal/standin/command/command_test.go
+++ b/internal/standin/command/command_test.go
@@ -16,7 +16,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/standin"
 )
 
-// run starts a command line and returns its output and its end.
+// run starts a command line and returns its output and a channel for its result.
 func run(t *testing.T, ctx context.Context, args ...string) (*bufio.Scanner, <-chan error) {
 	t.Helper()
 	r, w := io.Pipe()
--- a/internal/standin/command/control.go
+++ b/internal/standin/command/control.go
@@ -17,9 +17,9 @@
 func controlCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:      "control",
-		Usage:     "switch a fault, set the host list or read the witness of a stand-in that runs",
+		Usage:     "switch a fault, set the host list or read the witness of a running stand-in",
 		ArgsUsage: "PATH [JSON]",
-		Description: "Posts JSON to /standin/PATH, or reads the path without JSON. Examples:\n" +
+		Description: "Posts JSON to /standin/PATH or, without JSON, reads that path. Examples:\n" +
 			"  standin control --at 127.0.0.1:7100 fault '{\"kind\":\"outage\",\"on\":true}'\n" +
 			"  standin control --at 127.0.0.1:7103 witness",
 		Flags: []cli.Flag{
@@ -33,9 +33,11 @@
 	}
 }
 
+// control sends one control call to a stand-in and prints the answer: a POST if args
+// holds a body after the path, else a GET.
 func control(ctx context.Context, out io.Writer, address string, args []string) error {
 	if len(args) < 1 || len(args) > 2 {
-		return merry.New("control needs a path, and JSON to post")
+		return merry.New("control takes a path and, to post, one JSON argument")
 	}
 	method, body := http.MethodGet, ""
 	if len(args) == 2 {
--- a/internal/standin/command/site.go
+++ b/internal/standin/command/site.go
@@ -26,8 +26,8 @@
 		Description: "Prints the address of each part and writes them to site.json in the directory.\n" +
 			"Example: standin site --dir demo --first-port 7100 --model assistant",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "dir", Required: true, Usage: "directory for site.json; made if it is missing"},
-			&cli.IntFlag{Name: "first-port", Usage: "port of the log, the others follow; 0 takes free ones"},
+			&cli.StringFlag{Name: "dir", Required: true, Usage: "directory for site.json; created if missing"},
+			&cli.IntFlag{Name: "first-port", Usage: "port of the log, the others follow; 0 takes free ports"},
 			&cli.StringSliceFlag{Name: "model", Value: []string{"assistant"}, Usage: "model of the engines; repeatable"},
 			&cli.FloatFlag{Name: "time-scale", Value: 1, Usage: "engine seconds in a real second"},
 		},
@@ -57,6 +57,7 @@
 	return nil
 }
 
+// writeSite writes the parts to site.json in dir.
 func writeSite(dir string, parts []standin.Part) error {
 	if err := os.MkdirAll(dir, siteDirMode); err != nil {
 		return err
@@ -68,7 +69,8 @@
 	return os.WriteFile(filepath.Join(dir, siteFile), append(data, '\n'), siteFileMode)
 }
 
-// printSite prints the log's address in the line that scripts wait for, then all.
+// printSite prints the log's address in the line that scripts wait for, then one
+// line for each part.
 func printSite(out io.Writer, parts []standin.Part) error {
 	if _, err := fmt.Fprintf(out, listeningLine, parts[0].Address); err != nil {
 		return err
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -13,11 +13,11 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/engineapi"
 )
 
-// CrashMarker in a prompt makes the engine exit with code 3 when it starts to
-// prefill it.
+// CrashMarker in a prompt makes the engine exit with code 3 when it starts the
+// prefill of that prompt.
 const CrashMarker = "CRASH-ENGINE"
 
-// Defaults of EngineOptions.
+// Defaults of EngineOptions, for an engine with a TimeScale of 1.
 const (
 	DefaultMemoryTokens = 400_000
 	DefaultPrefillTPS   = 20_000
@@ -28,28 +28,30 @@
 	DefaultLoadTime     = 2 * time.Second
 )
 
-// EngineOptions sets up an engine. Zero values take the defaults.
+// EngineOptions configures an engine. Zero values take the defaults, which the
+// field comments give.
 type EngineOptions struct {
 	Name         string
-	Models       []string      // served from the start, name or name@version
-	Role         string        // reported until an order changes it
-	MemoryTokens int64         // KV memory; 400,000
+	Models       []string      // loaded from the start; name or name@version
+	Role         string        // role to report until an order changes it
+	MemoryTokens int64         // size of the KV memory; 400,000
 	PrefillTPS   float64       // prompt tokens a second; 20,000
-	DecodeStep   time.Duration // for one token of each stream; 20ms
-	Batch        int           // requests that run at a time; 32
-	ChunkTokens  int           // prompt tokens of one step; 2,048
-	BlockTokens  int           // of a prefix block; 512
-	CacheTokens  int64         // most that the prefix cache keeps; all free memory
-	EventDelay   time.Duration // how late cache events show
-	LoadLag      time.Duration // how old load reports are
-	// ChecksFencing makes the engine refuse orders with an old fencing number.
+	DecodeStep   time.Duration // time to decode one token of each run; 20ms
+	Batch        int           // maximum number of running requests; 32
+	ChunkTokens  int           // maximum prompt tokens of one step; 2,048
+	BlockTokens  int           // tokens in a prefix block; 512
+	CacheTokens  int64         // maximum size of the prefix cache; all free memory
+	EventDelay   time.Duration // delay before cache events appear
+	LoadLag      time.Duration // age of load reports
+	// ChecksFencing makes the engine refuse orders whose fencing number is lower
+	// than that of the last order.
 	ChecksFencing bool
-	LoadTime      time.Duration // of a model or adapter; 2s
-	// TimeScale is engine seconds in a real second; 1. It speeds up steps and
-	// loads, not EventDelay and LoadLag.
+	LoadTime      time.Duration // time to load a model or adapter; 2s
+	// TimeScale is the number of engine seconds in a real second; 1. It speeds up
+	// steps and loads, not EventDelay and LoadLag.
 	TimeScale float64
-	Exit      func(code int) // nil: the engine dies alone, within its process
-	Witness   io.Writer      // if set, gets each change of a run as a JSON line
+	Exit      func(code int) // nil: a crash closes the engine, not the process
+	Witness   io.Writer      // if set, receives each change of a run as a JSON line
 }
 
 func (o *EngineOptions) setDefaults() {
@@ -88,6 +90,7 @@
 	o.LoadTime = scale(o.LoadTime, o.TimeScale)
 }
 
+// scale divides a duration by the time scale.
 func scale(d time.Duration, by float64) time.Duration {
 	return time.Duration(float64(d) / by)
 }
@@ -95,30 +98,30 @@
 // Engine is a model engine with continuous batching. One goroutine steps it;
 // calls change its state under mu.
 //
-// Invariant: used is the sum of what runs, reservations and exports hold, and
-// never exceeds MemoryTokens. A run on a reservation holds nothing itself.
+// Invariant: used is the sum of the tokens held by runs, reservations and exports,
+// and never exceeds MemoryTokens. A run with a reservation holds no tokens itself.
 type Engine struct {
 	*base
 	engineapi.UnimplementedHandler
 	opts        EngineOptions
 	incarnation string
-	client      *http.Client // towards the other members of a gang
+	client      *http.Client // for calls to other engines
 	wake        chan struct{}
 
 	mu           sync.Mutex
 	runs         map[runKey]*run
 	queue        []*run // in order of priority and arrival
-	active       []*run // admitted and not at their end
+	active       []*run // admitted and not finished, in the same order
 	arrivals     int64
-	used         int64
+	used         int64 // tokens
 	reservations map[string]*reservation
 	exports      map[string]*engineapi.KVExport
 	cache        *prefixCache
 	orders       orderBook
 	loads        []loadSnapshot
 	loadSeq      int64
-	stepTime     time.Duration // smoothed length of a step with decoding
-	assistUntil  time.Time     // a gang led by another engine computes here
+	stepTime     time.Duration // smoothed duration of a step that decodes
+	assistUntil  time.Time     // until then this engine computes for the gang of another
 }
 
 type reservation struct {
@@ -126,7 +129,7 @@
 	user *run // the run that uses it, if any
 }
 
-// NewEngine returns an engine and starts its step loop; Close ends it.
+// NewEngine returns an engine and starts its step loop, which Close ends.
 func NewEngine(o EngineOptions) *Engine {
 	o.setDefaults()
 	e := &Engine{
@@ -142,42 +145,44 @@
 		orders:       orderBook{role: o.Role, models: slices.Clone(o.Models), loading: make(map[loadItem]time.Time)},
 		stepTime:     o.DecodeStep,
 	}
-	e.failure = writeOverloaded
+	e.writeFailure = writeOverloaded
 	e.witness.out = o.Witness
 	e.api = engineServer(e, e)
 	e.control.HandleFunc("POST "+assistPath, e.handleAssist)
 	e.mu.Lock()
-	e.snapshot(time.Now())
+	e.addSnapshot(time.Now())
 	e.mu.Unlock()
 	go e.loop()
 	return e
 }
 
-// signal wakes the step loop.
-func (e *Engine) signal() {
+// wakeLoop wakes the step loop.
+func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// free returns the tokens that nothing holds; the prefix cache may be in them.
-func (e *Engine) free() int64 {
+// freeTokens returns the number of tokens that no run, reservation or export
+// holds. The prefix cache may occupy them.
+func (e *Engine) freeTokens() int64 {
 	return e.opts.MemoryTokens - e.used
 }
 
-// hold takes memory that is free, at the cost of the prefix cache.
-func (e *Engine) hold(tokens int64) {
+// allocate takes free memory, and evicts from the prefix cache as needed. The
+// caller has checked freeTokens.
+func (e *Engine) allocate(tokens int64) {
 	e.used += tokens
 	e.trimCache()
 }
 
-// drop gives memory back.
-func (e *Engine) drop(tokens int64) {
+// deallocate frees memory and wakes the step loop.
+func (e *Engine) deallocate(tokens int64) {
 	e.used -= tokens
-	e.signal()
+	e.wakeLoop()
 }
 
 func (e *Engine) trimCache() {
-	e.cache.trim(min(e.opts.CacheTokens, e.free()))
+	e.cache.trim(min(e.opts.CacheTokens, e.freeTokens()))
 }
--- a/internal/standin/engine_books.go
+++ b/internal/standin/engine_books.go
@@ -10,7 +10,7 @@
 )
 
 // GetBooks implements engineapi.Handler. Used memory is the sum of the tokens of
-// all entries; a run that uses a reservation has none of its own.
+// all entries; a run with a reservation holds no tokens itself.
 func (e *Engine) GetBooks(context.Context) (engineapi.GetBooksRes, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,43 +66,44 @@
 // Reserve implements engineapi.Handler.
 func (e *Engine) Reserve(_ context.Context, req *engineapi.Reservation) (engineapi.ReserveRes, error) {
 	if req.ID == "" || req.Tokens < 1 {
-		return refusal(engineapi.RefusalCodeBadRequest, "a reservation needs an id and tokens"), nil
+		return newRefusal(engineapi.RefusalCodeBadRequest, "a reservation needs an id and a positive number of tokens"), nil
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if old, ok := e.reservations[req.ID]; ok {
 		if old.Tokens != req.Tokens {
-			return refusal(engineapi.RefusalCodeDuplicate, "the id is held with other tokens"), nil
+			return newRefusal(engineapi.RefusalCodeDuplicate, "the id holds another number of tokens"), nil
 		}
 		held := old.Reservation
 		return &held, nil
 	}
-	if req.Tokens > e.free() {
-		return refusal(engineapi.RefusalCodeNoMemory, fmt.Sprintf("wants %d, free %d tokens", req.Tokens, e.free())), nil
+	if req.Tokens > e.freeTokens() {
+		return newRefusal(engineapi.RefusalCodeNoMemory, fmt.Sprintf("needs %d tokens, %d are free", req.Tokens, e.freeTokens())), nil
 	}
 	e.reservations[req.ID] = &reservation{Reservation: *req}
-	e.hold(req.Tokens)
-	e.noteLoad()
+	e.allocate(req.Tokens)
+	e.recordLoad()
 	return req, nil
 }
 
-// Release implements engineapi.Handler. A run that uses the reservation fails.
+// Release implements engineapi.Handler. It frees a reservation or an export. A run
+// that uses the reservation fails.
 func (e *Engine) Release(_ context.Context, req *engineapi.ReleaseRequest) (engineapi.ReleaseRes, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if r, ok := e.reservations[req.ID]; ok {
 		if r.user != nil {
-			e.fail(r.user, "reservation released")
+			e.failRun(r.user, "reservation released")
 		}
 		delete(e.reservations, req.ID)
-		e.drop(r.Tokens)
-		e.noteLoad()
+		e.deallocate(r.Tokens)
+		e.recordLoad()
 		return &engineapi.CancelResult{Known: true}, nil
 	}
 	if x, ok := e.exports[req.ID]; ok {
 		delete(e.exports, req.ID)
-		e.drop(x.Tokens.Or(0))
-		e.noteLoad()
+		e.deallocate(x.Tokens.Or(0))
+		e.recordLoad()
 		return &engineapi.CancelResult{Known: true}, nil
 	}
 	return &engineapi.CancelResult{Known: false}, nil
--- a/internal/standin/engine_cache.go
+++ b/internal/standin/engine_cache.go
@@ -8,14 +8,15 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/engineapi"
 )
 
+// maxCacheEvents is the number of cache events that are kept.
 const maxCacheEvents = 10_000
 
-// prefixCache keeps prefix blocks, the least recently used going first, and the
-// events that tell of them.
+// prefixCache keeps prefix blocks, evicts the least recently used first, and logs
+// each change as an event.
 type prefixCache struct {
 	blockTokens int64
 	blocks      map[string]*list.Element
-	recent      *list.List // of block names; the front was used last
+	recent      *list.List // block names; the most recently used is in front
 	events      []cacheEvent
 	seq         int64
 }
@@ -23,16 +24,16 @@
 type cacheEvent struct {
 	engineapi.CacheEvent
 	at   time.Time
-	lost bool
+	lost bool // left out of the answers, by the fault gap_events
 }
 
 func newPrefixCache(blockTokens int) *prefixCache {
 	c := &prefixCache{blockTokens: int64(blockTokens), blocks: make(map[string]*list.Element), recent: list.New()}
-	c.tell(engineapi.CacheEventKindCleared, "")
+	c.addEvent(engineapi.CacheEventKindCleared, "")
 	return c
 }
 
-func (c *prefixCache) tell(kind engineapi.CacheEventKind, block string) {
+func (c *prefixCache) addEvent(kind engineapi.CacheEventKind, block string) {
 	c.seq++
 	x := engineapi.CacheEvent{Seq: c.seq, Kind: kind, Block: block}
 	c.events = append(c.events, cacheEvent{CacheEvent: x, at: time.Now()})
@@ -41,8 +42,8 @@
 	}
 }
 
-// leading returns how many of the blocks are here without a gap.
-func (c *prefixCache) leading(blocks []string) int {
+// countLeading returns how many blocks, from the first on, are cached without a gap.
+func (c *prefixCache) countLeading(blocks []string) int {
 	for i, b := range blocks {
 		if c.blocks[b] == nil {
 			return i
@@ -51,15 +52,16 @@
 	return len(blocks)
 }
 
-// lookup returns the tokens of the leading blocks and marks them as used.
+// lookup returns the number of tokens in the leading cached blocks and marks these
+// blocks as used.
 func (c *prefixCache) lookup(blocks []string) int {
-	n := c.leading(blocks)
+	n := c.countLeading(blocks)
 	c.touch(blocks[:n])
 	return n * int(c.blockTokens)
 }
 
-// touch marks blocks as used, the first of them last, so that a prefix outlives
-// its continuation.
+// touch marks blocks as used, in reverse order, so that the first block of a prefix
+// is evicted last.
 func (c *prefixCache) touch(blocks []string) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		if el := c.blocks[blocks[i]]; el != nil {
@@ -68,40 +70,42 @@
 	}
 }
 
-// store adds blocks; trim has to follow.
+// store adds blocks. The caller must call trim afterwards.
 func (c *prefixCache) store(blocks []string) {
 	for _, b := range blocks {
 		if c.blocks[b] == nil {
 			c.blocks[b] = c.recent.PushFront(b)
-			c.tell(engineapi.CacheEventKindStored, b)
+			c.addEvent(engineapi.CacheEventKindStored, b)
 		}
 	}
 	c.touch(blocks)
 }
 
-// trim evicts until the cache keeps no more than the tokens.
+// trim evicts blocks until the cache holds no more than the given tokens.
 func (c *prefixCache) trim(tokens int64) {
 	for int64(c.recent.Len())*c.blockTokens > tokens {
 		el := c.recent.Back()
 		b, _ := c.recent.Remove(el).(string)
 		delete(c.blocks, b)
-		c.tell(engineapi.CacheEventKindEvicted, b)
+		c.addEvent(engineapi.CacheEventKindEvicted, b)
 	}
 }
 
-// clear drops all blocks.
-func (c *prefixCache) clear() {
+// removeAll drops all blocks and logs one event for it.
+func (c *prefixCache) removeAll() {
 	c.blocks = make(map[string]*list.Element)
 	c.recent.Init()
-	c.tell(engineapi.CacheEventKindCleared, "")
+	c.addEvent(engineapi.CacheEventKindCleared, "")
 }
 
-// cacheBlocks keeps what a run has computed of its prefix.
+// cacheBlocks stores the prefix blocks that lie wholly within the run's prompt.
 func (e *Engine) cacheBlocks(r *run) {
 	whole := min(len(r.req.PrefixBlocks), r.promptTokens/e.opts.BlockTokens)
 	e.storeBlocks(r.req.PrefixBlocks[:whole])
 }
 
+// storeBlocks adds blocks to the prefix cache. Under the fault gap_events, the
+// events with an even number are marked as lost.
 func (e *Engine) storeBlocks(blocks []string) {
 	before := len(e.cache.events)
 	e.cache.store(blocks)
@@ -114,8 +118,8 @@
 	}
 }
 
-// GetCacheEvents implements engineapi.Handler. Events show when their delay is
-// over; lost ones leave a gap in the sequence numbers.
+// GetCacheEvents implements engineapi.Handler. Events appear after their
+// delay; lost ones leave a gap in the sequence numbers.
 func (e *Engine) GetCacheEvents(_ context.Context, p engineapi.GetCacheEventsParams) (engineapi.GetCacheEventsRes, error) {
 	delay := e.opts.EventDelay
 	if x, ok := e.faults.get(FaultLateEvents); ok {
--- a/internal/standin/engine_chunks.go
+++ b/internal/standin/engine_chunks.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// Chunk is one line of an answer's stream, as Chunk of api/engine.yaml; the
-// generator leaves out the type, for the stream is written raw.
+// Chunk is one line of an answer's stream, the schema Chunk of api/engine.yaml. The
+// code generator omits this type because the operation writes its response raw.
 type Chunk struct {
 	RequestID    string `json:"request_id"`
 	Attempt      int    `json:"attempt"`
@@ -18,28 +18,28 @@
 	Error        string `json:"error,omitempty"`
 }
 
-// chunkWriter sends a run's chunks on one connection, with the faults that were
-// on when it began.
+// chunkWriter writes a run's chunks to one connection. Its stream faults are those
+// that were on when the connection began.
 type chunkWriter struct {
 	run   *run
 	next  int // index of the next token to send
 	w     http.ResponseWriter
 	flush func() error
 
-	cross    bool // add chunks of others
-	garbage  bool // add a line that is not JSON
-	truncate bool // end half way
-	cut      bool // it has ended half way
+	crossChunks bool // add chunks of another request and attempt
+	garbage     bool // add a line that is not JSON
+	truncate    bool // end halfway, without the last chunk
+	truncated   bool // the stream has ended halfway
 }
 
-// faultStream notes the faults that strike a stream.
-func (e *Engine) faultStream(out *chunkWriter) {
-	_, out.cross = e.faults.strike(FaultCrossChunks, generatePath)
-	_, out.garbage = e.faults.strike(FaultGarbage, generatePath)
-	_, out.truncate = e.faults.strike(FaultTruncate, generatePath)
+// applyStreamFaults sets the faults of a new stream.
+func (e *Engine) applyStreamFaults(out *chunkWriter) {
+	_, out.crossChunks = e.faults.trigger(FaultCrossChunks, generatePath)
+	_, out.garbage = e.faults.trigger(FaultGarbage, generatePath)
+	_, out.truncate = e.faults.trigger(FaultTruncate, generatePath)
 }
 
-// begin sends the headers, so that the caller knows that it is accepted.
+// begin sends the headers, which tell the caller that the request is accepted.
 func (c *chunkWriter) begin() {
 	c.w.Header().Set("Content-Type", ndjson)
 	c.w.WriteHeader(http.StatusOK)
@@ -49,19 +49,20 @@
 	_ = c.flush()
 }
 
-// send sends what is new, and tells whether that was the end.
+// send sends the new tokens and, at the end of the run, the last chunk. It reports
+// whether the answer has ended.
 func (c *chunkWriter) send(p progress) (ended bool, err error) {
 	sent := c.next < p.produced
 	for ; c.next < p.produced; c.next++ {
 		if c.truncate && c.next >= (c.run.req.ResumeFrom+c.run.req.MaxTokens)/2 {
-			c.cut = true
+			c.truncated = true
 			return false, c.flush()
 		}
 		if err := c.sendToken(p); err != nil {
 			return false, err
 		}
 	}
-	if end := c.end(p); end != nil {
+	if end := c.finalChunk(p); end != nil {
 		ended, sent = true, true
 		err = c.write(end)
 	}
@@ -71,9 +72,9 @@
 	return ended, err
 }
 
-// end returns the last chunk, or nil before the run's end.
-func (c *chunkWriter) end(p progress) *Chunk {
-	last := c.chunk()
+// finalChunk returns the last chunk, or nil while the run goes on.
+func (c *chunkWriter) finalChunk(p progress) *Chunk {
+	last := c.newChunk()
 	switch {
 	case p.failure != "":
 		last.Error = p.failure
@@ -87,12 +88,12 @@
 }
 
 func (c *chunkWriter) sendToken(p progress) error {
-	if c.cross {
-		if err := c.sendForeign(); err != nil {
+	if c.crossChunks {
+		if err := c.sendForeignChunks(); err != nil {
 			return err
 		}
 	}
-	x := c.chunk()
+	x := c.newChunk()
 	x.Text = c.run.seed.Text(c.next)
 	if c.next == c.run.req.ResumeFrom {
 		x.CachedTokens = &p.cached
@@ -100,22 +101,22 @@
 	return c.write(x)
 }
 
-// sendForeign sends chunks of another request and of another attempt.
-func (c *chunkWriter) sendForeign() error {
-	other := c.chunk()
+// sendForeignChunks sends one chunk of another request and one of a later attempt.
+func (c *chunkWriter) sendForeignChunks() error {
+	other := c.newChunk()
 	other.RequestID = foreignRequest + other.RequestID
 	other.Text = c.run.seed.Text(c.next + 1)
 	if err := c.write(other); err != nil {
 		return err
 	}
-	late := c.chunk()
+	late := c.newChunk()
 	late.Attempt++
 	late.Text = c.run.seed.Text(c.next + 2)
 	late.Done = c.next%2 == 1
 	return c.write(late)
 }
 
-func (c *chunkWriter) chunk() *Chunk {
+func (c *chunkWriter) newChunk() *Chunk {
 	return &Chunk{RequestID: c.run.key.id, Attempt: c.run.key.attempt, Index: c.next}
 }
 
--- a/internal/standin/engine_gang.go
+++ b/internal/standin/engine_gang.go
@@ -20,47 +20,49 @@
 	assistPath        = "/standin/assist"
 )
 
-// member is what the receiver of a gang learns of another member.
-type member struct {
+// memberState is what the receiver, the first engine of a gang, reads from another
+// member.
+type memberState struct {
 	reserved   int64 // tokens
 	prefillTPS float64
 }
 
-// gather checks that each member of a gang holds the reservation and that they
-// hold enough together, and sets the speed of the run.
-func (e *Engine) gather(ctx context.Context, r *run) *engineapi.RefusalStatusCode {
-	if len(r.req.Gang) < 2 || e.knows(r.key) {
+// checkGang checks that each member of the run's gang holds the reservation and
+// that together they hold enough tokens, and sets the speed of the run.
+func (e *Engine) checkGang(ctx context.Context, r *run) *engineapi.RefusalStatusCode {
+	if len(r.req.Gang) < 2 || e.hasRun(r.key) {
 		return nil
 	}
 	id := r.req.ReservationID.Or("")
-	reserved, ok := e.reserved(id)
+	reserved, ok := e.reservedTokens(id)
 	if !ok {
-		return refusal(engineapi.RefusalCodeNoReservation, "receiver: no reservation "+id)
+		return newRefusal(engineapi.RefusalCodeNoReservation, "receiver: no reservation "+id)
 	}
 	tps := e.opts.PrefillTPS
 	for _, address := range r.req.Gang[1:] {
-		m, err := e.askMember(ctx, address, id)
+		m, err := e.readMember(ctx, address, id)
 		if err != nil {
-			return refusal(engineapi.RefusalCodeNoReservation, err.Error())
+			return newRefusal(engineapi.RefusalCodeNoReservation, err.Error())
 		}
 		reserved += m.reserved
 		tps += m.prefillTPS
 	}
-	if r.need() > reserved {
-		return refusal(engineapi.RefusalCodeNoMemory, fmt.Sprintf("needs %d, gang reserved %d tokens", r.need(), reserved))
+	if r.neededTokens() > reserved {
+		return newRefusal(engineapi.RefusalCodeNoMemory, fmt.Sprintf("needs %d tokens, the gang reserved %d", r.neededTokens(), reserved))
 	}
 	r.speed = tps / e.opts.PrefillTPS
 	return nil
 }
 
-// knows tells whether a call would resume a run rather than start one.
-func (e *Engine) knows(key runKey) bool {
+// hasRun reports whether the engine has a run of the key, which a call would resume.
+func (e *Engine) hasRun(key runKey) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[key] != nil
 }
 
-func (e *Engine) reserved(id string) (int64, bool) {
+// reservedTokens returns the tokens of a reservation.
+func (e *Engine) reservedTokens(id string) (int64, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r, ok := e.reservations[id]
@@ -70,25 +72,26 @@
 	return r.Tokens, true
 }
 
-// askMember reads a member's books and load.
-func (e *Engine) askMember(ctx context.Context, address, id string) (member, error) {
+// readMember reads a member's books and load report. It fails if the member does
+// not hold the reservation.
+func (e *Engine) readMember(ctx context.Context, address, id string) (memberState, error) {
 	var books engineapi.Books
 	if err := e.fetch(ctx, address, "/v1/books", &books); err != nil {
-		return member{}, err
+		return memberState{}, err
 	}
 	var load engineapi.LoadReport
 	if err := e.fetch(ctx, address, "/v1/load", &load); err != nil {
-		return member{}, err
+		return memberState{}, err
 	}
 	for _, r := range books.Reservations {
 		if r.ID == id {
-			return member{reserved: r.Tokens, prefillTPS: load.PrefillTokensPerS}, nil
+			return memberState{reserved: r.Tokens, prefillTPS: load.PrefillTokensPerS}, nil
 		}
 	}
-	return member{}, merry.Errorf("member %s: no reservation %s", address, id)
+	return memberState{}, merry.Errorf("member %s: no reservation %s", address, id)
 }
 
-// fetch reads a JSON answer of another engine.
+// fetch decodes the JSON answer of another engine to a GET call.
 func (e *Engine) fetch(ctx context.Context, address, path string, v json.Unmarshaler) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
@@ -104,13 +107,14 @@
 		return merry.Prependf(err, "engine %s", address)
 	}
 	if res.StatusCode != http.StatusOK {
-		return merry.Errorf("engine %s: %s answers %d", address, path, res.StatusCode)
+		return merry.Errorf("engine %s: %s returned status %d", address, path, res.StatusCode)
 	}
 	return merry.Prependf(v.UnmarshalJSON(body), "engine %s", address)
 }
 
-// watchGang fails a run when a member of its gang is gone, and keeps the members
-// busy while it is in prefill.
+// watchGang checks the members of a run's gang until the run ends. It fails the run
+// when a member is unreachable or has lost the reservation, and keeps the members
+// busy during the prefill.
 func (e *Engine) watchGang(r *run) {
 	id := r.req.ReservationID.Or("")
 	tick := time.NewTicker(gangCheckInterval)
@@ -123,7 +127,7 @@
 		for _, address := range r.req.Gang[1:] {
 			if err := e.checkMember(address, id, phase); err != nil {
 				e.mu.Lock()
-				e.fail(r, "gang: "+err.Error())
+				e.failRun(r, "gang: "+err.Error())
 				e.mu.Unlock()
 				return
 			}
@@ -142,25 +146,26 @@
 	return r.phase
 }
 
+// checkMember checks one member, and asks for its assistance during the prefill.
 func (e *Engine) checkMember(address, id string, phase runPhase) error {
 	ctx, cancel := context.WithTimeout(context.Background(), gangCallTimeout)
 	defer cancel()
-	if _, err := e.askMember(ctx, address, id); err != nil {
+	if _, err := e.readMember(ctx, address, id); err != nil {
 		return err
 	}
 	if phase != phasePrefill {
 		return nil
 	}
-	return e.askAssist(ctx, address)
+	return e.requestAssist(ctx, address)
 }
 
-// assist asks a member to compute for a gang for a while.
-type assist struct {
+// assistRequest asks a member to compute for a gang for Ms milliseconds.
+type assistRequest struct {
 	Ms int64 `json:"ms"`
 }
 
-func (e *Engine) askAssist(ctx context.Context, address string) error {
-	body, err := json.Marshal(assist{Ms: gangCheckInterval.Milliseconds()})
+func (e *Engine) requestAssist(ctx context.Context, address string) error {
+	body, err := json.Marshal(assistRequest{Ms: gangCheckInterval.Milliseconds()})
 	if err != nil {
 		return err
 	}
@@ -175,9 +180,10 @@
 	return res.Body.Close()
 }
 
-// handleAssist makes this engine's steps as long as a full chunk for a while.
+// handleAssist makes each step of this engine as long as that of a full prefill
+// chunk, for the time in the request.
 func (e *Engine) handleAssist(w http.ResponseWriter, r *http.Request) {
-	var a assist
+	var a assistRequest
 	if !readControl(w, r, &a) {
 		return
 	}
--- a/internal/standin/engine_generate.go
+++ b/internal/standin/engine_generate.go
@@ -17,59 +17,59 @@
 
 // Generate implements engineapi.RawHandler.
 func (e *Engine) Generate(ctx context.Context, req *engineapi.GenerateRequest, w http.ResponseWriter) error {
-	if no := e.checkRequest(req); no != nil {
-		writeRefusal(w, no)
+	if refusal := e.checkRequest(req); refusal != nil {
+		writeRefusal(w, refusal)
 		return nil
 	}
 	fresh := newRun(req)
-	if no := e.gather(ctx, fresh); no != nil {
-		writeRefusal(w, no)
+	if refusal := e.checkGang(ctx, fresh); refusal != nil {
+		writeRefusal(w, refusal)
 		return nil
 	}
-	r, s, no := e.submit(fresh)
-	if no != nil {
-		writeRefusal(w, no)
+	r, s, refusal := e.submit(fresh)
+	if refusal != nil {
+		writeRefusal(w, refusal)
 		return nil
 	}
 	if r == fresh && len(req.Gang) > 1 {
 		go e.watchGang(r)
 	}
 	out := &chunkWriter{run: r, next: req.ResumeFrom, w: w, flush: http.NewResponseController(w).Flush}
-	e.faultStream(out)
+	e.applyStreamFaults(out)
 	e.serveStream(ctx, r, s, out)
 	return nil
 }
 
 func (e *Engine) checkRequest(req *engineapi.GenerateRequest) *engineapi.RefusalStatusCode {
-	bad := func(format string, args ...any) *engineapi.RefusalStatusCode {
-		return refusal(engineapi.RefusalCodeBadRequest, fmt.Sprintf(format, args...))
+	badRequest := func(format string, args ...any) *engineapi.RefusalStatusCode {
+		return newRefusal(engineapi.RefusalCodeBadRequest, fmt.Sprintf(format, args...))
 	}
 	switch {
 	case req.RequestID == "":
-		return bad("request_id is empty")
+		return badRequest("request_id is empty")
 	case req.Attempt < 1:
-		return bad("attempt %d is below 1", req.Attempt)
+		return badRequest("attempt %d is below 1", req.Attempt)
 	case req.Prompt == "":
-		return bad("prompt is empty")
+		return badRequest("prompt is empty")
 	case req.MaxTokens < 1:
-		return bad("max_tokens %d is below 1", req.MaxTokens)
+		return badRequest("max_tokens %d is below 1", req.MaxTokens)
 	case req.Priority < 0 || req.Priority >= numPriorities:
-		return bad("priority %d is unknown", req.Priority)
+		return badRequest("priority %d is unknown", req.Priority)
 	case req.ResumeFrom < 0 || req.ResumeFrom > req.MaxTokens:
-		return bad("resume_from %d is outside the answer", req.ResumeFrom)
-	case e.refusesAsLeaving():
-		return refusal(engineapi.RefusalCodeLeaving, "the engine is leaving")
+		return badRequest("resume_from %d is outside the answer", req.ResumeFrom)
+	case e.refusesNewRuns():
+		return newRefusal(engineapi.RefusalCodeLeaving, "the engine is leaving")
 	}
 	return nil
 }
 
-// progress is what a connection sees of its run.
+// progress is the state of a run, as seen by one of its connections.
 type progress struct {
 	phase    runPhase
-	produced int
-	cached   int
+	produced int // index of the next token to produce
+	cached   int // prompt tokens found in the prefix cache
 	failure  string
-	replaced bool
+	replaced bool // another connection serves the run, or none does
 }
 
 func (e *Engine) progress(r *run, s *stream) progress {
@@ -78,7 +78,7 @@
 	return progress{phase: r.phase, produced: r.produced, cached: r.cached, failure: r.failure, replaced: r.stream != s}
 }
 
-// serveStream sends a run's tokens until its end, or until the connection is
+// serveStream sends a run's tokens until the run ends, or until the connection is
 // lost or replaced by another.
 func (e *Engine) serveStream(ctx context.Context, r *run, s *stream, out *chunkWriter) {
 	out.begin()
@@ -89,21 +89,21 @@
 		}
 		ended, err := out.send(p)
 		if err != nil {
-			e.orphan(r, s)
+			e.markOrphaned(r, s)
 			panic(http.ErrAbortHandler)
 		}
-		if out.cut {
-			e.orphan(r, s)
+		if out.truncated {
+			e.markOrphaned(r, s)
 			return
 		}
 		if ended {
-			e.delivered(r, s)
+			e.removeDelivered(r, s)
 			return
 		}
 		select {
 		case <-s.wake:
 		case <-ctx.Done():
-			e.orphan(r, s)
+			e.markOrphaned(r, s)
 			return
 		case <-e.closed:
 			panic(http.ErrAbortHandler)
@@ -111,16 +111,17 @@
 	}
 }
 
-// delivered forgets a run whose end was sent.
-func (e *Engine) delivered(r *run, s *stream) {
+// removeDelivered removes a run whose last chunk was sent, unless another connection
+// has replaced this one.
+func (e *Engine) removeDelivered(r *run, s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if r.stream == s {
-		e.forget(r)
+		e.removeRun(r)
 	}
 }
 
-// Cancel implements engineapi.Handler.
+// Cancel implements engineapi.Handler. Attempt 0 cancels all attempts.
 func (e *Engine) Cancel(_ context.Context, req *engineapi.CancelRequest) (engineapi.CancelRes, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -132,7 +133,7 @@
 		known = true
 		r.failure = failCancelled
 		e.witness.set(r.witness, RunCancelled)
-		e.forget(r)
+		e.removeRun(r)
 	}
 	return &engineapi.CancelResult{Known: known}, nil
 }
--- a/internal/standin/engine_kv.go
+++ b/internal/standin/engine_kv.go
@@ -7,11 +7,11 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/engineapi"
 )
 
-// ExportKV implements engineapi.Handler. It keeps the leading blocks that are in
-// the prefix cache; the export is a copy with memory of its own.
+// ExportKV implements engineapi.Handler. It exports the leading blocks that are in
+// the prefix cache. The export is a copy and holds its own memory.
 func (e *Engine) ExportKV(_ context.Context, req *engineapi.KVExport) (engineapi.ExportKVRes, error) {
 	if req.ID == "" {
-		return refusal(engineapi.RefusalCodeBadRequest, "an export needs an id"), nil
+		return newRefusal(engineapi.RefusalCodeBadRequest, "an export needs an id"), nil
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -19,20 +19,20 @@
 		held := *old
 		return &held, nil
 	}
-	n := e.cache.leading(req.PrefixBlocks)
+	n := e.cache.countLeading(req.PrefixBlocks)
 	if n == 0 {
-		return refusal(engineapi.RefusalCodeNotFound, "no block of the prefix is cached"), nil
+		return newRefusal(engineapi.RefusalCodeNotFound, "no block of the prefix is cached"), nil
 	}
 	tokens := int64(n * e.opts.BlockTokens)
-	if tokens > e.free() {
-		return refusal(engineapi.RefusalCodeNoMemory, fmt.Sprintf("wants %d, free %d tokens", tokens, e.free())), nil
+	if tokens > e.freeTokens() {
+		return newRefusal(engineapi.RefusalCodeNoMemory, fmt.Sprintf("needs %d tokens, %d are free", tokens, e.freeTokens())), nil
 	}
 	x := *req
 	x.PrefixBlocks = append([]string{}, req.PrefixBlocks[:n]...)
 	x.Tokens = engineapi.NewOptInt64(tokens)
 	e.exports[x.ID] = &x
-	e.hold(tokens)
-	e.noteLoad()
+	e.allocate(tokens)
+	e.recordLoad()
 	res := x
 	return &res, nil
 }
@@ -42,7 +42,7 @@
 func (e *Engine) ImportKV(ctx context.Context, req *engineapi.KVImport) (engineapi.ImportKVRes, error) {
 	var books engineapi.Books
 	if err := e.fetch(ctx, req.Source, "/v1/books", &books); err != nil {
-		return refusal(engineapi.RefusalCodeNotFound, err.Error()), nil
+		return newRefusal(engineapi.RefusalCodeNotFound, err.Error()), nil
 	}
 	for _, x := range books.Exports {
 		if x.ID != req.ExportID {
@@ -54,5 +54,5 @@
 		x.Holder = req.Holder
 		return &x, nil
 	}
-	return refusal(engineapi.RefusalCodeNotFound, "no export "+req.ExportID), nil
+	return newRefusal(engineapi.RefusalCodeNotFound, "no export "+req.ExportID), nil
 }
--- a/internal/standin/engine_load.go
+++ b/internal/standin/engine_load.go
@@ -14,6 +14,7 @@
 	report engineapi.LoadReport
 }
 
+// loadLag returns the age of load reports, with the fault load_lag added.
 func (e *Engine) loadLag() time.Duration {
 	lag := e.opts.LoadLag
 	if x, ok := e.faults.get(FaultLoadLag); ok {
@@ -22,17 +23,17 @@
 	return lag
 }
 
-// noteLoad keeps a snapshot for reports to come. Without a lag none is needed.
-func (e *Engine) noteLoad() {
+// recordLoad adds a snapshot for later load reports. Without a lag it is not needed.
+func (e *Engine) recordLoad() {
 	if e.loadLag() > 0 {
-		e.snapshot(time.Now())
+		e.addSnapshot(time.Now())
 	}
 }
 
-// snapshot adds the present load and drops snapshots that no report can show.
-func (e *Engine) snapshot(now time.Time) {
+// addSnapshot adds the current load and drops snapshots too old for any report.
+func (e *Engine) addSnapshot(now time.Time) {
 	e.loadSeq++
-	e.loads = append(e.loads, loadSnapshot{at: now, report: e.report(now)})
+	e.loads = append(e.loads, loadSnapshot{at: now, report: e.buildLoadReport(now)})
 	shown := now.Add(-e.loadLag())
 	for len(e.loads) > 1 && !e.loads[1].at.After(shown) {
 		e.loads = e.loads[1:]
@@ -44,15 +45,15 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	e.snapshot(now)
+	e.addSnapshot(now)
 	shown := e.loads[0]
 	shown.report.AgeMs = now.Sub(shown.at).Milliseconds()
 	return &shown.report, nil
 }
 
-// report counts the load. Queued prefill is what runs in the queue and in prefill
-// still have to compute.
-func (e *Engine) report(now time.Time) engineapi.LoadReport {
+// buildLoadReport returns the current load. QueuedPrefillTokens counts the tokens
+// that queued and prefilling runs still have to compute.
+func (e *Engine) buildLoadReport(now time.Time) engineapi.LoadReport {
 	r := engineapi.LoadReport{
 		Incarnation:       e.incarnation,
 		Seq:               e.loadSeq,
@@ -63,7 +64,7 @@
 		Running:           len(e.active),
 		MemoryTotalTokens: e.opts.MemoryTokens,
 		MemoryUsedTokens:  e.used,
-		Models:            slices.Clone(e.orders.settle(now).models),
+		Models:            slices.Clone(e.orders.finishLoads(now).models),
 		Role:              e.orders.role,
 		Leaving:           e.faults.isOn(FaultLeaving),
 		BlockTokens:       e.opts.BlockTokens,
@@ -77,9 +78,9 @@
 	return r
 }
 
-// refusesAsLeaving tells whether the fault leaving is on for its Ms. Without Ms
-// the engine takes what comes, and the witness shows it.
-func (e *Engine) refusesAsLeaving() bool {
+// refusesNewRuns reports whether the fault leaving has been on for at least its Ms.
+// With an Ms of 0 the engine goes on to accept runs, and the witness records them.
+func (e *Engine) refusesNewRuns() bool {
 	x, on := e.faults.get(FaultLeaving)
 	return on && x.Ms > 0 && time.Since(x.since) >= time.Duration(x.Ms)*time.Millisecond
 }
--- a/internal/standin/engine_orders.go
+++ b/internal/standin/engine_orders.go
@@ -11,23 +11,23 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/engineapi"
 )
 
-// orderBook is what the engine was ordered to be.
+// orderBook is the state that orders have given the engine.
 type orderBook struct {
-	fence    int64 // of the last order that was obeyed
+	fence    int64 // fencing number of the last executed order
 	role     string
 	models   []string
 	adapters []string
-	loading  map[loadItem]time.Time // when the load ends
+	loading  map[loadItem]time.Time // time at which the load ends
 }
 
-// loadItem is a model or an adapter on its way.
+// loadItem is a model or an adapter that is being loaded.
 type loadItem struct {
 	name    string
 	adapter bool
 }
 
-// settle takes in the loads that have ended by now.
-func (o *orderBook) settle(now time.Time) *orderBook {
+// finishLoads marks the models and adapters whose load has ended as loaded.
+func (o *orderBook) finishLoads(now time.Time) *orderBook {
 	for item, end := range o.loading {
 		if end.After(now) {
 			continue
@@ -42,10 +42,10 @@
 	return o
 }
 
-// serves tells whether a model, with its version or without, and an adapter are
-// loaded.
+// serves reports whether a model, given with or without its version, and an
+// adapter, if any, are loaded.
 func (o *orderBook) serves(model string, adapter engineapi.OptString) bool {
-	o.settle(time.Now())
+	o.finishLoads(time.Now())
 	loaded := slices.ContainsFunc(o.models, func(m string) bool {
 		name, _, _ := strings.Cut(m, "@")
 		return m == model || name == model
@@ -54,6 +54,7 @@
 	return loaded && (name == "" || slices.Contains(o.adapters, name))
 }
 
+// load starts to load an item, unless it is loaded or being loaded.
 func (o *orderBook) load(item loadItem, loaded []string, end time.Time) {
 	if _, ok := o.loading[item]; ok || slices.Contains(loaded, item.name) {
 		return
@@ -78,23 +79,24 @@
 
 // Order implements engineapi.Handler.
 func (e *Engine) Order(_ context.Context, req *engineapi.Order) (engineapi.OrderRes, error) {
-	if no := checkOrder(req); no != nil {
-		return no, nil
+	if refusal := checkOrder(req); refusal != nil {
+		return refusal, nil
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	checks := e.opts.ChecksFencing && !e.faults.isOn(FaultIgnoreFencing)
 	if checks && req.Fence < e.orders.fence {
-		return refusal(engineapi.RefusalCodeStaleFence, fmt.Sprintf("fence %d after %d", req.Fence, e.orders.fence)), nil
+		return newRefusal(engineapi.RefusalCodeStaleFence, fmt.Sprintf("fence %d is lower than %d", req.Fence, e.orders.fence)), nil
 	}
 	now := time.Now()
-	e.orders.settle(now)
+	e.orders.finishLoads(now)
 	e.orders.fence = req.Fence
-	e.obey(req, now)
-	e.noteLoad()
+	e.applyOrder(req, now)
+	e.recordLoad()
 	return e.orders.state(), nil
 }
 
+// checkOrder checks that an order names what its kind needs.
 func checkOrder(req *engineapi.Order) *engineapi.RefusalStatusCode {
 	needed := map[engineapi.OrderKind]string{
 		engineapi.OrderKindLoadModel:     req.Model.Or(""),
@@ -104,12 +106,12 @@
 		engineapi.OrderKindSetRole:       req.Role.Or(""),
 	}
 	if needed[req.Kind] == "" {
-		return refusal(engineapi.RefusalCodeBadRequest, string(req.Kind)+" does not say what")
+		return newRefusal(engineapi.RefusalCodeBadRequest, string(req.Kind)+" names no model, adapter or role")
 	}
 	return nil
 }
 
-func (e *Engine) obey(req *engineapi.Order, now time.Time) {
+func (e *Engine) applyOrder(req *engineapi.Order, now time.Time) {
 	o := &e.orders
 	model := loadItem{name: req.Model.Or("")}
 	if v := req.Version.Or(""); v != "" {
@@ -132,13 +134,13 @@
 	}
 }
 
-// unloadModel takes a model away from new requests, and with it the cache.
+// unloadModel makes a model unavailable to new requests and clears the prefix cache.
 func (e *Engine) unloadModel(model loadItem) {
 	delete(e.orders.loading, model)
 	n := len(e.orders.models)
 	e.orders.models = slices.DeleteFunc(e.orders.models, func(m string) bool { return m == model.name })
 	if len(e.orders.models) < n {
-		e.cache.clear()
+		e.cache.removeAll()
 	}
 }
 
@@ -146,5 +148,5 @@
 func (e *Engine) GetOrderState(context.Context) (engineapi.GetOrderStateRes, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.orders.settle(time.Now()).state(), nil
+	return e.orders.finishLoads(time.Now()).state(), nil
 }
--- a/internal/standin/engine_step.go
+++ b/internal/standin/engine_step.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// stepWeight is how much the newest step counts in the smoothed step time.
+// stepWeight is the weight of the newest step in the smoothed step time.
 const stepWeight = 0.2
 
 func containsMarker(prompt string) bool {
 	return strings.Contains(prompt, CrashMarker)
 }
 
-// step is the work of one turn of the loop.
+// step is the work of one iteration of the loop.
 type step struct {
 	length  time.Duration
-	chunks  []chunk
-	decodes []*run
+	chunks  []prefillChunk
+	decodes []*run // each produces one token
 }
 
-// chunk is a part of one run's prefill.
-type chunk struct {
+// prefillChunk is a part of one run's prefill.
+type prefillChunk struct {
 	run    *run
 	tokens int
 }
@@ -30,17 +30,17 @@
 	return s.length == 0
 }
 
-// loop steps the engine until it is closed. Its steps follow each other without
-// drift as long as there is work.
+// loop runs steps until the engine is closed or crashes. While there is work, each
+// step is timed from the planned end of the one before, so that delays do not add up.
 func (e *Engine) loop() {
 	end := time.Now()
 	for {
-		if !e.pauseFrozen() {
+		if !e.pauseWhileFrozen() {
 			return
 		}
-		s, crash := e.plan()
+		s, crash := e.planStep()
 		if crash {
-			e.die(exitCrash)
+			e.terminate(exitCrash)
 			return
 		}
 		if s.empty() {
@@ -58,17 +58,18 @@
 		} else {
 			end = time.Now()
 		}
-		if !e.pauseFrozen() {
+		if !e.pauseWhileFrozen() {
 			return
 		}
-		e.apply(s)
+		e.applyStep(s)
 	}
 }
 
-// pauseFrozen waits while the engine is frozen; false means that it is closed.
-func (e *Engine) pauseFrozen() bool {
+// pauseWhileFrozen waits while the fault freeze is on. It returns false when the
+// engine is closed.
+func (e *Engine) pauseWhileFrozen() bool {
 	for {
-		changed := e.faults.wait()
+		changed := e.faults.nextChange()
 		frozen := e.faults.isOn(FaultFreeze)
 		select {
 		case <-e.closed:
@@ -86,12 +87,12 @@
 	}
 }
 
-// plan admits what fits and chooses the work of the next step. It tells whether
-// a run that was admitted crashes the engine.
-func (e *Engine) plan() (s step, crash bool) {
+// planStep admits queued runs and chooses the work of the next step. It reports
+// whether an admitted run crashes the engine.
+func (e *Engine) planStep() (s step, crash bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.admit() {
+	if e.admitQueued() {
 		return step{}, true
 	}
 	budget := float64(e.opts.ChunkTokens)
@@ -105,10 +106,10 @@
 			continue
 		}
 		budget -= float64(n) / r.speed
-		s.chunks = append(s.chunks, chunk{run: r, tokens: n})
+		s.chunks = append(s.chunks, prefillChunk{run: r, tokens: n})
 	}
 	if time.Now().Before(e.assistUntil) {
-		budget = 0 // another engine's gang computes with what is left
+		budget = 0 // another engine's gang uses the rest of the budget
 	}
 	computed := float64(e.opts.ChunkTokens) - budget
 	s.length = time.Duration(computed / e.opts.PrefillTPS * float64(time.Second))
@@ -118,17 +119,18 @@
 	return s, false
 }
 
-// admit starts queued runs in order of urgency while memory and batch allow. A
-// run that does not fit is not overtaken.
-func (e *Engine) admit() (crash bool) {
+// admitQueued starts queued runs by priority while memory and batch allow. A run
+// that does not fit blocks those behind it. It reports whether a started run
+// crashes the engine.
+func (e *Engine) admitQueued() (crash bool) {
 	for len(e.queue) > 0 && len(e.active) < e.opts.Batch {
 		r := e.queue[0]
 		_, reserved := r.req.ReservationID.Get()
-		if !reserved && r.need() > e.free() {
+		if !reserved && r.neededTokens() > e.freeTokens() {
 			return false
 		}
 		e.queue = e.queue[1:]
-		e.start(r, reserved)
+		e.startRun(r, reserved)
 		if r.crashes {
 			e.witness.set(r.witness, RunCrashed)
 			return true
@@ -137,16 +139,16 @@
 	return false
 }
 
-func (e *Engine) start(r *run, reserved bool) {
-	// The prefix is looked up before memory is taken, which may evict it.
+func (e *Engine) startRun(r *run, reserved bool) {
+	// The prefix is looked up before the allocation, which may evict it.
 	r.cached = min(e.cache.lookup(r.req.PrefixBlocks), r.promptTokens-1)
 	if !reserved {
-		r.held = r.need()
-		e.hold(r.held)
+		r.held = r.neededTokens()
+		e.allocate(r.held)
 	}
 	r.prefillLeft = r.promptTokens - r.cached + r.req.ResumeFrom
 	r.phase = phasePrefill
-	at, _ := slices.BinarySearchFunc(e.active, r, byUrgency)
+	at, _ := slices.BinarySearchFunc(e.active, r, comparePriority)
 	e.active = slices.Insert(e.active, at, r)
 	state := RunStarted
 	if r.stream == nil {
@@ -155,14 +157,14 @@
 	e.witness.set(r.witness, state)
 }
 
-// apply carries out a step whose time has passed. Runs that ended meanwhile are
-// left out.
-func (e *Engine) apply(s step) {
+// applyStep applies the results of a step at its end. Runs that ended during the
+// step are skipped.
+func (e *Engine) applyStep(s step) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, r := range s.decodes {
 		if r.phase == phaseDecode {
-			e.produce(r)
+			e.produceToken(r)
 		}
 	}
 	for _, c := range s.chunks {
@@ -175,16 +177,16 @@
 		}
 		c.run.phase = phaseDecode
 		e.cacheBlocks(c.run)
-		e.produce(c.run)
+		e.produceToken(c.run)
 	}
 	if len(s.decodes) > 0 {
 		e.stepTime += time.Duration(stepWeight * float64(s.length-e.stepTime))
 	}
-	e.noteLoad()
+	e.recordLoad()
 }
 
-// produce makes one token of a run, and ends it with its last.
-func (e *Engine) produce(r *run) {
+// produceToken produces one token of a run, and finishes the run after the last.
+func (e *Engine) produceToken(r *run) {
 	if r.produced == r.req.ResumeFrom {
 		e.witness.firstToken(r.witness)
 	}
@@ -196,5 +198,5 @@
 		e.active = slices.DeleteFunc(e.active, func(x *run) bool { return x == r })
 		e.witness.set(r.witness, RunFinished)
 	}
-	r.notify()
+	r.wakeStream()
 }
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -12,26 +12,27 @@
 // FaultKind names a fault that can be switched on.
 type FaultKind string
 
-// Fault kinds. Those that end with a stand-in's name concern only that one.
+// Fault kinds. Where a comment ends with a stand-in's name, the kind affects only
+// that stand-in.
 const (
-	FaultDie           FaultKind = "die"            // exit at once
-	FaultFreeze        FaultKind = "freeze"         // accept and do nothing until switched off
-	FaultSilent        FaultKind = "silent"         // connections open now go silent for good
-	FaultDropAnswer    FaultKind = "drop_answer"    // do what is asked, then close without an answer
-	FaultRefuse        FaultKind = "refuse"         // 500, overloaded
-	FaultTurnAway      FaultKind = "turn_away"      // 503, overloaded, wants nothing for Ms
-	FaultSlow          FaultKind = "slow"           // Ms before each call
+	FaultDie           FaultKind = "die"            // exit immediately
+	FaultFreeze        FaultKind = "freeze"         // accept connections and calls, but handle none until switched off
+	FaultSilent        FaultKind = "silent"         // open connections become silent permanently
+	FaultDropAnswer    FaultKind = "drop_answer"    // execute the call, then close the connection without an answer
+	FaultRefuse        FaultKind = "refuse"         // answer 500, overloaded
+	FaultTurnAway      FaultKind = "turn_away"      // answer 503, overloaded, with a Retry-After of Ms
+	FaultSlow          FaultKind = "slow"           // wait Ms before each call
 	FaultOutage        FaultKind = "outage"         // every call fails with 503
 	FaultGarbage       FaultKind = "garbage"        // answers are not JSON
 	FaultDuplicate     FaultKind = "duplicate"      // append twice, answer once: log
-	FaultRestore       FaultKind = "restore"        // come back from a copy that is Ms old: log, with a Count
+	FaultRestore       FaultKind = "restore"        // go back to a backup that is Ms old: log; set a Count
 	FaultGapEvents     FaultKind = "gap_events"     // every other cache event is lost: engine
-	FaultLateEvents    FaultKind = "late_events"    // cache events come Ms later: engine
+	FaultLateEvents    FaultKind = "late_events"    // cache events appear Ms later: engine
 	FaultLoadLag       FaultKind = "load_lag"       // load reports lag by Ms more: engine
-	FaultCrossChunks   FaultKind = "cross_chunks"   // chunks of other requests and attempts: engine
-	FaultTruncate      FaultKind = "truncate"       // streams end half way without done: engine
-	FaultIgnoreFencing FaultKind = "ignore_fencing" // old fencing numbers are obeyed: engine
-	FaultLeaving       FaultKind = "leaving"        // reports leaving; refuses work Ms later if Ms is set: engine
+	FaultCrossChunks   FaultKind = "cross_chunks"   // streams contain chunks of other requests and attempts: engine
+	FaultTruncate      FaultKind = "truncate"       // streams end halfway without done: engine
+	FaultIgnoreFencing FaultKind = "ignore_fencing" // orders with old fencing numbers are executed: engine
+	FaultLeaving       FaultKind = "leaving"        // report leaving; if Ms is set, refuse new runs after Ms: engine
 )
 
 var faultKinds = []FaultKind{
@@ -40,16 +41,17 @@
 	FaultCrossChunks, FaultTruncate, FaultIgnoreFencing, FaultLeaving,
 }
 
-// Fault switches one kind on or off.
+// Fault switches one kind of fault on or off.
 type Fault struct {
 	Kind FaultKind `json:"kind"`
 	On   bool      `json:"on"`
 	// Ms is a duration in milliseconds, for the kinds that need one.
 	Ms int64 `json:"ms,omitempty"`
-	// Count is how many calls are struck before the fault switches itself off;
-	// zero means until it is switched off.
+	// Count is the number of calls that the fault affects before it switches itself
+	// off; 0 means no limit.
 	Count int `json:"count,omitempty"`
-	// Path limits call faults to request paths that contain it.
+	// Path limits faults of calls to request paths that contain it, and faults of
+	// the log to such stream names.
 	Path string `json:"path,omitempty"`
 }
 
@@ -69,7 +71,8 @@
 	return &faults{on: make(map[FaultKind]*activeFault), changed: make(chan struct{})}
 }
 
-// set switches a fault and wakes all that wait for a change.
+// set switches a fault on or off and closes the channel of nextChange. It fails for
+// an unknown kind and for a negative Ms or Count.
 func (f *faults) set(x Fault) error {
 	if !slices.Contains(faultKinds, x.Kind) {
 		return merry.Errorf("unknown fault kind %q", x.Kind)
@@ -89,7 +92,7 @@
 	return nil
 }
 
-// get returns a fault that is on, without counting a strike.
+// get returns a fault if it is on, without counting a call.
 func (f *faults) get(kind FaultKind) (activeFault, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -100,14 +103,15 @@
 	return *a, true
 }
 
-// isOn tells whether a fault is on, without counting a strike.
+// isOn reports whether a fault is on, without counting a call.
 func (f *faults) isOn(kind FaultKind) bool {
 	_, ok := f.get(kind)
 	return ok
 }
 
-// strike tells whether a fault hits a call of the path, and counts it.
-func (f *faults) strike(kind FaultKind, path string) (Fault, bool) {
+// trigger reports whether a fault is on for a request path or a stream name. If it
+// is, the call counts against Count.
+func (f *faults) trigger(kind FaultKind, path string) (Fault, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	a, ok := f.on[kind]
@@ -124,14 +128,14 @@
 	return x, true
 }
 
-// wait returns a channel that is closed at the next change.
-func (f *faults) wait() <-chan struct{} {
+// nextChange returns a channel that is closed at the next call of set.
+func (f *faults) nextChange() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// list returns the faults that are on, by kind.
+// list returns the faults that are on, in the order of faultKinds.
 func (f *faults) list() []Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standin/helper_test.go
+++ b/internal/standin/helper_test.go
@@ -14,12 +14,12 @@
 
 const (
 	testModel    = "assistant"
-	patience     = 20 * time.Second
+	waitTimeout  = 20 * time.Second
 	pollInterval = 2 * time.Millisecond
 )
 
-// quick is an engine that is fast enough for tests.
-func quick() EngineOptions {
+// fastEngine returns options of an engine that is fast enough for tests.
+func fastEngine() EngineOptions {
 	return EngineOptions{
 		Models:       []string{testModel},
 		MemoryTokens: 10_000,
@@ -30,9 +30,10 @@
 	}
 }
 
-// slow is an engine whose requests are still running when a test looks.
-func slow() EngineOptions {
-	o := quick()
+// slowEngine returns options of an engine that is slow enough for a test to observe
+// running requests.
+func slowEngine() EngineOptions {
+	o := fastEngine()
 	o.DecodeStep = 20 * time.Millisecond
 	return o
 }
@@ -69,10 +70,11 @@
 	}
 }
 
-// eventually waits for a condition, with much time for a busy machine.
+// eventually waits until a condition holds, up to waitTimeout, which allows for a
+// busy machine.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(pollInterval) {
+	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			t.Fatalf("not in time: %s", what)
 		}
@@ -91,8 +93,8 @@
 	}
 }
 
-// open sends a generate call; the context ends its connection.
-func open(t *testing.T, ctx context.Context, address string, req *engineapi.GenerateRequest) *http.Response {
+// generate sends a generate call. The end of ctx closes its connection.
+func generate(t *testing.T, ctx context.Context, address string, req *engineapi.GenerateRequest) *http.Response {
 	t.Helper()
 	body, err := req.MarshalJSON()
 	if err != nil {
@@ -111,8 +113,8 @@
 	return res
 }
 
-// chunks reads a stream to its end. Lines that are not JSON are counted.
-func chunks(t *testing.T, res *http.Response) (all []Chunk, garbage int) {
+// readChunks reads a stream to its end and counts the lines that are not JSON.
+func readChunks(t *testing.T, res *http.Response) (all []Chunk, garbage int) {
 	t.Helper()
 	if res.StatusCode != http.StatusOK {
 		t.Fatalf("generate: status %d", res.StatusCode)
@@ -129,10 +131,10 @@
 	return all, garbage
 }
 
-// refused returns the code of a generate call that must be refused.
-func refused(t *testing.T, address string, req *engineapi.GenerateRequest) engineapi.RefusalCode {
+// refusalCode sends a generate call that must be refused and returns the code.
+func refusalCode(t *testing.T, address string, req *engineapi.GenerateRequest) engineapi.RefusalCode {
 	t.Helper()
-	res := open(t, context.Background(), address, req)
+	res := generate(t, context.Background(), address, req)
 	if res.StatusCode == http.StatusOK {
 		t.Fatalf("request %s was taken", req.RequestID)
 	}
@@ -143,8 +145,8 @@
 	return r.Code
 }
 
-// whole joins the tokens of a complete answer and checks its chunks.
-func whole(t *testing.T, req *engineapi.GenerateRequest, all []Chunk) string {
+// answerText checks the chunks of a complete answer and returns its text.
+func answerText(t *testing.T, req *engineapi.GenerateRequest, all []Chunk) string {
 	t.Helper()
 	text := ""
 	for i, c := range all {
@@ -173,8 +175,8 @@
 	return b
 }
 
-// checkSum holds the books against themselves.
-func checkSum(t *testing.T, b *engineapi.Books) {
+// checkBooksSum checks that the entries of the books sum to the used memory.
+func checkBooksSum(t *testing.T, b *engineapi.Books) {
 	t.Helper()
 	sum := int64(0)
 	for _, r := range b.Running {
--- a/internal/standin/hosts.go
+++ b/internal/standin/hosts.go
@@ -9,21 +9,22 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/platformapi"
 )
 
-// HostsOptions sets up a host list.
+// HostsOptions configures a host list.
 type HostsOptions struct {
-	Lag     time.Duration           // how late a change shows
-	Initial []platformapi.HostEntry // shows at once
+	Lag     time.Duration           // delay before a change appears
+	Initial []platformapi.HostEntry // appears at once
 	Exit    func(code int)
 }
 
-// Hosts is the lagging list of hosts. POST /standin/hosts replaces the list.
+// Hosts is a stand-in for the platform's list of hosts, which lags behind changes.
+// POST /standin/hosts replaces the list.
 type Hosts struct {
 	*base
-	unserved
+	unimplemented
 	lag time.Duration
 
 	mu       sync.Mutex
-	versions []hostVersion // in order of time; the first is in force
+	versions []hostVersion // by time; the first is the current one
 }
 
 type hostVersion struct {
@@ -40,7 +41,7 @@
 	return h
 }
 
-// Set replaces the list; it shows after the lag.
+// Set replaces the list. The change appears after the lag.
 func (h *Hosts) Set(hosts []platformapi.HostEntry) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -20,31 +20,31 @@
 	appendQueueTime         = time.Second
 )
 
-// LogOptions sets up a log. Zero values take the defaults.
+// LogOptions configures a log. Zero values take the defaults.
 type LogOptions struct {
 	Retention        time.Duration // age at which a record is dropped; 1h
 	RetentionRecords int           // records kept per stream; 100,000
-	AppendRate       float64       // appends a second; 500. More wait, up to a second
+	AppendRate       float64       // appends a second; 500. Excess ones wait, or get 429 if that takes over a second
 	Exit             func(code int)
 }
 
-// Log is the append-only log.
+// Log is a stand-in for the platform's append-only log.
 type Log struct {
 	*base
-	unserved
+	unimplemented
 	opts    LogOptions
 	limiter *rate.Limiter
 
 	mu      sync.Mutex
 	streams map[string]*logStream
-	era     int64 // rises with each restore
+	era     int64 // increases with each restore
 }
 
 // logStream holds offsets first to first+len(records)-1.
 type logStream struct {
-	first   int64
-	records []platformapi.Record
-	grown   chan struct{} // closed at the next append
+	first    int64
+	records  []platformapi.Record
+	appended chan struct{} // closed at the next append
 }
 
 // NewLog returns a log with no streams.
@@ -68,7 +68,8 @@
 	return l
 }
 
-// platformServer cannot fail: the generated server takes no options here.
+// platformServer wraps a handler in the generated server. NewServer fails only on
+// options, and there are none.
 func platformServer(h platformapi.Handler) http.Handler {
 	s, err := platformapi.NewServer(h)
 	if err != nil {
@@ -77,37 +78,40 @@
 	return s
 }
 
+// stream returns a stream, which it creates if necessary. Offsets start at 1.
 func (l *Log) stream(name string) *logStream {
 	s, ok := l.streams[name]
 	if !ok {
-		s = &logStream{first: 1, grown: make(chan struct{})}
+		s = &logStream{first: 1, appended: make(chan struct{})}
 		l.streams[name] = s
 	}
 	return s
 }
 
+// next returns the offset of the next record.
 func (s *logStream) next() int64 {
 	return s.first + int64(len(s.records))
 }
 
-// restoreIfTold goes back to an older copy where a fault says so.
-func (l *Log) restoreIfTold(stream string) {
-	x, hit := l.faults.strike(FaultRestore, stream)
+// applyRestoreFault goes back to an older backup if the fault restore is on for the
+// stream: it drops the younger records of all streams and increments the era.
+func (l *Log) applyRestoreFault(stream string) {
+	x, hit := l.faults.trigger(FaultRestore, stream)
 	if !hit {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	copied := time.Now().Add(-time.Duration(x.Ms) * time.Millisecond).UnixMilli()
+	backupMs := time.Now().Add(-time.Duration(x.Ms) * time.Millisecond).UnixMilli()
 	for _, s := range l.streams {
-		s.records = slices.DeleteFunc(slices.Clone(s.records), func(r platformapi.Record) bool { return r.AtMs > copied })
-		close(s.grown)
-		s.grown = make(chan struct{})
+		s.records = slices.DeleteFunc(slices.Clone(s.records), func(r platformapi.Record) bool { return r.AtMs > backupMs })
+		close(s.appended)
+		s.appended = make(chan struct{})
 	}
 	l.era++
 }
 
-// trim drops what is too old or too much.
+// trim drops records that are too old or in excess of RetentionRecords.
 func (s *logStream) trim(o LogOptions, now time.Time) {
 	oldest := now.Add(-o.Retention).UnixMilli()
 	n := max(0, len(s.records)-o.RetentionRecords)
@@ -120,20 +124,21 @@
 
 // Append implements platformapi.Handler.
 func (l *Log) Append(_ context.Context, req *platformapi.AppendRequest, p platformapi.AppendParams) (*platformapi.AppendResult, error) {
-	if !l.takeTurn() {
-		return nil, &problem{status: http.StatusTooManyRequests, message: "too many appends"}
+	if !l.waitForAppendRate() {
+		return nil, &statusError{status: http.StatusTooManyRequests, message: "too many appends"}
 	}
-	l.restoreIfTold(p.Stream)
+	l.applyRestoreFault(p.Stream)
 	first := l.append(p.Stream, req.Records)
-	if _, hit := l.faults.strike(FaultDuplicate, p.Stream); hit {
+	if _, hit := l.faults.trigger(FaultDuplicate, p.Stream); hit {
 		l.append(p.Stream, req.Records)
 	}
 	return &platformapi.AppendResult{FirstOffset: first}, nil
 }
 
-// takeTurn waits for the append rate. A caller that goes away meanwhile does not
-// take its append back.
-func (l *Log) takeTurn() bool {
+// waitForAppendRate waits until the append rate admits an append. It returns false
+// at once if that takes longer than appendQueueTime. The append of a caller that
+// disconnects meanwhile still takes place.
+func (l *Log) waitForAppendRate() bool {
 	r := l.limiter.Reserve()
 	d := r.Delay()
 	if d > appendQueueTime {
@@ -155,48 +160,50 @@
 		s.records = append(s.records, r)
 	}
 	s.trim(l.opts, now)
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.appended)
+	s.appended = make(chan struct{})
 	return first
 }
 
 // Read implements platformapi.Handler.
 func (l *Log) Read(ctx context.Context, p platformapi.ReadParams) (*platformapi.ReadResult, error) {
-	l.restoreIfTold(p.Stream)
-	res, err := l.await(ctx, p)
-	l.thaw()
+	l.applyRestoreFault(p.Stream)
+	res, err := l.waitForRecords(ctx, p)
+	l.waitUnfrozen()
 	return res, err
 }
 
-// await waits for a first record.
-func (l *Log) await(ctx context.Context, p platformapi.ReadParams) (*platformapi.ReadResult, error) {
+// waitForRecords waits for a first record, a new era or the end of WaitMs, and
+// returns what is there. It fails when an outage begins or the log is closed.
+func (l *Log) waitForRecords(ctx context.Context, p platformapi.ReadParams) (*platformapi.ReadResult, error) {
 	timeout := time.NewTimer(time.Duration(p.WaitMs.Or(0)) * time.Millisecond)
 	defer timeout.Stop()
-	first, _ := l.page(p)
+	first, _ := l.readPage(p)
 	for {
-		changed := l.faults.wait()
-		res, grown := l.page(p)
+		changed := l.faults.nextChange()
+		res, appended := l.readPage(p)
 		if len(res.Records) > 0 || res.Era != first.Era {
 			return res, nil
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-changed:
 			if l.faults.isOn(FaultOutage) {
-				return nil, &problem{status: http.StatusServiceUnavailable, message: "outage"}
+				return nil, &statusError{status: http.StatusServiceUnavailable, message: "outage"}
 			}
 		case <-timeout.C:
 			return res, nil
 		case <-ctx.Done():
 			return res, nil
 		case <-l.closed:
-			return nil, &problem{status: http.StatusServiceUnavailable, message: "closed"}
+			return nil, &statusError{status: http.StatusServiceUnavailable, message: "the log is closed"}
 		}
 	}
 }
 
-// page returns what a read finds now, and a channel closed at the next append.
-func (l *Log) page(p platformapi.ReadParams) (*platformapi.ReadResult, <-chan struct{}) {
+// readPage returns the current result of a read, and a channel that is closed at
+// the next append or restore.
+func (l *Log) readPage(p platformapi.ReadParams) (*platformapi.ReadResult, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(p.Stream)
@@ -208,5 +215,5 @@
 		found = found[:min(len(found), p.Max.Or(1000))]
 		res.Records = append(res.Records, found...)
 	}
-	return res, s.grown
+	return res, s.appended
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -9,24 +9,24 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/platformapi"
 )
 
-// problem is an error with the HTTP status that it is answered with.
-type problem struct {
+// statusError is an error with the HTTP status of its answer.
+type statusError struct {
 	status  int
 	message string
 }
 
 // Error implements error.
-func (p *problem) Error() string { return p.message }
+func (p *statusError) Error() string { return p.message }
 
-// unserved answers the platform's operations that a stand-in does not have.
-type unserved struct {
+// unimplemented answers 501 to the platform operations that a stand-in lacks.
+type unimplemented struct {
 	platformapi.UnimplementedHandler
 }
 
 // NewError implements platformapi.Handler.
-func (unserved) NewError(_ context.Context, err error) *platformapi.ProblemStatusCode {
+func (unimplemented) NewError(_ context.Context, err error) *platformapi.ProblemStatusCode {
 	status := http.StatusNotImplemented
-	var p *problem
+	var p *statusError
 	if errors.As(err, &p) {
 		status = p.status
 	}
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -13,8 +13,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// platformClient is the client of the daemons, so that both sides are held
-// against each other.
+// platformClient returns the client that the daemons use, so that the tests check
+// client and stand-in against each other.
 func platformClient(t *testing.T, address string) *platform.HTTP {
 	t.Helper()
 	c, err := platform.NewHTTP(address, &http.Client{Transport: &http.Transport{DisableKeepAlives: true}})
@@ -233,9 +233,9 @@
 	}
 }
 
-// TestLogComesBackFromAnOlderCopy: what is younger than the copy is gone, its offsets are given
-// out again, and a read that waits beyond the end returns.
-func TestLogComesBackFromAnOlderCopy(t *testing.T) {
+// TestRestoreFaultReturnsToOlderCopy checks that the fault restore drops the records younger than
+// the backup, increments the era and frees their offsets for reuse.
+func TestRestoreFaultReturnsToOlderCopy(t *testing.T) {
 	l := NewLog(LogOptions{})
 	l.append("s", [][]byte{[]byte("a"), []byte("b")})
 	if err := l.SetFault(Fault{Kind: FaultRestore, On: true, Count: 1, Ms: -1}); err == nil {
--- a/internal/standin/refusal.go
+++ b/internal/standin/refusal.go
@@ -6,6 +6,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/engineapi"
 )
 
+// refusalStatus holds the HTTP status of each refusal code.
 var refusalStatus = map[engineapi.RefusalCode]int{
 	engineapi.RefusalCodeBadRequest:    http.StatusBadRequest,
 	engineapi.RefusalCodeNoMemory:      http.StatusServiceUnavailable,
@@ -19,7 +20,7 @@
 	engineapi.RefusalCodeDuplicate:     http.StatusConflict,
 }
 
-func refusal(code engineapi.RefusalCode, message string) *engineapi.RefusalStatusCode {
+func newRefusal(code engineapi.RefusalCode, message string) *engineapi.RefusalStatusCode {
 	return &engineapi.RefusalStatusCode{
 		StatusCode: refusalStatus[code],
 		Response:   engineapi.Refusal{Code: code, Message: message},
@@ -37,7 +38,7 @@
 }
 
 func writeOverloaded(w http.ResponseWriter, status int, message string) {
-	r := refusal(engineapi.RefusalCodeOverloaded, message)
+	r := newRefusal(engineapi.RefusalCodeOverloaded, message)
 	r.StatusCode = status
 	writeRefusal(w, r)
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -17,7 +17,7 @@
 	shutdownTimeout   = 2 * time.Second
 )
 
-// Server serves one stand-in.
+// Server is the HTTP server of one stand-in.
 type Server struct {
 	Address string // IP:port
 
@@ -26,12 +26,12 @@
 	done    chan struct{}
 }
 
-// Start serves a stand-in at a free port of 127.0.0.1.
+// Start serves a stand-in on a free port of 127.0.0.1.
 func Start(h http.Handler) (*Server, error) {
 	return Listen("127.0.0.1:0", h)
 }
 
-// Listen serves a stand-in at an IP:port; port 0 takes a free one.
+// Listen serves a stand-in on an IP:port. Port 0 takes a free one.
 func Listen(address string, h http.Handler) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -48,7 +48,7 @@
 		},
 		done: make(chan struct{}),
 	}
-	if b, ok := h.(attacher); ok {
+	if b, ok := h.(connAttacher); ok {
 		b.attach(conns, s.kill)
 	}
 	go func() {
@@ -58,17 +58,17 @@
 	return s, nil
 }
 
-// attacher is a stand-in that strikes at its own connections.
-type attacher interface {
+// connAttacher is a stand-in whose faults act on its server's connections.
+type connAttacher interface {
 	attach(conns *connSet, kill func())
 }
 
-// kill cuts every connection and stops to listen.
+// kill closes every connection and the listener.
 func (s *Server) kill() {
 	_ = s.srv.Close()
 }
 
-// Close cuts every connection and closes the stand-in.
+// Close closes every connection and the stand-in.
 func (s *Server) Close() {
 	s.kill()
 	<-s.done
@@ -77,7 +77,7 @@
 	}
 }
 
-// Shutdown lets calls in progress end for a short time, then closes.
+// Shutdown waits up to shutdownTimeout for calls in progress, then closes.
 func (s *Server) Shutdown() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -97,18 +97,20 @@
 	all map[*conn]struct{}
 }
 
-// silence makes every open connection silent for good, but the one that asks.
+// silence makes every open connection silent permanently, except the one that ctx
+// belongs to.
 func (s *connSet) silence(ctx context.Context) {
-	asker, _ := ctx.Value(connKey{}).(*conn)
+	requester, _ := ctx.Value(connKey{}).(*conn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.all {
-		if c != asker {
+		if c != requester {
 			c.silent.Store(true)
 		}
 	}
 }
 
+// listener adds each accepted connection to conns.
 type listener struct {
 	net.Listener
 	conns *connSet
@@ -127,8 +129,9 @@
 	return c, nil
 }
 
-// conn is a connection whose path can be lost: writes then vanish, and reads
-// give nothing more, not even the other end's close.
+// conn is a connection that can become silent, as if the network dropped its
+// packets: writes are discarded, and reads return nothing more, not even the
+// peer's close.
 type conn struct {
 	net.Conn
 	set    *connSet
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -15,17 +15,17 @@
 	"github.com/buckthorndock/buckthorndock/internal/standin/answer"
 )
 
-// ServiceOptions sets up a plain service.
+// ServiceOptions configures a plain service.
 type ServiceOptions struct {
 	Name       string
 	Operations []string
-	Latency    time.Duration // of each call
+	Latency    time.Duration // duration of each call
 	Exit       func(code int)
-	Witness    io.Writer // if set, gets each change of a run as a JSON line
+	Witness    io.Writer // if set, receives each change of a run as a JSON line
 }
 
-// Service is a plain service. Each call that reaches it is one run in the
-// witness, whatever becomes of its answer.
+// Service is a plain service. The witness records each call of a known operation
+// as one run, even if its answer is lost.
 type Service struct {
 	*base
 	engineapi.UnimplementedHandler
@@ -33,24 +33,25 @@
 	runs atomic.Int64
 }
 
-// ServiceResult is the service's own answer, within CallResult.
+// ServiceResult is the Result of the service's engineapi.CallResult.
 type ServiceResult struct {
 	Service    string `json:"service"`
 	Operation  string `json:"operation"`
-	EchoSHA256 string `json:"echo_sha256"` // hex hash of the body as it came
-	Run        int64  `json:"run"`         // ordinal of the run in this service
+	EchoSHA256 string `json:"echo_sha256"` // SHA-256 of the body as received, in hex
+	Run        int64  `json:"run"`         // number of the run in this service, from 1
 }
 
 // NewService returns a plain service.
 func NewService(o ServiceOptions) *Service {
 	s := &Service{base: newBase(o.Name, o.Exit), opts: o}
-	s.failure = writeOverloaded
+	s.writeFailure = writeOverloaded
 	s.witness.out = o.Witness
 	s.api = engineServer(s, s)
 	return s
 }
 
-// engineServer cannot fail: the generated server takes no options here.
+// engineServer wraps handlers in the generated server. NewServer fails only on
+// options, and there are none.
 func engineServer(h engineapi.Handler, raw engineapi.RawHandler) http.Handler {
 	s, err := engineapi.NewServer(h, raw)
 	if err != nil {
@@ -62,7 +63,7 @@
 // CallOperation implements engineapi.Handler.
 func (s *Service) CallOperation(_ context.Context, req engineapi.AnyJSON, p engineapi.CallOperationParams) (engineapi.CallOperationRes, error) {
 	if !slices.Contains(s.opts.Operations, p.Operation) {
-		return refusal(engineapi.RefusalCodeNotFound, "no operation "+p.Operation), nil
+		return newRefusal(engineapi.RefusalCodeNotFound, "no operation "+p.Operation), nil
 	}
 	sum := hexSHA256(string(req))
 	run := s.runs.Add(1)
@@ -80,7 +81,7 @@
 		s.witness.set(i, RunCrashed)
 		panic(http.ErrAbortHandler)
 	}
-	s.thaw()
+	s.waitUnfrozen()
 	s.witness.set(i, RunFinished)
 	raw, err := json.Marshal(ServiceResult{Service: s.opts.Name, Operation: p.Operation, EchoSHA256: sum, Run: run})
 	if err != nil {
@@ -89,7 +90,8 @@
 	return &engineapi.CallResult{RequestID: p.XRequestID, Attempt: p.XAttempt, Result: engineapi.AnyJSON(raw)}, nil
 }
 
-// GetLoad implements engineapi.Handler, so that one probe fits every upstream.
+// GetLoad implements engineapi.Handler, so that every upstream answers the same
+// probe.
 func (s *Service) GetLoad(context.Context) (engineapi.GetLoadRes, error) {
 	return &engineapi.LoadReport{Models: []string{}, Role: "service", Leaving: s.faults.isOn(FaultLeaving)}, nil
 }
--- a/internal/standin/service_test.go
+++ b/internal/standin/service_test.go
@@ -18,7 +18,7 @@
 	return c.CallOperation(ctx, engineapi.AnyJSON(body), p)
 }
 
-func TestServiceAnswersAndWitnesses(t *testing.T) {
+func TestServiceAnswersAndRecordsRuns(t *testing.T) {
 	sv := NewService(ServiceOptions{Name: "baskets", Operations: []string{"confirm", "stock"}})
 	s := start(t, sv)
 	body := `{"basket": [1,  2]}`
@@ -37,7 +37,7 @@
 		}
 	}
 	res, err := call(context.Background(), s.Address, "audit", body)
-	if no, ok := res.(*engineapi.RefusalStatusCode); err != nil || !ok || no.Response.Code != engineapi.RefusalCodeNotFound {
+	if refusal, ok := res.(*engineapi.RefusalStatusCode); err != nil || !ok || refusal.Response.Code != engineapi.RefusalCodeNotFound {
 		t.Fatalf("unknown operation: %#v, %v", res, err)
 	}
 	runs := sv.Runs()
@@ -58,8 +58,8 @@
 	}
 	setFault(t, s.Address, Fault{Kind: FaultRefuse, On: true})
 	res, err := call(context.Background(), s.Address, "confirm", "1")
-	no, ok := res.(*engineapi.RefusalStatusCode)
-	if err != nil || !ok || no.StatusCode != http.StatusInternalServerError || no.Response.Code != engineapi.RefusalCodeOverloaded {
+	refusal, ok := res.(*engineapi.RefusalStatusCode)
+	if err != nil || !ok || refusal.StatusCode != http.StatusInternalServerError || refusal.Response.Code != engineapi.RefusalCodeOverloaded {
 		t.Fatalf("refused: %#v, %v", res, err)
 	}
 	if n := len(sv.Runs()); n != 1 {
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -9,19 +9,19 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/platformapi"
 )
 
-// siteHost is where a site listens.
+// siteHost is the address that a site listens on.
 const siteHost = "127.0.0.1"
 
 const siteRegion = "be-central"
 
 var siteDomains = []string{"hal-a", "hal-b", "hal-c"}
 
-// SiteOptions sets up a site.
+// SiteOptions configures a site.
 type SiteOptions struct {
-	// FirstPort is the log's port; the others follow it in the order of Parts.
-	// Zero takes free ones.
+	// FirstPort is the log's port; the other parts take the following ports, in
+	// the order of Site.Parts. 0 takes free ports.
 	FirstPort int
-	Models    []string // of each engine
+	Models    []string // models of each engine
 	Engine    EngineOptions
 }
 
@@ -35,9 +35,9 @@
 
 // Site is a small site within one process: a log, a host list, a weight store, an
 // engine in each of three failure domains and a plain service. The fault die ends
-// one part of it, not the process.
+// one part, not the process.
 type Site struct {
-	Parts []Part
+	Parts []Part // in the order of their start; the log is first
 
 	opts    SiteOptions
 	hosts   *Hosts
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// upstreams lists the engines and the service, as the platform would.
+// upstreams returns the engines and the service as entries of the host list.
 func (s *Site) upstreams() []platformapi.HostEntry {
 	var all []platformapi.HostEntry
 	for _, p := range s.Parts {
@@ -112,7 +112,7 @@
 	return all
 }
 
-// Close ends all parts.
+// Close closes all parts.
 func (s *Site) Close() {
 	for _, server := range s.servers {
 		server.Close()
--- a/internal/standin/stream_fault_test.go
+++ b/internal/standin/stream_fault_test.go
@@ -12,11 +12,11 @@
 )
 
 func TestCrossedChunksAndGarbage(t *testing.T) {
-	_, s := startEngine(t, quick())
+	_, s := startEngine(t, fastEngine())
 	setFault(t, s.Address, Fault{Kind: FaultCrossChunks, On: true, Count: 1})
 	setFault(t, s.Address, Fault{Kind: FaultGarbage, On: true, Count: 1})
 	req := generateRequest("r", "question", 8)
-	all, garbage := chunks(t, open(t, context.Background(), s.Address, req))
+	all, garbage := readChunks(t, generate(t, context.Background(), s.Address, req))
 	var own []Chunk
 	foreign, late := 0, 0
 	for _, c := range all {
@@ -32,27 +32,27 @@
 	if foreign != 8 || late != 8 || garbage == 0 {
 		t.Fatalf("foreign %d, late %d, garbage %d", foreign, late, garbage)
 	}
-	if whole(t, req, own) != answer.Whole(req.Prompt, 8) {
+	if answerText(t, req, own) != answer.Whole(req.Prompt, 8) {
 		t.Fatal("wrong answer")
 	}
 }
 
 func TestTruncatedStreamIsAnOrphan(t *testing.T) {
-	e, s := startEngine(t, quick())
+	e, s := startEngine(t, fastEngine())
 	setFault(t, s.Address, Fault{Kind: FaultTruncate, On: true, Count: 1})
 	req := generateRequest("r", "question", 8)
-	all, _ := chunks(t, open(t, context.Background(), s.Address, req))
+	all, _ := readChunks(t, generate(t, context.Background(), s.Address, req))
 	if len(all) != 4 || all[3].Done {
 		t.Fatalf("chunks %+v", all)
 	}
 	eventually(t, "orphaned", phaseIs(t, e, engineapi.RunningPhaseOrphaned))
 	req.ResumeFrom = 4
-	all, _ = chunks(t, open(t, context.Background(), s.Address, req))
-	whole(t, req, all)
+	all, _ = readChunks(t, generate(t, context.Background(), s.Address, req))
+	answerText(t, req, all)
 }
 
 func TestDroppedAnswerLeavesAnOrphan(t *testing.T) {
-	e, s := startEngine(t, quick())
+	e, s := startEngine(t, fastEngine())
 	setFault(t, s.Address, Fault{Kind: FaultDropAnswer, On: true, Count: 1})
 	body := generateRequest("r", "question", 8)
 	c, err := engineapi.NewClient("http://" + s.Address)
@@ -65,12 +65,12 @@
 	eventually(t, "orphaned", phaseIs(t, e, engineapi.RunningPhaseOrphaned))
 }
 
-func TestSilentConnectionsStayNewOnesWork(t *testing.T) {
-	e, s := startEngine(t, slow())
+func TestSilentConnectionsStaySilentAndNewOnesWork(t *testing.T) {
+	e, s := startEngine(t, slowEngine())
 	req := generateRequest("r", "question", 10)
-	ctx, cut := context.WithCancel(context.Background())
-	defer cut()
-	old := open(t, ctx, s.Address, req)
+	ctx, disconnect := context.WithCancel(context.Background())
+	defer disconnect()
+	old := generate(t, ctx, s.Address, req)
 	line := bufio.NewScanner(old.Body)
 	if !line.Scan() {
 		t.Fatal("no first chunk")
@@ -82,7 +82,7 @@
 		}
 		more <- true
 	}()
-	eventually(t, "the engine believes that it has delivered", func() bool { return len(books(t, e).Running) == 0 })
+	eventually(t, "the engine considers the answer delivered", func() bool { return len(books(t, e).Running) == 0 })
 	select {
 	case <-more:
 		t.Fatal("the silent connection ended")
@@ -95,30 +95,30 @@
 		t.Fatal(err)
 	}
 	res.Body.Close()
-	cut()
+	disconnect()
 	<-more
 }
 
 func TestCloseOfASilentConnectionIsNotSeen(t *testing.T) {
-	e, s := startEngine(t, slow())
-	ctx, cut := context.WithCancel(context.Background())
-	open(t, ctx, s.Address, generateRequest("r", "question", 500))
+	e, s := startEngine(t, slowEngine())
+	ctx, disconnect := context.WithCancel(context.Background())
+	generate(t, ctx, s.Address, generateRequest("r", "question", 500))
 	setFault(t, s.Address, Fault{Kind: FaultSilent, On: true})
-	cut()
-	time.Sleep(100 * time.Millisecond) // time to see it, if it could be seen
+	disconnect()
+	time.Sleep(100 * time.Millisecond) // enough time for the engine to notice, if it could
 	if phase := books(t, e).Running[0].Phase; phase == engineapi.RunningPhaseOrphaned {
 		t.Fatal("the engine saw the close")
 	}
 }
 
 func TestFrozenEngineMakesNoTokens(t *testing.T) {
-	e, _ := startEngine(t, quick())
+	e, _ := startEngine(t, fastEngine())
 	if err := e.SetFault(Fault{Kind: FaultFreeze, On: true}); err != nil {
 		t.Fatal(err)
 	}
-	r, stream, no := e.submit(newRun(generateRequest("r", "question", 20)))
-	if no != nil {
-		t.Fatal(no.Response)
+	r, stream, refusal := e.submit(newRun(generateRequest("r", "question", 20)))
+	if refusal != nil {
+		t.Fatal(refusal.Response)
 	}
 	time.Sleep(50 * e.opts.DecodeStep)
 	if p := e.progress(r, stream); p.phase != phaseQueued || p.produced != 0 {
@@ -131,17 +131,17 @@
 }
 
 func TestLeaving(t *testing.T) {
-	e, s := startEngine(t, quick())
+	e, s := startEngine(t, fastEngine())
 	setFault(t, s.Address, Fault{Kind: FaultLeaving, On: true})
 	req := generateRequest("r", "question", 2)
-	all, _ := chunks(t, open(t, context.Background(), s.Address, req))
-	whole(t, req, all)
-	if !load(t, e).Leaving {
+	all, _ := readChunks(t, generate(t, context.Background(), s.Address, req))
+	answerText(t, req, all)
+	if !loadReport(t, e).Leaving {
 		t.Fatal("does not report that it is leaving")
 	}
 	setFault(t, s.Address, Fault{Kind: FaultLeaving, On: true, Ms: 1})
-	eventually(t, "refused", e.refusesAsLeaving)
-	if code := refused(t, s.Address, generateRequest("r2", "question", 2)); code != engineapi.RefusalCodeLeaving {
+	eventually(t, "refused", e.refusesNewRuns)
+	if code := refusalCode(t, s.Address, generateRequest("r2", "question", 2)); code != engineapi.RefusalCodeLeaving {
 		t.Fatalf("code %s", code)
 	}
 }
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -9,20 +9,20 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/platformapi"
 )
 
-// DefaultPermitRate is how many loads a second the weight store can feed.
+// DefaultPermitRate is the default of WeightsOptions.PermitRate, in permits a second.
 const DefaultPermitRate = 1.0
 
-// WeightsOptions sets up a weight store.
+// WeightsOptions configures a weight store.
 type WeightsOptions struct {
 	PermitRate float64 // permits a second; 1
-	Burst      int     // permits given at once after a rest; 1
+	Burst      int     // permits granted at once after an idle time; 1
 	Exit       func(code int)
 }
 
-// Weights is the rate-limited weight store.
+// Weights is a stand-in for the platform's rate-limited weight store.
 type Weights struct {
 	*base
-	unserved
+	unimplemented
 	limiter *rate.Limiter
 }
 
@@ -39,8 +39,8 @@
 	return w
 }
 
-// TakeWeightPermit implements platformapi.Handler. The permit is taken, also when
-// the caller never loads.
+// TakeWeightPermit implements platformapi.Handler. The permit counts against the
+// rate even if the caller never loads.
 func (w *Weights) TakeWeightPermit(_ context.Context, p platformapi.TakeWeightPermitParams) (*platformapi.WeightPermit, error) {
 	w.witness.add(Run{RequestID: p.Model, Target: "permit", State: RunFinished})
 	wait := w.limiter.Reserve().Delay()
--- a/internal/standin/witness.go
+++ b/internal/standin/witness.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// RunState is how far a run came.
+// RunState is the last recorded state of a run.
 type RunState string
 
 // States of a run.
@@ -20,8 +20,8 @@
 	RunOrphaned  RunState = "orphaned"
 )
 
-// Run is one execution that a stand-in witnessed. A request with two attempts
-// has two runs.
+// Run is the record of one execution by a stand-in. A request with two attempts has
+// two runs.
 type Run struct {
 	RequestID    string   `json:"request_id"`
 	Attempt      int      `json:"attempt"`
@@ -31,19 +31,20 @@
 	Priority     int      `json:"priority"`
 	State        RunState `json:"state"`
 	AtMs         int64    `json:"at_ms"`          // Unix time of arrival
-	FirstTokenMs int64    `json:"first_token_ms"` // after arrival; 0 before there is one
+	FirstTokenMs int64    `json:"first_token_ms"` // milliseconds from arrival to the first token; 0 before it
 }
 
 // witness records runs in order of arrival. It is safe for concurrent use.
 type witness struct {
 	mu   sync.Mutex
 	runs []Run
-	out  io.Writer // nil, or gets each change as a line
+	out  io.Writer // nil, or receives each change as a JSON line
 }
 
-// report writes a run as it is now, so that it outlives the stand-in. A line that
-// cannot be written would make a test judge by too little.
-func (w *witness) report(i int) {
+// writeLine writes the current state of a run to out, where it outlives the
+// stand-in. It panics if it cannot, as a test would otherwise judge by incomplete
+// records.
+func (w *witness) writeLine(i int) {
 	if w.out == nil {
 		return
 	}
@@ -58,11 +59,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.runs = append(w.runs, r)
-	w.report(len(w.runs) - 1)
+	w.writeLine(len(w.runs) - 1)
 	return len(w.runs) - 1
 }
 
-// set changes a run's state. An end that was witnessed stays.
+// set changes a run's state. A final state does not change any more.
 func (w *witness) set(i int, s RunState) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -70,11 +71,11 @@
 	case RunFinished, RunCancelled, RunCrashed:
 	default:
 		w.runs[i].State = s
-		w.report(i)
+		w.writeLine(i)
 	}
 }
 
-// firstToken notes when a run's first token was made.
+// firstToken records the time of a run's first token.
 func (w *witness) firstToken(i int) {
 	now := time.Now().UnixMilli()
 	w.mu.Lock()
