--- a/internal/standin/answer/answer_test.go
+++ b/internal/standin/answer/answer_test.go
@@ -9,9 +9,9 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-func TestAnswerBelongsToItsPrompt(t *testing.T) {
+func TestAnswerDependsOnPromptAndIndex(t *testing.T) {
 	props := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(7))
-	props.Property("tokens join to the whole", prop.ForAll(func(prompt string, n int) bool {
+	props.Property("the tokens join to the full text", prop.ForAll(func(prompt string, n int) bool {
 		text := ""
 		for i := range n {
 			text += Token(prompt, i)
@@ -21,7 +21,7 @@
 	props.Property("another prompt has another answer", prop.ForAll(func(prompt string) bool {
 		return FullText(prompt, 8) != FullText(prompt+"x", 8) && FullText(prompt, 8) != FullText("x"+prompt, 8)
 	}, gen.AnyString()))
-	props.Property("no token stands for its neighbours", prop.ForAll(func(prompt string) bool {
+	props.Property("the second ten tokens differ from the first ten", prop.ForAll(func(prompt string) bool {
 		tokens := strings.Fields(FullText(prompt, 20))
 		return strings.Join(tokens[:10], " ") != strings.Join(tokens[10:], " ")
 	}, gen.AnyString()))
--- a/internal/standin/base.go
+++ b/internal/standin/base.go
@@ -79,6 +79,8 @@
 	return b.witness.list()
 }
 
+// switchFault switches a fault on or off and executes the kinds that act at once. The
+// fault silent spares the connection of ctx.
 func (b *base) switchFault(ctx context.Context, x Fault) error {
 	if err := b.faults.set(x); err != nil {
 		return err
--- a/internal/standin/command/command_test.go
+++ b/internal/standin/command/command_test.go
@@ -127,7 +127,7 @@
 	address := firstAddress(t, lines)
 	_, second := run(t, ctx, "log", "--listen", address)
 	if err := <-second; err == nil {
-		t.Fatal("two logs at one port")
+		t.Fatal("two logs listen on one port")
 	}
 	cancel()
 	if err := <-ended; err != nil {
--- a/internal/standin/command/control_test.go
+++ b/internal/standin/command/control_test.go
@@ -23,10 +23,10 @@
 	lines, ended := run(t, ctx, "service", "--name", "baskets", "--operation", "confirm", "--witness-file", file)
 	address := firstAddress(t, lines)
 	if _, err := controlOnce("--at", address, "fault", `{"kind":"melt","on":true}`); err == nil {
-		t.Fatal("an unknown fault was taken")
+		t.Fatal("an unknown fault was accepted")
 	}
 	if _, err := controlOnce("--at", address); err == nil {
-		t.Fatal("no path was taken")
+		t.Fatal("a call without a path was accepted")
 	}
 	if _, err := controlOnce("--at", address, "fault", `{"kind":"drop_answer","on":true,"count":1}`); err != nil {
 		t.Fatal(err)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -54,6 +54,7 @@
 	Witness   io.Writer      // if set, receives each change of a run as a JSON line
 }
 
+// setDefaults fills in defaults and applies TimeScale to speeds and durations.
 func (o *EngineOptions) setDefaults() {
 	if o.Name == "" {
 		o.Name = "engine"
@@ -183,6 +184,7 @@
 	e.wakeLoop()
 }
 
+// trimCache evicts prefix blocks that exceed CacheTokens or the free memory.
 func (e *Engine) trimCache() {
 	e.cache.trim(min(e.opts.CacheTokens, e.freeTokens()))
 }
--- a/internal/standin/engine_orders.go
+++ b/internal/standin/engine_orders.go
@@ -111,6 +111,7 @@
 	return nil
 }
 
+// applyOrder executes an order. Loads take LoadTime from now.
 func (e *Engine) applyOrder(req *engineapi.Order, now time.Time) {
 	o := &e.orders
 	model := loadItem{name: req.Model.Or("")}
--- a/internal/standin/engine_step.go
+++ b/internal/standin/engine_step.go
@@ -139,6 +139,8 @@
 	return false
 }
 
+// startRun adds a queued run to the batch, allocates its memory unless it is
+// reserved, and begins its prefill.
 func (e *Engine) startRun(r *run, reserved bool) {
 	// The prefix is looked up before the allocation, which may evict it.
 	r.cached = min(e.cache.lookup(r.req.PrefixBlocks), r.promptTokens-1)
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -72,7 +72,7 @@
 	}
 	old, _ := readChunks(t, first)
 	if n := len(old); n > 0 && old[n-1].Done {
-		t.Fatal("both connections got the end")
+		t.Fatal("both connections received the last chunk")
 	}
 	other := generateRequest("r", "another question", 60)
 	other.Attempt = 2
@@ -89,7 +89,7 @@
 	e.markOrphaned(r, first)
 	e.removeDelivered(r, first)
 	if p := e.progress(r, second); p.replaced || p.phase == phaseRemoved {
-		t.Fatalf("the old connection's end: %+v", p)
+		t.Fatalf("the replaced connection changed the run: %+v", p)
 	}
 	e.markOrphaned(r, second)
 	if phase := books(t, e).Running[0].Phase; phase != engineapi.RunningPhaseOrphaned {
@@ -105,7 +105,7 @@
 		t.Fatal("attempt 2 is known")
 	}
 	if !cancelRun(t, e, "r", 1) || cancelRun(t, e, "r", 1) || cancelRun(t, e, "r", 0) {
-		t.Fatal("the first cancel must know the run, the others not")
+		t.Fatal("only the first cancel may report the run as known")
 	}
 	all, _ := readChunks(t, res)
 	if last := all[len(all)-1]; last.Done || last.Error != failCancelled {
@@ -197,9 +197,9 @@
 		t.Fatal(err)
 	}
 	if all, _ := readChunks(t, res); len(all) > 0 && all[len(all)-1].Done {
-		t.Fatal("the stream ended whole")
+		t.Fatal("the stream was complete")
 	}
 	if _, err := http.Get("http://" + s.Address + "/v1/load"); err == nil {
-		t.Fatal("a dead engine answers")
+		t.Fatal("the engine answers after the fault die")
 	}
 }
--- a/internal/standin/helper_test.go
+++ b/internal/standin/helper_test.go
@@ -76,7 +76,7 @@
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 	t.Helper()
 	res := generate(t, context.Background(), address, req)
 	if res.StatusCode == http.StatusOK {
-		t.Fatalf("request %s was taken", req.RequestID)
+		t.Fatalf("request %s was accepted", req.RequestID)
 	}
 	var r engineapi.Refusal
 	if err := json.NewDecoder(res.Body).Decode(&r); err != nil {
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -78,7 +78,7 @@
 		t.Fatalf("page %+v", page)
 	}
 	if page := read(t, c, 2, 10*time.Millisecond); len(page.Records) != 0 || page.EndOffset != 2 {
-		t.Fatalf("after its wait: %+v", page)
+		t.Fatalf("after the wait time: %+v", page)
 	}
 }
 
@@ -106,7 +106,7 @@
 	c := platformClient(t, start(t, NewLog(LogOptions{AppendRate: 0.1})).Address)
 	appendOne(t, c, "a")
 	if _, err := c.Append(context.Background(), "s", [][]byte{{1}}); err == nil {
-		t.Fatal("a second append in ten seconds was taken")
+		t.Fatal("a second append within ten seconds was accepted")
 	}
 	if page := read(t, c, 1, 0); page.EndOffset != 2 {
 		t.Fatalf("next %d", page.EndOffset)
@@ -122,7 +122,7 @@
 		t.Fatal("the answer was not dropped")
 	}
 	if page := read(t, c, 1, 0); page.EndOffset != 2 {
-		t.Fatalf("the append took no effect: %+v", page)
+		t.Fatalf("the append had no effect: %+v", page)
 	}
 
 	setFault(t, s.Address, Fault{Kind: FaultDuplicate, On: true, Count: 1})
@@ -130,20 +130,20 @@
 		t.Fatalf("first of two at %d", first)
 	}
 	if page := read(t, c, 2, 0); len(page.Records) != 2 || string(page.Records[1].Data) != "b" {
-		t.Fatalf("not doubled: %+v", page)
+		t.Fatalf("not duplicated: %+v", page)
 	}
 	if first := appendOne(t, c, "c"); first != 4 {
-		t.Fatalf("doubled again: %d", first)
+		t.Fatalf("duplicated again: %d", first)
 	}
 
 	setFault(t, s.Address, Fault{Kind: FaultOutage, On: true})
 	if _, err := c.Read(context.Background(), "s", 1, 1, 0); err == nil {
-		t.Fatal("a read in an outage")
+		t.Fatal("a read succeeded during an outage")
 	}
 	setFault(t, s.Address, Fault{Kind: FaultOutage})
 	setFault(t, s.Address, Fault{Kind: FaultGarbage, On: true, Count: 1})
 	if _, err := c.Read(context.Background(), "s", 1, 1, 0); err == nil {
-		t.Fatal("garbage was read")
+		t.Fatal("a read accepted garbage")
 	}
 	setFault(t, s.Address, Fault{Kind: FaultRefuse, On: true, Count: 1})
 	if _, err := c.Read(context.Background(), "s", 1, 1, 0); err == nil {
@@ -166,7 +166,7 @@
 		t.Fatal(err)
 	}
 	if err := <-failed; err == nil {
-		t.Fatal("the long poll outlived the outage")
+		t.Fatal("the outage did not fail the long poll")
 	}
 }
 
@@ -239,7 +239,7 @@
 	l := NewLog(LogOptions{})
 	l.append("s", [][]byte{[]byte("a"), []byte("b")})
 	if err := l.SetFault(Fault{Kind: FaultRestore, On: true, Count: 1, Ms: -1}); err == nil {
-		t.Error("a copy of the future was taken")
+		t.Error("a negative backup age was accepted")
 	}
 	l.streams["s"].records[0].AtMs -= 2 * time.Minute.Milliseconds() // well within the log's retention
 	if err := l.SetFault(Fault{Kind: FaultRestore, On: true, Count: 1, Ms: time.Minute.Milliseconds()}); err != nil {
--- a/internal/standin/refusal.go
+++ b/internal/standin/refusal.go
@@ -37,6 +37,7 @@
 	_, _ = w.Write(body)
 }
 
+// writeOverloaded answers a call with the refusal code overloaded.
 func writeOverloaded(w http.ResponseWriter, status int, message string) {
 	r := newRefusal(engineapi.RefusalCodeOverloaded, message)
 	r.StatusCode = status
--- a/internal/standin/reports_test.go
+++ b/internal/standin/reports_test.go
@@ -75,7 +75,7 @@
 		t.Fatalf("unloaded: %s", code)
 	}
 	if _, code := sendOrder(t, e, 1, engineapi.OrderKindLoadAdapter, ""); code != engineapi.RefusalCodeBadRequest {
-		t.Fatalf("nothing to load: %q", code)
+		t.Fatalf("load order without a name: %q", code)
 	}
 }
 
@@ -135,7 +135,7 @@
 	}
 	eventually(t, "books empty", func() bool { return books(t, e).MemoryUsedTokens == 0 })
 	if code := reserve(t, e, "all", 10_000-40); code != "" {
-		t.Fatalf("the cache was in the way: %s", code)
+		t.Fatalf("the cache prevented a reservation: %s", code)
 	}
 	got := cacheEvents(t, e, 1)
 	var history []string
--- a/internal/standin/reserve_test.go
+++ b/internal/standin/reserve_test.go
@@ -57,7 +57,7 @@
 	eventually(t, "the run is over", func() bool { return len(books(t, e).Running) == 0 })
 	checkBooksSum(t, books(t, e))
 	if used := books(t, e).MemoryUsedTokens; used != 6_000 {
-		t.Fatalf("the reservation went with its run: used %d", used)
+		t.Fatalf("the reservation ended with its run: used %d", used)
 	}
 	req.Prompt += strings.Repeat("x", 4*1_000)
 	if code := refusalCode(t, s.Address, req); code != engineapi.RefusalCodeNoMemory {
@@ -77,7 +77,7 @@
 	again := generateRequest("r2", "question", 5)
 	again.ReservationID = req.ReservationID
 	if code := refusalCode(t, s.Address, again); code != engineapi.RefusalCodeNoReservation {
-		t.Fatalf("a second user: %s", code)
+		t.Fatalf("second run on one reservation: %s", code)
 	}
 	release(t, e, "a")
 	all, _ := readChunks(t, res)
@@ -116,7 +116,7 @@
 	}
 	reserve(t, engines[2], "g", 7_000)
 	if code := refusalCode(t, addresses[0], req); code != engineapi.RefusalCodeNoMemory {
-		t.Fatalf("too little together: %s", code)
+		t.Fatalf("the gang reserved too little: %s", code)
 	}
 	release(t, engines[2], "g")
 	reserve(t, engines[2], "g", 9_000)
--- a/internal/standin/service_test.go
+++ b/internal/standin/service_test.go
@@ -71,7 +71,7 @@
 	sv := NewService(ServiceOptions{})
 	for _, x := range []Fault{{Kind: "melt", On: true}, {Kind: FaultSlow, On: true, Ms: -1}} {
 		if err := sv.SetFault(x); err == nil {
-			t.Errorf("%+v was taken", x)
+			t.Errorf("%+v was accepted", x)
 		}
 	}
 	if n := len(sv.faults.list()); n != 0 {
--- a/internal/standin/stream_fault_test.go
+++ b/internal/standin/stream_fault_test.go
@@ -122,12 +122,12 @@
 	}
 	time.Sleep(50 * e.opts.DecodeStep)
 	if p := e.progress(r, stream); p.phase != phaseQueued || p.produced != 0 {
-		t.Fatalf("frozen, and %+v", p)
+		t.Fatalf("progress of a frozen engine: %+v", p)
 	}
 	if err := e.SetFault(Fault{Kind: FaultFreeze}); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "goes on", func() bool { return e.progress(r, stream).phase == phaseFinished })
+	eventually(t, "finished after the freeze", func() bool { return e.progress(r, stream).phase == phaseFinished })
 }
 
 func TestLeaving(t *testing.T) {
@@ -137,7 +137,7 @@
 	all, _ := readChunks(t, generate(t, context.Background(), s.Address, req))
 	answerText(t, req, all)
 	if !loadReport(t, e).Leaving {
-		t.Fatal("does not report that it is leaving")
+		t.Fatal("the load report does not say leaving")
 	}
 	setFault(t, s.Address, Fault{Kind: FaultLeaving, On: true, Ms: 1})
 	eventually(t, "refused", e.refusesNewRuns)
