--- a/internal/claims/combiner.go
+++ b/internal/claims/combiner.go
@@ -112,7 +112,7 @@
 	}
 	p, err := newPending(claim.Record{Claim: &cl})
 	if err != nil {
-		c.o.Log.WithError(err).Warn("claim_refused")
+		c.o.Log.WithError(err).Warn("claim_encode_failed")
 		return nil, AcquireReply{State: StateInvalid}
 	}
 	c.claims[cl.ID] = p
--- a/internal/claims/follow.go
+++ b/internal/claims/follow.go
@@ -36,7 +36,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.logUnavailable {
-		c.o.Log.WithError(err).WithField("stream", c.stream).Warn("claim_log_away")
+		c.o.Log.WithError(err).WithField("stream", c.stream).Warn("claim_log_unavailable")
 	}
 	c.logUnavailable = true
 	logErrors.Inc()
@@ -126,7 +126,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.logUnavailable {
-		c.o.Log.WithField("stream", c.stream).Info("claim_log_back")
+		c.o.Log.WithField("stream", c.stream).Info("claim_log_available")
 		c.logUnavailable = false
 		c.signal()
 	}
@@ -153,7 +153,7 @@
 		c.o.Log.WithField("stream", c.stream).Warn("claim_window_trimmed")
 	}
 	if n := after.TimeRegressions - before.TimeRegressions; n > 0 {
-		c.o.Log.WithField("stream", c.stream).WithField("records", n).Warn("claim_log_time_backwards")
+		c.o.Log.WithField("stream", c.stream).WithField("records", n).Warn("claim_log_time_regressed")
 	}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -71,7 +71,7 @@
 	run := func(name string, loop func(context.Context) error) {
 		wg.Go(func() {
 			if err := loop(p.workCtx); err != nil {
-				p.log.WithError(err).WithField("part", name).Error("part_ended")
+				p.log.WithError(err).WithField("part", name).Error("component_failed")
 			}
 		})
 	}
@@ -105,11 +105,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), lameDuckPeriod)
 	defer cancel()
 	if err := p.node.Leave(ctx); err != nil {
-		p.log.WithError(err).Warn("leaving_untold")
+		p.log.WithError(err).Warn("leave_not_announced")
 	}
 	<-ctx.Done()
 	p.front.RefuseNew()
-	p.log.WithField("in_flight", p.front.InFlight()).Info("refusing")
+	p.log.WithField("in_flight", p.front.InFlight()).Info("refusing_requests")
 	p.waitDrained()
 	p.closeServer()
 	p.waitAttemptEnds()
@@ -130,7 +130,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), serverShutdownTimeout)
 	defer cancel()
 	if err := p.server.Shutdown(ctx); err != nil {
-		p.log.WithError(err).Warn("connections_closed")
+		p.log.WithError(err).Warn("server_shutdown_failed")
 	}
 }
 
--- a/internal/daemon/faults.go
+++ b/internal/daemon/faults.go
@@ -78,7 +78,7 @@
 	if heldPoint != point {
 		return
 	}
-	h.log.WithField("point", string(point)).Info("held")
+	h.log.WithField("point", string(point)).Info("dispatch_held")
 	<-released
-	h.log.WithField("point", string(point)).Info("held_no_more")
+	h.log.WithField("point", string(point)).Info("dispatch_released")
 }
--- a/internal/daemon/feed.go
+++ b/internal/daemon/feed.go
@@ -127,7 +127,7 @@
 	for {
 		p.watcher.SetTargets(ctx, p.watchTargets())
 		if n := p.router.Expire(); n > 0 {
-			p.log.WithField("attempts", n).Error("attempts_without_end")
+			p.log.WithField("attempts", n).Error("attempts_expired")
 		}
 		select {
 		case <-ticker.C:
--- a/internal/edge/callers.go
+++ b/internal/edge/callers.go
@@ -107,18 +107,18 @@
 	ctx, cancel := context.WithTimeout(context.Background(), lameDuck)
 	defer cancel()
 	if err := p.node.Leave(ctx); err != nil {
-		p.log.WithError(err).Warn("leaving_untold")
+		p.log.WithError(err).Warn("leave_not_announced")
 	}
 	<-ctx.Done()
 	p.admitter.SetShutdownDeadline(end)
-	p.log.WithField("in_flight", p.admitter.InFlight()).Info("refusing")
+	p.log.WithField("in_flight", p.admitter.InFlight()).Info("refusing_requests")
 	p.awaitIdle(end)
 	p.admitter.SetShutdownDeadline(time.Time{})
 	closing, cancelClosing := context.WithDeadline(context.Background(), end)
 	defer cancelClosing()
 	for _, s := range servers {
 		if err := s.Shutdown(closing); err != nil {
-			p.log.WithFields(logrus.Fields{"in_flight": p.admitter.InFlight()}).WithError(err).Warn("connections_cut")
+			p.log.WithFields(logrus.Fields{"in_flight": p.admitter.InFlight()}).WithError(err).Warn("connections_closed_early")
 		}
 	}
 }
--- a/internal/edge/process.go
+++ b/internal/edge/process.go
@@ -264,7 +264,7 @@
 	run := func(name string, loop func(context.Context) error) {
 		wg.Go(func() {
 			if err := loop(work); err != nil {
-				p.log.WithError(err).WithField("part", name).Error("part_ended")
+				p.log.WithError(err).WithField("part", name).Error("component_failed")
 			}
 		})
 	}
--- a/internal/follow/restored.go
+++ b/internal/follow/restored.go
@@ -105,7 +105,7 @@
 	}
 	f.lost.changes = undecided(f.lost.changes, f.state)
 	if f.lost.pending() && f.o.Now().Sub(f.lost.since) > maxReappendTime {
-		f.o.Logger.WithField("changes", len(f.lost.changes)).Error("settings_lost")
+		f.o.Logger.WithField("changes", len(f.lost.changes)).Error("settings_reappend_abandoned")
 		f.lost.changes = nil
 	}
 	return !f.lost.pending()
@@ -167,7 +167,7 @@
 		if !decided {
 			return merry.Errorf("change %s was appended but is not in the log yet", change.ID)
 		}
-		f.o.Logger.WithField("change_id", change.ID).Info("settings_written_again")
+		f.o.Logger.WithField("change_id", change.ID).Info("settings_reappended")
 	}
 }
 
@@ -188,7 +188,7 @@
 			change.CheckedOffset = f.state.Offset()
 			return change, true
 		}
-		f.o.Logger.WithField("change_id", change.ID).Warn("settings_lost_overtaken")
+		f.o.Logger.WithField("change_id", change.ID).Warn("settings_reappend_overtaken")
 		f.lost.changes = f.lost.changes[1:]
 	}
 	f.publish(true)
--- a/internal/follow/snapshots.go
+++ b/internal/follow/snapshots.go
@@ -98,7 +98,7 @@
 	state, err := unpack(r.Data)
 	if err != nil {
 		f.o.Logger.WithField("snapshot_offset", r.Offset).
-			WithError(err).Warn("settings_snapshot_broken")
+			WithError(err).Warn("settings_snapshot_invalid")
 		return nil
 	}
 	return state
--- a/internal/follow/spread.go
+++ b/internal/follow/spread.go
@@ -139,7 +139,7 @@
 	if len(reply.Snapshot) > 0 {
 		state, err := unpack(reply.Snapshot)
 		if err != nil {
-			f.o.Logger.WithField("peer", peer.Name).WithError(err).Warn("settings_snapshot_broken")
+			f.o.Logger.WithField("peer", peer.Name).WithError(err).Warn("settings_snapshot_invalid")
 			return false
 		}
 		if !f.enterEra(state, peer.Name) {
--- a/internal/front/generate.go
+++ b/internal/front/generate.go
@@ -116,7 +116,7 @@
 // disconnected in the meantime does not change the outcome.
 func (g *generation) finish() *request.Refusal {
 	if err := g.job.sink.finish(g.asm.NextIndex()); err != nil {
-		g.s.log.WithFields(jobFields(g.job)).WithError(err).Debug("caller_gone_at_end")
+		g.s.log.WithFields(jobFields(g.job)).WithError(err).Debug("answer_end_undelivered")
 	}
 	return nil
 }
--- a/internal/front/joined.go
+++ b/internal/front/joined.go
@@ -31,7 +31,7 @@
 	if err == nil && end.State == claims.AnswerComplete {
 		return nil
 	}
-	s.log.WithFields(jobFields(j)).WithField("state", end.State.String()).Info("joined_in_vain")
+	s.log.WithFields(jobFields(j)).WithField("state", end.State.String()).Info("joined_run_failed")
 	if j.deliveredTokens > 0 {
 		return s.runAdmitted(ctx, j, run) // its answer lacks the beginning: others cannot join it
 	}
--- a/internal/front/notices.go
+++ b/internal/front/notices.go
@@ -41,7 +41,7 @@
 	if s.notices.tracker.Record(name, notice.Notice{BackOff: backOff}, now, now).BackOff {
 		s.log.WithFields(logrus.Fields{
 			"upstream": name, "code": r.Code, "back_off_ms": backOff.Milliseconds(),
-		}).Info("upstream_backs_off")
+		}).Info("upstream_back_off_requested")
 	}
 }
 
--- a/internal/front/reserve.go
+++ b/internal/front/reserve.go
@@ -81,7 +81,7 @@
 		t.reservation = id
 		return true, nil
 	}
-	g.s.log.WithFields(jobFields(g.job)).WithError(err).Info("gang_not_gathered")
+	g.s.log.WithFields(jobFields(g.job)).WithError(err).Info("gang_not_reserved")
 	if ctx.Err() != nil {
 		return false, g.contextRefusal(ctx)
 	}
--- a/internal/keyed/apply.go
+++ b/internal/keyed/apply.go
@@ -117,7 +117,7 @@
 	if page.NextOffset < f.state.endOffset() {
 		f.log.WithFields(logrus.Fields{
 			"next": page.NextOffset, "known": f.state.endOffset(), "era": page.Era, "from": from,
-		}).Info("stream_copy_old")
+		}).Info("stream_copy_outdated")
 		return platform.ErrBusy
 	}
 	f.state.replace(page)
@@ -147,7 +147,7 @@
 	f.log.WithFields(logrus.Fields{
 		"era": s.era, "was": formerEra, "next": s.next, "known": formerNext, "from": from, "age_ms": time.Since(start.since).Milliseconds(),
 		"changed": len(changed), "missing": len(s.unresolved.missing), "doubtful": len(s.unresolved.doubtful),
-	}).Info("store_era")
+	}).Info("store_era_changed")
 	f.applyBatch(Batch{Records: changed, At: at, From: from})
 }
 
@@ -160,7 +160,7 @@
 	if len(changed) == 0 {
 		return
 	}
-	f.log.WithFields(logrus.Fields{"era": f.state.era, "of": era, "from": from, "changed": len(changed)}).Info("store_era_recalled")
+	f.log.WithFields(logrus.Fields{"era": f.state.era, "of": era, "from": from, "changed": len(changed)}).Info("store_era_merged")
 	f.opts.Apply(Batch{Records: changed, At: f.state.at, From: from})
 }
 
@@ -171,7 +171,7 @@
 	if len(changed) == 0 {
 		return
 	}
-	f.log.WithFields(logrus.Fields{"era": f.state.era, "changed": len(changed)}).Info("store_era_settled")
+	f.log.WithFields(logrus.Fields{"era": f.state.era, "changed": len(changed)}).Info("store_era_resolved")
 	f.opts.Apply(Batch{Records: changed, At: f.state.at})
 }
 
--- a/internal/keyed/feed.go
+++ b/internal/keyed/feed.go
@@ -246,7 +246,7 @@
 		return false
 	case reply.Whole:
 		if err := f.applyFullPage(page, read, host); err != nil {
-			f.log.WithError(err).WithField("from", host).Info("peer_copy_old")
+			f.log.WithError(err).WithField("from", host).Info("peer_copy_outdated")
 		}
 	default:
 		f.applyPage(page, read, host)
--- a/internal/owner/actions.go
+++ b/internal/owner/actions.go
@@ -70,7 +70,7 @@
 	case errors.As(err, &refused):
 		return ledger.Refused
 	default:
-		s.opts.Log.WithFields(fields{"engine": req.Engine, "id": req.ID}).WithError(err).Warn("reserve_lost")
+		s.opts.Log.WithFields(fields{"engine": req.Engine, "id": req.ID}).WithError(err).Warn("reserve_answer_lost")
 		return ledger.Lost
 	}
 }
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -177,7 +177,7 @@
 	for _, p := range o.pools {
 		p.leaseManager.MarkLogUnavailable()
 	}
-	o.opts.Logger.WithError(err).Warn("order_log_away")
+	o.opts.Logger.WithError(err).Warn("order_log_unavailable")
 }
 
 // stepPool advances the lease of one pool, sends its due orders if want is set and
--- a/internal/owner/renew.go
+++ b/internal/owner/renew.go
@@ -101,7 +101,7 @@
 		return
 	}
 	if reply.Newer != "" {
-		h.opts.Log.WithFields(fields{"owner": o.host, "newer": reply.Newer}).Error("replaced")
+		h.opts.Log.WithFields(fields{"owner": o.host, "newer": reply.Newer}).Error("incarnation_superseded")
 	}
 	for _, c := range reply.Gone {
 		h.handleLostClaim(c)
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -174,7 +174,7 @@
 	defer cancel()
 	hosts, err := n.opts.HostList(ctx)
 	if err != nil {
-		n.log.WithError(err).Warn("host_list_unreadable")
+		n.log.WithError(err).Warn("host_list_read_failed")
 		return
 	}
 	listed := listedHosts(hosts)
--- a/internal/relay/engine.go
+++ b/internal/relay/engine.go
@@ -161,7 +161,7 @@
 			g.relay.log.WithFields(logrus.Fields{
 				"request": g.req.ID, "upstream": part.Upstream, "waited_ms": p.Wait.Milliseconds(),
 				"list_age_ms": time.Since(list.At).Milliseconds(), "barred": barred,
-			}).Info("plan_made_anew")
+			}).Info("plan_remade")
 			g.exclude = append(g.exclude, part.Upstream)
 			return false
 		}
--- a/internal/relay/leases.go
+++ b/internal/relay/leases.go
@@ -213,10 +213,10 @@
 		report, err := l.reportOnce(ctx, on)
 		if err == nil {
 			used, listed := report.Leases[on.Lease]
-			l.log.WithFields(logrus.Fields{"upstream": on.Upstream, "lease": on.Lease, "listed": listed, "used": used}).Info("lease_looked_at")
+			l.log.WithFields(logrus.Fields{"upstream": on.Upstream, "lease": on.Lease, "listed": listed, "used": used}).Info("lease_checked")
 			return listed && !used && ctx.Err() == nil
 		}
-		l.log.WithError(err).WithField("upstream", on.Upstream).Info("lease_not_looked_at")
+		l.log.WithError(err).WithField("upstream", on.Upstream).Info("lease_check_failed")
 	}
 	return ctx.Err() == nil
 }
@@ -241,7 +241,7 @@
 	l.stop = stop
 	go func() {
 		if lost := l.renew(renewing, t.renew); lost != nil {
-			l.log.WithError(lost).WithField("upstream", lost.part.Upstream).Warn("engine_of_plan_lost")
+			l.log.WithError(lost).WithField("upstream", lost.part.Upstream).Warn("plan_engine_lost")
 			cancel(lost)
 		}
 	}()
@@ -277,7 +277,7 @@
 	})
 	for i, err := range results {
 		if err != nil {
-			l.log.WithError(err).WithField("upstream", l.held[i].Upstream).Warn("lease_left_to_lapse")
+			l.log.WithError(err).WithField("upstream", l.held[i].Upstream).Warn("lease_release_failed")
 		}
 	}
 }
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -93,11 +93,11 @@
 	}
 	if change.Leaving {
 		leavingNotices.Inc()
-		log.Info("upstream_says_leaving")
+		log.Info("upstream_reports_leaving")
 	}
 	if change.BackOff {
 		backOffNotices.Inc()
-		log.WithField("back_off_ms", report.BackOff.Milliseconds()).Info("upstream_backs_off")
+		log.WithField("back_off_ms", report.BackOff.Milliseconds()).Info("upstream_back_off_requested")
 	}
 }
 
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -108,7 +108,7 @@
 	if limited {
 		fields["limit_per_s"], fields["heard_ms_ago"] = l.PerSecond, time.Since(l.At).Milliseconds()
 	}
-	g.relay.log.WithFields(fields).Info("turn_asked")
+	g.relay.log.WithFields(fields).Info("turn_requested")
 	return turn, ok
 }
 
--- a/internal/relay/reach.go
+++ b/internal/relay/reach.go
@@ -148,7 +148,7 @@
 		if r.opts.OnDomainReached != nil {
 			r.opts.OnDomainReached(domain)
 		}
-		log.WithField("cut_ms", cutFor.Milliseconds()).Info("domain_reached")
+		log.WithField("cut_ms", cutFor.Milliseconds()).Info("domain_reachable")
 	}
 }
 
--- a/internal/schedule/displace.go
+++ b/internal/schedule/displace.go
@@ -24,7 +24,7 @@
 	}
 	s.mu.Unlock()
 	for host, attempts := range byHost {
-		s.log.WithFields(logrus.Fields{"for": attempt, "from": host, "attempts": attempts}).Info("writers_displaced")
+		s.log.WithFields(logrus.Fields{"for": attempt, "from": host, "attempts": attempts}).Info("attempts_displaced")
 		if host == s.opts.Host {
 			s.move(attempts)
 			continue
@@ -49,7 +49,7 @@
 		}
 		err := s.call(context.Background(), m, "Move", placeTimeout, &MoveRequest{Attempts: attempts}, &MoveReply{})
 		if err != nil {
-			s.log.WithError(err).WithFields(logrus.Fields{"to": host, "attempts": attempts}).Info("move_not_told")
+			s.log.WithError(err).WithFields(logrus.Fields{"to": host, "attempts": attempts}).Info("move_request_failed")
 		}
 	}
 }
--- a/internal/schedule/flush.go
+++ b/internal/schedule/flush.go
@@ -93,7 +93,7 @@
 		silent := now.Sub(c.lastMessage)
 		switch {
 		case silent > dropAttemptsAfter && s.book.Has(host):
-			s.log.WithField("from", host).Info("book_of_host_dropped")
+			s.log.WithField("from", host).Info("host_bookings_dropped")
 			s.book.DropHost(host)
 			delete(s.clients, host)
 		case silent > dropClientAfter:
--- a/internal/schedule/service.go
+++ b/internal/schedule/service.go
@@ -201,7 +201,7 @@
 		host = m.Host
 	}
 	if host != s.keeper {
-		s.log.WithFields(logrus.Fields{"keeper": host, "former": s.keeper, "open": len(s.open)}).Info("book_keeper_changed")
+		s.log.WithFields(logrus.Fields{"keeper": host, "former": s.keeper, "open": len(s.open)}).Info("keeper_changed")
 		s.keeper = host
 		s.needsRestore = remote && len(s.open)+len(s.limitMessages(now)) > 0
 		s.signal() // the new keeper is to get the open attempts at once
@@ -289,7 +289,7 @@
 		s.opts.OnNoAnswer(m.Host)
 	}
 	span := s.silent.recordFailure(m.Host, now)
-	s.log.WithError(err).WithFields(logrus.Fields{"keeper": m.Host, "avoid_ms": span.Milliseconds()}).Warn("book_keeper_silent")
+	s.log.WithError(err).WithFields(logrus.Fields{"keeper": m.Host, "avoid_ms": span.Milliseconds()}).Warn("keeper_not_answering")
 }
 
 func (s *Service) recordOwn(a booking.Request, p booking.Plan, now time.Time) {
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -232,7 +232,7 @@
 	t.mu.Unlock()
 	if changed {
 		t.signalEvidence()
-		t.log.WithFields(logrus.Fields{"from": d.Host, "deaths": len(d.Records), "refused": len(d.Refused)}).Info("evidence_heard")
+		t.log.WithFields(logrus.Fields{"from": d.Host, "deaths": len(d.Records), "refused": len(d.Refused)}).Info("evidence_merged")
 	}
 	return nil
 }
--- a/internal/suspects/sync.go
+++ b/internal/suspects/sync.go
@@ -114,7 +114,7 @@
 	case err != nil && !t.storeUnreachable:
 		t.log.WithError(err).Warn("suspects_store_lost")
 	case err == nil && t.storeUnreachable:
-		t.log.Info("suspects_store_back")
+		t.log.Info("suspects_store_regained")
 	}
 	t.storeUnreachable = err != nil
 	if t.storeUnreachable {
@@ -189,7 +189,7 @@
 	for ctx.Err() == nil {
 		delay := time.Duration(group.HostCount()) * syncIntervalPerHost
 		if err := t.writeOnce(ctx, store); err != nil && ctx.Err() == nil {
-			t.log.WithError(err).Warn("suspects_not_written")
+			t.log.WithError(err).Warn("suspects_write_failed")
 			delay = storeRetryInterval
 		}
 		if !wait.For(ctx, delay) {
--- a/internal/suspects/trial.go
+++ b/internal/suspects/trial.go
@@ -135,10 +135,10 @@
 	})
 	switch {
 	case err == nil:
-		log.WithField("verdict", verdict.String()).Info("trial_judged")
+		log.WithField("verdict", verdict.String()).Info("trial_decided")
 		countTrial(verdict.String())
 	case deaths <= maxUnconfirmedDeaths && ctx.Err() == nil:
-		log.WithError(err).Warn("trial_unasked")
+		log.WithError(err).Warn("trial_run_without_store")
 		countTrial("unasked")
 		t.mergeUnconfirmedTrial(own)
 		return r, nil
