--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -92,23 +92,23 @@
 	}
 }
 
-// record builds a record of the first class of the mix.
-func record(m *Mix, customer int, tokens int, started, total, first time.Duration, o request.Outcome) Record {
+// newTestRecord builds a record of the first class of the mix.
+func newTestRecord(m *Mix, customer int, tokens int, started, total, first time.Duration, o request.Outcome) Record {
 	a := &Arrival{Class: &m.Classes[0], Customer: &m.Customers[customer], LengthTokens: tokens, Deadline: time.Second, At: started}
 	return Record{Arrival: a, Started: started, Ended: started + total, Total: total, FirstToken: first, Outcome: o}
 }
 
 func TestReportCounts(t *testing.T) {
 	m := testMix()
-	late := record(m, 0, 2000, 0, 2*time.Second, 100*time.Millisecond, request.Complete)
-	wrong := record(m, 1, 2000, 0, time.Second, 400*time.Millisecond, request.Complete)
+	late := newTestRecord(m, 0, 2000, 0, 2*time.Second, 100*time.Millisecond, request.Complete)
+	wrong := newTestRecord(m, 1, 2000, 0, time.Second, 400*time.Millisecond, request.Complete)
 	wrong.Mismatch = true
-	refused := record(m, 0, 2000, 5*time.Second, 3*time.Second, 0, request.NotRun)
+	refused := newTestRecord(m, 0, 2000, 5*time.Second, 3*time.Second, 0, request.NotRun)
 	refused.RetryAfter, refused.RetriedAt, refused.RefusedIn = time.Second, 6*time.Second, 2*time.Millisecond
 	records := []Record{
 		late, wrong, refused,
-		record(m, 0, 500_000, 0, time.Second, 900*time.Millisecond, request.Failed),
-		record(m, 0, 500_000, 0, time.Second, 900*time.Millisecond, request.Unknown),
+		newTestRecord(m, 0, 500_000, 0, time.Second, 900*time.Millisecond, request.Failed),
+		newTestRecord(m, 0, 500_000, 0, time.Second, 900*time.Millisecond, request.Unknown),
 	}
 	r := NewReport(m, Scale{}, 1, 3, records)
 	if r.All.Sent != 5 || r.All.Complete != 2 || r.All.NotRun != 1 || r.All.Failed != 1 || r.All.Unknown != 1 || r.All.Late != 1 || r.All.Mismatched != 1 {
@@ -120,10 +120,10 @@
 	if len(r.Buckets) != 2 || r.Buckets[0].Bucket != "1k-4k" || r.Buckets[0].Sent != 3 || r.Buckets[1].Bucket != "256k-1M" {
 		t.Errorf("buckets %+v", r.Buckets)
 	}
-	if got := r.Short.FirstTokenMs; got.Count != 2 || !near(got.P50, 100) || !near(got.Max, 400) {
+	if got := r.Short.FirstTokenMs; got.Count != 2 || !approxEqual(got.P50, 100) || !approxEqual(got.Max, 400) {
 		t.Errorf("first tokens of short %+v", got)
 	}
-	if f := r.Fairness; f.WorstCustomer != "b" || !near(f.Ratio, 1) {
+	if f := r.Fairness; f.WorstCustomer != "b" || !approxEqual(f.Ratio, 1) {
 		t.Errorf("fairness %+v", f)
 	}
 	if r.Retries.Count != 1 || r.Retries.Amplification != 1.2 || r.Retries.PeakToMean != 1 {
@@ -131,8 +131,8 @@
 	}
 }
 
-// near allows for the three digits of the histograms.
-func near(got, want float64) bool {
+// approxEqual allows for the three digits of the histograms.
+func approxEqual(got, want float64) bool {
 	return got > want*0.999 && got < want*1.001
 }
 
@@ -140,25 +140,25 @@
 	m := testMix()
 	s := time.Second
 	records := []Record{
-		record(m, 0, 1, 0, s, 0, request.Complete),       // 0 to 1
-		record(m, 0, 1, 10*s, 8*s, 0, request.Failed),    // nothing waits from 1 to 10
-		record(m, 0, 1, 13*s, 20*s, 0, request.Complete), // first completion after 10 is at 33
+		newTestRecord(m, 0, 1, 0, s, 0, request.Complete),       // 0 to 1
+		newTestRecord(m, 0, 1, 10*s, 8*s, 0, request.Failed),    // nothing waits from 1 to 10
+		newTestRecord(m, 0, 1, 13*s, 20*s, 0, request.Complete), // first completion after 10 is at 33
 	}
-	if got := stalled(pointers(records)); got != 23*s {
+	if got := longestStall(pointers(records)); got != 23*s {
 		t.Errorf("stalled for %v, want 23 s", got)
 	}
 }
 
 func TestBucketsAndPeaks(t *testing.T) {
 	for tokens, want := range map[int]string{999: "under 1k", 1000: "1k-4k", 3999: "1k-4k", 4000: "4k-16k", 64_000: "64k-256k", 256_000: "256k-1M", 5_000_000: "256k-1M"} {
-		if got := bucketOf(tokens); got != want {
+		if got := bucketName(tokens); got != want {
 			t.Errorf("%d tokens in bucket %s, want %s", tokens, got, want)
 		}
 	}
 	m := testMix()
 	var records []Record
 	for i, at := range []time.Duration{1, 1, 1, 2, 4} {
-		r := record(m, 0, 1, 0, time.Second, 0, request.Complete)
+		r := newTestRecord(m, 0, 1, 0, time.Second, 0, request.Complete)
 		r.RetryAfter, r.RetriedAt = time.Second, at*time.Second+time.Duration(i)
 		records = append(records, r)
 	}
@@ -224,7 +224,7 @@
 
 func TestPagesStandAlone(t *testing.T) {
 	m := testMix()
-	r := NewReport(m, Scale{}, 1, 1, []Record{record(m, 0, 2000, 0, time.Second, time.Millisecond, request.Complete)})
+	r := NewReport(m, Scale{}, 1, 1, []Record{newTestRecord(m, 0, 2000, 0, time.Second, time.Millisecond, request.Complete)})
 	c := &Comparison{Policies: []PolicyResult{{Policy: "random", Mix: r, Alone: r, Slowdown: newSlowdown(r, r)}}}
 	for _, write := range []func(*bytes.Buffer) error{
 		func(b *bytes.Buffer) error { return r.WriteHTML(b) },
--- a/internal/bench/mix.go
+++ b/internal/bench/mix.go
@@ -100,10 +100,10 @@
 		list.Addf(finding.Place{File: file}, "%s", yaml.FormatError(err, false, false))
 		return nil, list.Err()
 	}
-	return &m, m.check(file)
+	return &m, m.validate(file)
 }
 
-func (m *Mix) check(file string) error {
+func (m *Mix) validate(file string) error {
 	var list finding.List
 	bad := func(key, format string, args ...any) {
 		list.Addf(finding.Place{File: file, Key: key}, format, args...)
@@ -137,12 +137,12 @@
 		bad("classes", "none has a share")
 	}
 	for i := range m.Classes {
-		m.Classes[i].check(fmt.Sprintf("classes[%d]", i), names, bad)
+		m.Classes[i].validate(fmt.Sprintf("classes[%d]", i), names, bad)
 	}
 	return list.Err()
 }
 
-func (c *Class) check(key string, customers map[string]bool, bad func(key, format string, args ...any)) {
+func (c *Class) validate(key string, customers map[string]bool, bad func(key, format string, args ...any)) {
 	if c.Name == "" || c.Deadline <= 0 {
 		bad(key, "needs name and deadline")
 	}
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -92,7 +92,7 @@
 	{"256k-1M", 256 * kilo, 1 << 62},
 }
 
-func bucketOf(tokens int) string {
+func bucketName(tokens int) string {
 	for _, b := range buckets {
 		if tokens < b.to {
 			return b.name
@@ -142,14 +142,14 @@
 		}
 		r.Classes = append(r.Classes, newRow(c.Name, "", of))
 		for _, b := range buckets {
-			cell := filter(of, func(x *Record) bool { return completion(x) && bucketOf(x.Arrival.LengthTokens) == b.name })
+			cell := filter(of, func(x *Record) bool { return completion(x) && bucketName(x.Arrival.LengthTokens) == b.name })
 			if len(cell) > 0 {
 				r.Cells = append(r.Cells, newRow(c.Name, b.name, cell))
 			}
 		}
 	}
 	for _, b := range buckets {
-		of := filter(all, func(x *Record) bool { return completion(x) && bucketOf(x.Arrival.LengthTokens) == b.name })
+		of := filter(all, func(x *Record) bool { return completion(x) && bucketName(x.Arrival.LengthTokens) == b.name })
 		if len(of) > 0 {
 			r.Buckets = append(r.Buckets, newRow("", b.name, of))
 		}
@@ -157,11 +157,11 @@
 }
 
 func newRow(class, bucket string, records []*Record) Row {
-	row := Row{Class: class, Bucket: bucket, Sent: len(records), StalledS: stalled(records).Seconds(), Codes: map[string]int{}}
+	row := Row{Class: class, Bucket: bucket, Sent: len(records), StalledS: longestStall(records).Seconds(), Codes: map[string]int{}}
 	first, between := newHistogram(), newHistogram()
 	good := 0
 	for _, x := range records {
-		row.count(x)
+		row.addRecord(x)
 		if x.Good() {
 			good++
 		}
@@ -179,7 +179,7 @@
 	return row
 }
 
-func (r *Row) count(x *Record) {
+func (r *Row) addRecord(x *Record) {
 	switch x.Outcome {
 	case request.Complete:
 		r.Complete++
@@ -204,8 +204,8 @@
 	}
 }
 
-// stalled returns the longest time in which requests waited and none completed.
-func stalled(records []*Record) time.Duration {
+// longestStall returns the longest time in which requests waited and none completed.
+func longestStall(records []*Record) time.Duration {
 	type event struct {
 		at   time.Duration
 		step int // change of the number of requests that wait
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -88,7 +88,7 @@
 // send sends one request. A client that is refused comes back once, after the
 // Retry-After it was given.
 func (r *runner) send(ctx context.Context, a *Arrival) Record {
-	call, check := r.call(a)
+	call, check := r.newCall(a)
 	rec := Record{Arrival: a, Started: time.Since(r.start)}
 	res := r.client.Do(ctx, call, nil)
 	if res.Outcome == request.NotRun && res.RetryAfter > 0 {
@@ -107,8 +107,8 @@
 	return rec
 }
 
-// call returns the call of an arrival and the check of its answer.
-func (r *runner) call(a *Arrival) (caller.Call, func(answer string) bool) {
+// newCall returns the call of an arrival and the check of its answer.
+func (r *runner) newCall(a *Arrival) (caller.Call, func(answer string) bool) {
 	c := caller.Call{
 		Address:       r.opts.Addresses[a.Seq%len(r.opts.Addresses)],
 		Token:         a.Customer.Token,
--- a/internal/bench/text.go
+++ b/internal/bench/text.go
@@ -38,7 +38,7 @@
 	fmt.Fprintf(w, "customers: worst %s with p95 %.1f ms, median %.1f ms, ratio %.2f\n",
 		r.Fairness.WorstCustomer, r.Fairness.WorstP95Ms, r.Fairness.MedianP95Ms, r.Fairness.Ratio)
 	if len(r.All.Codes) > 0 {
-		fmt.Fprintf(w, "without an answer: %s\n", codes(r.All.Codes))
+		fmt.Fprintf(w, "without an answer: %s\n", formatCodes(r.All.Codes))
 	}
 	fmt.Fprintf(w, "requests were sent late by p99 %.1f ms\n", r.DispatchLagMs.P99)
 }
@@ -50,8 +50,8 @@
 		f.P50, f.P95, f.P99, r.BetweenTokenMs.P95, 100*r.GoodShare, r.StalledS)
 }
 
-// codes lists how often each code was given, by name.
-func codes(counts map[string]int) string {
+// formatCodes lists how often each code was given, by name.
+func formatCodes(counts map[string]int) string {
 	var parts []string
 	for _, code := range slices.Sorted(maps.Keys(counts)) {
 		parts = append(parts, fmt.Sprintf("%s %d", code, counts[code]))
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -32,8 +32,8 @@
 	flagLabel        = "label"
 )
 
-// settleTime bounds the wait until every daemon follows a change of policy.
-const settleTime = 30 * time.Second
+// followTimeout bounds the wait until every daemon follows a change of policy.
+const followTimeout = 30 * time.Second
 
 // benchResult is what a run or a comparison has to show.
 type benchResult interface {
@@ -42,7 +42,7 @@
 }
 
 func newBench() *cli.Command {
-	return group("bench", "load a site and report what came back", newBenchRun(), newBenchCompare())
+	return newGroup("bench", "load a site and report what came back", newBenchRun(), newBenchCompare())
 }
 
 func benchFlags() []cli.Flag {
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	list, err := addresses(c)
+	list, err := daemonAddresses(c)
 	if err != nil {
 		return err
 	}
@@ -94,9 +94,9 @@
 		return err
 	}
 	if c.Bool(flagStrict) {
-		return everyAnswer(report)
+		return checkAllAnswered(report)
 	}
-	return wrongAnswers(report)
+	return checkMismatches(report)
 }
 
 func newBenchCompare() *cli.Command {
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	list, err := addresses(c)
+	list, err := daemonAddresses(c)
 	if err != nil {
 		return err
 	}
@@ -153,7 +153,7 @@
 	})
 	restoreErr := setter.restore(context.WithoutCancel(ctx))
 	if err != nil {
-		return failed(err)
+		return withFailureCode(err)
 	}
 	if err := benchResults(c, result); err != nil {
 		return err
@@ -163,11 +163,11 @@
 	}
 	if file := c.String(flagHistory); file != "" {
 		if err := result.AppendHistory(file, c.String(flagLabel), time.Now()); err != nil {
-			return failed(err)
+			return withFailureCode(err)
 		}
 	}
 	for _, p := range result.Policies {
-		if err := wrongAnswers(p.Mix); err != nil {
+		if err := checkMismatches(p.Mix); err != nil {
 			return err
 		}
 	}
@@ -193,7 +193,7 @@
 // progress line on a terminal.
 func benchSender(c *cli.Command, list []string, name string) func(context.Context, []bench.Arrival) []bench.Record {
 	return func(ctx context.Context, arrivals []bench.Arrival) []bench.Record {
-		bar := progress(c, len(arrivals), name)
+		bar := newProgressLine(c, len(arrivals), name)
 		defer bar.done()
 		return bench.Run(ctx, arrivals, bench.RunOptions{
 			Addresses:     list,
@@ -210,7 +210,7 @@
 	bar *progressbar.ProgressBar
 }
 
-func progress(c *cli.Command, total int, name string) progressLine {
+func newProgressLine(c *cli.Command, total int, name string) progressLine {
 	f, ok := c.Root().ErrWriter.(*os.File)
 	if !ok || !term.IsTerminal(int(f.Fd())) {
 		return progressLine{}
@@ -243,10 +243,10 @@
 	if file := c.String(flagJSONFile); file != "" {
 		data, err := json.MarshalIndent(result, "", "  ")
 		if err != nil {
-			return failed(err)
+			return withFailureCode(err)
 		}
 		if err := os.WriteFile(file, append(data, '\n'), filePerm); err != nil {
-			return failed(err)
+			return withFailureCode(err)
 		}
 	}
 	file := c.String(flagHTMLFile)
@@ -255,26 +255,26 @@
 	}
 	f, err := os.Create(file)
 	if err != nil {
-		return failed(err)
+		return withFailureCode(err)
 	}
 	if err := result.WriteHTML(f); err != nil {
 		f.Close()
-		return failed(err)
+		return withFailureCode(err)
 	}
-	return failed(f.Close())
+	return withFailureCode(f.Close())
 }
 
-func wrongAnswers(r *bench.Report) error {
+func checkMismatches(r *bench.Report) error {
 	if r.All.Mismatched > 0 {
 		return exitf(ExitFailed, "%d answers do not belong to their request", r.All.Mismatched)
 	}
 	return nil
 }
 
-// everyAnswer wants a whole answer for each admitted request, and for at least
+// checkAllAnswered wants a whole answer for each admitted request, and for at least
 // one of each class, so that a site which refuses all does not pass.
-func everyAnswer(r *bench.Report) error {
-	if err := wrongAnswers(r); err != nil {
+func checkAllAnswered(r *bench.Report) error {
+	if err := checkMismatches(r); err != nil {
 		return err
 	}
 	if n := r.All.Failed + r.All.Unknown; n > 0 {
--- a/internal/cli/call.go
+++ b/internal/cli/call.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	flagModel        = "model"
-	flagPromptFile   = "prompt-file"
-	flagPromptTokens = "prompt-tokens"
-	flagSeed         = "seed"
-	flagMaxTokens    = "max-tokens"
-	flagWhole        = "whole"
-	flagDeadline     = "deadline"
-	flagPriority     = "priority"
-	flagKey          = "key"
-	flagOnce         = "not-repeatable"
-	flagRepeat       = "repeat"
+	flagModel         = "model"
+	flagPromptFile    = "prompt-file"
+	flagPromptTokens  = "prompt-tokens"
+	flagSeed          = "seed"
+	flagMaxTokens     = "max-tokens"
+	flagWhole         = "whole"
+	flagDeadline      = "deadline"
+	flagPriority      = "priority"
+	flagKey           = "key"
+	flagNotRepeatable = "not-repeatable"
+	flagRepeat        = "repeat"
 )
 
 // callResult is the end of one call as it is printed.
@@ -37,7 +37,7 @@
 }
 
 func newCall() *cli.Command {
-	return group("call", "send a request and print its answer",
+	return newGroup("call", "send a request and print its answer",
 		newCallModel("completion", "complete a prompt", completionCall),
 		newCallModel("chat", "answer a prompt as one chat message", chatCall),
 		newCallService())
@@ -48,7 +48,7 @@
 		&cli.DurationFlag{Name: flagDeadline, Usage: "`TIME` within which the whole answer is wanted", HideDefault: true},
 		&cli.StringFlag{Name: flagPriority, Usage: "urgent, normal or bulk", Validator: checkPriority},
 		&cli.StringFlag{Name: flagKey, Usage: "idempotency `KEY`"},
-		&cli.BoolFlag{Name: flagOnce, Usage: "the request runs at most once"},
+		&cli.BoolFlag{Name: flagNotRepeatable, Usage: "the request runs at most once"},
 		&cli.IntFlag{Name: flagRepeat, Usage: "send it `N` times, one after the other, to the addresses in turn", Value: 1},
 	}
 }
@@ -74,7 +74,7 @@
    buckthorndock call %[1]s --model modder-assistant --prompt-tokens 200000 --priority bulk`, name),
 		Flags: append(flags, callFlags()...),
 		Action: func(ctx context.Context, c *cli.Command) error {
-			prompt, err := promptOf(c)
+			prompt, err := readPrompt(c)
 			if err != nil {
 				return err
 			}
@@ -134,8 +134,8 @@
 	}})
 }
 
-// promptOf returns the prompt from its one source.
-func promptOf(c *cli.Command) (string, error) {
+// readPrompt returns the prompt from its one source.
+func readPrompt(c *cli.Command) (string, error) {
 	sources := 0
 	for _, given := range []bool{c.Args().Present(), c.IsSet(flagPromptFile), c.IsSet(flagPromptTokens)} {
 		if given {
@@ -161,7 +161,7 @@
 // sendCalls sends the call as often as asked and returns the worst outcome as an
 // error.
 func sendCalls(ctx context.Context, c *cli.Command, call caller.Call) error {
-	list, err := addresses(c)
+	list, err := daemonAddresses(c)
 	if err != nil {
 		return err
 	}
@@ -169,7 +169,7 @@
 	call.Deadline = c.Duration(flagDeadline)
 	call.Priority = c.String(flagPriority)
 	call.Key = c.String(flagKey)
-	call.NotRepeatable = c.Bool(flagOnce)
+	call.NotRepeatable = c.Bool(flagNotRepeatable)
 	client := caller.NewClient()
 	asJSON := c.String(flagOutput) == outputJSON
 	var results []callResult
@@ -181,7 +181,7 @@
 		}
 		res := client.Do(ctx, call, onText)
 		if !asJSON {
-			writeEnd(c.Root().Writer, c.Root().ErrWriter, call.Address, res)
+			writeOutcome(c.Root().Writer, c.Root().ErrWriter, call.Address, res)
 		}
 		results = append(results, newCallResult(call.Address, res))
 		if ctx.Err() != nil {
@@ -206,7 +206,7 @@
 	}
 }
 
-func writeEnd(out, errOut io.Writer, address string, res caller.Result) {
+func writeOutcome(out, errOut io.Writer, address string, res caller.Result) {
 	if res.Chunks > 0 {
 		fmt.Fprintln(out)
 	}
@@ -223,8 +223,8 @@
 	fmt.Fprintln(errOut, line)
 }
 
-// badness orders outcomes from the best to the worst.
-var badness = map[request.Outcome]int{request.Complete: 0, request.NotRun: 1, request.Failed: 2, request.Unknown: 3}
+// outcomeSeverity orders outcomes from the best to the worst.
+var outcomeSeverity = map[request.Outcome]int{request.Complete: 0, request.NotRun: 1, request.Failed: 2, request.Unknown: 3}
 
 func callsError(results []callResult) error {
 	worst := request.Complete
@@ -233,7 +233,7 @@
 		if r.Outcome != request.Complete {
 			bad++
 		}
-		if badness[r.Outcome] > badness[worst] {
+		if outcomeSeverity[r.Outcome] > outcomeSeverity[worst] {
 			worst = r.Outcome
 		}
 	}
--- a/internal/cli/caller/answer.go
+++ b/internal/cli/caller/answer.go
@@ -43,40 +43,40 @@
 	RequestID   string          `json:"request_id"`
 }
 
-// reader collects one answer.
-type reader struct {
-	call   Call
-	start  time.Time
-	last   time.Time
-	onText func(string)
-	result Result
-	text   bytes.Buffer
+// answerReader collects one answer.
+type answerReader struct {
+	call       Call
+	start      time.Time
+	lastTextAt time.Time
+	onText     func(string)
+	result     Result
+	text       bytes.Buffer
 }
 
-// refusal reads an error answer.
-func (r *reader) refusal(resp *http.Response) {
+// readError reads an error answer.
+func (r *answerReader) readError(resp *http.Response) {
 	data, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	var body struct {
 		Error *errorDetail `json:"error"`
 	}
 	if json.Unmarshal(data, &body) != nil || body.Error == nil {
-		r.end(r.call.afterLoss(), CodeBadAnswer, fmt.Sprintf("status %d without an error body", resp.StatusCode))
+		r.setOutcome(r.call.outcomeWithoutAnswer(), CodeBadAnswer, fmt.Sprintf("status %d without an error body", resp.StatusCode))
 		return
 	}
-	r.fail(body.Error)
+	r.endWithError(body.Error)
 	if r.result.RetryAfter == 0 {
 		r.result.RetryAfter = retryAfter(resp.Header.Get(headerRetryAfter))
 	}
 }
 
-func (r *reader) fail(e *errorDetail) {
+func (r *answerReader) endWithError(e *errorDetail) {
 	switch e.Outcome {
 	case request.NotRun, request.Failed, request.Unknown:
 	default:
-		r.end(r.call.afterLoss(), CodeBadAnswer, fmt.Sprintf("error with outcome %q", e.Outcome))
+		r.setOutcome(r.call.outcomeWithoutAnswer(), CodeBadAnswer, fmt.Sprintf("error with outcome %q", e.Outcome))
 		return
 	}
-	r.end(e.Outcome, e.Code, e.Message)
+	r.setOutcome(e.Outcome, e.Code, e.Message)
 	r.result.RetryAfter = time.Duration(e.RetryAfterS * float64(time.Second))
 	if e.RequestID != "" {
 		r.result.RequestID = e.RequestID
@@ -91,30 +91,30 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-// whole reads an answer that comes in one piece.
-func (r *reader) whole(body io.Reader) {
+// readWhole reads an answer that comes in one piece.
+func (r *answerReader) readWhole(body io.Reader) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		r.end(r.call.afterLoss(), CodeConnectionLost, err.Error())
+		r.setOutcome(r.call.outcomeWithoutAnswer(), CodeConnectionLost, err.Error())
 		return
 	}
 	if r.call.Service != nil {
-		r.token(string(data))
-		r.end(request.Complete, "", "")
+		r.addText(string(data))
+		r.setOutcome(request.Complete, "", "")
 		return
 	}
 	var c completion
 	if err := json.Unmarshal(data, &c); err != nil || len(c.Choices) == 0 {
-		r.end(r.call.afterLoss(), CodeBadAnswer, "the answer has no choice")
+		r.setOutcome(r.call.outcomeWithoutAnswer(), CodeBadAnswer, "the answer has no choice")
 		return
 	}
-	r.take(&c)
+	r.addChoice(&c)
 	r.finish(c.Choices[0].FinishReason != "")
 }
 
-// events reads an answer that comes as server-sent events. It is whole only with
+// readEvents reads an answer that comes as server-sent events. It is whole only with
 // a finish reason and the final marker.
-func (r *reader) events(body io.Reader) {
+func (r *answerReader) readEvents(body io.Reader) {
 	sc := bufio.NewScanner(body)
 	sc.Buffer(nil, maxEventBytes)
 	finished := false
@@ -131,33 +131,33 @@
 		}
 		var c completion
 		if err := json.Unmarshal(data, &c); err != nil {
-			r.end(r.call.afterLoss(), CodeBadAnswer, "an event is not JSON")
+			r.setOutcome(r.call.outcomeWithoutAnswer(), CodeBadAnswer, "an event is not JSON")
 			return
 		}
 		if c.Error != nil {
-			r.fail(c.Error)
+			r.endWithError(c.Error)
 			return
 		}
-		r.take(&c)
+		r.addChoice(&c)
 		finished = finished || (len(c.Choices) > 0 && c.Choices[0].FinishReason != "")
 	}
 	message := "the stream ended before its final marker"
 	if err := sc.Err(); err != nil {
 		message = err.Error()
 	}
-	r.end(r.call.afterLoss(), CodeConnectionLost, message)
+	r.setOutcome(r.call.outcomeWithoutAnswer(), CodeConnectionLost, message)
 }
 
-func (r *reader) finish(finished bool) {
+func (r *answerReader) finish(finished bool) {
 	if finished {
-		r.end(request.Complete, "", "")
+		r.setOutcome(request.Complete, "", "")
 		return
 	}
-	r.end(r.call.afterLoss(), CodeBadAnswer, "the answer has no finish reason")
+	r.setOutcome(r.call.outcomeWithoutAnswer(), CodeBadAnswer, "the answer has no finish reason")
 }
 
-// take adds the text of an answer or a chunk.
-func (r *reader) take(c *completion) {
+// addChoice adds the text of an answer or a chunk.
+func (r *answerReader) addChoice(c *completion) {
 	if r.result.RequestID == "" {
 		r.result.RequestID = c.ID
 	}
@@ -166,18 +166,18 @@
 	}
 	ch := c.Choices[0]
 	if text := ch.Text + ch.Message.Content + ch.Delta.Content; text != "" {
-		r.token(text)
+		r.addText(text)
 	}
 }
 
-func (r *reader) token(text string) {
+func (r *answerReader) addText(text string) {
 	now := time.Now()
 	if r.result.Chunks == 0 {
 		r.result.FirstToken = now.Sub(r.start)
 	} else {
-		r.result.Gaps = append(r.result.Gaps, now.Sub(r.last))
+		r.result.Gaps = append(r.result.Gaps, now.Sub(r.lastTextAt))
 	}
-	r.last = now
+	r.lastTextAt = now
 	r.result.Chunks++
 	r.text.WriteString(text)
 	if r.onText != nil {
@@ -185,8 +185,8 @@
 	}
 }
 
-// end notes the outcome. The answer keeps what had come until then.
-func (r *reader) end(o request.Outcome, code request.Code, message string) {
+// setOutcome notes the outcome. The answer keeps what had come until then.
+func (r *answerReader) setOutcome(o request.Outcome, code request.Code, message string) {
 	r.result.Outcome = o
 	r.result.Code = code
 	r.result.Message = message
--- a/internal/cli/caller/caller.go
+++ b/internal/cli/caller/caller.go
@@ -124,21 +124,21 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		res := call.lost(err)
+		res := call.resultOfError(err)
 		res.Total = time.Since(start)
 		return res
 	}
 	defer resp.Body.Close()
-	r := reader{call: call, start: start, onText: onText}
+	r := answerReader{call: call, start: start, onText: onText}
 	r.result.RequestID = resp.Header.Get(headerRequestID)
 	r.result.Status = resp.StatusCode
 	switch {
 	case resp.StatusCode != http.StatusOK:
-		r.refusal(resp)
+		r.readError(resp)
 	case stream:
-		r.events(resp.Body)
+		r.readEvents(resp.Body)
 	default:
-		r.whole(resp.Body)
+		r.readWhole(resp.Body)
 	}
 	r.result.Total = time.Since(start)
 	return r.result
@@ -193,17 +193,17 @@
 	}
 }
 
-// lost classifies a call whose answer did not come.
-func (c *Call) lost(err error) Result {
+// resultOfError classifies a call whose answer did not come.
+func (c *Call) resultOfError(err error) Result {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return Result{Outcome: request.NotRun, Code: CodeUnreachable, Message: err.Error()}
 	}
-	return Result{Outcome: c.afterLoss(), Code: CodeConnectionLost, Message: err.Error()}
+	return Result{Outcome: c.outcomeWithoutAnswer(), Code: CodeConnectionLost, Message: err.Error()}
 }
 
-// afterLoss returns the outcome of a request that was sent and not answered.
-func (c *Call) afterLoss() request.Outcome {
+// outcomeWithoutAnswer returns the outcome of a request that was sent and not answered.
+func (c *Call) outcomeWithoutAnswer() request.Outcome {
 	if c.NotRepeatable {
 		return request.Unknown
 	}
--- a/internal/cli/caller/caller_test.go
+++ b/internal/cli/caller/caller_test.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	chunkA   = `data: {"id":"r1","choices":[{"text":"a","finish_reason":null}]}` + "\n\n"
-	chunkB   = `data: {"id":"r1","choices":[{"text":"b","finish_reason":null}]}` + "\n\n"
-	finished = `data: {"id":"r1","choices":[{"text":"","finish_reason":"stop"}]}` + "\n\n"
-	marker   = "data: [DONE]\n\n"
-	broken   = `data: {"error":{"code":"deadline","message":"m","outcome":"failed","request_id":"r2"}}` + "\n\n"
+	chunkA     = `data: {"id":"r1","choices":[{"text":"a","finish_reason":null}]}` + "\n\n"
+	chunkB     = `data: {"id":"r1","choices":[{"text":"b","finish_reason":null}]}` + "\n\n"
+	finalChunk = `data: {"id":"r1","choices":[{"text":"","finish_reason":"stop"}]}` + "\n\n"
+	doneMarker = "data: [DONE]\n\n"
+	errorEvent = `data: {"error":{"code":"deadline","message":"m","outcome":"failed","request_id":"r2"}}` + "\n\n"
 )
 
 func TestStreamIsWholeOnlyWithItsEnd(t *testing.T) {
@@ -26,12 +26,12 @@
 		code       request.Code
 		answer     string
 	}{
-		{"whole", chunkA + chunkB + finished + marker, false, request.Complete, "", "ab"},
-		{"comments and empty lines", ": ping\n\n" + chunkA + finished + marker, false, request.Complete, "", "a"},
+		{"whole", chunkA + chunkB + finalChunk + doneMarker, false, request.Complete, "", "ab"},
+		{"comments and empty lines", ": ping\n\n" + chunkA + finalChunk + doneMarker, false, request.Complete, "", "a"},
 		{"cut", chunkA + chunkB, false, request.Failed, CodeConnectionLost, "ab"},
 		{"cut, at most once", chunkA, true, request.Unknown, CodeConnectionLost, "a"},
-		{"no finish reason", chunkA + marker, false, request.Failed, CodeBadAnswer, "a"},
-		{"error event", chunkA + broken, false, request.Failed, request.CodeDeadline, "a"},
+		{"no finish reason", chunkA + doneMarker, false, request.Failed, CodeBadAnswer, "a"},
+		{"error event", chunkA + errorEvent, false, request.Failed, request.CodeDeadline, "a"},
 		{"garbage", chunkA + "data: {\n\n", false, request.Failed, CodeBadAnswer, "a"},
 	}
 	for _, c := range cases {
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -31,7 +31,7 @@
 }
 
 func newCheck() *cli.Command {
-	return group("check", "validate files without a daemon", newCheckSettings(), newCheckDaemon(), newCheckEdge())
+	return newGroup("check", "validate files without a daemon", newCheckSettings(), newCheckDaemon(), newCheckEdge())
 }
 
 func newCheckSettings() *cli.Command {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -95,23 +95,23 @@
 			newBench(),
 		},
 	}
-	quietUsageErrors(root)
+	shortenUsageErrors(root)
 	return root
 }
 
-// quietUsageErrors keeps a usage error to one line, without the help text.
-func quietUsageErrors(c *cli.Command) {
+// shortenUsageErrors keeps a usage error to one line, without the help text.
+func shortenUsageErrors(c *cli.Command) {
 	c.OnUsageError = func(_ context.Context, cmd *cli.Command, err error, _ bool) error {
 		return exitf(ExitUsage, "%w; see %s --help", err, cmd.FullName())
 	}
 	for _, sub := range c.Commands {
-		quietUsageErrors(sub)
+		shortenUsageErrors(sub)
 	}
 }
 
-// group returns a command that only holds others; called without one of them it
+// newGroup returns a command that only holds others; called without one of them it
 // is a usage error.
-func group(name, usage string, commands ...*cli.Command) *cli.Command {
+func newGroup(name, usage string, commands ...*cli.Command) *cli.Command {
 	return &cli.Command{
 		Name:     name,
 		Usage:    usage,
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -21,10 +21,10 @@
 // bases are the versions in force.
 type fakeDaemon struct {
 	callerapi.UnimplementedHandler
-	offset  int64
-	docs    map[string]callerapi.SettingsDocument
-	history []callerapi.SettingsHistoryChangesItem
-	lose    bool // the verdict of each change
+	offset       int64
+	docs         map[string]callerapi.SettingsDocument
+	history      []callerapi.SettingsHistoryChangesItem
+	loseVerdicts bool // the verdict of each change
 }
 
 func (f *fakeDaemon) HandleBearerAuth(ctx context.Context, _ callerapi.OperationName, t callerapi.BearerAuth) (context.Context, error) {
@@ -62,7 +62,7 @@
 		}
 	}
 	f.history = append(f.history, callerapi.SettingsHistoryChangesItem{ChangeID: c.ChangeID, Offset: v.Offset, Accepted: v.Accepted, Paths: []string{}})
-	if f.lose {
+	if f.loseVerdicts {
 		detail := callerapi.ErrorDetail{Code: "outcome_lost", Outcome: callerapi.ErrorDetailOutcomeUnknown}
 		return &callerapi.ErrorStatusCode{StatusCode: http.StatusGatewayTimeout, Response: callerapi.ErrorBody{Error: detail}}, nil
 	}
@@ -142,7 +142,7 @@
 }
 
 func TestLostVerdictIsFoundInTheHistory(t *testing.T) {
-	f := &fakeDaemon{docs: map[string]callerapi.SettingsDocument{"/a": {Path: "/a", Version: 1}}, offset: 1, lose: true}
+	f := &fakeDaemon{docs: map[string]callerapi.SettingsDocument{"/a": {Path: "/a", Version: 1}}, offset: 1, loseVerdicts: true}
 	address := serve(t, f)
 	out := mustRun(t, address, "settings", "delete", "/a")
 	if !strings.HasPrefix(out, "accepted: change ") || len(f.history) != 1 {
--- a/internal/cli/daemons.go
+++ b/internal/cli/daemons.go
@@ -19,16 +19,16 @@
 	operatorTimeout = 30 * time.Second
 )
 
-// bearer is the token of every call. It is never printed.
-type bearer string
+// bearerToken is the token of every call. It is never printed.
+type bearerToken string
 
 // BearerAuth implements callerapi.SecuritySource.
-func (b bearer) BearerAuth(context.Context, callerapi.OperationName) (callerapi.BearerAuth, error) {
+func (b bearerToken) BearerAuth(context.Context, callerapi.OperationName) (callerapi.BearerAuth, error) {
 	return callerapi.BearerAuth{Token: string(b)}, nil
 }
 
-// daemon is the operator API of one daemon.
-type daemon struct {
+// daemonClient is the operator API of one daemon.
+type daemonClient struct {
 	address string
 	api     *callerapi.Client
 }
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// addresses returns the daemons' addresses, at least one.
-func addresses(c *cli.Command) ([]string, error) {
+// daemonAddresses returns the daemons' addresses, at least one.
+func daemonAddresses(c *cli.Command) ([]string, error) {
 	list := c.StringSlice(flagAddress)
 	if len(list) == 0 {
 		return nil, exitf(ExitUsage, "no daemon given: set --address or BUCKTHORNDOCK_ADDRESS")
@@ -51,9 +51,9 @@
 	return list, nil
 }
 
-// daemons returns a client for every address given.
-func daemons(c *cli.Command) ([]daemon, error) {
-	list, err := addresses(c)
+// newDaemonClients returns a client for every address given.
+func newDaemonClients(c *cli.Command) ([]daemonClient, error) {
+	list, err := daemonAddresses(c)
 	if err != nil {
 		return nil, err
 	}
@@ -61,23 +61,23 @@
 		Timeout:   operatorTimeout,
 		Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext},
 	}
-	var ds []daemon
+	var ds []daemonClient
 	for _, a := range list {
-		api, err := callerapi.NewClient("http://"+a, bearer(c.String(flagToken)), callerapi.WithClient(client))
+		api, err := callerapi.NewClient("http://"+a, bearerToken(c.String(flagToken)), callerapi.WithClient(client))
 		if err != nil {
-			return nil, failed(err)
+			return nil, withFailureCode(err)
 		}
-		ds = append(ds, daemon{address: a, api: api})
+		ds = append(ds, daemonClient{address: a, api: api})
 	}
 	return ds, nil
 }
 
-// first calls the daemons in turn until one can be reached. An answer, also an
+// callFirstReachable calls the daemons in turn until one can be reached. An answer, also an
 // error answer, ends the search. An operation that is not idempotent goes on to
 // the next daemon only when the connection was refused.
-func first[T any](c *cli.Command, idempotent bool, call func(*callerapi.Client) (T, error)) (T, error) {
+func callFirstReachable[T any](c *cli.Command, idempotent bool, call func(*callerapi.Client) (T, error)) (T, error) {
 	var none T
-	ds, err := daemons(c)
+	ds, err := newDaemonClients(c)
 	if err != nil {
 		return none, err
 	}
@@ -92,7 +92,7 @@
 			return none, &exitError{code: ExitUnknown, err: errors.Join(unreachable...)}
 		}
 	}
-	return none, failed(errors.Join(unreachable...))
+	return none, withFailureCode(errors.Join(unreachable...))
 }
 
 // isDialError says that no byte of the request has left.
@@ -119,7 +119,7 @@
 	return exitf(code, "%s: %s", d.Code, d.Message)
 }
 
-// unexpected reports an answer that the API does not have.
-func unexpected(res any) error {
+// unexpectedAnswerError reports an answer that the API does not have.
+func unexpectedAnswerError(res any) error {
 	return exitf(ExitFailed, "unexpected answer %T", res)
 }
--- a/internal/cli/evacuate.go
+++ b/internal/cli/evacuate.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	base, stands := versions(view)[path]
+	base, stands := documentVersions(view)[path]
 	undo := c.Bool(flagUndo)
 	if stands != undo {
 		fmt.Fprintln(c.Root().ErrWriter, "nothing to change")
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -35,8 +35,8 @@
 	return &exitError{code: code, err: fmt.Errorf(format, args...)}
 }
 
-// failed gives an error the code of a failure, unless it already has a code.
-func failed(err error) error {
+// withFailureCode gives an error the code of a failure, unless it already has a code.
+func withFailureCode(err error) error {
 	var e *exitError
 	if err == nil || errors.As(err, &e) {
 		return err
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -37,13 +37,13 @@
 	if c.NArg() != 1 {
 		return exitf(ExitUsage, "explain takes one request id")
 	}
-	ds, err := daemons(c)
+	ds, err := newDaemonClients(c)
 	if err != nil {
 		return err
 	}
 	var found []decision
 	for _, d := range ds {
-		placements, err := askPlacements(ctx, d, c.Args().First())
+		placements, err := listPlacements(ctx, d, c.Args().First())
 		if err != nil {
 			fmt.Fprintf(c.Root().ErrWriter, "daemon %s: %v\n", d.address, err)
 			continue
@@ -59,7 +59,7 @@
 	return emit(c, found, func(w io.Writer) { writeDecisions(w, found) })
 }
 
-func askPlacements(ctx context.Context, d daemon, id string) ([]callerapi.Placement, error) {
+func listPlacements(ctx context.Context, d daemonClient, id string) ([]callerapi.Placement, error) {
 	res, err := d.api.ListPlacements(ctx, callerapi.ListPlacementsParams{RequestID: callerapi.NewOptString(id)})
 	if err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 	case *callerapi.ErrorStatusCode:
 		return nil, apiError(r)
 	default:
-		return nil, unexpected(res)
+		return nil, unexpectedAnswerError(res)
 	}
 }
 
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -18,14 +18,14 @@
 	}
 	data, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
-		return failed(err)
+		return withFailureCode(err)
 	}
 	_, err = fmt.Fprintln(w, string(data))
-	return failed(err)
+	return withFailureCode(err)
 }
 
-// table writes rows in aligned columns, the header first.
-func table(w io.Writer, rows [][]string) {
+// writeTable writes rows in aligned columns, the header first.
+func writeTable(w io.Writer, rows [][]string) {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	for _, row := range rows {
 		for i, cell := range row {
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -11,14 +11,14 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/callerapi"
 )
 
-const settlePoll = 50 * time.Millisecond
+const followPollInterval = 50 * time.Millisecond
 
 // policySetter changes the placement policy in the document at one path and can
 // put the document back as it was.
 type policySetter struct {
 	c        *cli.Command
 	path     string
-	stood    bool
+	existed  bool
 	original string
 	version  int64
 	changed  bool
@@ -30,8 +30,8 @@
 	if err != nil {
 		return nil, err
 	}
-	p.original, p.stood = texts(view)[p.path]
-	p.version = versions(view)[p.path]
+	p.original, p.existed = documentTexts(view)[p.path]
+	p.version = documentVersions(view)[p.path]
 	return p, nil
 }
 
@@ -39,7 +39,7 @@
 func (p *policySetter) set(ctx context.Context, policy string) error {
 	text, err := withPolicy(p.original, policy)
 	if err != nil {
-		return failed(err)
+		return withFailureCode(err)
 	}
 	return p.publish(ctx, callerapi.NewOptString(text))
 }
@@ -49,7 +49,7 @@
 	switch {
 	case !p.changed:
 		return nil
-	case p.stood:
+	case p.existed:
 		return p.publish(ctx, callerapi.NewOptString(p.original))
 	default:
 		return p.publish(ctx, callerapi.OptString{})
@@ -98,22 +98,22 @@
 
 // awaitOffset waits until every daemon follows the settings up to an offset.
 func awaitOffset(ctx context.Context, c *cli.Command, offset int64) error {
-	ds, err := daemons(c)
+	ds, err := newDaemonClients(c)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, settleTime)
+	ctx, cancel := context.WithTimeout(ctx, followTimeout)
 	defer cancel()
 	for _, d := range ds {
 		for {
-			s := askStatus(ctx, d)
+			s := getStatus(ctx, d)
 			if s.Status != nil && s.Status.SettingsOffset >= offset {
 				break
 			}
 			if ctx.Err() != nil {
 				return exitf(ExitFailed, "daemon %s does not follow offset %d: %s", d.address, offset, s.Error)
 			}
-			time.Sleep(settlePoll)
+			time.Sleep(followPollInterval)
 		}
 	}
 	return nil
--- a/internal/cli/publish.go
+++ b/internal/cli/publish.go
@@ -12,29 +12,29 @@
 
 // A change whose verdict was lost is looked for this often in the history.
 const (
-	resolveTries = 20
-	resolvePause = 500 * time.Millisecond
+	maxHistoryReads     = 20
+	historyReadInterval = 500 * time.Millisecond
 )
 
 // publishChange sends a change to the first daemon that takes it. When the
 // verdict is lost, the change is not sent again: it is looked for by its id in
 // the history that every daemon replays.
 func publishChange(ctx context.Context, c *cli.Command, change *callerapi.SettingsChange) (*callerapi.SettingsVerdict, error) {
-	v, err := sendOnce(ctx, c, change)
+	v, err := submitChange(ctx, c, change)
 	if err == nil {
 		return v, nil
 	}
 	if exitCode(err) == ExitUnknown {
 		fmt.Fprintf(c.Root().ErrWriter, "change %s: the verdict was lost, looking for it in the history\n", change.ChangeID)
-		if v := resolveChange(ctx, c, change); v != nil {
+		if v := awaitVerdictInHistory(ctx, c, change); v != nil {
 			return v, nil
 		}
 	}
 	return nil, fmt.Errorf("change %s: %w", change.ChangeID, err)
 }
 
-func sendOnce(ctx context.Context, c *cli.Command, change *callerapi.SettingsChange) (*callerapi.SettingsVerdict, error) {
-	res, err := first(c, false, func(api *callerapi.Client) (callerapi.ChangeSettingsRes, error) {
+func submitChange(ctx context.Context, c *cli.Command, change *callerapi.SettingsChange) (*callerapi.SettingsVerdict, error) {
+	res, err := callFirstReachable(c, false, func(api *callerapi.Client) (callerapi.ChangeSettingsRes, error) {
 		return api.ChangeSettings(ctx, change)
 	})
 	if err != nil {
@@ -46,15 +46,15 @@
 	case *callerapi.ErrorStatusCode:
 		return nil, apiError(r)
 	default:
-		return nil, unexpected(res)
+		return nil, unexpectedAnswerError(res)
 	}
 }
 
-// resolveChange returns the verdict of a change from the history, nil when no
+// awaitVerdictInHistory returns the verdict of a change from the history, nil when no
 // daemon comes to know of it.
-func resolveChange(ctx context.Context, c *cli.Command, change *callerapi.SettingsChange) *callerapi.SettingsVerdict {
-	for range resolveTries {
-		history, err := getHistory(ctx, c, change.Edits[0].Path, resolveTries)
+func awaitVerdictInHistory(ctx context.Context, c *cli.Command, change *callerapi.SettingsChange) *callerapi.SettingsVerdict {
+	for range maxHistoryReads {
+		history, err := getHistory(ctx, c, change.Edits[0].Path, maxHistoryReads)
 		if err == nil {
 			if v := findVerdict(history, change); v != nil {
 				return v
@@ -63,7 +63,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(resolvePause):
+		case <-time.After(historyReadInterval):
 		}
 	}
 	return nil
@@ -89,7 +89,7 @@
 		Path:  callerapi.NewOptString(path),
 		Limit: callerapi.NewOptInt(limit),
 	}
-	res, err := first(c, true, func(api *callerapi.Client) (callerapi.GetSettingsHistoryRes, error) {
+	res, err := callFirstReachable(c, true, func(api *callerapi.Client) (callerapi.GetSettingsHistoryRes, error) {
 		return api.GetSettingsHistory(ctx, params)
 	})
 	if err != nil {
@@ -101,6 +101,6 @@
 	case *callerapi.ErrorStatusCode:
 		return nil, apiError(r)
 	default:
-		return nil, unexpected(res)
+		return nil, unexpectedAnswerError(res)
 	}
 }
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -28,7 +28,7 @@
 )
 
 func newSettings() *cli.Command {
-	return group("settings", "read and change the settings of the site",
+	return newGroup("settings", "read and change the settings of the site",
 		newSettingsGet(), newSettingsSet(), newSettingsDelete(), newSettingsApply(), newSettingsDiff(), newSettingsHistory())
 }
 
@@ -74,12 +74,12 @@
 		return err
 	}
 	if dir := c.String(flagTo); dir != "" {
-		return failed(writeTree(dir, prefix, view))
+		return withFailureCode(writeTree(dir, prefix, view))
 	}
 	return emit(c, view, func(w io.Writer) {
 		fmt.Fprintf(w, "# offset %d, digest %s\n", view.Offset, view.Digest)
 		for _, d := range view.Documents {
-			fmt.Fprintf(w, "--- # %s, version %d\n%s", d.Path, d.Version, endLine(d.Yaml))
+			fmt.Fprintf(w, "--- # %s, version %d\n%s", d.Path, d.Version, ensureTrailingNewline(d.Yaml))
 		}
 	})
 }
@@ -101,7 +101,7 @@
 			if err != nil {
 				return err
 			}
-			return changeOne(ctx, c, callerapi.NewOptString(text))
+			return changeDocument(ctx, c, callerapi.NewOptString(text))
 		},
 	}
 }
@@ -114,13 +114,13 @@
 		Description: "Example:\n   buckthorndock settings delete /frigolijst/baskets",
 		Flags:       []cli.Flag{authorFlag(), baseFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			return changeOne(ctx, c, callerapi.OptString{})
+			return changeDocument(ctx, c, callerapi.OptString{})
 		},
 	}
 }
 
-// changeOne sends a change of the one path named as an argument.
-func changeOne(ctx context.Context, c *cli.Command, yaml callerapi.OptString) error {
+// changeDocument sends a change of the one path named as an argument.
+func changeDocument(ctx context.Context, c *cli.Command, yaml callerapi.OptString) error {
 	p, err := pathArg(c, "")
 	if err != nil {
 		return err
@@ -131,7 +131,7 @@
 		if err != nil {
 			return err
 		}
-		base = versions(view)[p]
+		base = documentVersions(view)[p]
 	}
 	_, err = sendChange(ctx, c, []callerapi.SettingsEdit{{Path: p, Base: base, Yaml: yaml}})
 	return err
@@ -170,13 +170,13 @@
 		at := ch.At.UTC().Format(time.RFC3339)
 		rows = append(rows, []string{fmt.Sprint(ch.Offset), at, ch.Author, strings.Join(ch.Paths, " "), verdict, ch.Reason})
 	}
-	table(w, rows)
+	writeTable(w, rows)
 }
 
 // getView reads the documents in force under a path.
 func getView(ctx context.Context, c *cli.Command, prefix string) (*callerapi.SettingsView, error) {
 	params := callerapi.GetSettingsParams{Prefix: callerapi.NewOptString(prefix)}
-	res, err := first(c, true, func(api *callerapi.Client) (callerapi.GetSettingsRes, error) {
+	res, err := callFirstReachable(c, true, func(api *callerapi.Client) (callerapi.GetSettingsRes, error) {
 		return api.GetSettings(ctx, params)
 	})
 	if err != nil {
@@ -188,12 +188,12 @@
 	case *callerapi.ErrorStatusCode:
 		return nil, apiError(r)
 	default:
-		return nil, unexpected(res)
+		return nil, unexpectedAnswerError(res)
 	}
 }
 
-// versions returns the version of each document.
-func versions(view *callerapi.SettingsView) map[string]int64 {
+// documentVersions returns the version of each document.
+func documentVersions(view *callerapi.SettingsView) map[string]int64 {
 	m := make(map[string]int64, len(view.Documents))
 	for _, d := range view.Documents {
 		m[d.Path] = d.Version
@@ -215,22 +215,22 @@
 func reportVerdict(ctx context.Context, c *cli.Command, edits []callerapi.SettingsEdit, v *callerapi.SettingsVerdict) error {
 	lost := map[string]int64{}
 	if !v.Accepted {
-		lost = conflicts(ctx, c, edits)
+		lost = findConflicts(ctx, c, edits)
 	}
 	err := emit(c, v, func(w io.Writer) { writeVerdict(w, edits, v, lost) })
 	switch {
 	case err != nil || v.Accepted:
 		return err
-	case len(lost) > 0, lostInLog(v):
+	case len(lost) > 0, conflictedInLog(v):
 		return exitf(ExitConflict, "conflict: nothing was changed; read the present documents and apply again")
 	default:
 		return exitf(ExitUsage, "refused: nothing was changed")
 	}
 }
 
-// lostInLog reports whether a change was appended and lost to another one: faults
+// conflictedInLog reports whether a change was appended and lost to another one: faults
 // of documents are found before, and a refusal for them has no offset.
-func lostInLog(v *callerapi.SettingsVerdict) bool {
+func conflictedInLog(v *callerapi.SettingsVerdict) bool {
 	return !v.Accepted && v.Offset > 0
 }
 
@@ -248,7 +248,7 @@
 		}
 	}
 	note := ""
-	if lostInLog(v) {
+	if conflictedInLog(v) {
 		note = "conflict: "
 	}
 	for _, f := range v.Findings {
@@ -258,15 +258,15 @@
 	}
 }
 
-// conflicts returns the versions in force of the edits that start from another.
-func conflicts(ctx context.Context, c *cli.Command, edits []callerapi.SettingsEdit) map[string]int64 {
+// findConflicts returns the versions in force of the edits that start from another.
+func findConflicts(ctx context.Context, c *cli.Command, edits []callerapi.SettingsEdit) map[string]int64 {
 	lost := map[string]int64{}
 	view, err := getView(ctx, c, settings.Root)
 	if err != nil {
 		fmt.Fprintf(c.Root().ErrWriter, "the versions in force are not known: %v\n", err)
 		return lost
 	}
-	now := versions(view)
+	now := documentVersions(view)
 	for _, e := range edits {
 		if now[e.Path] != e.Base {
 			lost[e.Path] = now[e.Path]
@@ -306,7 +306,7 @@
 	return string(data), nil
 }
 
-func endLine(s string) string {
+func ensureTrailingNewline(s string) string {
 	return strings.TrimSuffix(s, "\n") + "\n"
 }
 
--- a/internal/cli/settings_apply.go
+++ b/internal/cli/settings_apply.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	return failed(refreshVersions(dir, edits, version))
+	return withFailureCode(updateVersions(dir, edits, version))
 }
 
 func newSettingsDiff() *cli.Command {
@@ -99,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	old := texts(view)
+	old := documentTexts(view)
 	diffs := make([]editDiff, 0, len(edits))
 	for _, e := range edits {
 		d := editDiff{Path: e.Path, Action: "change", Base: e.Base, Diff: lineDiff(old[e.Path], e.Yaml.Value)}
@@ -150,14 +150,14 @@
 // base of an edit is taken from bases when these are known, else from the view.
 func planEdits(docs []treeDocument, view *callerapi.SettingsView, bases map[string]int64, prune bool) []callerapi.SettingsEdit {
 	if bases == nil {
-		bases = versions(view)
+		bases = documentVersions(view)
 	}
-	old := texts(view)
+	old := documentTexts(view)
 	wanted := make(map[string]bool, len(docs))
 	var edits []callerapi.SettingsEdit
 	for _, d := range docs {
 		wanted[d.Path] = true
-		if text, stands := old[d.Path]; stands && endLine(text) == endLine(d.Text) {
+		if text, stands := old[d.Path]; stands && ensureTrailingNewline(text) == ensureTrailingNewline(d.Text) {
 			continue
 		}
 		edits = append(edits, callerapi.SettingsEdit{Path: d.Path, Base: bases[d.Path], Yaml: callerapi.NewOptString(d.Text)})
@@ -173,7 +173,7 @@
 	return edits
 }
 
-func texts(view *callerapi.SettingsView) map[string]string {
+func documentTexts(view *callerapi.SettingsView) map[string]string {
 	m := make(map[string]string, len(view.Documents))
 	for _, d := range view.Documents {
 		m[d.Path] = d.Yaml
@@ -189,11 +189,11 @@
 		if err := os.MkdirAll(filepath.Dir(file), dirPerm); err != nil {
 			return merry.Prepend(err, "write settings")
 		}
-		if err := os.WriteFile(file, []byte(endLine(d.Yaml)), filePerm); err != nil {
+		if err := os.WriteFile(file, []byte(ensureTrailingNewline(d.Yaml)), filePerm); err != nil {
 			return merry.Prepend(err, "write settings")
 		}
 	}
-	return writeVersions(dir, versions(view))
+	return writeVersions(dir, documentVersions(view))
 }
 
 func writeVersions(dir string, bases map[string]int64) error {
@@ -223,9 +223,9 @@
 	return m, nil
 }
 
-// refreshVersions notes an accepted change in the versions kept with a
+// updateVersions notes an accepted change in the versions kept with a
 // directory. A directory without any stays so.
-func refreshVersions(dir string, edits []callerapi.SettingsEdit, version int64) error {
+func updateVersions(dir string, edits []callerapi.SettingsEdit, version int64) error {
 	bases, err := readVersions(dir)
 	if err != nil || bases == nil {
 		return err
@@ -241,8 +241,8 @@
 
 // lineDiff marks the lines that differ between two texts.
 func lineDiff(old, wanted string) string {
-	a, b := lines(old), lines(wanted)
-	common := commonLines(a, b)
+	a, b := splitLines(old), splitLines(wanted)
+	common := lcsLengths(a, b)
 	var out strings.Builder
 	i, j := 0, 0
 	for i < len(a) || j < len(b) {
@@ -261,9 +261,9 @@
 	return out.String()
 }
 
-// commonLines returns, for each pair of positions, the length of the longest
+// lcsLengths returns, for each pair of positions, the length of the longest
 // common subsequence of the lines from there on.
-func commonLines(a, b []string) [][]int {
+func lcsLengths(a, b []string) [][]int {
 	n := make([][]int, len(a)+1)
 	for i := range n {
 		n[i] = make([]int, len(b)+1)
@@ -279,7 +279,7 @@
 	return n
 }
 
-func lines(s string) []string {
+func splitLines(s string) []string {
 	if s == "" {
 		return nil
 	}
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -32,14 +32,14 @@
 }
 
 func status(ctx context.Context, c *cli.Command) error {
-	ds, err := daemons(c)
+	ds, err := newDaemonClients(c)
 	if err != nil {
 		return err
 	}
 	var all []daemonStatus
 	silent := 0
 	for _, d := range ds {
-		s := askStatus(ctx, d)
+		s := getStatus(ctx, d)
 		if s.Status == nil {
 			silent++
 		}
@@ -54,7 +54,7 @@
 	return nil
 }
 
-func askStatus(ctx context.Context, d daemon) daemonStatus {
+func getStatus(ctx context.Context, d daemonClient) daemonStatus {
 	s := daemonStatus{Address: d.address}
 	res, err := d.api.GetStatus(ctx)
 	if err != nil {
@@ -95,7 +95,7 @@
 		for _, p := range s.Peers {
 			rows = append(rows, []string{p.Host, p.Domain, p.Address, p.State, fmt.Sprintf("%.1f s", p.HeartbeatAgeS)})
 		}
-		table(w, rows)
+		writeTable(w, rows)
 	}
 	if len(s.Upstreams) > 0 {
 		rows := [][]string{{"UPSTREAM", "POOL", "DOMAIN", "STATE", "OWNER", "IN FLIGHT", "QUEUED TOKENS", "MEMORY", "REPORT AGE"}}
@@ -105,6 +105,6 @@
 				fmt.Sprintf("%d/%d", u.MemoryUsedTokens, u.MemoryTotalTokens), fmt.Sprintf("%.1f s", u.ReportAgeS),
 			})
 		}
-		table(w, rows)
+		writeTable(w, rows)
 	}
 }
--- a/internal/cli/verify.go
+++ b/internal/cli/verify.go
@@ -14,8 +14,8 @@
 	return got == answer.Whole(prompt, answerTokens)
 }
 
-// echo is the part of a stand-in service's answer that names its request.
-type echo struct {
+// echoedRequest is the part of a stand-in service's answer that names its request.
+type echoedRequest struct {
 	SHA256 string `json:"echo_sha256"`
 	Result struct {
 		SHA256 string `json:"echo_sha256"`
@@ -25,7 +25,7 @@
 // verifyService says whether an answer is the one that a stand-in service gives
 // to the body.
 func verifyService(body, got string) bool {
-	var e echo
+	var e echoedRequest
 	if json.Unmarshal([]byte(got), &e) != nil {
 		return false
 	}
--- a/test/bench/summary/engines.go
+++ b/test/bench/summary/engines.go
@@ -16,23 +16,23 @@
 	RanAfterRefusal int `json:"ran_after_refusal"` // of requests that were refused as not run
 }
 
-// longestLine bounds a line of a log.
-const longestLine = 1 << 20
+// maxLogLineBytes bounds a line of a log.
+const maxLogLineBytes = 1 << 20
 
-// engineUse sets what the engines of a site began beside the ends that its daemons
+// countEngineRuns sets what the engines of a site began beside the ends that its daemons
 // have logged. It returns nil without a record of the engines.
-func engineUse(dir string) (*EngineUse, error) {
+func countEngineRuns(dir string) (*EngineUse, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "witness-*.jsonl"))
 	if err != nil || len(files) == 0 {
 		return nil, err
 	}
-	ends, err := loggedEnds(dir)
+	ends, err := loggedOutcomes(dir)
 	if err != nil {
 		return nil, err
 	}
 	use := &EngineUse{}
 	for _, file := range files {
-		err := eachLine(file, func(line []byte) {
+		err := forEachLine(file, func(line []byte) {
 			var run standin.Run
 			if json.Unmarshal(line, &run) != nil || run.State != standin.RunStarted {
 				return
@@ -49,16 +49,16 @@
 	return use, nil
 }
 
-// loggedEnds returns the outcome of each request by its id.
-func loggedEnds(dir string) (map[string]string, error) {
+// loggedOutcomes returns the outcome of each request by its id.
+func loggedOutcomes(dir string) (map[string]string, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "logs", "*entry*.log"))
 	if err != nil {
 		return nil, err
 	}
 	ends := map[string]string{}
 	for _, file := range files {
-		err := eachLine(file, func(line []byte) {
-			id, outcome := field(line, "request_id="), field(line, "outcome=")
+		err := forEachLine(file, func(line []byte) {
+			id, outcome := logValue(line, "request_id="), logValue(line, "outcome=")
 			if id != "" && outcome != "" {
 				ends[id] = outcome
 			}
@@ -70,8 +70,8 @@
 	return ends, nil
 }
 
-// field returns the value of a key in a log line, empty without it.
-func field(line []byte, key string) string {
+// logValue returns the value of a key in a log line, empty without it.
+func logValue(line []byte, key string) string {
 	for _, part := range bytes.Fields(line) {
 		if value, ok := bytes.CutPrefix(part, []byte(key)); ok {
 			return string(bytes.Trim(value, `"`))
@@ -80,14 +80,14 @@
 	return ""
 }
 
-func eachLine(file string, f func([]byte)) error {
+func forEachLine(file string, f func([]byte)) error {
 	in, err := os.Open(file)
 	if err != nil {
 		return err
 	}
 	defer in.Close()
 	s := bufio.NewScanner(in)
-	s.Buffer(nil, longestLine)
+	s.Buffer(nil, maxLogLineBytes)
 	for s.Scan() {
 		f(s.Bytes())
 	}
--- a/test/bench/summary/main.go
+++ b/test/bench/summary/main.go
@@ -50,12 +50,12 @@
 	if err := r.read(dir); err != nil {
 		return err
 	}
-	use, err := engineUse(site)
+	use, err := countEngineRuns(site)
 	if err != nil {
 		return err
 	}
 	r.Engines = use
-	r.Targets = targets(&r)
+	r.Targets = computeTargets(&r)
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	for _, t := range r.Targets {
 		fmt.Fprintf(w, "%s\t%.3g\t%s %.3g\t%s\n", t.Name, t.Value, t.sign(), t.Bound, t.verdict())
@@ -66,7 +66,7 @@
 	if record == "" {
 		return nil
 	}
-	return r.keep(record)
+	return r.save(record)
 }
 
 // read reads the parts that were run.
@@ -96,8 +96,8 @@
 
 const filePerm = 0o644
 
-// keep writes the results and their line in the history.
-func (r *Results) keep(dir string) error {
+// save writes the results and their line in the history.
+func (r *Results) save(dir string) error {
 	name := fmt.Sprintf("%s-%s.json", r.At.Format("2006-01-02T1504"), r.Commit)
 	data, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
--- a/test/bench/summary/targets.go
+++ b/test/bench/summary/targets.go
@@ -28,19 +28,19 @@
 	return "NOT MET"
 }
 
-func atMost(name string, value, bound float64) Target {
+func maxTarget(name string, value, bound float64) Target {
 	return Target{Name: name, Value: value, Bound: bound, Met: value <= bound}
 }
 
-func atLeast(name string, value, bound float64) Target {
+func minTarget(name string, value, bound float64) Target {
 	return Target{Name: name, Value: value, Bound: bound, Least: true, Met: value >= bound}
 }
 
 // longBuckets are those whose first tokens must not pay for the short ones.
 var longBuckets = []string{"4k-16k", "16k-64k", "64k-256k", "256k-1M"}
 
-// targets returns the ratios of all parts that were run, in a fixed order.
-func targets(r *Results) []Target {
+// computeTargets returns the ratios of all parts that were run, in a fixed order.
+func computeTargets(r *Results) []Target {
 	var list []Target
 	if r.Policies != nil {
 		list = append(list, policyTargets(r.Policies)...)
@@ -52,13 +52,13 @@
 		list = append(list, overloadTargets(r.Load100, r.Load150)...)
 	}
 	if r.Wake != nil {
-		list = append(list, atMost("wake: peak of retries to their mean", r.Wake.Retries.PeakToMean, 1.5))
+		list = append(list, maxTarget("wake: peak of retries to their mean", r.Wake.Retries.PeakToMean, 1.5))
 	}
 	if r.Faults != nil && r.FourLeft != nil {
 		list = append(list, faultTarget(r.Faults, r.FourLeft))
 	}
 	if r.Engines != nil {
-		list = append(list, atMost("runs begun for requests refused as not run", float64(r.Engines.RanAfterRefusal), 0))
+		list = append(list, maxTarget("runs begun for requests refused as not run", float64(r.Engines.RanAfterRefusal), 0))
 	}
 	return list
 }
@@ -73,23 +73,23 @@
 		return nil
 	}
 	list := []Target{
-		atMost("slowdown of short", aware.Slowdown.Ratio, 1.3),
-		atMost("slowdown of short / least-loaded's", aware.Slowdown.Ratio/least.Slowdown.Ratio, 0.25),
+		maxTarget("slowdown of short", aware.Slowdown.Ratio, 1.3),
+		maxTarget("slowdown of short / least-loaded's", aware.Slowdown.Ratio/least.Slowdown.Ratio, 0.25),
 	}
 	for _, name := range longBuckets {
-		a, b := bucket(aware.Mix, name), bucket(priority.Mix, name)
+		a, b := bucketRow(aware.Mix, name), bucketRow(priority.Mix, name)
 		if a != nil && b != nil && b.FirstTokenMs.P95 > 0 {
-			list = append(list, atMost(name+" first token p95 / least-loaded+priority's", a.FirstTokenMs.P95/b.FirstTokenMs.P95, 1.15))
+			list = append(list, maxTarget(name+" first token p95 / least-loaded+priority's", a.FirstTokenMs.P95/b.FirstTokenMs.P95, 1.15))
 		}
 	}
 	longest := 0.0
 	for i := range aware.Mix.Classes {
 		longest = max(longest, aware.Mix.Classes[i].StalledS)
 	}
-	return append(list, atMost("longest time without progress of a class, s", longest, 10))
+	return append(list, maxTarget("longest time without progress of a class, s", longest, 10))
 }
 
-func bucket(r *bench.Report, name string) *bench.Row {
+func bucketRow(r *bench.Report, name string) *bench.Row {
 	for i := range r.Buckets {
 		if r.Buckets[i].Bucket == name {
 			return &r.Buckets[i]
@@ -111,7 +111,7 @@
 			blind = p95
 		}
 	}
-	return atMost("shared prefixes: first token p95 / cache-blind", aware/blind, 1)
+	return maxTarget("shared prefixes: first token p95 / cache-blind", aware/blind, 1)
 }
 
 // overloadTargets compares the answers in time at 150% of the capacity with those
@@ -119,8 +119,8 @@
 func overloadTargets(full, over *bench.Report) []Target {
 	good := func(r *bench.Report) float64 { return r.All.GoodShare * float64(r.All.Sent) }
 	return []Target{
-		atLeast("answers in time at 150% load / at 100%", good(over)/good(full), 0.9),
-		atMost("refusals at 150% load p95, ms", over.Retries.RefusedInMs.P95, 50),
+		minTarget("answers in time at 150% load / at 100%", good(over)/good(full), 0.9),
+		maxTarget("refusals at 150% load p95, ms", over.Retries.RefusedInMs.P95, 50),
 	}
 }
 
@@ -141,5 +141,5 @@
 		}
 		return float64(sum)
 	}
-	return atLeast("answers in time 2 s after two engines are lost / with four", good(faults)/good(fourLeft), 0.85)
+	return minTarget("answers in time 2 s after two engines are lost / with four", good(faults)/good(fourLeft), 0.85)
 }
--- a/test/capacity/changes.go
+++ b/test/capacity/changes.go
@@ -13,19 +13,19 @@
 
 // Limits of a wait for settings.
 const (
-	spreadPoll  = 50 * time.Millisecond // between two looks at the daemons that lag
-	spreadLimit = time.Minute
+	offsetPollInterval = 50 * time.Millisecond // between two looks at the daemons that lag
+	offsetTimeout      = time.Minute
 )
 
-// times are seconds that something took.
-type times struct {
+// durationStats are seconds that something took.
+type durationStats struct {
 	Number int     `json:"number"`
 	P50    float64 `json:"p50_seconds"`
 	P95    float64 `json:"p95_seconds"`
 	Max    float64 `json:"max_seconds"`
 }
 
-func timesOf(all []time.Duration) *times {
+func newDurationStats(all []time.Duration) *durationStats {
 	if len(all) == 0 {
 		return nil
 	}
@@ -34,7 +34,7 @@
 		i := int(math.Ceil(q*float64(len(all)))) - 1
 		return all[max(i, 0)].Seconds()
 	}
-	return &times{Number: len(all), P50: at(0.5), P95: at(0.95), Max: at(1)}
+	return &durationStats{Number: len(all), P50: at(0.5), P95: at(0.95), Max: at(1)}
 }
 
 // changeSettings publishes changes at a steady rate until the context ends, and
@@ -67,7 +67,7 @@
 		return 0, err
 	}
 	began := time.Now()
-	if out, err := s.apply(context.Background(), o, publisher).CombinedOutput(); err != nil {
+	if out, err := s.applyCommand(context.Background(), o, publisher).CombinedOutput(); err != nil {
 		return 0, fmt.Errorf("change %d: %w: %s", n, err, out)
 	}
 	sm, err := publisher.sample()
@@ -85,8 +85,8 @@
 	began := time.Now()
 	waiting := append([]*daemon(nil), s.daemons...)
 	for len(waiting) > 0 {
-		if time.Since(began) > spreadLimit {
-			return fmt.Errorf("%d daemons without offset %.0f after %s", len(waiting), offset, spreadLimit)
+		if time.Since(began) > offsetTimeout {
+			return fmt.Errorf("%d daemons without offset %.0f after %s", len(waiting), offset, offsetTimeout)
 		}
 		var still []*daemon
 		for _, d := range waiting {
@@ -99,7 +99,7 @@
 			}
 		}
 		if waiting = still; len(waiting) > 0 {
-			time.Sleep(spreadPoll)
+			time.Sleep(offsetPollInterval)
 		}
 	}
 	return nil
@@ -107,8 +107,8 @@
 
 func (s *site) settingsDir() string { return filepath.Join(s.dir, "settings") }
 
-// apply returns the command that publishes the site's settings.
-func (s *site) apply(ctx context.Context, o options, d *daemon) *exec.Cmd {
+// applyCommand returns the command that publishes the site's settings.
+func (s *site) applyCommand(ctx context.Context, o options, d *daemon) *exec.Cmd {
 	return exec.CommandContext(ctx, filepath.Join(o.bin, "buckthorndock"),
 		"--address", d.address, "--token", operatorToken, "settings", "apply", s.settingsDir())
 }
--- a/test/capacity/load.go
+++ b/test/capacity/load.go
@@ -12,36 +12,36 @@
 	"github.com/google/uuid"
 )
 
-// tokenBytes is the rough length of a token of the prompts below.
-const tokenBytes = 4
+// bytesPerToken is the rough length of a token of the prompts below.
+const bytesPerToken = 4
 
 // client keeps its connections, as a balancer does.
 var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
-// callers is the load of one daemon: requests at a steady rate that do not wait
+// loadGenerator is the load of one daemon: requests at a steady rate that do not wait
 // for answers, each from a customer drawn by chance.
-type callers struct {
-	address string
-	rate    float64
-	keyed   float64 // share that is calls of a service with a key
-	names   int     // customers
-	body    string  // of a completion
+type loadGenerator struct {
+	address   string
+	rate      float64
+	keyed     float64 // share that is calls of a service with a key
+	customers int     // customers
+	body      string  // of a completion
 }
 
-// newCallers returns the load of a daemon by the options.
-func newCallers(o options, address string) *callers {
-	prompt := strings.Repeat("milk, eggs, rye ", o.prompt*tokenBytes/len("milk, eggs, rye ")+1)
-	return &callers{
-		address: address,
-		rate:    o.rate,
-		keyed:   o.keyed,
-		names:   o.customers,
-		body:    fmt.Sprintf(`{"model":"m","prompt":%q,"max_tokens":%d,"stream":true}`, prompt, o.answer),
+// newLoadGenerator returns the load of a daemon by the options.
+func newLoadGenerator(o options, address string) *loadGenerator {
+	prompt := strings.Repeat("milk, eggs, rye ", o.prompt*bytesPerToken/len("milk, eggs, rye ")+1)
+	return &loadGenerator{
+		address:   address,
+		rate:      o.rate,
+		keyed:     o.keyed,
+		customers: o.customers,
+		body:      fmt.Sprintf(`{"model":"m","prompt":%q,"max_tokens":%d,"stream":true}`, prompt, o.answer),
 	}
 }
 
 // run sends until the context ends.
-func (c *callers) run(ctx context.Context) {
+func (c *loadGenerator) run(ctx context.Context) {
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / c.rate))
 	defer ticker.Stop()
 	for {
@@ -54,7 +54,7 @@
 	}
 }
 
-func (c *callers) send(ctx context.Context) {
+func (c *loadGenerator) send(ctx context.Context) {
 	path, body := "/v1/completions", c.body
 	keyed := rand.Float64() < c.keyed
 	if keyed {
@@ -64,7 +64,7 @@
 	if err != nil {
 		return
 	}
-	req.Header.Set("Authorization", "Bearer "+customerToken(rand.IntN(c.names)))
+	req.Header.Set("Authorization", "Bearer "+customerToken(rand.IntN(c.customers)))
 	req.Header.Set("Content-Type", "application/json")
 	if keyed {
 		req.Header.Set("X-Repeatable", "false")
--- a/test/capacity/main.go
+++ b/test/capacity/main.go
@@ -42,43 +42,43 @@
 
 // result is what one site showed.
 type result struct {
-	Daemons       int     `json:"daemons"`
-	Domains       int     `json:"domains"`
-	Engines       int     `json:"engines"`
-	RatePerDaemon float64 `json:"rate_per_daemon"`
-	CPUPercent    spread  `json:"cpu_percent_of_a_core"`
-	RSSMiB        spread  `json:"rss_mib"`
-	SentBytes     spread  `json:"sent_bytes_per_second"`
-	ReceivedBytes spread  `json:"received_bytes_per_second"`
-	Appends       float64 `json:"log_appends_per_second"`
-	Purposes      []line  `json:"bytes_per_second_by_purpose"` // sent and received, mean of the daemons
-	Counters      []event `json:"events_per_second"`           // of the daemons' counters, mean
+	Daemons       int           `json:"daemons"`
+	Domains       int           `json:"domains"`
+	Engines       int           `json:"engines"`
+	RatePerDaemon float64       `json:"rate_per_daemon"`
+	CPUPercent    meanMax       `json:"cpu_percent_of_a_core"`
+	RSSMiB        meanMax       `json:"rss_mib"`
+	SentBytes     meanMax       `json:"sent_bytes_per_second"`
+	ReceivedBytes meanMax       `json:"received_bytes_per_second"`
+	Appends       float64       `json:"log_appends_per_second"`
+	Purposes      []purposeRate `json:"bytes_per_second_by_purpose"` // sent and received, mean of the daemons
+	Counters      []counterRate `json:"events_per_second"`           // of the daemons' counters, mean
 
-	Prompt    int     `json:"prompt_tokens"`
-	Answer    int     `json:"answer_tokens"`
-	StepMs    float64 `json:"engine_step_ms"`
-	Customers int     `json:"customers"`
-	Others    int     `json:"upstreams_of_other_domains"`
-	Keyed     float64 `json:"share_keyed"`
-	Changes   float64 `json:"changes_per_minute"`
-	Spread    *times  `json:"change_until_in_force_everywhere,omitempty"`
-	Starts    []start `json:"replacements,omitempty"`
+	Prompt    int            `json:"prompt_tokens"`
+	Answer    int            `json:"answer_tokens"`
+	StepMs    float64        `json:"engine_step_ms"`
+	Customers int            `json:"customers"`
+	Others    int            `json:"upstreams_of_other_domains"`
+	Keyed     float64        `json:"share_keyed"`
+	Changes   float64        `json:"changes_per_minute"`
+	Spread    *durationStats `json:"change_until_in_force_everywhere,omitempty"`
+	Starts    []joinCost     `json:"replacements,omitempty"`
 }
 
-// line is one purpose of control traffic.
-type line struct {
+// purposeRate is one purpose of control traffic.
+type purposeRate struct {
 	Purpose string  `json:"purpose"`
 	Bytes   float64 `json:"bytes_per_second"`
 }
 
-// event is one counter of the daemons.
-type event struct {
+// counterRate is one counter of the daemons.
+type counterRate struct {
 	Name string  `json:"name"`
 	Rate float64 `json:"per_second"`
 }
 
-// spread is the mean and the most of the daemons.
-type spread struct {
+// meanMax is the mean and the most of the daemons.
+type meanMax struct {
 	Mean float64 `json:"mean"`
 	Max  float64 `json:"max"`
 }
@@ -136,7 +136,7 @@
 		for _, p := range r.Purposes {
 			fmt.Printf("%20s %10.0f B/s\n", p.Purpose, p.Bytes)
 		}
-		printMore(r)
+		printOptional(r)
 	}
 	if o.jsonFile == "" {
 		return nil
@@ -148,8 +148,8 @@
 	return os.WriteFile(o.jsonFile, append(text, '\n'), 0o644)
 }
 
-// printMore prints what only some runs have.
-func printMore(r result) {
+// printOptional prints what only some runs have.
+func printOptional(r result) {
 	if r.Appends > 0 {
 		fmt.Printf("%20s %10.1f a second in the site\n", "log appends", r.Appends)
 	}
--- a/test/capacity/measure.go
+++ b/test/capacity/measure.go
@@ -39,26 +39,26 @@
 	defer stopLoad()
 	if o.rate > 0 {
 		for _, d := range s.daemons {
-			go newCallers(o, d.address).run(loadCtx)
+			go newLoadGenerator(o, d.address).run(loadCtx)
 		}
 	}
-	if err := pause(ctx, o.settle); err != nil {
+	if err := sleep(ctx, o.settle); err != nil {
 		return result{}, err
 	}
-	before, err := s.sample()
+	before, err := s.sampleAll()
 	if err != nil {
 		return result{}, err
 	}
-	took, err := s.during(ctx, o)
+	took, err := s.runMeasurement(ctx, o)
 	if err != nil {
 		return result{}, err
 	}
-	after, err := s.sample()
+	after, err := s.sampleAll()
 	if err != nil {
 		return result{}, err
 	}
 	r := summarize(before, after)
-	r.Spread = timesOf(took)
+	r.Spread = newDurationStats(took)
 	if r.Starts, err = s.replaceDaemons(ctx, o); err != nil {
 		return result{}, err
 	}
@@ -76,10 +76,10 @@
 	return r, nil
 }
 
-// during lets the time to measure pass, with changes of the settings if wanted.
-func (s *site) during(ctx context.Context, o options) ([]time.Duration, error) {
+// runMeasurement lets the time to measure pass, with changes of the settings if wanted.
+func (s *site) runMeasurement(ctx context.Context, o options) ([]time.Duration, error) {
 	if o.changes == 0 {
-		return nil, pause(ctx, o.measure)
+		return nil, sleep(ctx, o.measure)
 	}
 	span, cancel := context.WithTimeout(ctx, o.measure)
 	defer cancel()
@@ -90,7 +90,7 @@
 	return took, ctx.Err()
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -99,7 +99,7 @@
 	}
 }
 
-func (s *site) sample() ([]sample, error) {
+func (s *site) sampleAll() ([]sample, error) {
 	var samples []sample
 	for _, d := range s.daemons {
 		sm, err := d.sample()
@@ -120,8 +120,8 @@
 	// The name in brackets may hold blanks; the fields are counted after it.
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+2:]))
 	const userTime, systemTime, residentPages = 11, 12, 21
-	sm.cpu = (number(fields[userTime]) + number(fields[systemTime])) / clockTicks
-	sm.rss = number(fields[residentPages]) * float64(os.Getpagesize()) / (1 << 20)
+	sm.cpu = (parseNumber(fields[userTime]) + parseNumber(fields[systemTime])) / clockTicks
+	sm.rss = parseNumber(fields[residentPages]) * float64(os.Getpagesize()) / (1 << 20)
 	resp, err := http.Get("http://" + d.address + "/metrics")
 	if err != nil {
 		return sm, err
@@ -131,12 +131,12 @@
 	if err != nil {
 		return sm, err
 	}
-	sm.read(string(text))
+	sm.parseMetrics(string(text))
 	return sm, nil
 }
 
-// read takes the byte counters out of a daemon's metrics.
-func (sm *sample) read(text string) {
+// parseMetrics takes the byte counters out of a daemon's metrics.
+func (sm *sample) parseMetrics(text string) {
 	for line := range strings.Lines(text) {
 		name, value, ok := strings.Cut(strings.TrimSpace(line), " ")
 		if !ok {
@@ -146,20 +146,20 @@
 		purpose := labelValue(labels)
 		switch kind {
 		case "buckthorndock_peer_sent_bytes_total":
-			sm.sent["peer:"+purpose] += number(value)
+			sm.sent["peer:"+purpose] += parseNumber(value)
 		case "buckthorndock_peer_received_bytes_total":
-			sm.received["peer:"+purpose] += number(value)
+			sm.received["peer:"+purpose] += parseNumber(value)
 		case "buckthorndock_control_sent_bytes_total":
-			sm.sent[purpose] += number(value)
+			sm.sent[purpose] += parseNumber(value)
 		case "buckthorndock_control_received_bytes_total":
-			sm.received[purpose] += number(value)
+			sm.received[purpose] += parseNumber(value)
 		case "buckthorndock_claim_appends_total":
-			sm.appends += number(value)
+			sm.appends += parseNumber(value)
 		case "buckthorndock_settings_offset":
-			sm.offset = number(value)
+			sm.offset = parseNumber(value)
 		}
 		if strings.HasPrefix(kind, "buckthorndock_") && strings.HasSuffix(kind, "_total") && !strings.HasSuffix(kind, "_bytes_total") {
-			sm.counters[kind] += number(value)
+			sm.counters[kind] += parseNumber(value)
 		}
 	}
 }
@@ -171,7 +171,7 @@
 	return v
 }
 
-func number(s string) float64 {
+func parseNumber(s string) float64 {
 	f, err := strconv.ParseFloat(s, 64)
 	if err != nil {
 		return 0
@@ -187,27 +187,27 @@
 		span := a.at.Sub(b.at).Seconds()
 		r.CPUPercent.add((a.cpu - b.cpu) / span * 100)
 		r.RSSMiB.add(a.rss)
-		r.SentBytes.add((total(a.sent) - total(b.sent)) / span)
-		r.ReceivedBytes.add((total(a.received) - total(b.received)) / span)
+		r.SentBytes.add((sumOf(a.sent) - sumOf(b.sent)) / span)
+		r.ReceivedBytes.add((sumOf(a.received) - sumOf(b.received)) / span)
 		r.Appends += (a.appends - b.appends) / span
 		for p := range a.sent {
 			purposes[p] += (a.sent[p] - b.sent[p] + a.received[p] - b.received[p]) / span
 		}
 	}
 	n := float64(len(after))
-	r.Counters = events(before, after)
-	for _, s := range []*spread{&r.CPUPercent, &r.RSSMiB, &r.SentBytes, &r.ReceivedBytes} {
+	r.Counters = counterRates(before, after)
+	for _, s := range []*meanMax{&r.CPUPercent, &r.RSSMiB, &r.SentBytes, &r.ReceivedBytes} {
 		s.Mean /= n
 	}
 	for p, v := range purposes {
-		r.Purposes = append(r.Purposes, line{Purpose: p, Bytes: v / n})
+		r.Purposes = append(r.Purposes, purposeRate{Purpose: p, Bytes: v / n})
 	}
 	sort.Slice(r.Purposes, func(i, j int) bool { return r.Purposes[i].Purpose < r.Purposes[j].Purpose })
 	return r
 }
 
-// events returns how fast the counters rose, the mean of the daemons.
-func events(before, after []sample) (rates []event) {
+// counterRates returns how fast the counters rose, the mean of the daemons.
+func counterRates(before, after []sample) (rates []counterRate) {
 	sums := map[string]float64{}
 	for i := range after {
 		span := after[i].at.Sub(before[i].at).Seconds()
@@ -217,7 +217,7 @@
 	}
 	for name, v := range sums {
 		if v != 0 {
-			rates = append(rates, event{Name: name, Rate: v / float64(len(after))})
+			rates = append(rates, counterRate{Name: name, Rate: v / float64(len(after))})
 		}
 	}
 	sort.Slice(rates, func(i, j int) bool { return rates[i].Name < rates[j].Name })
@@ -225,12 +225,12 @@
 }
 
 // add counts one daemon in; Mean holds the sum until the end.
-func (s *spread) add(v float64) {
+func (s *meanMax) add(v float64) {
 	s.Mean += v
 	s.Max = max(s.Max, v)
 }
 
-func total(m map[string]float64) (sum float64) {
+func sumOf(m map[string]float64) (sum float64) {
 	for _, v := range m {
 		sum += v
 	}
--- a/test/capacity/replace.go
+++ b/test/capacity/replace.go
@@ -12,13 +12,13 @@
 
 // Limits of a replacement.
 const (
-	readyPoll  = 5 * time.Millisecond
-	readyLimit = time.Minute
-	joinTime   = 10 * time.Second // after which the whole of its start is counted
+	readyPollInterval = 5 * time.Millisecond
+	readyTimeout      = time.Minute
+	joinWait          = 10 * time.Second // after which the whole of its start is counted
 )
 
-// start is what a fresh daemon took to be ready in a running site.
-type start struct {
+// joinCost is what a fresh daemon took to be ready in a running site.
+type joinCost struct {
 	ReadySeconds  float64 `json:"ready_seconds"`
 	CPUSeconds    float64 `json:"cpu_seconds"`
 	SentBytes     float64 `json:"sent_bytes"`
@@ -31,8 +31,8 @@
 
 // replaceDaemons kills daemons one after another and puts fresh ones of other
 // names in their places.
-func (s *site) replaceDaemons(ctx context.Context, o options) ([]start, error) {
-	var starts []start
+func (s *site) replaceDaemons(ctx context.Context, o options) ([]joinCost, error) {
+	var starts []joinCost
 	for i := range o.replace {
 		st, err := s.replaceOne(ctx, o, i)
 		if err != nil {
@@ -43,35 +43,35 @@
 	return starts, nil
 }
 
-func (s *site) replaceOne(ctx context.Context, o options, i int) (start, error) {
+func (s *site) replaceOne(ctx context.Context, o options, i int) (joinCost, error) {
 	at := i % len(s.daemons)
 	old := s.daemons[at]
 	if err := s.kill(old); err != nil {
-		return start{}, err
+		return joinCost{}, err
 	}
 	d, err := s.startDaemon(o, fmt.Sprintf("r%d", i), old.domain)
 	if err != nil {
-		return start{}, err
+		return joinCost{}, err
 	}
 	began := time.Now()
 	s.daemons[at] = d
-	if err := s.listHosts(); err != nil {
-		return start{}, err
+	if err := s.setHostList(); err != nil {
+		return joinCost{}, err
 	}
 	if err := d.awaitReady(ctx); err != nil {
-		return start{}, err
+		return joinCost{}, err
 	}
-	st := start{ReadySeconds: time.Since(began).Seconds()}
+	st := joinCost{ReadySeconds: time.Since(began).Seconds()}
 	ready, err := d.sample()
 	if err != nil {
 		return st, err
 	}
-	st.CPUSeconds, st.SentBytes, st.ReceivedBytes = ready.cpu, total(ready.sent), total(ready.received)
-	if err := pause(ctx, joinTime); err != nil {
+	st.CPUSeconds, st.SentBytes, st.ReceivedBytes = ready.cpu, sumOf(ready.sent), sumOf(ready.received)
+	if err := sleep(ctx, joinWait); err != nil {
 		return st, err
 	}
 	joined, err := d.sample()
-	st.JoinedCPUSeconds, st.JoinedSentBytes, st.JoinedReceivedBytes = joined.cpu, total(joined.sent), total(joined.received)
+	st.JoinedCPUSeconds, st.JoinedSentBytes, st.JoinedReceivedBytes = joined.cpu, sumOf(joined.sent), sumOf(joined.received)
 	return st, err
 }
 
@@ -81,11 +81,11 @@
 		return err
 	}
 	_, err := d.process.Wait()
-	s.processes = deleteProcess(s.processes, d)
+	s.processes = withoutProcess(s.processes, d)
 	return err
 }
 
-func deleteProcess(all []*exec.Cmd, d *daemon) []*exec.Cmd {
+func withoutProcess(all []*exec.Cmd, d *daemon) []*exec.Cmd {
 	var kept []*exec.Cmd
 	for _, p := range all {
 		if p.Process != d.process {
@@ -97,13 +97,13 @@
 
 // awaitReady waits until the daemon says that it is ready.
 func (d *daemon) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyLimit)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
 		if d.ready() {
 			return nil
 		}
-		if err := pause(ctx, readyPoll); err != nil {
+		if err := sleep(ctx, readyPollInterval); err != nil {
 			return fmt.Errorf("%s is not ready: %w", d.name, err)
 		}
 	}
--- a/test/capacity/site.go
+++ b/test/capacity/site.go
@@ -41,14 +41,14 @@
 const (
 	peerKey       = "capacity-key-0123456789abcdef0123"
 	operatorToken = "capacity-operator"
-	// noUpstream is the address of the upstreams that only the settings name; each
+	// unusedUpstreamIP is the address of the upstreams that only the settings name; each
 	// has a port of its own and nobody asks them anything.
-	noUpstream = "127.1.0.0"
+	unusedUpstreamIP = "127.1.0.0"
 )
 
 func customerToken(i int) string { return fmt.Sprintf("capacity-customer-%d", i) }
 
-func hashOf(token string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(token))) }
+func tokenHash(token string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(token))) }
 
 // startSite starts n daemons with their engines and publishes settings.
 func startSite(ctx context.Context, o options, n int) (s *site, err error) {
@@ -62,19 +62,19 @@
 			s.stop()
 		}
 	}()
-	if s.log, err = s.standin(o, "log"); err != nil {
+	if s.log, err = s.startStandin(o, "log"); err != nil {
 		return s, err
 	}
-	if s.hosts, err = s.standin(o, "hosts"); err != nil {
+	if s.hosts, err = s.startStandin(o, "hosts"); err != nil {
 		return s, err
 	}
-	if s.weights, err = s.standin(o, "weights"); err != nil {
+	if s.weights, err = s.startStandin(o, "weights"); err != nil {
 		return s, err
 	}
 	var upstreams strings.Builder
 	for i := range n * o.engines {
 		domain := domainName(i % o.domains)
-		address, err := s.standin(o, "engine", "--name", fmt.Sprintf("e%d", i), "--model", "m",
+		address, err := s.startStandin(o, "engine", "--name", fmt.Sprintf("e%d", i), "--model", "m",
 			"--decode-step", o.step.String(), "--batch", strconv.Itoa(o.batch))
 		if err != nil {
 			return s, err
@@ -88,14 +88,14 @@
 		}
 		s.daemons = append(s.daemons, d)
 	}
-	if err := s.listHosts(); err != nil {
+	if err := s.setHostList(); err != nil {
 		return s, err
 	}
 	for i := range o.others {
 		fmt.Fprintf(&upstreams, "      - {name: other%d, address: \"%s:%d\", domain: %s}\n",
-			i, noUpstream, portsFrom+i, domainName(o.domains+i%otherDomains))
+			i, unusedUpstreamIP, minPort+i, domainName(o.domains+i%otherDomains))
 	}
-	services, err := s.services(o)
+	services, err := s.startServices(o)
 	if err != nil {
 		return s, err
 	}
@@ -106,14 +106,14 @@
 // are spread: 7 domains less the one that runs.
 const otherDomains = 6
 
-// services starts a service in each domain and returns their pool.
-func (s *site) services(o options) (string, error) {
+// startServices starts a service in each domain and returns their pool.
+func (s *site) startServices(o options) (string, error) {
 	if o.keyed == 0 {
 		return "", nil
 	}
 	text := "  - name: sp\n    kind: service\n    upstreams:\n"
 	for i := range o.domains {
-		address, err := s.standin(o, "service", "--operation", "confirm")
+		address, err := s.startStandin(o, "service", "--operation", "confirm")
 		if err != nil {
 			return "", err
 		}
@@ -124,8 +124,8 @@
 
 func domainName(i int) string { return fmt.Sprintf("domain-%d", i) }
 
-// standin starts a stand-in and returns its address.
-func (s *site) standin(o options, kind string, args ...string) (string, error) {
+// startStandin starts a stand-in and returns its address.
+func (s *site) startStandin(o options, kind string, args ...string) (string, error) {
 	cmd := exec.Command(filepath.Join(o.bin, "standin"), append([]string{kind, "--listen", "127.0.0.1:0"}, args...)...)
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -163,7 +163,7 @@
 peer_key: %s
 operator_token_sha256: %s
 platform: {log: "%s", hosts: "%s", weights: "%s"}
-`, name, domain, address, peer, peerKey, hashOf(operatorToken), s.log, s.hosts, s.weights)
+`, name, domain, address, peer, peerKey, tokenHash(operatorToken), s.log, s.hosts, s.weights)
 	file := filepath.Join(s.dir, name+".yaml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return nil, err
@@ -183,13 +183,13 @@
 
 // Daemons' ports come from below the range of outgoing connections.
 const (
-	portsFrom = 10000
-	numPorts  = 20000
+	minPort  = 10000
+	numPorts = 20000
 )
 
 func freeAddress() (string, error) {
 	for range 100 {
-		address := fmt.Sprintf("127.0.0.1:%d", portsFrom+rand.IntN(numPorts))
+		address := fmt.Sprintf("127.0.0.1:%d", minPort+rand.IntN(numPorts))
 		l, err := net.Listen("tcp", address)
 		if err == nil {
 			return address, l.Close()
@@ -198,7 +198,7 @@
 	return "", fmt.Errorf("no free port")
 }
 
-func (s *site) listHosts() error {
+func (s *site) setHostList() error {
 	type entry struct {
 		Name    string `json:"name"`
 		Kind    string `json:"kind"`
@@ -234,7 +234,7 @@
 	}
 	text += "customers:\n"
 	for i := range o.customers {
-		text += fmt.Sprintf("  - {name: c%d, token_sha256: [%s], limits: {requests_in_flight: 1000000}}\n", i, hashOf(customerToken(i)))
+		text += fmt.Sprintf("  - {name: c%d, token_sha256: [%s], limits: {requests_in_flight: 1000000}}\n", i, tokenHash(customerToken(i)))
 	}
 	if err := os.WriteFile(filepath.Join(s.settingsDir(), "_root.yaml"), []byte(text), 0o600); err != nil {
 		return err
@@ -242,7 +242,7 @@
 	var err error
 	for range 50 {
 		var out []byte
-		if out, err = s.apply(ctx, o, s.daemons[0]).CombinedOutput(); err == nil {
+		if out, err = s.applyCommand(ctx, o, s.daemons[0]).CombinedOutput(); err == nil {
 			return nil
 		}
 		err = fmt.Errorf("publish: %w: %s", err, out)
--- a/test/ci/knownred_test.go
+++ b/test/ci/knownred_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// knownRed runs the script on a file with the text.
-func knownRed(t *testing.T, text string) (pattern string, err error) {
+// runKnownRed runs the script on a file with the text.
+func runKnownRed(t *testing.T, text string) (pattern string, err error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -20,14 +20,14 @@
 }
 
 func TestOnlyListedTestsArePassedOver(t *testing.T) {
-	pattern, err := knownRed(t, "TestA: go test ./x, seed 7, issue 2\n  saw a lost event\nTestB_c: go test ./y\n  open as issue 31\n")
+	pattern, err := runKnownRed(t, "TestA: go test ./x, seed 7, issue 2\n  saw a lost event\nTestB_c: go test ./y\n  open as issue 31\n")
 	if err != nil || pattern != "^(TestA|TestB_c)$" {
 		t.Errorf("got %q, %v", pattern, err)
 	}
 }
 
 func TestNothingListedPassesNothingOver(t *testing.T) {
-	if pattern, err := knownRed(t, "Nothing is red.\n"); err != nil || pattern != "" {
+	if pattern, err := runKnownRed(t, "Nothing is red.\n"); err != nil || pattern != "" {
 		t.Errorf("got %q, %v", pattern, err)
 	}
 	out, err := exec.Command("../../.ci/known-red", filepath.Join(t.TempDir(), "none")).Output()
@@ -37,7 +37,7 @@
 }
 
 func TestEntryWithoutAnIssueFails(t *testing.T) {
-	if pattern, err := knownRed(t, "TestA: issue 2\nTestB: seen once\n"); err == nil {
+	if pattern, err := runKnownRed(t, "TestA: issue 2\nTestB: seen once\n"); err == nil {
 		t.Errorf("got %q", pattern)
 	}
 }
--- a/test/ci/linked_test.go
+++ b/test/ci/linked_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// slowListing stands in for an ldd that is still writing when its reader has found what
+// slowLdd stands in for an ldd that is still writing when its reader has found what
 // it looks for: it fails where it cannot write to the end.
-const slowListing = `#!/bin/sh
+const slowLdd = `#!/bin/sh
 echo "	libc.so.6 => /lib/libc.so.6 (0x1)"
 sleep 0.2
 echo "	/lib64/ld-linux-x86-64.so.2 (0x2)"
@@ -25,21 +25,21 @@
 `
 
 func TestLinkedReadsTheListingToItsEnd(t *testing.T) {
-	if out, err := linked(t, slowListing); err != nil {
+	if out, err := runLinked(t, slowLdd); err != nil {
 		t.Errorf("a linked program is turned down: %v\n%s", err, out)
 	}
 }
 
 func TestLinkedTurnsDownOthers(t *testing.T) {
 	for name, ldd := range map[string]string{"no libc": noLibc, "static": static} {
-		if out, err := linked(t, ldd); err == nil {
+		if out, err := runLinked(t, ldd); err == nil {
 			t.Errorf("%s: passed\n%s", name, out)
 		}
 	}
 }
 
-// linked runs the check on some program with a stand-in of ldd.
-func linked(t *testing.T, ldd string) ([]byte, error) {
+// runLinked runs the check on some program with a stand-in of ldd.
+func runLinked(t *testing.T, ldd string) ([]byte, error) {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "ldd"), []byte(ldd), 0o755); err != nil {
--- a/test/days/compare/main.go
+++ b/test/days/compare/main.go
@@ -22,15 +22,15 @@
 )
 
 type options struct {
-	bench string
-	days  []string
-	seeds int
-	first int
-	jobs  int
-	why   string
-	extra []string // further options of each play
-	trees [2]string
-	sites []string
+	bench      string
+	days       []string
+	seeds      int
+	secondSeed int
+	jobs       int
+	why        string
+	extra      []string // further options of each play
+	trees      [2]string
+	sites      []string
 }
 
 func main() {
@@ -50,7 +50,7 @@
 	flag.StringVar(&o.bench, "bench", "", "path of the bench")
 	flag.StringVar(&days, "days", "trouble-1,scale-1,trouble-2,scale-2,trouble-3", "days, separated by commas")
 	flag.IntVar(&o.seeds, "seeds", 5, "seeds of each day; the first is the day's own")
-	flag.IntVar(&o.first, "first", 4001, "the second seed; the others count up from it")
+	flag.IntVar(&o.secondSeed, "first", 4001, "the second seed; the others count up from it")
 	flag.IntVar(&o.jobs, "jobs", 4, "plays at a time")
 	flag.StringVar(&o.why, "why", "", "reason, for the journal")
 	flag.StringVar(&extra, "extra", "--no-cpu", "options of each play, separated by spaces")
@@ -64,8 +64,8 @@
 	return o, nil
 }
 
-// play is a day with a seed on both trees.
-type play struct {
+// pairedPlay is a day with a seed on both trees.
+type pairedPlay struct {
 	site, day string
 	seed      int // zero: the day's own
 	results   [2]result
@@ -82,13 +82,13 @@
 }
 
 func run(o *options) error {
-	var plays []*play
+	var plays []*pairedPlay
 	for _, site := range o.sites {
 		for _, day := range o.days {
 			for n := range o.seeds {
-				p := &play{site: site, day: day}
+				p := &pairedPlay{site: site, day: day}
 				if n > 0 {
-					p.seed = o.first + n - 1
+					p.seed = o.secondSeed + n - 1
 				}
 				plays = append(plays, p)
 			}
@@ -102,8 +102,8 @@
 	if err := o.build(); err != nil {
 		return err
 	}
-	o.playAll(plays, dir)
-	tell(plays)
+	o.runAll(plays, dir)
+	printComparison(plays)
 	return nil
 }
 
@@ -119,7 +119,7 @@
 	return nil
 }
 
-func (o *options) playAll(plays []*play, dir string) {
+func (o *options) runAll(plays []*pairedPlay, dir string) {
 	var wg sync.WaitGroup
 	free := make(chan struct{}, o.jobs)
 	for i, p := range plays {
@@ -128,7 +128,7 @@
 			wg.Go(func() {
 				defer func() { <-free }()
 				report := filepath.Join(dir, fmt.Sprintf("%d-%d.json", i, side))
-				r, err := o.play(p, o.trees[side], report)
+				r, err := o.runDay(p, o.trees[side], report)
 				if err != nil {
 					fmt.Fprintf(os.Stderr, "%s %s %d in %s: %v\n", p.site, p.day, p.seed, o.trees[side], err)
 					r.Worth = math.NaN()
@@ -140,7 +140,7 @@
 	wg.Wait()
 }
 
-func (o *options) play(p *play, tree, report string) (result, error) {
+func (o *options) runDay(p *pairedPlay, tree, report string) (result, error) {
 	args := []string{"run", p.site, p.day, "--report", report, "--why", o.why}
 	if p.seed != 0 {
 		args = append(args, "--seed", strconv.Itoa(p.seed))
@@ -156,12 +156,12 @@
 	return r, json.Unmarshal(text, &r)
 }
 
-// tell prints each day's mean worth before and after, and the paired difference with its
+// printComparison prints each day's mean worth before and after, and the paired difference with its
 // standard error; then that of all plays of a site, and of its parts.
-func tell(plays []*play) {
+func printComparison(plays []*pairedPlay) {
 	fmt.Printf("%-24s %-24s %5s %7s %7s %8s %7s\n", "site", "day", "plays", "before", "after", "change", "error")
-	bySite, order := map[string][]*play{}, []string{}
-	byDay := map[string][]*play{}
+	bySite, order := map[string][]*pairedPlay{}, []string{}
+	byDay := map[string][]*pairedPlay{}
 	for _, p := range plays {
 		key := p.site + " " + p.day
 		if byDay[key] == nil {
@@ -172,26 +172,26 @@
 	}
 	for _, key := range order {
 		site, day, _ := strings.Cut(key, " ")
-		row(site, filepath.Base(day), byDay[key], func(r result) float64 { return r.Worth })
+		printRow(site, filepath.Base(day), byDay[key], func(r result) float64 { return r.Worth })
 	}
 	for site, all := range bySite {
-		row(site, "all", all, func(r result) float64 { return r.Worth })
-		row(site, "served", all, func(r result) float64 { return r.Served })
+		printRow(site, "all", all, func(r result) float64 { return r.Worth })
+		printRow(site, "served", all, func(r result) float64 { return r.Served })
 		for i := range all[0].results[0].Parts {
-			row(site, fmt.Sprint(all[0].results[0].Parts[i][0]), all, func(r result) float64 { return r.part(i) })
+			printRow(site, fmt.Sprint(all[0].results[0].Parts[i][0]), all, func(r result) float64 { return r.partValue(i) })
 		}
 	}
 	for _, p := range plays {
 		for side, r := range p.results {
 			if len(r.Breaks) > 0 || r.Fault != nil || len(r.Short) > 0 {
 				fmt.Printf("FAILED %s %s seed %d %s: rules %v, fault %v, floors %v\n",
-					p.site, p.day, p.seed, []string{"before", "after"}[side], keys(r.Breaks), r.Fault != nil, r.Short)
+					p.site, p.day, p.seed, []string{"before", "after"}[side], ruleNames(r.Breaks), r.Fault != nil, r.Short)
 			}
 		}
 	}
 }
 
-func keys(m map[string]json.RawMessage) []string {
+func ruleNames(m map[string]json.RawMessage) []string {
 	var names []string
 	for name := range m {
 		names = append(names, name)
@@ -199,7 +199,7 @@
 	return names
 }
 
-func (r result) part(i int) float64 {
+func (r result) partValue(i int) float64 {
 	const value = 2 // after the part's name and weight
 	if i >= len(r.Parts) {
 		return math.NaN()
@@ -211,7 +211,7 @@
 	return v
 }
 
-func row(site, what string, plays []*play, of func(result) float64) {
+func printRow(site, what string, plays []*pairedPlay, of func(result) float64) {
 	var before, after, change []float64
 	for _, p := range plays {
 		a, b := of(p.results[0]), of(p.results[1])
--- a/test/demo/site/main.go
+++ b/test/demo/site/main.go
@@ -34,8 +34,8 @@
 // examples' users have three domains each, which share these.
 const defaultDaemons = "hal-a,hal-b,hal-c"
 
-// domainOf maps the domains of the examples to those of the site.
-var domainOf = strings.NewReplacer("savo-niirala", "hal-a", "savo-petonen", "hal-b", "savo-saaristo", "hal-c")
+// domainReplacer maps the domains of the examples to those of the site.
+var domainReplacer = strings.NewReplacer("savo-niirala", "hal-a", "savo-petonen", "hal-b", "savo-saaristo", "hal-c")
 
 const (
 	region   = "be-central"
--- a/test/demo/site/process.go
+++ b/test/demo/site/process.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	startTime = 10 * time.Second // for a process to say its address
-	stopTime  = 10 * time.Second // for a process to end by itself
+	addressTimeout = 10 * time.Second // for a process to say its address
+	stopTimeout    = 10 * time.Second // for a process to end by itself
 )
 
 // addressPrefix starts the first line of every stand-in.
@@ -76,7 +76,7 @@
 		}
 		p.address = address
 		return p, nil
-	case <-time.After(startTime):
+	case <-time.After(addressTimeout):
 		return p, fmt.Errorf("%s gave no address", name)
 	}
 }
@@ -103,9 +103,9 @@
 	select {
 	case <-p.ended:
 		return nil
-	case <-time.After(stopTime):
+	case <-time.After(stopTimeout):
 	}
 	_ = p.cmd.Process.Kill()
 	<-p.ended
-	return fmt.Errorf("%s did not end within %v and was killed", p.name, stopTime)
+	return fmt.Errorf("%s did not end within %v and was killed", p.name, stopTimeout)
 }
--- a/test/demo/site/settings.go
+++ b/test/demo/site/settings.go
@@ -51,8 +51,8 @@
 	operations         []string // of a service
 }
 
-// upstreams lists what the documents need.
-func upstreams(all []example) []upstream {
+// listUpstreams lists what the documents need.
+func listUpstreams(all []example) []upstream {
 	models, operations := map[string][]string{}, map[string][]string{}
 	for _, e := range all {
 		for _, m := range e.document.Models {
@@ -69,7 +69,7 @@
 		for _, p := range e.document.Pools {
 			for _, u := range p.Upstreams {
 				list = append(list, upstream{
-					name: u.Name, kind: p.Kind, domain: domainOf.Replace(u.Domain), placeholder: u.Address,
+					name: u.Name, kind: p.Kind, domain: domainReplacer.Replace(u.Domain), placeholder: u.Address,
 					checksFencing: p.ChecksFencing, models: models[p.Name], operations: operations[p.Name],
 				})
 			}
@@ -90,7 +90,7 @@
 		if err := os.MkdirAll(filepath.Dir(file), dirPerm); err != nil {
 			return err
 		}
-		text := domainOf.Replace(replace.Replace(e.text))
+		text := domainReplacer.Replace(replace.Replace(e.text))
 		if err := os.WriteFile(file, []byte(text), filePerm); err != nil {
 			return err
 		}
--- a/test/demo/site/site.go
+++ b/test/demo/site/site.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	healthTime = 15 * time.Second
-	healthPoll = 50 * time.Millisecond
+	healthTimeout      = 15 * time.Second
+	healthPollInterval = 50 * time.Millisecond
 )
 
 // Demonstration secrets; the operator token is the one of examples/_root.yaml.
@@ -45,8 +45,8 @@
 	processes []*process // in the order of their start
 }
 
-// keep notes a process, also one that did not come up, so that stop ends it.
-func (s *site) keep(p *process, err error) (*process, error) {
+// track notes a process, also one that did not come up, so that stop ends it.
+func (s *site) track(p *process, err error) (*process, error) {
 	if p != nil {
 		s.processes = append(s.processes, p)
 	}
@@ -63,8 +63,8 @@
 	}
 	addresses := map[string]string{}
 	var listed []platformapi.HostEntry
-	for _, u := range upstreams(all) {
-		p, err := s.keep(startStandin(s.opts, u.name, s.upstreamArgs(u)...))
+	for _, u := range listUpstreams(all) {
+		p, err := s.track(startStandin(s.opts, u.name, s.upstreamArgs(u)...))
 		if err != nil {
 			return err
 		}
@@ -74,13 +74,13 @@
 	if err := writeSettings(filepath.Join(s.opts.dir, "settings"), all, addresses); err != nil {
 		return err
 	}
-	if err := s.planDaemons(); err != nil {
+	if err := s.configureDaemons(); err != nil {
 		return err
 	}
 	for _, d := range s.daemons {
 		listed = append(listed, hostEntry(d.host, platformapi.HostEntryKindEntry, d.domain, d.peer))
 	}
-	if err := s.listHosts(listed); err != nil {
+	if err := s.setHostList(listed); err != nil {
 		return err
 	}
 	return s.startDaemons(ctx)
@@ -91,7 +91,7 @@
 		name string
 		at   **process
 	}{{"log", &s.log}, {"hosts", &s.hosts}, {"weights", &s.weights}} {
-		p, err := s.keep(startStandin(s.opts, part.name, part.name, "--listen", "127.0.0.1:0"))
+		p, err := s.track(startStandin(s.opts, part.name, part.name, "--listen", "127.0.0.1:0"))
 		if err != nil {
 			return err
 		}
@@ -133,8 +133,8 @@
 	}
 }
 
-// listHosts sets the platform's list of hosts.
-func (s *site) listHosts(list []platformapi.HostEntry) error {
+// setHostList sets the platform's list of hosts.
+func (s *site) setHostList(list []platformapi.HostEntry) error {
 	body, err := json.Marshal(list)
 	if err != nil {
 		return err
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// planDaemons chooses free ports and writes the daemon files.
-func (s *site) planDaemons() error {
+// configureDaemons chooses free ports and writes the daemon files.
+func (s *site) configureDaemons() error {
 	domains := strings.Split(s.opts.daemons, ",")
 	ports, err := freeAddresses(2 * len(domains))
 	if err != nil {
@@ -167,14 +167,14 @@
 		})
 	}
 	for _, d := range s.daemons {
-		if err := os.WriteFile(d.config, []byte(s.daemonFile(d)), filePerm); err != nil {
+		if err := os.WriteFile(d.config, []byte(s.daemonConfig(d)), filePerm); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *site) daemonFile(d daemon) string {
+func (s *site) daemonConfig(d daemon) string {
 	var seeds []string
 	for _, other := range s.daemons {
 		if other.host != d.host {
@@ -206,24 +206,24 @@
 
 func (s *site) startDaemons(ctx context.Context) error {
 	for _, d := range s.daemons {
-		if _, err := s.keep(startDaemon(s.opts, d.host, d.config)); err != nil {
+		if _, err := s.track(startDaemon(s.opts, d.host, d.config)); err != nil {
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, healthTime)
+	ctx, cancel := context.WithTimeout(ctx, healthTimeout)
 	defer cancel()
 	for _, d := range s.daemons {
-		for !answers(ctx, "http://"+d.listen+"/healthz") {
+		for !isHealthy(ctx, "http://"+d.listen+"/healthz") {
 			if ctx.Err() != nil {
 				return fmt.Errorf("daemon %s does not come up; see its log", d.host)
 			}
-			time.Sleep(healthPoll)
+			time.Sleep(healthPollInterval)
 		}
 	}
 	return nil
 }
 
-func answers(ctx context.Context, url string) bool {
+func isHealthy(ctx context.Context, url string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false
