--- a/internal/bench/html.go
+++ b/internal/bench/html.go
@@ -52,7 +52,7 @@
 </html>
 {{define "rows"}}<table>
 <tr><th></th><th>sent</th><th>complete</th><th>not run</th><th>failed</th><th>unknown</th><th>late</th><th>wrong</th><th>first p50</th><th>p95</th><th>p99</th><th>between p95</th><th>in time</th><th>stalled s</th></tr>
-{{range .}}<tr><td>{{.Class}}{{.Bucket}}</td><td>{{.Sent}}</td><td>{{.Complete}}</td><td>{{.NotRun}}</td><td>{{.Failed}}</td><td>{{.Unknown}}</td><td>{{.Late}}</td><td>{{.Mismatched}}</td><td>{{printf "%.1f" .FirstTokenMs.P50}}</td><td>{{printf "%.1f" .FirstTokenMs.P95}}</td><td>{{printf "%.1f" .FirstTokenMs.P99}}</td><td>{{printf "%.1f" .BetweenTokenMs.P95}}</td><td>{{percent .GoodShare}}</td><td>{{printf "%.1f" .StalledS}}</td></tr>
+{{range .}}<tr><td>{{.Class}}{{.Bucket}}</td><td>{{.Sent}}</td><td>{{.Complete}}</td><td>{{.NotRun}}</td><td>{{.Failed}}</td><td>{{.Unknown}}</td><td>{{.Late}}</td><td>{{.Mismatched}}</td><td>{{printf "%.1f" .FirstTokenMs.P50}}</td><td>{{printf "%.1f" .FirstTokenMs.P95}}</td><td>{{printf "%.1f" .FirstTokenMs.P99}}</td><td>{{printf "%.1f" .InterTokenMs.P95}}</td><td>{{percent .GoodShare}}</td><td>{{printf "%.1f" .StalledS}}</td></tr>
 {{end}}</table>{{end}}`
 
 var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{"percent": percent}).Parse(pageText))
--- a/internal/bench/prompts.go
+++ b/internal/bench/prompts.go
@@ -35,14 +35,14 @@
 
 // sharedPrefix returns the prefix that the arrival has in common with others.
 func (p *promptSource) sharedPrefix(a *Arrival) string {
-	if a.Class.Prefix == nil {
+	if a.Class.SharedPrefix == nil {
 		return ""
 	}
 	key := fmt.Sprintf("%s %d", a.Class.Name, a.Variant)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, ok := p.prefixes[key]; !ok {
-		text := caller.Prompt(a.Class.Prefix.Tokens, p.seed+uint64(a.Variant)+1)
+		text := caller.Prompt(a.Class.SharedPrefix.Tokens, p.seed+uint64(a.Variant)+1)
 		p.prefixes[key] = key + " " + text
 	}
 	return p.prefixes[key]
