--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -32,39 +32,39 @@
 	flagLabel        = "label"
 )
 
-// followTimeout bounds the wait until every daemon follows a change of policy.
+// followTimeout bounds the wait until every daemon has applied a change of policy.
 const followTimeout = 30 * time.Second
 
-// benchResult is what a run or a comparison has to show.
+// benchResult is the result of a run or a comparison.
 type benchResult interface {
 	WriteText(w io.Writer)
 	WriteHTML(w io.Writer) error
 }
 
 func newBench() *cli.Command {
-	return newGroup("bench", "load a site and report what came back", newBenchRun(), newBenchCompare())
+	return newGroup("bench", "send load to a site and report latencies and outcomes", newBenchRun(), newBenchCompare())
 }
 
 func benchFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: flagMix, Usage: "`FILE` with the mix", Required: true},
+		&cli.StringFlag{Name: flagMix, Usage: "`FILE` that describes the mix of requests", Required: true},
 		&cli.Uint64Flag{Name: flagSeed, Usage: "`SEED` of arrivals and prompts", Value: 1},
-		&cli.FloatFlag{Name: flagRate, Usage: "arrivals a second, instead of the mix's", HideDefault: true},
-		&cli.DurationFlag{Name: flagDuration, Usage: "`TIME` of arrivals, instead of the mix's", HideDefault: true},
-		&cli.FloatFlag{Name: flagScaleLengths, Usage: "`FACTOR` on prompt lengths; buckets keep the unscaled ones", Value: 1},
+		&cli.FloatFlag{Name: flagRate, Usage: "arrivals per second, instead of the mix's", HideDefault: true},
+		&cli.DurationFlag{Name: flagDuration, Usage: "`TIME` over which requests arrive, instead of the mix's", HideDefault: true},
+		&cli.FloatFlag{Name: flagScaleLengths, Usage: "`FACTOR` on prompt lengths; the report groups by unscaled lengths", Value: 1},
 		&cli.FloatFlag{Name: flagScaleAnswers, Usage: "`FACTOR` on answer lengths", Value: 1},
-		&cli.FloatFlag{Name: flagScaleTime, Usage: "`FACTOR` on deadlines and on the time of a wake", Value: 1},
+		&cli.FloatFlag{Name: flagScaleTime, Usage: "`FACTOR` on deadlines and on the duration of the initial burst (wake)", Value: 1},
 		&cli.StringFlag{Name: flagJSONFile, Usage: "also write the result as JSON to `FILE`"},
-		&cli.StringFlag{Name: flagHTMLFile, Usage: "also write the result as a page to `FILE`"},
+		&cli.StringFlag{Name: flagHTMLFile, Usage: "also write the result as an HTML page to `FILE`"},
 	}
 }
 
 func newBenchRun() *cli.Command {
 	return &cli.Command{
 		Name:  "run",
-		Usage: "send one mix",
-		Description: `Arrivals follow from the mix and the seed and do not wait for answers. They are
-spread over all addresses given. The tokens of the customers are in the mix. Every
+		Usage: "send the requests of one mix",
+		Description: `Arrivals are determined by the mix and the seed and do not wait for answers. They
+are spread over all given addresses. The mix holds the tokens of the customers. Every
 answer is checked against its own prompt; the exit code is 1 when one is wrong.
 
 Examples:
@@ -72,7 +72,7 @@
    buckthorndock bench run --mix bench/mixes/frigolijst-hour.yaml --rate 200 --duration 30s --seed 7 --html hour.html`,
 		Flags: append(benchFlags(), &cli.BoolFlag{
 			Name:  flagStrict,
-			Usage: "exit with code 1 unless every request that was not refused has its whole answer, and each class has one",
+			Usage: "exit with code 1 unless every request that was not refused has a complete answer, and each class has at least one",
 		}),
 		Action: benchRun,
 	}
@@ -103,16 +103,16 @@
 	flags := []cli.Flag{
 		&cli.StringSliceFlag{Name: flagPolicy, Usage: "`NAME` of a placement policy to compare; repeatable", Value: allPolicies(), HideDefault: true},
 		&cli.StringFlag{Name: flagPolicyPath, Usage: "settings `PATH` at which the policy is set", Value: "/"},
-		&cli.StringFlag{Name: flagHistory, Usage: "add a line for each policy to the Markdown `FILE`"},
-		&cli.StringFlag{Name: flagLabel, Usage: "`NAME` of what is measured, for the history", Value: "-"},
-		&cli.DurationFlag{Name: flagRest, Usage: "`TIME` of rest before each run", Value: 2 * time.Second},
+		&cli.StringFlag{Name: flagHistory, Usage: "append a line for each policy to the Markdown `FILE`"},
+		&cli.StringFlag{Name: flagLabel, Usage: "`NAME` of the measured build, for the history", Value: "-"},
+		&cli.DurationFlag{Name: flagRest, Usage: "`TIME` to pause before each run", Value: 2 * time.Second},
 	}
 	return &cli.Command{
 		Name:  "compare",
 		Usage: "send one mix, and its short requests alone, under each placement policy",
-		Description: `The policy is changed through the settings, with the token of an operator, and put
-back at the end. Shows by how much the first tokens of short requests are slowed
-down by the long ones beside them, all with the same arrivals.
+		Description: `The policy is changed through the settings, with the token of an operator, and
+restored at the end. Shows how much long requests delay the first tokens of short
+ones; all runs have the same arrivals.
 
 Example:
    buckthorndock -a 127.0.0.1:8080 bench compare --mix bench/mixes/kuopio-evening.yaml --html compare.html`,
@@ -189,8 +189,8 @@
 	return mix, scale, nil
 }
 
-// benchSender returns a function that sends a schedule to the daemons, with a
-// progress line on a terminal.
+// benchSender returns a function that sends a schedule to the daemons at the
+// addresses in list and shows a progress bar when standard error is a terminal.
 func benchSender(c *cli.Command, list []string, name string) func(context.Context, []bench.Arrival) []bench.Record {
 	return func(ctx context.Context, arrivals []bench.Arrival) []bench.Record {
 		bar := newProgressLine(c, len(arrivals), name)
@@ -205,7 +205,7 @@
 	}
 }
 
-// progressLine is a progress line, or nothing when standard error is no terminal.
+// progressLine is a progress bar. Its bar is nil when standard error is not a terminal.
 type progressLine struct {
 	bar *progressbar.ProgressBar
 }
@@ -235,7 +235,7 @@
 	}
 }
 
-// benchResults prints a result and writes the files asked for.
+// benchResults prints a result and writes the JSON and HTML files given by flags.
 func benchResults(c *cli.Command, result benchResult) error {
 	if err := emit(c, result, result.WriteText); err != nil {
 		return err
@@ -264,6 +264,7 @@
 	return withFailureCode(f.Close())
 }
 
+// checkMismatches returns an error when an answer does not belong to its request.
 func checkMismatches(r *bench.Report) error {
 	if r.All.Mismatched > 0 {
 		return exitf(ExitFailed, "%d answers do not belong to their request", r.All.Mismatched)
@@ -271,14 +272,15 @@
 	return nil
 }
 
-// checkAllAnswered wants a whole answer for each admitted request, and for at least
-// one of each class, so that a site which refuses all does not pass.
+// checkAllAnswered returns an error unless every admitted request has a complete
+// answer and each class has at least one, so that a site that refuses every request
+// does not pass.
 func checkAllAnswered(r *bench.Report) error {
 	if err := checkMismatches(r); err != nil {
 		return err
 	}
 	if n := r.All.Failed + r.All.Unknown; n > 0 {
-		return exitf(ExitFailed, "%d of %d requests were admitted and have no whole answer", n, r.All.Sent)
+		return exitf(ExitFailed, "%d of %d requests were admitted and have no complete answer", n, r.All.Sent)
 	}
 	for _, row := range r.Classes {
 		if row.Complete == 0 {
--- a/internal/cli/call.go
+++ b/internal/cli/call.go
@@ -27,7 +27,7 @@
 	flagRepeat        = "repeat"
 )
 
-// callResult is the end of one call as it is printed.
+// callResult is the result of one call as printed in JSON.
 type callResult struct {
 	Daemon string `json:"daemon"`
 	caller.Result
@@ -45,11 +45,11 @@
 
 func callFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.DurationFlag{Name: flagDeadline, Usage: "`TIME` within which the whole answer is wanted", HideDefault: true},
+		&cli.DurationFlag{Name: flagDeadline, Usage: "`TIME` within which the answer must be complete", HideDefault: true},
 		&cli.StringFlag{Name: flagPriority, Usage: "urgent, normal or bulk", Validator: checkPriority},
 		&cli.StringFlag{Name: flagKey, Usage: "idempotency `KEY`"},
-		&cli.BoolFlag{Name: flagNotRepeatable, Usage: "the request runs at most once"},
-		&cli.IntFlag{Name: flagRepeat, Usage: "send it `N` times, one after the other, to the addresses in turn", Value: 1},
+		&cli.BoolFlag{Name: flagNotRepeatable, Usage: "run the request at most once"},
+		&cli.IntFlag{Name: flagRepeat, Usage: "send the request `N` times in sequence, to the addresses in turn", Value: 1},
 	}
 }
 
@@ -59,14 +59,14 @@
 		&cli.StringFlag{Name: flagPromptFile, Usage: "read the prompt from `FILE`, - for standard input"},
 		&cli.IntFlag{Name: flagPromptTokens, Usage: "generate a prompt of about `N` tokens", HideDefault: true},
 		&cli.Uint64Flag{Name: flagSeed, Usage: "`SEED` of the generated prompt", Value: 1},
-		&cli.IntFlag{Name: flagMaxTokens, Usage: "longest answer, in tokens", HideDefault: true},
-		&cli.BoolFlag{Name: flagWhole, Usage: "ask for the answer in one piece and not as a stream"},
+		&cli.IntFlag{Name: flagMaxTokens, Usage: "maximum length of the answer, in tokens", HideDefault: true},
+		&cli.BoolFlag{Name: flagWhole, Usage: "request the answer in one piece instead of a stream"},
 	}
 	return &cli.Command{
 		Name:      name,
 		Usage:     usage,
 		ArgsUsage: "[PROMPT]",
-		Description: fmt.Sprintf(`The text is printed as it comes, the outcome on standard error.
+		Description: fmt.Sprintf(`The text is printed as it arrives, the outcome on standard error.
 
 Examples:
    buckthorndock call %[1]s --model list-writer --deadline 10s "milk, eggs"
@@ -101,7 +101,7 @@
 		Name:      "service",
 		Usage:     "call an operation of a plain service",
 		ArgsUsage: "SERVICE OPERATION [JSON]",
-		Description: `The body is read from standard input when it is -, and is {} without one.
+		Description: `The body is read from standard input when it is -, and defaults to {}.
 
 Examples:
    buckthorndock call service basket stock '{"item":"milk"}'
@@ -134,7 +134,8 @@
 	}})
 }
 
-// readPrompt returns the prompt from its one source.
+// readPrompt returns the prompt from the argument, a file or the generator. Exactly
+// one of them must be given.
 func readPrompt(c *cli.Command) (string, error) {
 	sources := 0
 	for _, given := range []bool{c.Args().Present(), c.IsSet(flagPromptFile), c.IsSet(flagPromptTokens)} {
@@ -158,8 +159,8 @@
 	}
 }
 
-// sendCalls sends the call as often as asked and returns the worst outcome as an
-// error.
+// sendCalls sends the call as often as --repeat says and returns an error with the
+// exit code of the worst outcome, nil when all are complete.
 func sendCalls(ctx context.Context, c *cli.Command, call caller.Call) error {
 	list, err := daemonAddresses(c)
 	if err != nil {
@@ -218,12 +219,12 @@
 		line += fmt.Sprintf(", %s: %s", res.Code, res.Message)
 	}
 	if res.RetryAfter > 0 {
-		line += fmt.Sprintf(", come back after %.1f s", res.RetryAfter.Seconds())
+		line += fmt.Sprintf(", retry after %.1f s", res.RetryAfter.Seconds())
 	}
 	fmt.Fprintln(errOut, line)
 }
 
-// outcomeSeverity orders outcomes from the best to the worst.
+// outcomeSeverity ranks outcomes; a higher number is worse.
 var outcomeSeverity = map[request.Outcome]int{request.Complete: 0, request.NotRun: 1, request.Failed: 2, request.Unknown: 3}
 
 func callsError(results []callResult) error {
@@ -240,12 +241,12 @@
 	if bad == 0 {
 		return nil
 	}
-	return exitf(outcomeCode(worst), "%d of %d requests not complete, worst outcome %s", bad, len(results), worst)
+	return exitf(outcomeCode(worst), "%d of %d requests are not complete, worst outcome %s", bad, len(results), worst)
 }
 
 func checkPriority(s string) error {
 	if _, ok := request.ParsePriority(s); !ok {
-		return fmt.Errorf("priority %q is none of urgent, normal, bulk", s)
+		return fmt.Errorf("priority %q is not urgent, normal or bulk", s)
 	}
 	return nil
 }
--- a/internal/cli/caller/answer.go
+++ b/internal/cli/caller/answer.go
@@ -16,10 +16,10 @@
 // maxEventBytes bounds one line of an event stream.
 const maxEventBytes = 4 << 20
 
-// maxErrorBytes bounds the body of an error answer that is read.
+// maxErrorBytes bounds how much of the body of an error answer is read.
 const maxErrorBytes = 1 << 20
 
-// completion is an answer or a chunk of one, of both completions and chats.
+// completion is an answer, or a chunk of a streamed one, to a completion or a chat.
 type completion struct {
 	ID      string `json:"id"`
 	Choices []struct {
@@ -43,7 +43,7 @@
 	RequestID   string          `json:"request_id"`
 }
 
-// answerReader collects one answer.
+// answerReader reads one answer and builds its result.
 type answerReader struct {
 	call       Call
 	start      time.Time
@@ -69,6 +69,7 @@
 	}
 }
 
+// endWithError sets the outcome from the error that the daemon returned.
 func (r *answerReader) endWithError(e *errorDetail) {
 	switch e.Outcome {
 	case request.NotRun, request.Failed, request.Unknown:
@@ -91,7 +92,7 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-// readWhole reads an answer that comes in one piece.
+// readWhole reads an answer that is not streamed.
 func (r *answerReader) readWhole(body io.Reader) {
 	data, err := io.ReadAll(body)
 	if err != nil {
@@ -112,8 +113,8 @@
 	r.finish(c.Choices[0].FinishReason != "")
 }
 
-// readEvents reads an answer that comes as server-sent events. It is whole only with
-// a finish reason and the final marker.
+// readEvents reads an answer streamed as server-sent events. It is complete only with
+// a finish reason and the final event [DONE].
 func (r *answerReader) readEvents(body io.Reader) {
 	sc := bufio.NewScanner(body)
 	sc.Buffer(nil, maxEventBytes)
@@ -141,7 +142,7 @@
 		r.addChoice(&c)
 		finished = finished || (len(c.Choices) > 0 && c.Choices[0].FinishReason != "")
 	}
-	message := "the stream ended before its final marker"
+	message := "the stream ended before its final event"
 	if err := sc.Err(); err != nil {
 		message = err.Error()
 	}
@@ -156,7 +157,7 @@
 	r.setOutcome(r.call.outcomeWithoutAnswer(), CodeBadAnswer, "the answer has no finish reason")
 }
 
-// addChoice adds the text of an answer or a chunk.
+// addChoice adds the text of an answer or a chunk to the result.
 func (r *answerReader) addChoice(c *completion) {
 	if r.result.RequestID == "" {
 		r.result.RequestID = c.ID
@@ -170,6 +171,7 @@
 	}
 }
 
+// addText appends text to the answer and records its arrival time.
 func (r *answerReader) addText(text string) {
 	now := time.Now()
 	if r.result.Chunks == 0 {
@@ -185,7 +187,7 @@
 	}
 }
 
-// setOutcome notes the outcome. The answer keeps what had come until then.
+// setOutcome sets the outcome and takes the text read so far as the answer.
 func (r *answerReader) setOutcome(o request.Outcome, code request.Code, message string) {
 	r.result.Outcome = o
 	r.result.Code = code
--- a/internal/cli/caller/caller.go
+++ b/internal/cli/caller/caller.go
@@ -25,13 +25,13 @@
 	headerRetryAfter = "Retry-After"
 )
 
-// Codes that the client itself gives, beside those of package request.
+// Codes that the client sets, in addition to those of package request.
 const (
-	// CodeUnreachable: no connection was made, so that nothing was sent.
+	// CodeUnreachable means that connecting failed, so that nothing was sent.
 	CodeUnreachable request.Code = "unreachable"
-	// CodeConnectionLost: the connection ended before the whole answer.
+	// CodeConnectionLost means that the connection ended before the answer was complete.
 	CodeConnectionLost request.Code = "connection_lost"
-	// CodeBadAnswer: the answer does not follow the API.
+	// CodeBadAnswer means that the answer does not conform to the API.
 	CodeBadAnswer request.Code = "bad_answer"
 )
 
@@ -44,9 +44,9 @@
 	Chat       *Chat
 	Service    *ServiceCall
 
-	Deadline      time.Duration // zero: the daemon's default
-	Priority      string        // empty: the daemon's default
-	Key           string        // idempotency key, empty without one
+	Deadline      time.Duration // zero for the daemon's default
+	Priority      string        // empty for the daemon's default
+	Key           string        // idempotency key, empty for none
 	NotRepeatable bool
 }
 
@@ -79,13 +79,13 @@
 	Body      json.RawMessage
 }
 
-// Result is the end of a call.
+// Result is the result of a call.
 type Result struct {
 	RequestID  string          `json:"request_id,omitempty"`
 	Outcome    request.Outcome `json:"outcome"`
 	Code       request.Code    `json:"code,omitempty"`
 	Message    string          `json:"message,omitempty"`
-	RetryAfter time.Duration   `json:"-"` // zero: coming back does not help
+	RetryAfter time.Duration   `json:"-"` // zero when a retry does not help
 	Status     int             `json:"status,omitempty"`
 	Answer     string          `json:"answer"`
 	Chunks     int             `json:"chunks,omitempty"` // of a streamed answer
@@ -104,7 +104,7 @@
 	maxIdleConns = 1024
 )
 
-// NewClient returns a client whose calls are bounded by their contexts only.
+// NewClient returns a client. Only the context of a call limits its duration.
 func NewClient() *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -114,8 +114,8 @@
 	}}}
 }
 
-// Do sends a call and returns its end. Text is handed to onText, which may be
-// nil, as it arrives.
+// Do sends a call and returns its result. It calls onText, which may be nil, with
+// each piece of text as it arrives.
 func (c *Client) Do(ctx context.Context, call Call, onText func(string)) Result {
 	start := time.Now()
 	req, stream, err := newRequest(ctx, call)
@@ -167,7 +167,7 @@
 		return nil, false, err
 	}
 	if call.Key != "" {
-		// The transport would send a request with a key again by itself.
+		// The transport would retry a request with a key on its own.
 		req.GetBody = nil
 	}
 	call.setHeaders(req.Header)
@@ -193,7 +193,8 @@
 	}
 }
 
-// resultOfError classifies a call whose answer did not come.
+// resultOfError returns the result of a call that ended with a transport error
+// instead of an answer.
 func (c *Call) resultOfError(err error) Result {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -202,7 +203,8 @@
 	return Result{Outcome: c.outcomeWithoutAnswer(), Code: CodeConnectionLost, Message: err.Error()}
 }
 
-// outcomeWithoutAnswer returns the outcome of a request that was sent and not answered.
+// outcomeWithoutAnswer returns the outcome of a request that was sent and has no
+// complete answer.
 func (c *Call) outcomeWithoutAnswer() request.Outcome {
 	if c.NotRepeatable {
 		return request.Unknown
@@ -210,7 +212,7 @@
 	return request.Failed
 }
 
-// drain reads a body to its end, so that the connection can be used again.
+// drain reads a body to its end, so that the connection can be reused.
 func drain(r io.Reader) {
 	_, _ = io.Copy(io.Discard, r)
 }
--- a/internal/cli/caller/caller_test.go
+++ b/internal/cli/caller/caller_test.go
@@ -18,13 +18,13 @@
 	errorEvent = `data: {"error":{"code":"deadline","message":"m","outcome":"failed","request_id":"r2"}}` + "\n\n"
 )
 
-func TestStreamIsWholeOnlyWithItsEnd(t *testing.T) {
+func TestStreamIsCompleteOnlyWithFinalEvent(t *testing.T) {
 	cases := []struct {
-		name, body string
-		once       bool
-		outcome    request.Outcome
-		code       request.Code
-		answer     string
+		name, body    string
+		notRepeatable bool
+		outcome       request.Outcome
+		code          request.Code
+		answer        string
 	}{
 		{"whole", chunkA + chunkB + finalChunk + doneMarker, false, request.Complete, "", "ab"},
 		{"comments and empty lines", ": ping\n\n" + chunkA + finalChunk + doneMarker, false, request.Complete, "", "a"},
@@ -44,7 +44,7 @@
 			res := NewClient().Do(context.Background(), Call{
 				Address:       s.Listener.Addr().String(),
 				Completion:    &Completion{Model: "m", Prompt: "p", Stream: true},
-				NotRepeatable: c.once,
+				NotRepeatable: c.notRepeatable,
 			}, nil)
 			if res.Outcome != c.outcome || res.Code != c.code || res.Answer != c.answer {
 				t.Errorf("got %s %q, answer %q", res.Outcome, res.Code, res.Answer)
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestPromptFollowsFromSeed(t *testing.T) {
+func TestPromptIsDeterminedBySeed(t *testing.T) {
 	a, b, other := Prompt(1000, 1), Prompt(1000, 1), Prompt(1000, 2)
 	if a != b || a == other || len(a) != 1000*BytesPerToken {
 		t.Errorf("equal seeds give equal prompts: %v, other seeds other ones: %v, length %d", a == b, a != other, len(a))
--- a/internal/cli/caller/doc.go
+++ b/internal/cli/caller/doc.go
@@ -1,3 +1,3 @@
-// Package caller sends completions, chats and service calls to a daemon as an
-// ordinary client does, and measures and classifies the answers.
+// Package caller is a client of the caller API: it sends completions, chats and
+// service calls to a daemon, and measures and classifies the answers.
 package caller
--- a/internal/cli/caller/prompt.go
+++ b/internal/cli/caller/prompt.go
@@ -10,8 +10,8 @@
 
 const letters = "abcdefghijklmnopqrstuvwxyz"
 
-// Prompt returns pseudo-words that make up about the given number of tokens. The
-// text follows from the seed; a longer prompt starts with the shorter one.
+// Prompt returns random words of about the given number of tokens in total. The text
+// is determined by the seed; a shorter prompt is a prefix of a longer one.
 func Prompt(tokens int, seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	var b strings.Builder
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -17,7 +17,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/edge"
 )
 
-// checkReport is the result of a check.
+// checkReport is the result of a check command.
 type checkReport struct {
 	Documents int            `json:"documents"`
 	Findings  []checkFinding `json:"findings"`
@@ -39,15 +39,15 @@
 		Name:      "settings",
 		Usage:     "validate settings documents",
 		ArgsUsage: "FILE|DIR...",
-		Description: treeDescription + `A file is checked by itself. The documents of all directories are also checked
-against each other: names, tokens and addresses that stand twice, models and
-services without their pool. All findings are printed, one a line, and the exit
+		Description: treeDescription + `A file is checked on its own. The documents of all directories are also checked
+against each other: duplicate names, tokens and addresses, and models and services
+whose pool does not exist. All findings are printed, one per line, and the exit
 code is 2 when there are any.
 
 Examples:
    buckthorndock check settings examples
    buckthorndock check settings --at /frigolijst examples/frigolijst`,
-		Flags:  []cli.Flag{&cli.StringFlag{Name: flagAt, Usage: "settings `PATH` that a directory stands for", Value: "/"}},
+		Flags:  []cli.Flag{&cli.StringFlag{Name: flagAt, Usage: "settings `PATH` to which a directory corresponds", Value: "/"}},
 		Action: checkSettings,
 	}
 }
@@ -57,7 +57,7 @@
 		Name:      "daemon",
 		Usage:     "validate a daemon file",
 		ArgsUsage: "FILE",
-		Description: `All findings are printed, one a line, and the exit code is 2 when there are any.
+		Description: `All findings are printed, one per line, and the exit code is 2 when there are any.
 
 Example:
    buckthorndock check daemon daemon.yaml`,
@@ -68,9 +68,9 @@
 func newCheckEdge() *cli.Command {
 	return &cli.Command{
 		Name:      "edge",
-		Usage:     "validate a daemon file of buckthorndockd edge, as the platform has filled it in",
+		Usage:     "validate a daemon file of buckthorndockd edge with the platform's values filled in",
 		ArgsUsage: "FILE",
-		Description: `All findings are printed, one a line, and the exit code is 2 when there are any.
+		Description: `All findings are printed, one per line, and the exit code is 2 when there are any.
 
 Example:
    buckthorndock check edge daemon.yaml`,
@@ -92,7 +92,7 @@
 	})
 }
 
-// checkFile reports the findings of loading one file.
+// checkFile loads the one file given as an argument and reports its findings.
 func checkFile(c *cli.Command, load func(file string) error) error {
 	if c.NArg() != 1 {
 		return exitf(ExitUsage, "%s takes one file", c.FullName())
@@ -147,8 +147,8 @@
 	return treeDocument{Path: documentPath(at, filepath.Base(file)), File: file, Text: string(text)}, nil
 }
 
-// checkDocuments checks documents one by one and, when each is well-formed,
-// against each other.
+// checkDocuments checks each document and, when none has a finding, all of them
+// against each other. Findings name files instead of settings paths.
 func checkDocuments(docs []treeDocument) finding.List {
 	var list finding.List
 	var sources []settings.Source
@@ -171,7 +171,7 @@
 	return across
 }
 
-// parseTreeDocument checks one document; its findings name the file.
+// parseTreeDocument parses and checks one document. Its findings name the file.
 func parseTreeDocument(d treeDocument) (*settings.Document, finding.List) {
 	parsed, findings := settings.ParseDocument(d.Path, []byte(d.Text))
 	for i := range findings {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -8,7 +8,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Streams are the standard streams of a run.
+// Streams holds the standard streams of the tool.
 type Streams struct {
 	In  io.Reader
 	Out io.Writer
@@ -28,15 +28,15 @@
 	outputJSON = "json"
 )
 
-const rootDescription = `Daemons are named by IP:port; several addresses may be given. Commands that
-need one daemon take the first that answers.
+const rootDescription = `Daemons are given as IP:port; several addresses may be given. Commands that
+need one daemon use the first that answers.
 
 Exit codes:
    0  done; a request was completed
    1  failed; a request may have run
    2  bad usage or bad input
    3  refused; a request was not run
-   4  a change lost against another one
+   4  a change conflicts with another one
    5  the outcome is unknown
 
 Examples:
@@ -47,8 +47,8 @@
    buckthorndock status
    buckthorndock call completion --model list-writer "milk, eggs, rye bread"`
 
-// Run runs the tool with the arguments of a process, program name first, and
-// returns its exit code.
+// Run runs the tool with the given arguments, the program name first, prints an
+// error to s.Err and returns the exit code of the process.
 func Run(ctx context.Context, args []string, s Streams) int {
 	err := newRoot(s).Run(ctx, args)
 	if err != nil {
@@ -99,7 +99,8 @@
 	return root
 }
 
-// shortenUsageErrors keeps a usage error to one line, without the help text.
+// shortenUsageErrors makes c and its subcommands report a usage error in one line,
+// without the help text.
 func shortenUsageErrors(c *cli.Command) {
 	c.OnUsageError = func(_ context.Context, cmd *cli.Command, err error, _ bool) error {
 		return exitf(ExitUsage, "%w; see %s --help", err, cmd.FullName())
@@ -109,8 +110,8 @@
 	}
 }
 
-// newGroup returns a command that only holds others; called without one of them it
-// is a usage error.
+// newGroup returns a command that only has subcommands. Calling it without one of
+// them is a usage error.
 func newGroup(name, usage string, commands ...*cli.Command) *cli.Command {
 	return &cli.Command{
 		Name:     name,
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -17,14 +17,14 @@
 
 const testToken = "operator-secret"
 
-// fakeDaemon keeps documents as a daemon does: a change is accepted when all its
-// bases are the versions in force.
+// fakeDaemon is a daemon that stores settings documents: it accepts a change when all
+// its bases are the versions in force.
 type fakeDaemon struct {
 	callerapi.UnimplementedHandler
 	offset       int64
 	docs         map[string]callerapi.SettingsDocument
 	history      []callerapi.SettingsHistoryChangesItem
-	loseVerdicts bool // the verdict of each change
+	loseVerdicts bool // answer each change with an unknown outcome
 }
 
 func (f *fakeDaemon) HandleBearerAuth(ctx context.Context, _ callerapi.OperationName, t callerapi.BearerAuth) (context.Context, error) {
@@ -80,7 +80,7 @@
 	}, nil
 }
 
-// serve starts the fake and returns its IP:port.
+// serve starts the fake daemon and returns its IP:port.
 func serve(t *testing.T, f *fakeDaemon) string {
 	t.Helper()
 	api, err := callerapi.NewServer(f, f, f)
@@ -97,7 +97,8 @@
 	return s.Listener.Addr().String()
 }
 
-// run runs the tool against a daemon.
+// run runs the tool with the address of a daemon and fails the test when the output
+// contains the token.
 func run(t *testing.T, address string, args ...string) (code int, out, errOut string) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
--- a/internal/cli/daemons.go
+++ b/internal/cli/daemons.go
@@ -19,7 +19,7 @@
 	operatorTimeout = 30 * time.Second
 )
 
-// bearerToken is the token of every call. It is never printed.
+// bearerToken is the token sent with every call. It is never printed.
 type bearerToken string
 
 // BearerAuth implements callerapi.SecuritySource.
@@ -27,7 +27,7 @@
 	return callerapi.BearerAuth{Token: string(b)}, nil
 }
 
-// daemonClient is the operator API of one daemon.
+// daemonClient is a client of the operator API of one daemon.
 type daemonClient struct {
 	address string
 	api     *callerapi.Client
@@ -42,7 +42,8 @@
 	return nil
 }
 
-// daemonAddresses returns the daemons' addresses, at least one.
+// daemonAddresses returns the addresses given by --address, or an error when there
+// are none.
 func daemonAddresses(c *cli.Command) ([]string, error) {
 	list := c.StringSlice(flagAddress)
 	if len(list) == 0 {
@@ -51,7 +52,7 @@
 	return list, nil
 }
 
-// newDaemonClients returns a client for every address given.
+// newDaemonClients returns a client for each given address.
 func newDaemonClients(c *cli.Command) ([]daemonClient, error) {
 	list, err := daemonAddresses(c)
 	if err != nil {
@@ -72,9 +73,9 @@
 	return ds, nil
 }
 
-// callFirstReachable calls the daemons in turn until one can be reached. An answer, also an
-// error answer, ends the search. An operation that is not idempotent goes on to
-// the next daemon only when the connection was refused.
+// callFirstReachable calls the daemons in order until one answers; an error answer
+// counts as an answer. An operation that is not idempotent is tried on the next
+// daemon only when the connection failed before anything was sent.
 func callFirstReachable[T any](c *cli.Command, idempotent bool, call func(*callerapi.Client) (T, error)) (T, error) {
 	var none T
 	ds, err := newDaemonClients(c)
@@ -95,13 +96,13 @@
 	return none, withFailureCode(errors.Join(unreachable...))
 }
 
-// isDialError says that no byte of the request has left.
+// isDialError reports whether connecting failed, so that nothing was sent.
 func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// apiError turns an error answer of the operator API into an exit error.
+// apiError converts an error answer of the operator API to an error with an exit code.
 func apiError(e *callerapi.ErrorStatusCode) error {
 	d := e.Response.Error
 	code := ExitFailed
@@ -119,7 +120,7 @@
 	return exitf(code, "%s: %s", d.Code, d.Message)
 }
 
-// unexpectedAnswerError reports an answer that the API does not have.
+// unexpectedAnswerError returns an error for an answer type that the API does not define.
 func unexpectedAnswerError(res any) error {
 	return exitf(ExitFailed, "unexpected answer %T", res)
 }
--- a/internal/cli/doc.go
+++ b/internal/cli/doc.go
@@ -1,4 +1,4 @@
-// Package cli is the command-line tool: it checks and changes settings, sends
-// requests, shows what daemons know and decided, and runs experiments. It talks
-// to daemons over the caller and operator API only.
+// Package cli implements the command-line tool buckthorndock: it checks and changes
+// settings, sends requests, shows the state and the placement decisions of daemons,
+// and runs load tests. It uses only the caller and operator APIs of the daemons.
 package cli
--- a/internal/cli/evacuate.go
+++ b/internal/cli/evacuate.go
@@ -15,16 +15,16 @@
 func newEvacuate() *cli.Command {
 	return &cli.Command{
 		Name:      "evacuate",
-		Usage:     "send nothing new to the upstreams of a failure domain",
+		Usage:     "send no new requests to the upstreams of a failure domain",
 		ArgsUsage: "DOMAIN",
-		Description: `What runs there ends in its own time. The evacuation stands until it is taken back; it
-is the document at /evacuations/DOMAIN, and "status" shows it.
+		Description: `Requests that already run there are not interrupted. The evacuation lasts until it
+is undone; it is stored as the document at /evacuations/DOMAIN, and "status" shows it.
 
 Examples:
    buckthorndock evacuate hal-b
    buckthorndock evacuate --undo hal-b`,
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: flagUndo, Usage: "take the evacuation back"},
+			&cli.BoolFlag{Name: flagUndo, Usage: "end the evacuation"},
 			authorFlag(),
 		},
 		Action: evacuate,
@@ -38,15 +38,15 @@
 	domain := c.Args().First()
 	path := settings.EvacuationPath(domain)
 	if !settings.ValidPath(path) {
-		return exitf(ExitUsage, "%q is no name of a failure domain", domain)
+		return exitf(ExitUsage, "%q is not a valid name of a failure domain", domain)
 	}
 	view, err := getView(ctx, c, path)
 	if err != nil {
 		return err
 	}
-	base, stands := documentVersions(view)[path]
+	base, exists := documentVersions(view)[path]
 	undo := c.Bool(flagUndo)
-	if stands != undo {
+	if exists != undo {
 		fmt.Fprintln(c.Root().ErrWriter, "nothing to change")
 		return nil
 	}
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -13,12 +13,12 @@
 	ExitFailed   = 1 // failed; a request may have run
 	ExitUsage    = 2 // bad usage or bad input
 	ExitRefused  = 3 // refused; a request was not run
-	ExitConflict = 4 // a change lost against another one
+	ExitConflict = 4 // a change conflicts with another one
 	ExitUnknown  = 5 // the outcome is unknown
 )
 
-// exitError carries the exit code of an error. The commands return nothing else,
-// so that every other error is one of usage.
+// exitError is an error with an exit code. Commands return no other type of error,
+// so that every other error is a usage error.
 type exitError struct {
 	code int
 	err  error
@@ -30,12 +30,12 @@
 // Unwrap returns the cause.
 func (e *exitError) Unwrap() error { return e.err }
 
-// exitf returns an error with an exit code.
+// exitf returns a formatted error with an exit code.
 func exitf(code int, format string, args ...any) error {
 	return &exitError{code: code, err: fmt.Errorf(format, args...)}
 }
 
-// withFailureCode gives an error the code of a failure, unless it already has a code.
+// withFailureCode gives an error the code ExitFailed unless it already has a code.
 func withFailureCode(err error) error {
 	var e *exitError
 	if err == nil || errors.As(err, &e) {
@@ -44,7 +44,7 @@
 	return &exitError{code: ExitFailed, err: err}
 }
 
-// exitCode returns the exit code of a command's error.
+// exitCode returns the exit code for the error of a command.
 func exitCode(err error) int {
 	var e *exitError
 	switch {
@@ -57,7 +57,7 @@
 	}
 }
 
-// outcomeCode returns the exit code of a request's outcome.
+// outcomeCode returns the exit code for the outcome of a request.
 func outcomeCode(o request.Outcome) int {
 	switch o {
 	case request.Complete:
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -12,7 +12,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/callerapi"
 )
 
-// decision is a placement and the daemon that made it.
+// decision is a placement and the daemon that reported it.
 type decision struct {
 	Daemon    string               `json:"daemon"`
 	Placement *callerapi.Placement `json:"placement"`
@@ -21,11 +21,11 @@
 func newExplain() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "show why a request went where it went",
+		Usage:     "show why a request was placed on its upstreams",
 		ArgsUsage: "REQUEST_ID",
-		Description: `Asks every address given and shows the placement decisions of the request, by
-attempt: the upstreams chosen, the best rejected with their estimates, and why.
-The exit code is 1 when no daemon remembers the request.
+		Description: `Queries every given address and shows the placement decisions of the request, by
+attempt: the upstreams chosen, the best ones rejected with their estimates, and why.
+The exit code is 1 when no daemon has a record of the request.
 
 Examples:
    buckthorndock -a 127.0.0.1:8080 -a 127.0.0.1:8081 explain 0192f1c4`,
@@ -53,7 +53,7 @@
 		}
 	}
 	if len(found) == 0 {
-		return exitf(ExitFailed, "no daemon asked remembers request %s", c.Args().First())
+		return exitf(ExitFailed, "no queried daemon has a record of request %s", c.Args().First())
 	}
 	sort.SliceStable(found, func(i, j int) bool { return found[i].Placement.Attempt < found[j].Placement.Attempt })
 	return emit(c, found, func(w io.Writer) { writeDecisions(w, found) })
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -9,7 +9,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// emit prints a result: as JSON, or by the function that writes its text.
+// emit prints a result: value as JSON, or its text with the given function,
+// depending on --output.
 func emit(c *cli.Command, value any, text func(w io.Writer)) error {
 	w := c.Root().Writer
 	if c.String(flagOutput) != outputJSON {
@@ -24,7 +25,7 @@
 	return withFailureCode(err)
 }
 
-// writeTable writes rows in aligned columns, the header first.
+// writeTable writes rows in aligned columns. The first row is the header.
 func writeTable(w io.Writer, rows [][]string) {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	for _, row := range rows {
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -11,10 +11,11 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/callerapi"
 )
 
+// followPollInterval is the time between two reads of a daemon's settings offset.
 const followPollInterval = 50 * time.Millisecond
 
 // policySetter changes the placement policy in the document at one path and can
-// put the document back as it was.
+// restore the original document.
 type policySetter struct {
 	c        *cli.Command
 	path     string
@@ -35,7 +36,7 @@
 	return p, nil
 }
 
-// set puts a policy in force and returns once every daemon follows it.
+// set publishes a policy and returns once every daemon has applied it.
 func (p *policySetter) set(ctx context.Context, policy string) error {
 	text, err := withPolicy(p.original, policy)
 	if err != nil {
@@ -44,7 +45,7 @@
 	return p.publish(ctx, callerapi.NewOptString(text))
 }
 
-// restore puts the document back that stood before.
+// restore publishes the original document, or deletes it when there was none.
 func (p *policySetter) restore(ctx context.Context) error {
 	switch {
 	case !p.changed:
@@ -63,7 +64,7 @@
 		return err
 	}
 	if !v.Accepted {
-		return exitf(ExitConflict, "the policy change was refused: %v", v.Findings)
+		return exitf(ExitConflict, "policy change refused: %v", v.Findings)
 	}
 	p.changed = true
 	p.version = v.Offset
@@ -73,7 +74,7 @@
 	return awaitOffset(ctx, p.c, v.Offset)
 }
 
-// withPolicy returns the document with another placement policy.
+// withPolicy returns the document with its placement policy replaced.
 func withPolicy(document, policy string) (string, error) {
 	var doc yaml.MapSlice
 	if err := yaml.UnmarshalWithOptions([]byte(document), &doc, yaml.UseOrderedMap()); err != nil {
@@ -85,7 +86,7 @@
 	return string(text), err
 }
 
-// setKey sets one key of an ordered map.
+// setKey sets a key of an ordered map, appending it when it is missing.
 func setKey(m yaml.MapSlice, key string, value any) yaml.MapSlice {
 	for i := range m {
 		if m[i].Key == key {
@@ -96,7 +97,8 @@
 	return append(m, yaml.MapItem{Key: key, Value: value})
 }
 
-// awaitOffset waits until every daemon follows the settings up to an offset.
+// awaitOffset waits until every daemon has applied the settings log up to an offset,
+// at most for followTimeout.
 func awaitOffset(ctx context.Context, c *cli.Command, offset int64) error {
 	ds, err := newDaemonClients(c)
 	if err != nil {
@@ -111,7 +113,7 @@
 				break
 			}
 			if ctx.Err() != nil {
-				return exitf(ExitFailed, "daemon %s does not follow offset %d: %s", d.address, offset, s.Error)
+				return exitf(ExitFailed, "daemon %s has not applied settings offset %d: %s", d.address, offset, s.Error)
 			}
 			time.Sleep(followPollInterval)
 		}
--- a/internal/cli/publish.go
+++ b/internal/cli/publish.go
@@ -10,22 +10,22 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/callerapi"
 )
 
-// A change whose verdict was lost is looked for this often in the history.
+// Limits of the search of the history for a change whose verdict was lost.
 const (
 	maxHistoryReads     = 20
 	historyReadInterval = 500 * time.Millisecond
 )
 
-// publishChange sends a change to the first daemon that takes it. When the
-// verdict is lost, the change is not sent again: it is looked for by its id in
-// the history that every daemon replays.
+// publishChange sends a change to the first daemon that can be reached. When the
+// verdict is lost, the change is not sent again, but searched by its id in the
+// settings history that every daemon replays.
 func publishChange(ctx context.Context, c *cli.Command, change *callerapi.SettingsChange) (*callerapi.SettingsVerdict, error) {
 	v, err := submitChange(ctx, c, change)
 	if err == nil {
 		return v, nil
 	}
 	if exitCode(err) == ExitUnknown {
-		fmt.Fprintf(c.Root().ErrWriter, "change %s: the verdict was lost, looking for it in the history\n", change.ChangeID)
+		fmt.Fprintf(c.Root().ErrWriter, "change %s: the verdict was lost, searching the history for it\n", change.ChangeID)
 		if v := awaitVerdictInHistory(ctx, c, change); v != nil {
 			return v, nil
 		}
@@ -50,8 +50,8 @@
 	}
 }
 
-// awaitVerdictInHistory returns the verdict of a change from the history, nil when no
-// daemon comes to know of it.
+// awaitVerdictInHistory polls the settings history and returns the verdict of a
+// change, or nil when it does not appear.
 func awaitVerdictInHistory(ctx context.Context, c *cli.Command, change *callerapi.SettingsChange) *callerapi.SettingsVerdict {
 	for range maxHistoryReads {
 		history, err := getHistory(ctx, c, change.Edits[0].Path, maxHistoryReads)
@@ -69,6 +69,7 @@
 	return nil
 }
 
+// findVerdict returns the verdict of a change in a history, nil when it is not there.
 func findVerdict(history *callerapi.SettingsHistory, change *callerapi.SettingsChange) *callerapi.SettingsVerdict {
 	for _, h := range history.Changes {
 		if h.ChangeID != change.ChangeID {
@@ -83,7 +84,8 @@
 	return nil
 }
 
-// getHistory reads the changes of a path and its subtree, newest first.
+// getHistory returns the newest changes of a path and its subtree, newest first, at
+// most limit of them.
 func getHistory(ctx context.Context, c *cli.Command, path string, limit int) (*callerapi.SettingsHistory, error) {
 	params := callerapi.GetSettingsHistoryParams{
 		Path:  callerapi.NewOptString(path),
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -41,7 +41,7 @@
 
 func baseFlag() cli.Flag {
 	return &cli.Int64Flag{
-		Name: flagBase, Usage: "`VERSION` that the change starts from, 0 where no document stands; the present one by default",
+		Name: flagBase, Usage: "`VERSION` on which the change is based, 0 when there is no document; the current one by default",
 		HideDefault: true,
 	}
 }
@@ -51,10 +51,10 @@
 		Name:      "get",
 		Usage:     "print the documents in force under a path, or write them to a directory",
 		ArgsUsage: "[PATH]",
-		Description: `With --to, every document is written to a file whose place mirrors its path, and
-their versions to .versions.json beside them. "settings apply" takes these
-versions as the bases of its change, so that a change made by somebody else in
-the meantime is found as a conflict and not overwritten.
+		Description: `With --to, every document is written to a file whose location mirrors its path,
+and the versions are written to .versions.json in the same directory. "settings
+apply" uses these versions as the bases of its change, so that a change made by
+somebody else in the meantime is a conflict and is not overwritten.
 
 Examples:
    buckthorndock settings get /frigolijst
@@ -119,7 +119,8 @@
 	}
 }
 
-// changeDocument sends a change of the one path named as an argument.
+// changeDocument publishes a change of the one path given as an argument. A yaml
+// value that is not set deletes the document.
 func changeDocument(ctx context.Context, c *cli.Command, yaml callerapi.OptString) error {
 	p, err := pathArg(c, "")
 	if err != nil {
@@ -173,7 +174,7 @@
 	writeTable(w, rows)
 }
 
-// getView reads the documents in force under a path.
+// getView returns the documents in force under a path.
 func getView(ctx context.Context, c *cli.Command, prefix string) (*callerapi.SettingsView, error) {
 	params := callerapi.GetSettingsParams{Prefix: callerapi.NewOptString(prefix)}
 	res, err := callFirstReachable(c, true, func(api *callerapi.Client) (callerapi.GetSettingsRes, error) {
@@ -192,7 +193,7 @@
 	}
 }
 
-// documentVersions returns the version of each document.
+// documentVersions returns the version of each document by its path.
 func documentVersions(view *callerapi.SettingsView) map[string]int64 {
 	m := make(map[string]int64, len(view.Documents))
 	for _, d := range view.Documents {
@@ -201,8 +202,8 @@
 	return m
 }
 
-// sendChange publishes edits as one change, reports the verdict and returns the
-// new version.
+// sendChange publishes edits as one change, prints the verdict and returns the new
+// version. The error is not nil when the change was refused.
 func sendChange(ctx context.Context, c *cli.Command, edits []callerapi.SettingsEdit) (int64, error) {
 	change := &callerapi.SettingsChange{ChangeID: uuid.NewString(), Author: c.String(flagAuthor), Edits: edits}
 	v, err := publishChange(ctx, c, change)
@@ -213,33 +214,36 @@
 }
 
 func reportVerdict(ctx context.Context, c *cli.Command, edits []callerapi.SettingsEdit, v *callerapi.SettingsVerdict) error {
-	lost := map[string]int64{}
+	conflicts := map[string]int64{}
 	if !v.Accepted {
-		lost = findConflicts(ctx, c, edits)
+		conflicts = findConflicts(ctx, c, edits)
 	}
-	err := emit(c, v, func(w io.Writer) { writeVerdict(w, edits, v, lost) })
+	err := emit(c, v, func(w io.Writer) { writeVerdict(w, edits, v, conflicts) })
 	switch {
 	case err != nil || v.Accepted:
 		return err
-	case len(lost) > 0, conflictedInLog(v):
-		return exitf(ExitConflict, "conflict: nothing was changed; read the present documents and apply again")
+	case len(conflicts) > 0, conflictedInLog(v):
+		return exitf(ExitConflict, "conflict: nothing was changed; read the current documents and apply again")
 	default:
 		return exitf(ExitUsage, "refused: nothing was changed")
 	}
 }
 
-// conflictedInLog reports whether a change was appended and lost to another one: faults
-// of documents are found before, and a refusal for them has no offset.
+// conflictedInLog reports whether a change was appended to the settings log and
+// refused because of another change. A change with invalid documents is refused
+// before it is appended, and its verdict has no offset.
 func conflictedInLog(v *callerapi.SettingsVerdict) bool {
 	return !v.Accepted && v.Offset > 0
 }
 
-func writeVerdict(w io.Writer, edits []callerapi.SettingsEdit, v *callerapi.SettingsVerdict, lost map[string]int64) {
+// writeVerdict prints a verdict; conflicts holds the versions in force of the edits
+// with an outdated base.
+func writeVerdict(w io.Writer, edits []callerapi.SettingsEdit, v *callerapi.SettingsVerdict, conflicts map[string]int64) {
 	if v.Accepted {
 		fmt.Fprintf(w, "accepted: change %s, version %d\n", v.ChangeID, v.Offset)
 	}
 	for _, e := range edits {
-		now, conflict := lost[e.Path]
+		now, conflict := conflicts[e.Path]
 		switch {
 		case v.Accepted:
 			fmt.Fprintln(w, "  "+e.Path)
@@ -252,35 +256,36 @@
 		note = "conflict: "
 	}
 	for _, f := range v.Findings {
-		if _, said := lost[f.Place]; !said {
+		if _, printed := conflicts[f.Place]; !printed {
 			fmt.Fprintf(w, "%s: %s%s\n", f.Place, note, f.Message)
 		}
 	}
 }
 
-// findConflicts returns the versions in force of the edits that start from another.
+// findConflicts returns the versions in force, by path, of the edits whose base is
+// another version.
 func findConflicts(ctx context.Context, c *cli.Command, edits []callerapi.SettingsEdit) map[string]int64 {
-	lost := map[string]int64{}
+	conflicts := map[string]int64{}
 	view, err := getView(ctx, c, settings.Root)
 	if err != nil {
-		fmt.Fprintf(c.Root().ErrWriter, "the versions in force are not known: %v\n", err)
-		return lost
+		fmt.Fprintf(c.Root().ErrWriter, "cannot read the versions in force: %v\n", err)
+		return conflicts
 	}
 	now := documentVersions(view)
 	for _, e := range edits {
 		if now[e.Path] != e.Base {
-			lost[e.Path] = now[e.Path]
+			conflicts[e.Path] = now[e.Path]
 		}
 	}
-	return lost
+	return conflicts
 }
 
-// pathArg returns the only argument as a settings path, or the default when it
-// may be left out.
-func pathArg(c *cli.Command, byDefault string) (string, error) {
+// pathArg returns the only argument as a settings path. Without an argument it
+// returns defaultPath, or an error when that is empty.
+func pathArg(c *cli.Command, defaultPath string) (string, error) {
 	switch {
-	case c.NArg() == 0 && byDefault != "":
-		return byDefault, nil
+	case c.NArg() == 0 && defaultPath != "":
+		return defaultPath, nil
 	case c.NArg() != 1:
 		return "", exitf(ExitUsage, "%s takes one settings path", c.FullName())
 	}
--- a/internal/cli/settings_apply.go
+++ b/internal/cli/settings_apply.go
@@ -18,8 +18,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// versionsFile holds the versions of the documents of a directory as they were
-// read; see "settings get --to".
+// versionsFile holds the versions that the documents of a directory had when they
+// were read; see "settings get --to".
 const versionsFile = ".versions.json"
 
 const (
@@ -27,16 +27,16 @@
 	dirPerm  = 0o755
 )
 
-const treeDescription = `The place of a file in the directory gives the path of its document:
+const treeDescription = `The location of a file in the directory gives the path of its document:
    frigolijst/baskets.yaml  is  /frigolijst/baskets
    _root.yaml               is  the path of its own directory
-With --at, the directory itself stands for another path than /.
+With --at, the directory itself corresponds to another path than /.
 `
 
 func treeFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: flagAt, Usage: "settings `PATH` that the directory stands for", Value: "/"},
-		&cli.BoolFlag{Name: flagPrune, Usage: "delete the documents at and under that path which the directory does not have, but for evacuations"},
+		&cli.StringFlag{Name: flagAt, Usage: "settings `PATH` to which the directory corresponds", Value: "/"},
+		&cli.BoolFlag{Name: flagPrune, Usage: "delete the documents at and under that path that the directory does not have, except evacuations"},
 	}
 }
 
@@ -45,8 +45,8 @@
 		Name:      "apply",
 		Usage:     "publish a directory of documents as one change",
 		ArgsUsage: "DIR",
-		Description: treeDescription + `All documents are accepted together or not at all. Unchanged ones are left out.
-Bases are the versions in .versions.json of the directory, else those in force.
+		Description: treeDescription + `Either all documents are accepted or none. Unchanged ones are left out. Bases are
+the versions in .versions.json of the directory or, without it, those in force.
 
 Examples:
    buckthorndock settings apply examples
@@ -86,7 +86,7 @@
 	}
 }
 
-// editDiff is one edit as diff shows it.
+// editDiff is one edit as printed by "settings diff".
 type editDiff struct {
 	Path   string `json:"path"`
 	Action string `json:"action"` // create, change or delete
@@ -103,7 +103,7 @@
 	diffs := make([]editDiff, 0, len(edits))
 	for _, e := range edits {
 		d := editDiff{Path: e.Path, Action: "change", Base: e.Base, Diff: lineDiff(old[e.Path], e.Yaml.Value)}
-		if _, stands := old[e.Path]; !stands {
+		if _, exists := old[e.Path]; !exists {
 			d.Action = "create"
 		}
 		if !e.Yaml.Set {
@@ -121,8 +121,8 @@
 	})
 }
 
-// planTree returns the directory named as an argument and the edits that make
-// the settings equal to it.
+// planTree returns the directory given as an argument, the edits that make the
+// settings equal to it, and the view of the settings in force.
 func planTree(ctx context.Context, c *cli.Command) (string, []callerapi.SettingsEdit, *callerapi.SettingsView, error) {
 	if c.NArg() != 1 {
 		return "", nil, nil, exitf(ExitUsage, "%s takes one directory", c.FullName())
@@ -146,8 +146,9 @@
 	return dir, planEdits(docs, view, bases, c.Bool(flagPrune)), view, nil
 }
 
-// planEdits returns the edits from the documents in force to those wanted. The
-// base of an edit is taken from bases when these are known, else from the view.
+// planEdits returns the edits that turn the documents in force, given by view, into
+// docs. The base of an edit comes from bases, or from the view when bases is nil. With
+// prune, documents that are not in docs are deleted, except evacuations.
 func planEdits(docs []treeDocument, view *callerapi.SettingsView, bases map[string]int64, prune bool) []callerapi.SettingsEdit {
 	if bases == nil {
 		bases = documentVersions(view)
@@ -157,7 +158,7 @@
 	var edits []callerapi.SettingsEdit
 	for _, d := range docs {
 		wanted[d.Path] = true
-		if text, stands := old[d.Path]; stands && ensureTrailingNewline(text) == ensureTrailingNewline(d.Text) {
+		if text, exists := old[d.Path]; exists && ensureTrailingNewline(text) == ensureTrailingNewline(d.Text) {
 			continue
 		}
 		edits = append(edits, callerapi.SettingsEdit{Path: d.Path, Base: bases[d.Path], Yaml: callerapi.NewOptString(d.Text)})
@@ -173,6 +174,7 @@
 	return edits
 }
 
+// documentTexts returns the YAML text of each document by its path.
 func documentTexts(view *callerapi.SettingsView) map[string]string {
 	m := make(map[string]string, len(view.Documents))
 	for _, d := range view.Documents {
@@ -181,8 +183,8 @@
 	return m
 }
 
-// writeTree writes documents and their versions to a directory that stands for
-// the path at.
+// writeTree writes documents and their versions to a directory that corresponds to
+// the settings path at.
 func writeTree(dir, at string, view *callerapi.SettingsView) error {
 	for _, d := range view.Documents {
 		file := filepath.Join(dir, documentFile(at, d.Path))
@@ -207,7 +209,8 @@
 	return merry.Prepend(os.WriteFile(filepath.Join(dir, versionsFile), append(data, '\n'), filePerm), "write versions")
 }
 
-// readVersions returns the versions kept with a directory, nil without any.
+// readVersions returns the versions stored in a directory, nil when it has no
+// versionsFile.
 func readVersions(dir string) (map[string]int64, error) {
 	data, err := os.ReadFile(filepath.Join(dir, versionsFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -223,8 +226,8 @@
 	return m, nil
 }
 
-// updateVersions notes an accepted change in the versions kept with a
-// directory. A directory without any stays so.
+// updateVersions applies an accepted change to the versions stored in a directory.
+// It does nothing when the directory has no versionsFile.
 func updateVersions(dir string, edits []callerapi.SettingsEdit, version int64) error {
 	bases, err := readVersions(dir)
 	if err != nil || bases == nil {
@@ -239,7 +242,8 @@
 	return writeVersions(dir, bases)
 }
 
-// lineDiff marks the lines that differ between two texts.
+// lineDiff returns the lines of both texts, prefixed with "- " when removed, "+ " when
+// added and "  " when unchanged.
 func lineDiff(old, wanted string) string {
 	a, b := splitLines(old), splitLines(wanted)
 	common := lcsLengths(a, b)
@@ -261,8 +265,8 @@
 	return out.String()
 }
 
-// lcsLengths returns, for each pair of positions, the length of the longest
-// common subsequence of the lines from there on.
+// lcsLengths returns, for each pair of positions i and j, the length of the longest
+// common subsequence of a[i:] and b[j:].
 func lcsLengths(a, b []string) [][]int {
 	n := make([][]int, len(a)+1)
 	for i := range n {
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -11,7 +11,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/callerapi"
 )
 
-// daemonStatus is the status of one address, or why there is none.
+// daemonStatus is the status of the daemon at one address, or the error of reading it.
 type daemonStatus struct {
 	Address string            `json:"address"`
 	Error   string            `json:"error,omitempty"`
@@ -21,8 +21,8 @@
 func newStatus() *cli.Command {
 	return &cli.Command{
 		Name:  "status",
-		Usage: "show what daemons know of themselves, their peers and their upstreams",
-		Description: `Asks every address given. The exit code is 1 when one of them did not answer.
+		Usage: "show the state of daemons, their peers and their upstreams",
+		Description: `Queries every given address. The exit code is 1 when one of them did not answer.
 
 Examples:
    buckthorndock -a 127.0.0.1:8080 -a 127.0.0.1:8081 status
@@ -37,19 +37,19 @@
 		return err
 	}
 	var all []daemonStatus
-	silent := 0
+	failures := 0
 	for _, d := range ds {
 		s := getStatus(ctx, d)
 		if s.Status == nil {
-			silent++
+			failures++
 		}
 		all = append(all, s)
 	}
 	if err := emit(c, all, func(w io.Writer) { writeStatus(w, all) }); err != nil {
 		return err
 	}
-	if silent > 0 {
-		return exitf(ExitFailed, "%d of %d daemons gave no status", silent, len(ds))
+	if failures > 0 {
+		return exitf(ExitFailed, "%d of %d daemons returned no status", failures, len(ds))
 	}
 	return nil
 }
--- a/internal/cli/tree.go
+++ b/internal/cli/tree.go
@@ -13,7 +13,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/finding"
 )
 
-// rootFile holds the document of its own directory's path.
+// rootFile is the name of the file that holds the document at the path of its
+// directory.
 const rootFile = "_root.yaml"
 
 const documentExt = ".yaml"
@@ -25,8 +26,8 @@
 	Text string
 }
 
-// documentPath returns the settings path of a file, which is named relative to a
-// directory that stands for the path at.
+// documentPath returns the settings path of a file. The file name rel is relative to
+// a directory that corresponds to the settings path at.
 func documentPath(at, rel string) string {
 	rel = filepath.ToSlash(rel)
 	dir, name := path.Split(rel)
@@ -36,16 +37,16 @@
 	return path.Join("/", at, dir, strings.TrimSuffix(name, documentExt))
 }
 
-// documentFile returns the file of a settings path, relative to the directory
-// that stands for the path at.
+// documentFile returns the file for a settings path, relative to the directory that
+// corresponds to the settings path at.
 func documentFile(at, docPath string) string {
 	rel := strings.Trim(strings.TrimPrefix(docPath, path.Join("/", at)), "/")
 	return filepath.Join(filepath.FromSlash(rel), rootFile)
 }
 
-// readTree reads every document below a directory, in the order of their paths.
-// Hidden files and those without the extension .yaml are left out. Two files of
-// one path are a finding.
+// readTree reads every document below a directory and returns them sorted by path.
+// Hidden files and files without the extension .yaml are skipped. Two files with the
+// same settings path are a finding.
 func readTree(dir, at string) ([]treeDocument, finding.List, error) {
 	var docs []treeDocument
 	err := filepath.WalkDir(dir, func(file string, e fs.DirEntry, err error) error {
--- a/internal/cli/tree_test.go
+++ b/internal/cli/tree_test.go
@@ -26,13 +26,13 @@
 	for _, at := range []string{"/", "/kuopio"} {
 		for _, p := range []string{at, filepath.Join(at, "a"), filepath.Join(at, "a/b")} {
 			if got := documentPath(at, documentFile(at, p)); got != p {
-				t.Errorf("at %s: %s comes back as %s", at, p, got)
+				t.Errorf("at %s: path %s becomes %s", at, p, got)
 			}
 		}
 	}
 }
 
-func TestReadTreeFindsTwoFilesOfOnePath(t *testing.T) {
+func TestReadTreeReportsDuplicatePaths(t *testing.T) {
 	dir := t.TempDir()
 	writeFile(t, filepath.Join(dir, "a.yaml"), "limits: {}\n")
 	writeFile(t, filepath.Join(dir, "a", "_root.yaml"), "limits: {}\n")
--- a/internal/cli/verify.go
+++ b/internal/cli/verify.go
@@ -8,13 +8,14 @@
 	"github.com/buckthorndock/buckthorndock/internal/standin/answer"
 )
 
-// verifyCompletion says whether an answer is the one that a stand-in engine gives
-// to the prompt.
+// verifyCompletion reports whether got is the answer of a stand-in engine to the
+// prompt.
 func verifyCompletion(prompt string, answerTokens int, got string) bool {
 	return got == answer.Whole(prompt, answerTokens)
 }
 
-// echoedRequest is the part of a stand-in service's answer that names its request.
+// echoedRequest is the part of a stand-in service's answer that identifies its
+// request by the hash of the body.
 type echoedRequest struct {
 	SHA256 string `json:"echo_sha256"`
 	Result struct {
@@ -22,8 +23,7 @@
 	} `json:"result"`
 }
 
-// verifyService says whether an answer is the one that a stand-in service gives
-// to the body.
+// verifyService reports whether got is the answer of a stand-in service to the body.
 func verifyService(body, got string) bool {
 	var e echoedRequest
 	if json.Unmarshal([]byte(got), &e) != nil {
