--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestScheduleFollowsFromSeed(t *testing.T) {
+func TestScheduleIsDeterminedBySeed(t *testing.T) {
 	m := testMix()
 	one, again, other := Schedule(m, Scale{}, 1), Schedule(m, Scale{}, 1), Schedule(m, Scale{}, 2)
 	if !reflect.DeepEqual(one, again) {
@@ -42,12 +42,12 @@
 		t.Error("two seeds give the same schedule")
 	}
 	if len(one) != 6000+2 {
-		t.Errorf("%d arrivals, want the rate over the duration and the two counted", len(one))
+		t.Errorf("%d arrivals, want rate times duration plus the class with a count of 2", len(one))
 	}
 }
 
-func TestScheduleHasTheMixesShape(t *testing.T) {
-	woke, tail, completions := 0, 0, 0
+func TestScheduleMatchesMixDistribution(t *testing.T) {
+	burst, tail, completions := 0, 0, 0
 	arrivals := Schedule(testMix(), Scale{Lengths: 0.5}, 1)
 	for i, a := range arrivals {
 		if i > 0 && a.At < arrivals[i-1].At {
@@ -57,7 +57,7 @@
 			t.Fatalf("customer %s may not send class stock", a.Customer.Name)
 		}
 		if a.At < 6*time.Second {
-			woke++
+			burst++
 		}
 		if a.Class.Name == "draft" {
 			completions++
@@ -69,16 +69,16 @@
 			}
 		}
 	}
-	// Half of all and a tenth of the rest come within the wake: 55%.
-	if share := float64(woke) / float64(len(arrivals)); share < 0.52 || share > 0.58 {
-		t.Errorf("%.3f of the arrivals within the wake", share)
+	// Half of all arrivals and a tenth of the others come within the wake: 55%.
+	if share := float64(burst) / float64(len(arrivals)); share < 0.52 || share > 0.58 {
+		t.Errorf("%.3f of the arrivals come within the wake, want 0.52 to 0.58", share)
 	}
 	if share := float64(tail) / float64(completions); share < 0.013 || share > 0.027 {
 		t.Errorf("%.4f of the prompts in the tail, want about one in fifty", share)
 	}
 }
 
-func TestShortsAreTheSameRequests(t *testing.T) {
+func TestShortArrivalsAreTheSameRequests(t *testing.T) {
 	m := testMix()
 	all := Schedule(m, Scale{}, 1)
 	short := ShortArrivals(m, all)
@@ -115,7 +115,7 @@
 		t.Errorf("counts %+v", r.All)
 	}
 	if r.All.GoodShare != 0 {
-		t.Errorf("a late and a wrong answer count as good: %v", r.All.GoodShare)
+		t.Errorf("a late or a wrong answer counts as good: %v", r.All.GoodShare)
 	}
 	if len(r.Buckets) != 2 || r.Buckets[0].Bucket != "1k-4k" || r.Buckets[0].Sent != 3 || r.Buckets[1].Bucket != "256k-1M" {
 		t.Errorf("buckets %+v", r.Buckets)
@@ -131,12 +131,12 @@
 	}
 }
 
-// approxEqual allows for the three digits of the histograms.
+// approxEqual compares with the precision of the histograms, three digits.
 func approxEqual(got, want float64) bool {
 	return got > want*0.999 && got < want*1.001
 }
 
-func TestStalled(t *testing.T) {
+func TestLongestStall(t *testing.T) {
 	m := testMix()
 	s := time.Second
 	records := []Record{
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestMixFindingsComeTogether(t *testing.T) {
+func TestLoadMixReportsAllFindings(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "mix.yaml")
 	text := "name: x\nrate: 0\nduration: 1s\nclasses:\n  - {name: a, share: 1, deadline: 1s}\n"
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestRunComesBackOnceAndVerifies(t *testing.T) {
+func TestRunRetriesOnceAndVerifies(t *testing.T) {
 	var mu sync.Mutex
 	attempts := 0
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -222,7 +222,7 @@
 	}
 }
 
-func TestPagesStandAlone(t *testing.T) {
+func TestPagesNeedNoOtherFile(t *testing.T) {
 	m := testMix()
 	r := NewReport(m, Scale{}, 1, 1, []Record{newTestRecord(m, 0, 2000, 0, time.Second, time.Millisecond, request.Complete)})
 	c := &Comparison{Policies: []PolicyResult{{Policy: "random", Mix: r, Alone: r, Slowdown: newSlowdown(r, r)}}}
@@ -236,7 +236,7 @@
 		}
 		page := b.String()
 		if strings.Count(page, "<svg") != 2 || strings.Contains(page, "src=") || strings.Contains(page, "<link") {
-			t.Errorf("the page has %d plots, or needs another file", strings.Count(page, "<svg"))
+			t.Errorf("the page has %d plots, want 2, or needs another file", strings.Count(page, "<svg"))
 		}
 	}
 	file := filepath.Join(t.TempDir(), "HISTORY.md")
--- a/internal/bench/compare.go
+++ b/internal/bench/compare.go
@@ -8,12 +8,12 @@
 	"github.com/buckthorndock/buckthorndock/internal/wait"
 )
 
-// Comparison is the same load under several placement policies.
+// Comparison holds the results of the same load under several placement policies.
 type Comparison struct {
 	Policies []PolicyResult `json:"policies"`
 }
 
-// PolicyResult is what came of one policy.
+// PolicyResult holds the results of one policy.
 type PolicyResult struct {
 	Policy   string        `json:"policy"`
 	Mix      *Report       `json:"mix"`
@@ -21,24 +21,24 @@
 	Slowdown ShortSlowdown `json:"slowdown_of_short"`
 }
 
-// ShortSlowdown is the first token of short requests in the mix against the same
-// requests alone.
+// ShortSlowdown compares the first-token latency of short requests in the mix with
+// that of the same requests alone.
 type ShortSlowdown struct {
 	MixP95Ms   float64 `json:"mix_p95_ms"`
 	AloneP95Ms float64 `json:"alone_p95_ms"`
 	Ratio      float64 `json:"ratio"`
 }
 
-// CompareOptions set up a comparison.
+// CompareOptions configures a comparison.
 type CompareOptions struct {
 	Policies []string
-	// SetPolicy puts a policy in force and returns once every daemon follows it.
+	// SetPolicy changes the policy and returns once every daemon has applied it.
 	SetPolicy func(ctx context.Context, policy string) error
-	// Send sends a schedule; Run with its options in practice.
+	// Send sends a schedule, usually with Run.
 	Send func(ctx context.Context, arrivals []Arrival) []Record
-	// Pause is the time between two runs, in which the site comes to rest.
+	// Pause is the time before each run, in which the site becomes idle.
 	Pause time.Duration
-	// Daemons is the number of daemons that take the load.
+	// Daemons is the number of daemons that receive the load.
 	Daemons int
 }
 
--- a/internal/bench/histogram.go
+++ b/internal/bench/histogram.go
@@ -6,14 +6,15 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the histograms: from a microsecond to an hour, three digits.
+// Bounds of the histograms in microseconds, from one to an hour, and their number of
+// significant digits.
 const (
 	histogramMin    = 1
 	histogramMax    = int64(time.Hour / time.Microsecond)
 	histogramDigits = 3
 )
 
-// Quantiles of a group of times in milliseconds; all zero when Count is.
+// Quantiles holds quantiles of durations in milliseconds, all zero when Count is zero.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -22,7 +23,7 @@
 	Max   float64 `json:"max"`
 }
 
-// histogram counts times.
+// histogram counts durations by microseconds.
 type histogram struct {
 	h *hdrhistogram.Histogram
 }
@@ -31,7 +32,7 @@
 	return &histogram{h: hdrhistogram.New(histogramMin, histogramMax, histogramDigits)}
 }
 
-// record adds a time, cut to the bounds of the histogram.
+// record adds a duration, clamped to the bounds of the histogram.
 func (h *histogram) record(d time.Duration) {
 	us := min(max(d.Microseconds(), histogramMin), histogramMax)
 	_ = h.h.RecordValue(us) // only a value out of bounds is an error
--- a/internal/bench/history.go
+++ b/internal/bench/history.go
@@ -22,8 +22,8 @@
 
 const historyPerm = 0o644
 
-// AppendHistory adds a line for each policy to a file, which it makes when there
-// is none. Label names the program that was measured.
+// AppendHistory appends a line for each policy to a Markdown file, which it creates
+// when it does not exist. Label names the build that was measured.
 func (c *Comparison) AppendHistory(file, label string, day time.Time) error {
 	_, err := os.Stat(file)
 	fresh := errors.Is(err, fs.ErrNotExist)
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// bucketP95 returns the first token's p95 of a bucket, a dash without one.
+// bucketP95 returns the first-token p95 of a bucket in milliseconds, or "-" when the
+// bucket has no first token.
 func (r *Report) bucketP95(name string) string {
 	row := r.bucketRow(name)
 	if row == nil || row.FirstTokenMs.Count == 0 {
--- a/internal/bench/html.go
+++ b/internal/bench/html.go
@@ -8,7 +8,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// page is what the HTML page shows.
+// page is the data of the HTML page.
 type page struct {
 	Title    string
 	Charts   []template.HTML
@@ -42,8 +42,8 @@
 {{end}}
 {{range .Reports}}
 <h2>{{.Mix}}{{with .Policy}}, policy {{.}}{{end}}</h2>
-<p>{{.RatePerS}} a second for {{.DurationS}} s, seed {{.Seed}}, lengths × {{.LengthScale}}, {{.Daemons}} daemons.
-Retries {{.Retries.Count}}, attempts a request {{printf "%.3f" .Retries.Amplification}}, retry peak to mean {{printf "%.2f" .Retries.PeakToMean}}.
+<p>{{.RatePerS}} per second for {{.DurationS}} s, seed {{.Seed}}, lengths × {{.LengthScale}}, {{.Daemons}} daemons.
+Retries {{.Retries.Count}}, attempts per request {{printf "%.3f" .Retries.Amplification}}, retry peak to mean {{printf "%.2f" .Retries.PeakToMean}}.
 Requests were sent late by p99 {{printf "%.1f" .DispatchLagMs.P99}} ms.</p>
 {{template "rows" .Classes}}
 {{template "rows" .Buckets}}
@@ -57,7 +57,7 @@
 
 var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{"percent": percent}).Parse(pageText))
 
-// WriteHTML writes the report as a page that needs no other file.
+// WriteHTML writes the report as an HTML page that needs no other file.
 func (r *Report) WriteHTML(w io.Writer) error {
 	p := page{Title: "Load " + r.Mix, Reports: []*Report{r}}
 	first, err := bucketChart([]*Report{r})
@@ -72,7 +72,7 @@
 	return merry.Prepend(pageTemplate.Execute(w, p), "write page")
 }
 
-// WriteHTML writes the comparison as a page that needs no other file.
+// WriteHTML writes the comparison as an HTML page that needs no other file.
 func (c *Comparison) WriteHTML(w io.Writer) error {
 	p := page{Title: "Placement policies compared", Policies: c.Policies}
 	slowdown := series{name: "slowdown"}
@@ -96,7 +96,8 @@
 	return merry.Prepend(pageTemplate.Execute(w, p), "write page")
 }
 
-// bucketChart draws the first token's p95 by prompt length for each report.
+// bucketChart draws the first-token p95 by prompt length for each report. It returns
+// an empty string when no report has a bucket.
 func bucketChart(reports []*Report) (string, error) {
 	var labels []string
 	for _, b := range buckets {
--- a/internal/bench/mix.go
+++ b/internal/bench/mix.go
@@ -12,18 +12,19 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// Mix describes a load: classes of requests, their customers and their arrival.
+// Mix describes a load: classes of requests, their customers and their arrivals.
 type Mix struct {
 	Name             string     `yaml:"name"`
-	Rate             float64    `yaml:"rate"` // mean arrivals a second
+	Rate             float64    `yaml:"rate"` // mean arrivals per second
 	Duration         Duration   `yaml:"duration"`
-	Wake             *Wake      `yaml:"wake,omitempty"`     // some arrivals come at once
-	ShortBelowTokens int        `yaml:"short_below_tokens"` // prompts below it are short
+	Wake             *Wake      `yaml:"wake,omitempty"`     // initial burst, nil for none
+	ShortBelowTokens int        `yaml:"short_below_tokens"` // prompts with fewer tokens are short
 	Customers        []Customer `yaml:"customers"`
 	Classes          []Class    `yaml:"classes"`
 }
 
-// Wake makes a share of the arrivals come within a time from the start.
+// Wake describes an initial burst: the given share of the arrivals comes within a
+// time from the start.
 type Wake struct {
 	Share  float64  `yaml:"share"`
 	Within Duration `yaml:"within"`
@@ -36,9 +37,9 @@
 	Weight float64 `yaml:"weight"`
 }
 
-// Class is a kind of request. Model makes it a completion, Service a call of a
-// plain service. Share gives it a part of the mix's rate, Count a fixed number of
-// requests beside that rate.
+// Class describes a kind of request: a completion when Model is set, a call of a plain
+// service when Service is set. Share gives the class a part of the mix's rate, Count a
+// fixed number of requests in addition to that rate.
 type Class struct {
 	Name          string             `yaml:"name"`
 	Share         float64            `yaml:"share,omitempty"` // relative to the other classes
@@ -53,11 +54,11 @@
 	PromptTokens  LengthDistribution `yaml:"prompt_tokens,omitempty"`
 	AnswerTokens  LengthDistribution `yaml:"answer_tokens,omitempty"`
 	SharedPrefix  *SharedPrefix      `yaml:"shared_prefix,omitempty"`
-	Customers     []string           `yaml:"customers,omitempty"` // empty: all
+	Customers     []string           `yaml:"customers,omitempty"` // empty for all
 }
 
-// LengthDistribution is a log-uniform distribution from Min to Max. A share of TailShare is
-// drawn from Max to TailMax instead.
+// LengthDistribution is a log-uniform distribution of token counts from Min to Max. A
+// share of TailShare is drawn from Max to TailMax instead.
 type LengthDistribution struct {
 	Min       int     `yaml:"min"`
 	Max       int     `yaml:"max"`
@@ -65,13 +66,13 @@
 	TailMax   int     `yaml:"tail_max,omitempty"`
 }
 
-// SharedPrefix is text that the prompts of a class have in common.
+// SharedPrefix describes text with which the prompts of a class begin.
 type SharedPrefix struct {
 	Tokens   int `yaml:"tokens"`
 	Variants int `yaml:"variants"` // number of different prefixes
 }
 
-// Duration is a time.Duration written as in "90s".
+// Duration is a time.Duration that YAML holds as text such as "90s".
 type Duration time.Duration
 
 // UnmarshalYAML implements yaml.BytesUnmarshaler.
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// LoadMix reads and checks a mix. The error of a bad one is a finding.List.
+// LoadMix reads and validates a mix. The error for an invalid mix is a finding.List.
 func LoadMix(file string) (*Mix, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -118,7 +119,7 @@
 		bad("duration", "must be above 0")
 	}
 	if m.Wake != nil && (m.Wake.Share <= 0 || m.Wake.Share > 1 || m.Wake.Within <= 0) {
-		bad("wake", "needs a share in (0, 1] and a time above 0")
+		bad("wake", "needs a share in (0, 1] and within above 0")
 	}
 	names := map[string]bool{}
 	for i, c := range m.Customers {
@@ -134,7 +135,7 @@
 		bad("classes", "missing")
 	}
 	if len(m.Classes) > 0 && m.totalShare() == 0 {
-		bad("classes", "none has a share")
+		bad("classes", "no class has a share")
 	}
 	for i := range m.Classes {
 		m.Classes[i].validate(fmt.Sprintf("classes[%d]", i), names, bad)
@@ -156,7 +157,7 @@
 		bad(key+".operation", "missing")
 	}
 	if _, ok := request.ParsePriority(c.Priority); c.Priority != "" && !ok {
-		bad(key+".priority", "%q is none of urgent, normal, bulk", c.Priority)
+		bad(key+".priority", "%q is not urgent, normal or bulk", c.Priority)
 	}
 	for _, name := range c.Customers {
 		if !customers[name] {
--- a/internal/bench/plots.go
+++ b/internal/bench/plots.go
@@ -18,13 +18,13 @@
 	barWidth   = 14 * vg.Millimeter
 )
 
-// series is one named set of bars, one for each label of a chart.
+// series is a named set of bars, one bar for each label of a chart.
 type series struct {
 	name   string
 	values []float64
 }
 
-// barChart draws groups of bars, one group for each label.
+// barChart draws groups of bars, one group for each label, as SVG.
 func barChart(title, unit string, labels []string, all []series) (string, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = title, unit
@@ -48,7 +48,8 @@
 	return svg(p)
 }
 
-// timelineChart draws what was sent, completed and refused in each second.
+// timelineChart draws the number of requests sent, completed and refused in each
+// second, as SVG.
 func timelineChart(rows []SecondRow) (string, error) {
 	p := plot.New()
 	p.Title.Text = "Requests in each second"
@@ -78,7 +79,7 @@
 	return svg(p)
 }
 
-// svg draws a plot as an SVG element that can stand in a page.
+// svg draws a plot as an SVG element that can be embedded in a page.
 func svg(p *plot.Plot) (string, error) {
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(canvas))
--- a/internal/bench/prompts.go
+++ b/internal/bench/prompts.go
@@ -8,22 +8,22 @@
 )
 
 // promptSource builds prompts cheaply: the body of every prompt is a slice of one
-// text, and a unique head makes prompts differ from their first block on.
+// text, and a unique head makes prompts differ from their first KV block.
 type promptSource struct {
 	seed     uint64
 	mu       sync.Mutex
-	body     string            // grows to the longest prompt asked for
-	prefixes map[string]string // shared prefixes
+	body     string            // grows to the longest prompt requested
+	prefixes map[string]string // shared prefixes by class and variant
 }
 
-// minBodyTokens is the length of the first body.
+// minBodyTokens is the initial length of the body.
 const minBodyTokens = 1 << 16
 
 func newPromptSource(seed uint64) *promptSource {
 	return &promptSource{seed: seed, prefixes: map[string]string{}}
 }
 
-// prompt returns the text of an arrival.
+// prompt returns the prompt of an arrival: its shared prefix, a unique head and the body.
 func (p *promptSource) prompt(a *Arrival) string {
 	want := a.PromptTokens * caller.BytesPerToken
 	head := p.sharedPrefix(a) + fmt.Sprintf("%016x ", a.Unique)
@@ -33,7 +33,8 @@
 	return head + p.bodyText(a.PromptTokens)[:want-len(head)]
 }
 
-// sharedPrefix returns the prefix that the arrival has in common with others.
+// sharedPrefix returns the prefix that the arrival shares with others of its class and
+// variant, empty when the class has none.
 func (p *promptSource) sharedPrefix(a *Arrival) string {
 	if a.Class.SharedPrefix == nil {
 		return ""
@@ -48,7 +49,7 @@
 	return p.prefixes[key]
 }
 
-// bodyText returns at least the given number of tokens of the body.
+// bodyText returns the body, grown to at least the given number of tokens.
 func (p *promptSource) bodyText(tokens int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -7,8 +7,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// Report is what came of one run. Times are in milliseconds; lengths are those
-// before scaling.
+// Report holds the results of one run. Times are in milliseconds unless the name says
+// otherwise; prompt lengths are those before scaling.
 type Report struct {
 	Mix              string      `json:"mix"`
 	Policy           string      `json:"policy,omitempty"`
@@ -29,7 +29,7 @@
 	Timeline         []SecondRow `json:"timeline"`
 }
 
-// Row counts the requests of a group and measures its answers.
+// Row holds the request counts and latencies of a group of requests.
 type Row struct {
 	Class          string         `json:"class,omitempty"`
 	Bucket         string         `json:"bucket,omitempty"`
@@ -38,27 +38,27 @@
 	NotRun         int            `json:"not_run"`
 	Failed         int            `json:"failed"`
 	Unknown        int            `json:"unknown"`
-	Late           int            `json:"late"`       // complete, after the deadline
-	Mismatched     int            `json:"mismatched"` // complete, with a wrong answer
+	Late           int            `json:"late"`       // complete, but after the deadline
+	Mismatched     int            `json:"mismatched"` // complete, but with a wrong answer
 	RetryAfterSeen int            `json:"retry_after_seen"`
-	GoodShare      float64        `json:"good_share"` // right answers in time
+	GoodShare      float64        `json:"good_share"` // share of correct answers in time
 	FirstTokenMs   Quantiles      `json:"first_token_ms"`
 	InterTokenMs   Quantiles      `json:"between_token_ms"`
-	StalledS       float64        `json:"stalled_s"` // longest time with requests waiting and none completed
+	StalledS       float64        `json:"stalled_s"` // longest time in which requests waited and none completed
 	Codes          map[string]int `json:"codes,omitempty"`
 }
 
-// Retries tells how clients came back after a Retry-After.
+// Retries holds counts and rates of the retries that clients made after a Retry-After.
 type Retries struct {
 	Count            int       `json:"count"`
-	Amplification    float64   `json:"amplification"` // attempts for each request
+	Amplification    float64   `json:"amplification"` // attempts per request
 	PeakPerS         int       `json:"peak_per_s"`
-	MeanPerS         float64   `json:"mean_per_s"` // from the first second with one to the last
+	MeanPerS         float64   `json:"mean_per_s"` // from the first second with a retry to the last
 	PeakToMean       float64   `json:"peak_to_mean"`
 	RefusalLatencyMs Quantiles `json:"refused_in_ms"`
 }
 
-// Fairness compares the customers' first tokens.
+// Fairness compares the first-token latencies of the customers.
 type Fairness struct {
 	WorstCustomer string  `json:"worst_customer,omitempty"`
 	WorstP95Ms    float64 `json:"worst_p95_ms"`
@@ -66,15 +66,15 @@
 	Ratio         float64 `json:"ratio"`
 }
 
-// SecondRow is one second of a run.
+// SecondRow counts the requests of one second of a run.
 type SecondRow struct {
 	Sent     int `json:"sent"`
 	Complete int `json:"complete"`
 	Refused  int `json:"refused"`
-	Good     int `json:"good"` // of those sent in this second: right answers in time
+	Good     int `json:"good"` // requests sent in this second with a correct answer in time
 }
 
-// bucket is a range of prompt lengths, from included, to excluded.
+// bucket is a range of prompt lengths in tokens; from is included, to is excluded.
 type bucket struct {
 	name     string
 	from, to int
@@ -82,7 +82,7 @@
 
 const kilo = 1000
 
-// The longest bucket also takes what is longer.
+// buckets are the ranges of prompt lengths. The last one has no upper bound.
 var buckets = []bucket{
 	{"under 1k", 0, kilo},
 	{"1k-4k", kilo, 4 * kilo},
@@ -101,7 +101,7 @@
 	return buckets[len(buckets)-1].name
 }
 
-// NewReport sums up the records of a run of a mix.
+// NewReport builds the report of a run from its records.
 func NewReport(m *Mix, s Scale, seed uint64, daemons int, records []Record) *Report {
 	r := &Report{
 		Mix: m.Name, Seed: seed, RatePerS: m.Rate, DurationS: time.Duration(m.Duration).Seconds(),
@@ -131,7 +131,8 @@
 	return r
 }
 
-// addGroups adds the rows by class, by bucket and by both that have requests.
+// addGroups adds the rows by class, by bucket and by both, without those that have no
+// requests.
 func (r *Report) addGroups(m *Mix, all []*Record) {
 	completion := func(x *Record) bool { return x.Arrival.Class.Model != "" }
 	for i := range m.Classes {
@@ -208,7 +209,7 @@
 func longestStall(records []*Record) time.Duration {
 	type event struct {
 		at   time.Duration
-		step int // change of the number of requests that wait
+		step int // change of the number of waiting requests
 		done bool
 	}
 	var events []event
@@ -263,8 +264,8 @@
 	return r
 }
 
-// newFairness compares customers by the first token of their short prompts, so
-// that a customer is not the worst only for sending the longest ones.
+// newFairness compares customers by the first-token latency of their short prompts, so
+// that a customer does not rank worst only because it sends the longest prompts.
 func newFairness(m *Mix, records []*Record) Fairness {
 	byCustomer := map[string]*histogram{}
 	for _, x := range records {
@@ -336,7 +337,7 @@
 	return kept
 }
 
-// ratio returns a/b, zero when b is.
+// ratio returns a/b, or zero when b is zero.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -12,21 +12,22 @@
 	"github.com/buckthorndock/buckthorndock/internal/wait"
 )
 
-// RunOptions say where a schedule is sent.
+// RunOptions configures a run.
 type RunOptions struct {
 	Addresses []string // IP:port of the daemons; requests go to them in turn
 	Seed      uint64   // of the prompts
-	// Verify says whether an answer belongs to its prompt and has the tokens
-	// asked for. Nil accepts every answer.
+	// Verify reports whether an answer belongs to its prompt and has the requested
+	// number of tokens. Nil accepts every answer.
 	Verify func(prompt string, answerTokens int, answer string) bool
-	// VerifyService does the same for a service's answer to a body.
+	// VerifyService reports whether an answer of a service belongs to its body. Nil
+	// accepts every answer.
 	VerifyService func(body, answer string) bool
-	// Progress is told of each request that ended; nil without interest.
+	// Progress is called after each request has ended. It may be nil.
 	Progress func()
 }
 
-// Record is the end of one request: of its last attempt when the client came
-// back after a Retry-After.
+// Record is the result of one request. When the client retried after a Retry-After,
+// the outcome is that of the retry.
 type Record struct {
 	Arrival        *Arrival
 	Started        time.Duration // from the start of the run
@@ -34,21 +35,21 @@
 	Outcome        request.Outcome
 	Code           request.Code
 	RequestID      string
-	Mismatch       bool // complete, and not the answer to its own prompt
+	Mismatch       bool // complete, but not the answer to its own prompt
 	FirstToken     time.Duration
-	Total          time.Duration // from the arrival to the end, waits included
+	Total          time.Duration // from Started to Ended, the wait before a retry included
 	Gaps           []time.Duration
 	RetryAfter     time.Duration // of the first refusal, zero without one
-	RetriedAt      time.Duration // when the client came back, zero when it did not
-	RefusalLatency time.Duration // how long the first refusal took, zero without one
+	RetriedAt      time.Duration // start of the retry from the start of the run, zero without one
+	RefusalLatency time.Duration // duration of the first refused attempt, zero without one
 }
 
-// Late says that the answer was whole, but after its deadline.
+// Late reports whether the answer was complete, but after its deadline.
 func (r *Record) Late() bool {
 	return r.Outcome == request.Complete && r.Total > r.Arrival.Deadline
 }
 
-// Good says that the answer was whole, the right one and in time.
+// Good reports whether the answer was complete, correct and in time.
 func (r *Record) Good() bool {
 	return r.Outcome == request.Complete && !r.Mismatch && !r.Late()
 }
@@ -61,9 +62,9 @@
 	start   time.Time
 }
 
-// Run sends the arrivals at their times, whatever the answers, and returns their
-// records in the order of the arrivals once all have ended. When the context ends
-// no more are sent, and the records are those of the arrivals that were sent.
+// Run sends the arrivals at their times without waiting for answers, and returns their
+// records in the order of the arrivals once all have ended. When the context ends, no
+// more are sent, and the records are those of the arrivals that were sent.
 func Run(ctx context.Context, arrivals []Arrival, opts RunOptions) []Record {
 	r := &runner{opts: opts, client: caller.NewClient(), prompts: newPromptSource(opts.Seed), start: time.Now()}
 	records := make([]Record, len(arrivals))
@@ -85,8 +86,8 @@
 	return records[:sent]
 }
 
-// send sends one request. A client that is refused comes back once, after the
-// Retry-After it was given.
+// send sends one request. A refused request with a Retry-After is retried once, after
+// that time and at the next address.
 func (r *runner) send(ctx context.Context, a *Arrival) Record {
 	call, check := r.newCall(a)
 	rec := Record{Arrival: a, Started: time.Since(r.start)}
@@ -107,7 +108,7 @@
 	return rec
 }
 
-// newCall returns the call of an arrival and the check of its answer.
+// newCall returns the call of an arrival and a function that checks its answer.
 func (r *runner) newCall(a *Arrival) (caller.Call, func(answer string) bool) {
 	c := caller.Call{
 		Address:       r.opts.Addresses[a.Seq%len(r.opts.Addresses)],
--- a/internal/bench/schedule.go
+++ b/internal/bench/schedule.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Scale changes a mix without changing which requests it has. Zero fields leave
-// the mix as it is.
+// Scale changes the rate, duration, lengths and deadlines of a mix, but not its
+// classes and customers. Zero fields leave the mix unchanged.
 type Scale struct {
-	Rate     float64       // arrivals a second
+	Rate     float64       // arrivals per second
 	Duration time.Duration // time over which they arrive
 	Lengths  float64       // factor on prompt lengths
 	Answers  float64       // factor on answer lengths
-	Time     float64       // factor on deadlines and on the time of a wake
+	Time     float64       // factor on deadlines and on the duration of a wake
 }
 
 // Arrival is one request of a schedule.
@@ -28,16 +28,16 @@
 	PromptTokens         int    // after scaling
 	AnswerTokens         int    // after scaling
 	Variant              int    // of the shared prefix
-	Unique               uint64 // makes the prompt and the key differ from all others
+	Unique               uint64 // makes the prompt and the key unique
 }
 
-// IsShort says that the arrival is a completion with a short prompt.
+// IsShort reports whether the arrival is a completion with a short prompt.
 func (a *Arrival) IsShort(m *Mix) bool {
 	return a.Class.Model != "" && a.UnscaledPromptTokens < m.ShortBelowTokens
 }
 
-// Schedule returns the arrivals of a mix in the order of their time. They follow
-// from the mix, the scale and the seed.
+// Schedule returns the arrivals of a mix in the order of their times. They are
+// determined by the mix, the scale and the seed.
 func Schedule(m *Mix, s Scale, seed uint64) []Arrival {
 	rate, length := m.Rate, time.Duration(m.Duration)
 	if s.Rate > 0 {
@@ -63,7 +63,7 @@
 	return arrivals
 }
 
-// ShortArrivals returns the short requests of a schedule, at the same times.
+// ShortArrivals returns the arrivals with short prompts, at their original times.
 func ShortArrivals(m *Mix, arrivals []Arrival) []Arrival {
 	var short []Arrival
 	for _, a := range arrivals {
@@ -74,8 +74,8 @@
 	return short
 }
 
-// drawArrival returns one arrival. Times that are drawn uniformly and then sorted are
-// those of a Poisson process whose number of arrivals is known.
+// drawArrival returns a random arrival. Times that are drawn uniformly and then sorted
+// are distributed as those of a Poisson process with a known number of arrivals.
 func drawArrival(m *Mix, c *Class, s Scale, length time.Duration, rng *rand.Rand) Arrival {
 	window := length
 	if m.Wake != nil && rng.Float64() < m.Wake.Share {
--- a/internal/bench/text.go
+++ b/internal/bench/text.go
@@ -11,14 +11,13 @@
 
 const rowHeader = "sent\tcomplete\tnot_run\tfailed\tunknown\tlate\twrong\tfirst p50\tp95\tp99\tbetween p95\tin time\tstalled\t\n"
 
-// WriteText writes a report as tables. Times are in milliseconds where no unit
-// stands.
+// WriteText writes the report as tables. Times without a unit are in milliseconds.
 func (r *Report) WriteText(w io.Writer) {
 	fmt.Fprintf(w, "mix %s", r.Mix)
 	if r.Policy != "" {
 		fmt.Fprintf(w, ", policy %s", r.Policy)
 	}
-	fmt.Fprintf(w, ": %.4g a second for %.4g s, seed %d, lengths x %.4g, %d daemons\n\n",
+	fmt.Fprintf(w, ": %.4g per second for %.4g s, seed %d, lengths x %.4g, %d daemons\n\n",
 		r.RatePerS, r.DurationS, r.Seed, r.LengthScale, r.Daemons)
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(tw, "class\t"+rowHeader)
@@ -33,7 +32,7 @@
 	}
 	r.Short.write(tw, fmt.Sprintf("below %d", r.ShortBelowTokens))
 	tw.Flush()
-	fmt.Fprintf(w, "\nretries %d, attempts a request %.3f, peak %d a second, peak to mean %.2f, refused in p95 %.1f ms\n",
+	fmt.Fprintf(w, "\nretries %d, attempts per request %.3f, peak %d per second, peak to mean %.2f, refused in p95 %.1f ms\n",
 		r.Retries.Count, r.Retries.Amplification, r.Retries.PeakPerS, r.Retries.PeakToMean, r.Retries.RefusalLatencyMs.P95)
 	fmt.Fprintf(w, "customers: worst %s with p95 %.1f ms, median %.1f ms, ratio %.2f\n",
 		r.Fairness.WorstCustomer, r.Fairness.WorstP95Ms, r.Fairness.MedianP95Ms, r.Fairness.Ratio)
@@ -50,7 +49,7 @@
 		f.P50, f.P95, f.P99, r.InterTokenMs.P95, 100*r.GoodShare, r.StalledS)
 }
 
-// formatCodes lists how often each code was given, by name.
+// formatCodes returns the codes with their counts, sorted by code.
 func formatCodes(counts map[string]int) string {
 	var parts []string
 	for _, code := range slices.Sorted(maps.Keys(counts)) {
@@ -59,7 +58,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// WriteText writes the comparison as a table, then each policy's report.
+// WriteText writes the comparison as a table, followed by each policy's report.
 func (c *Comparison) WriteText(w io.Writer) {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(tw, "policy\tslowdown of short\tshort p95 in mix\talone\tin time\tworst customer\t\n")
