--- a/test/bench/run.sh
+++ b/test/bench/run.sh
@@ -1,15 +1,17 @@
 #!/usr/bin/env bash
-# Measures the decisions under load: starts the site of bench/site as processes and
-# runs the parts asked for, all of them without arguments:
+# Measures placement, overload and fault handling under load: starts the site of
+# bench/site as separate processes and runs the named parts, by default all except
+# quick:
 #   policies  a mix, and its short requests alone, under each placement policy
 #   prefix    prompts that share prefixes, under two policies
-#   overload  the mix at 100% and 150% of what the engines carry
-#   wake      many requests that come at once, and those that come back
-#   quick     the mix, and its short requests alone, under the product's policy
+#   overload  the mix at 100% and 150% of the engines' capacity
+#   wake      an initial burst of requests, and the retries of those refused
+#   quick     the mix, and its short requests alone, under the length-aware policy
 #   faults    one engine killed and one stopped in the middle of the mix
-# Writes the result of each to a directory of its own and, with all parts,
+# Writes the result of each part to the directory OUT and, when RECORD is set,
 # bench/results/<date>-<commit>.json and one line of bench/HISTORY.md.
-# SEED, DURATION (of the mix) and OUT (directory) may be set.
+# Environment: SEED, DURATION (of the mix), OUT (default: a temporary directory),
+# RECORD, and KEEP, which keeps the temporary directory after success.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 . test/demo/site.sh
@@ -40,17 +42,17 @@
 trap finish EXIT
 trap 'exit 130' INT TERM
 
-# pid_of NAME: the process of the site.
+# pid_of NAME prints the id of that process of the site.
 pid_of() {
 	awk -v name="$1" '$1 == name {print $2}' "$dir/pids"
 }
 
-# share PERCENT: the rate that offers it.
-share() {
+# rate_at PERCENT prints the arrival rate for that percentage of the capacity.
+rate_at() {
 	awk -v rate="$rate" -v percent="$1" 'BEGIN {print rate * percent / 70}'
 }
 
-# load NAME FLAG...: one run of the mix.
+# load NAME FLAG... runs a mix once and writes its results under NAME.
 load() {
 	local name=$1
 	shift
@@ -64,7 +66,7 @@
 		--json "$out/policies.json" --html "$out/policies.html" | tee "$out/policies.txt"
 }
 
-# quick: the product's policy alone, at the same load.
+# quick runs the comparison with the length-aware policy only.
 quick() {
 	echo "== quick"
 	bin/buckthorndock bench compare --mix bench/mixes/mixed.yaml --seed "$seed" --duration "$duration" \
@@ -78,14 +80,14 @@
 		--json "$out/prefix.json" --html "$out/prefix.html" | tee "$out/prefix.txt"
 }
 
-# Deadlines under overload and faults are a quarter of the mix's: else the run is too
-# short for a backlog that misses them.
-tight=0.25
+# Deadlines under overload and faults are a quarter of the mix's: otherwise the run is
+# too short for the backlog to exceed them.
+deadline_scale=0.25
 
 overload() {
-	load load-100 --mix bench/mixes/mixed.yaml --rate "$(share 100)" --duration "$duration" --scale-time "$tight"
+	load load-100 --mix bench/mixes/mixed.yaml --rate "$(rate_at 100)" --duration "$duration" --scale-time "$deadline_scale"
 	sleep 3
-	load load-150 --mix bench/mixes/mixed.yaml --rate "$(share 150)" --duration "$duration" --scale-time "$tight"
+	load load-150 --mix bench/mixes/mixed.yaml --rate "$(rate_at 150)" --duration "$duration" --scale-time "$deadline_scale"
 	sleep 3
 }
 
@@ -94,15 +96,15 @@
 	sleep 3
 }
 
-# faults: the same arrivals with the faults in their middle, and again with the
-# faults standing, which shows what the four live engines carry.
+# faults runs the same arrivals twice: with the faults in the middle, and again with
+# the two engines still down, which measures the capacity of the other four.
 faults() {
 	( sleep 4; kill -KILL "$(pid_of engine-2)"; kill -STOP "$(pid_of engine-5)" ) &
-	local maker=$!
-	load faults --mix bench/mixes/mixed.yaml --duration "$duration" --scale-time "$tight"
-	wait "$maker"
+	local injector=$!
+	load faults --mix bench/mixes/mixed.yaml --duration "$duration" --scale-time "$deadline_scale"
+	wait "$injector"
 	sleep 3
-	load four-left --mix bench/mixes/mixed.yaml --duration "$duration" --scale-time "$tight"
+	load four-left --mix bench/mixes/mixed.yaml --duration "$duration" --scale-time "$deadline_scale"
 }
 
 start_site "$dir" -examples bench/site -daemons hal-a,hal-a,hal-a -time-scale 8 -cache-tokens 60000 \
--- a/test/bench/summary/engines.go
+++ b/test/bench/summary/engines.go
@@ -10,17 +10,19 @@
 	"github.com/buckthorndock/buckthorndock/internal/standin"
 )
 
-// EngineRuns tells what engines ran that was of no use to a caller.
+// EngineRuns counts the executions that engines began, and those of them that were
+// wasted on refused requests.
 type EngineRuns struct {
-	Runs            int `json:"runs"`              // executions that an engine began
+	Runs            int `json:"runs"`              // executions begun by all engines
 	RanAfterRefusal int `json:"ran_after_refusal"` // of requests that were refused as not run
 }
 
-// maxLogLineBytes bounds a line of a log.
+// maxLogLineBytes bounds a line of a log or a witness file.
 const maxLogLineBytes = 1 << 20
 
-// countEngineRuns sets what the engines of a site began beside the ends that its daemons
-// have logged. It returns nil without a record of the engines.
+// countEngineRuns compares the executions in the witness files of a site's engines with
+// the request outcomes in its daemons' logs. It returns nil when there are no witness
+// files.
 func countEngineRuns(dir string) (*EngineRuns, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "witness-*.jsonl"))
 	if err != nil || len(files) == 0 {
@@ -30,26 +32,27 @@
 	if err != nil {
 		return nil, err
 	}
-	use := &EngineRuns{}
+	counts := &EngineRuns{}
 	for _, file := range files {
 		err := forEachLine(file, func(line []byte) {
 			var run standin.Run
 			if json.Unmarshal(line, &run) != nil || run.State != standin.RunStarted {
 				return
 			}
-			use.Runs++
+			counts.Runs++
 			if ends[run.RequestID] == "not_run" {
-				use.RanAfterRefusal++
+				counts.RanAfterRefusal++
 			}
 		})
 		if err != nil {
 			return nil, err
 		}
 	}
-	return use, nil
+	return counts, nil
 }
 
-// loggedOutcomes returns the outcome of each request by its id.
+// loggedOutcomes returns the outcome of each request by its id, read from the logs of
+// the daemons.
 func loggedOutcomes(dir string) (map[string]string, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "logs", "*entry*.log"))
 	if err != nil {
@@ -70,7 +73,8 @@
 	return ends, nil
 }
 
-// logValue returns the value of a key in a log line, empty without it.
+// logValue returns the value of a key, given with its =, in a log line, or an empty
+// string when the line does not have the key.
 func logValue(line []byte, key string) string {
 	for _, part := range bytes.Fields(line) {
 		if value, ok := bytes.CutPrefix(part, []byte(key)); ok {
--- a/test/bench/summary/main.go
+++ b/test/bench/summary/main.go
@@ -1,6 +1,6 @@
-// Command summary reads the results of a load run, works out the ratios that have
-// a target, prints them and, when asked to, keeps them: the figures as
-// bench/results/<date>-<commit>.json and one line in bench/HISTORY.md.
+// Command summary reads the results of a load run, computes the ratios that have a
+// target and prints them. With -record it also saves the results as
+// results/<date>-<commit>.json and one line of HISTORY.md in the given directory.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/bench"
 )
 
-// Results are all figures of one run. Parts that were not run are nil.
+// Results holds the results of one load run. Parts that were not run are nil.
 type Results struct {
 	Commit   string            `json:"commit"`
 	At       time.Time         `json:"at"`
@@ -28,17 +28,17 @@
 	Load100  *bench.Report     `json:"load_100,omitempty"`
 	Load150  *bench.Report     `json:"load_150,omitempty"`
 	Wake     *bench.Report     `json:"wake,omitempty"`
-	Faults   *bench.Report     `json:"faults,omitempty"`    // an engine killed and one stopped in the middle
-	FourLeft *bench.Report     `json:"four_left,omitempty"` // the same arrivals with both gone
+	Faults   *bench.Report     `json:"faults,omitempty"`    // one engine killed and one stopped during the run
+	FourLeft *bench.Report     `json:"four_left,omitempty"` // the same arrivals with both engines down from the start
 	Engines  *EngineRuns       `json:"engines,omitempty"`
 }
 
 func main() {
 	results := flag.String("results", "", "directory with the results of the parts")
-	site := flag.String("site", "", "directory of the site, with logs and what the engines ran")
+	site := flag.String("site", "", "directory of the site, with the logs and the witness files of the engines")
 	commit := flag.String("commit", "", "commit that was run")
 	seed := flag.Uint64("seed", 1, "seed of the run")
-	record := flag.String("record", "", "directory in which the figures are kept, none when empty")
+	record := flag.String("record", "", "directory in which to save the results; empty: do not save")
 	flag.Parse()
 	if err := run(*results, *site, *record, Results{Commit: *commit, At: time.Now().UTC(), Seed: *seed}); err != nil {
 		fmt.Fprintln(os.Stderr, "summary:", err)
@@ -50,11 +50,11 @@
 	if err := r.read(dir); err != nil {
 		return err
 	}
-	use, err := countEngineRuns(site)
+	counts, err := countEngineRuns(site)
 	if err != nil {
 		return err
 	}
-	r.Engines = use
+	r.Engines = counts
 	r.Targets = computeTargets(&r)
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	for _, t := range r.Targets {
@@ -69,7 +69,7 @@
 	return r.save(record)
 }
 
-// read reads the parts that were run.
+// read reads the JSON results of the parts that were run.
 func (r *Results) read(dir string) error {
 	for name, into := range map[string]any{
 		"policies":  &r.Policies,
@@ -96,7 +96,7 @@
 
 const filePerm = 0o644
 
-// save writes the results and their line in the history.
+// save writes the results to a file and appends their line to HISTORY.md.
 func (r *Results) save(dir string) error {
 	name := fmt.Sprintf("%s-%s.json", r.At.Format("2006-01-02T1504"), r.Commit)
 	data, err := json.MarshalIndent(r, "", " ")
--- a/test/bench/summary/targets.go
+++ b/test/bench/summary/targets.go
@@ -5,12 +5,12 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/settings"
 )
 
-// Target is a ratio of the run and the bound that it has to keep.
+// Target is a measured value and the bound that it must meet.
 type Target struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Bound float64 `json:"bound"`
-	IsMin bool    `json:"least"` // the bound is the least value, not the most
+	IsMin bool    `json:"least"` // the bound is a minimum, not a maximum
 	Met   bool    `json:"met"`
 }
 
@@ -36,10 +36,11 @@
 	return Target{Name: name, Value: value, Bound: bound, IsMin: true, Met: value >= bound}
 }
 
-// longBuckets are those whose first tokens must not pay for the short ones.
+// longBuckets are the prompt lengths whose first tokens must not be delayed to speed up
+// those of short prompts.
 var longBuckets = []string{"4k-16k", "16k-64k", "64k-256k", "256k-1M"}
 
-// computeTargets returns the ratios of all parts that were run, in a fixed order.
+// computeTargets returns the targets of all parts that were run, in a fixed order.
 func computeTargets(r *Results) []Target {
 	var list []Target
 	if r.Policies != nil {
@@ -98,8 +99,8 @@
 	return nil
 }
 
-// prefixTarget compares the placement that knows of cached prefixes with one that
-// does not.
+// prefixTarget compares the first-token latency of the policy that accounts for cached
+// prefixes with that of one that does not.
 func prefixTarget(c *bench.Comparison) Target {
 	var aware, blind float64
 	for i := range c.Policies {
@@ -114,8 +115,8 @@
 	return maxTarget("shared prefixes: first token p95 / cache-blind", aware/blind, 1)
 }
 
-// overloadTargets compares the answers in time at 150% of the capacity with those
-// at 100%: their number a second, for both have the same duration.
+// overloadTargets compares the number of answers in time at 150% of the capacity with
+// that at 100%, and bounds the latency of refusals. Both runs have the same duration.
 func overloadTargets(full, over *bench.Report) []Target {
 	good := func(r *bench.Report) float64 { return r.All.GoodShare * float64(r.All.Sent) }
 	return []Target{
@@ -124,15 +125,15 @@
 	}
 }
 
-// Seconds of the run: the faults come in the second faultSecond, and what comes
-// in recoverySeconds after it counts for nothing.
+// The faults are injected faultSecond seconds after the start; requests sent in the
+// recoverySeconds after that are not counted.
 const (
 	faultSecond     = 4
 	recoverySeconds = 2
 )
 
-// faultTarget compares the answers in time to what came after the faults with
-// those to the same arrivals when the engines were long gone.
+// faultTarget compares the number of answers in time to requests sent after the faults
+// with that of the same arrivals when the engines were down from the start.
 func faultTarget(faults, fourLeft *bench.Report) Target {
 	good := func(r *bench.Report) float64 {
 		sum := 0
