--- a/test/capacity/changes.go
+++ b/test/capacity/changes.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// Limits of a wait for settings.
+// Limits of the wait until all daemons have applied a settings change.
 const (
-	offsetPollInterval = 50 * time.Millisecond // between two looks at the daemons that lag
+	offsetPollInterval = 50 * time.Millisecond
 	offsetTimeout      = time.Minute
 )
 
-// durationStats are seconds that something took.
+// durationStats holds quantiles of durations in seconds.
 type durationStats struct {
 	Number int     `json:"number"`
 	P50    float64 `json:"p50_seconds"`
@@ -25,6 +25,8 @@
 	Max    float64 `json:"max_seconds"`
 }
 
+// newDurationStats returns the statistics of durations, nil when there are none. It
+// sorts its argument.
 func newDurationStats(all []time.Duration) *durationStats {
 	if len(all) == 0 {
 		return nil
@@ -37,9 +39,9 @@
 	return &durationStats{Number: len(all), P50: at(0.5), P95: at(0.95), Max: at(1)}
 }
 
-// changeSettings publishes changes at a steady rate until the context ends, and
-// returns how long each took from the start of the publishing program until all
-// daemons had it in force.
+// changeSettings publishes changes at a constant rate until the context ends, and
+// returns how long each took from the start of the publishing command until all
+// daemons had applied it.
 func (s *site) changeSettings(ctx context.Context, o options) ([]time.Duration, error) {
 	ticker := time.NewTicker(time.Duration(float64(time.Minute) / o.changes))
 	defer ticker.Stop()
@@ -58,8 +60,9 @@
 	}
 }
 
-// changeOnce publishes the next text of a team's document. It is not broken off
-// when measuring ends, for half a change would be counted as none.
+// changeOnce publishes a new text of a team's document and returns how long it took
+// until all daemons had applied it. It does not use the context of the measurement,
+// so that a change in progress at its end is completed and counted.
 func (s *site) changeOnce(o options, n int) (time.Duration, error) {
 	publisher := s.daemons[n%len(s.daemons)]
 	text := fmt.Sprintf("requests: {max_tokens: %d}\n", 256+n)
@@ -80,25 +83,25 @@
 	return time.Since(began), nil
 }
 
-// awaitOffset waits until all daemons have the record at the offset in force.
+// awaitOffset waits until all daemons have applied the settings log up to an offset.
 func (s *site) awaitOffset(offset float64) error {
 	began := time.Now()
 	waiting := append([]*daemon(nil), s.daemons...)
 	for len(waiting) > 0 {
 		if time.Since(began) > offsetTimeout {
-			return fmt.Errorf("%d daemons without offset %.0f after %s", len(waiting), offset, offsetTimeout)
+			return fmt.Errorf("%d daemons have not applied offset %.0f after %s", len(waiting), offset, offsetTimeout)
 		}
-		var still []*daemon
+		var lagging []*daemon
 		for _, d := range waiting {
 			sm, err := d.sample()
 			if err != nil {
 				return err
 			}
 			if sm.offset < offset {
-				still = append(still, d)
+				lagging = append(lagging, d)
 			}
 		}
-		if waiting = still; len(waiting) > 0 {
+		if waiting = lagging; len(waiting) > 0 {
 			time.Sleep(offsetPollInterval)
 		}
 	}
@@ -107,7 +110,7 @@
 
 func (s *site) settingsDir() string { return filepath.Join(s.dir, "settings") }
 
-// applyCommand returns the command that publishes the site's settings.
+// applyCommand returns the command that publishes the site's settings through a daemon.
 func (s *site) applyCommand(ctx context.Context, o options, d *daemon) *exec.Cmd {
 	return exec.CommandContext(ctx, filepath.Join(o.bin, "buckthorndock"),
 		"--address", d.address, "--token", operatorToken, "settings", "apply", s.settingsDir())
--- a/test/capacity/load.go
+++ b/test/capacity/load.go
@@ -12,23 +12,23 @@
 	"github.com/google/uuid"
 )
 
-// bytesPerToken is the rough length of a token of the prompts below.
+// bytesPerToken is the approximate length of a token of the prompts.
 const bytesPerToken = 4
 
-// client keeps its connections, as a balancer does.
+// client reuses connections, as a load balancer does.
 var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
-// loadGenerator is the load of one daemon: requests at a steady rate that do not wait
-// for answers, each from a customer drawn by chance.
+// loadGenerator sends requests to one daemon at a constant rate without waiting for
+// answers, each from a random customer.
 type loadGenerator struct {
 	address   string
 	rate      float64
-	keyed     float64 // share that is calls of a service with a key
-	customers int     // customers
-	body      string  // of a completion
+	keyed     float64 // share of requests that are service calls with an idempotency key
+	customers int     // number of customers
+	body      string  // of a completion request
 }
 
-// newLoadGenerator returns the load of a daemon by the options.
+// newLoadGenerator returns a generator for the daemon at an address.
 func newLoadGenerator(o options, address string) *loadGenerator {
 	prompt := strings.Repeat("milk, eggs, rye ", o.prompt*bytesPerToken/len("milk, eggs, rye ")+1)
 	return &loadGenerator{
@@ -40,7 +40,7 @@
 	}
 }
 
-// run sends until the context ends.
+// run sends requests until the context ends.
 func (c *loadGenerator) run(ctx context.Context) {
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / c.rate))
 	defer ticker.Stop()
--- a/test/capacity/main.go
+++ b/test/capacity/main.go
@@ -1,7 +1,7 @@
-// Command capacity measures what the control work of a daemon costs: it starts
-// sites of growing size as separate processes, with engines that have nothing to
-// do, and reads processor time, memory and counted bytes of each daemon over a
-// while. It measures the product's own interface; docs/CAPACITY.md is about the edge.
+// Command capacity measures the control overhead of daemons: it starts sites of
+// increasing size as separate processes and reads the CPU time, memory and control
+// traffic of each daemon over a period. The engines are idle unless -rate is set. It
+// measures the product's own interface; docs/CAPACITY.md covers the edge.
 package main
 
 import (
@@ -17,30 +17,30 @@
 	"time"
 )
 
-// options are the flags of the program.
+// options holds the values of the flags.
 type options struct {
-	bin     string        // directory of the programs
-	sizes   []int         // daemons of each site
+	bin     string        // directory of the binaries
+	sizes   []int         // number of daemons of each site
 	domains int           // failure domains of a site
-	engines int           // engines a daemon
-	settle  time.Duration // before measuring
-	measure time.Duration
-	rate    float64       // requests a second and daemon; 0 idle
-	prompt  int           // tokens of a prompt, about
+	engines int           // engines per daemon
+	settle  time.Duration // wait before measuring
+	measure time.Duration // duration of the measurement
+	rate    float64       // requests per second and daemon; 0 sends none
+	prompt  int           // approximate tokens of a prompt
 	answer  int           // tokens of an answer
-	step    time.Duration // of the engines, for one token of each stream
-	batch   int           // requests that an engine runs at a time
+	step    time.Duration // decode step of the engines: one token of each stream
+	batch   int           // requests that an engine runs concurrently
 
-	customers int     // customers, each with a limit
-	others    int     // upstreams of domains without daemons, named in the settings only
-	keyed     float64 // share of the requests that call a service and may run only once
-	changes   float64 // changes of the settings a minute
-	replace   int     // daemons that are killed and replaced after measuring
+	customers         int     // customers, each with a limit
+	unservedUpstreams int     // upstreams in domains without daemons, present in the settings only
+	keyed             float64 // share of the requests that call a service with an idempotency key and run at most once
+	changes           float64 // settings changes per minute
+	replace           int     // daemons that are killed and replaced after measuring
 
 	jsonFile string
 }
 
-// result is what one site showed.
+// result holds the measurements of one site.
 type result struct {
 	Daemons       int           `json:"daemons"`
 	Domains       int           `json:"domains"`
@@ -52,7 +52,7 @@
 	ReceivedBytes meanMax       `json:"received_bytes_per_second"`
 	Appends       float64       `json:"log_appends_per_second"`
 	Purposes      []purposeRate `json:"bytes_per_second_by_purpose"` // sent and received, mean of the daemons
-	Counters      []counterRate `json:"events_per_second"`           // of the daemons' counters, mean
+	Counters      []counterRate `json:"events_per_second"`           // rates of the daemons' counters, mean of the daemons
 
 	Prompt    int            `json:"prompt_tokens"`
 	Answer    int            `json:"answer_tokens"`
@@ -65,19 +65,19 @@
 	Starts    []joinCost     `json:"replacements,omitempty"`
 }
 
-// purposeRate is one purpose of control traffic.
+// purposeRate is the control traffic for one purpose.
 type purposeRate struct {
 	Purpose string  `json:"purpose"`
 	Bytes   float64 `json:"bytes_per_second"`
 }
 
-// counterRate is one counter of the daemons.
+// counterRate is the rate of increase of one counter.
 type counterRate struct {
 	Name string  `json:"name"`
 	Rate float64 `json:"per_second"`
 }
 
-// meanMax is the mean and the most of the daemons.
+// meanMax holds the mean and the maximum over the daemons.
 type meanMax struct {
 	Mean float64 `json:"mean"`
 	Max  float64 `json:"max"`
@@ -86,21 +86,21 @@
 func main() {
 	var o options
 	var sizes string
-	flag.StringVar(&o.bin, "bin", "bin", "directory of the programs")
-	flag.StringVar(&sizes, "sizes", "3,6,12,24", "daemons of each site")
+	flag.StringVar(&o.bin, "bin", "bin", "directory of the binaries")
+	flag.StringVar(&sizes, "sizes", "3,6,12,24", "number of daemons of each site, separated by commas")
 	flag.IntVar(&o.domains, "domains", 3, "failure domains")
-	flag.IntVar(&o.engines, "engines", 2, "engines a daemon")
+	flag.IntVar(&o.engines, "engines", 2, "engines per daemon")
 	flag.DurationVar(&o.settle, "settle", 8*time.Second, "wait before measuring")
-	flag.DurationVar(&o.measure, "measure", 20*time.Second, "time measured")
-	flag.Float64Var(&o.rate, "rate", 0, "requests a second and daemon")
-	flag.IntVar(&o.prompt, "prompt", 1000, "tokens of a prompt, about")
+	flag.DurationVar(&o.measure, "measure", 20*time.Second, "duration of the measurement")
+	flag.Float64Var(&o.rate, "rate", 0, "requests per second and daemon")
+	flag.IntVar(&o.prompt, "prompt", 1000, "approximate tokens of a prompt")
 	flag.IntVar(&o.answer, "answer", 20, "tokens of an answer")
-	flag.DurationVar(&o.step, "step", 5*time.Millisecond, "time of an engine for one token of each stream")
-	flag.IntVar(&o.batch, "batch", 32, "requests that an engine runs at a time")
+	flag.DurationVar(&o.step, "step", 5*time.Millisecond, "decode step of the engines: time for one token of each stream")
+	flag.IntVar(&o.batch, "batch", 32, "requests that an engine runs concurrently")
 	flag.IntVar(&o.customers, "customers", 1, "customers, each with a limit")
-	flag.IntVar(&o.others, "others", 0, "upstreams of domains without daemons, which only the settings name")
-	flag.Float64Var(&o.keyed, "keyed", 0, "share of the requests that call a service and may run only once, 0 to 1")
-	flag.Float64Var(&o.changes, "changes", 0, "changes of the settings a minute")
+	flag.IntVar(&o.unservedUpstreams, "others", 0, "upstreams in domains without daemons, present in the settings only")
+	flag.Float64Var(&o.keyed, "keyed", 0, "share of the requests that call a service with an idempotency key and run at most once, 0 to 1")
+	flag.Float64Var(&o.changes, "changes", 0, "settings changes per minute")
 	flag.IntVar(&o.replace, "replace", 0, "daemons that are killed and replaced after measuring")
 	flag.StringVar(&o.jsonFile, "json", "", "file for the results")
 	flag.Parse()
@@ -148,10 +148,10 @@
 	return os.WriteFile(o.jsonFile, append(text, '\n'), 0o644)
 }
 
-// printOptional prints what only some runs have.
+// printOptional prints the measurements that only some options produce.
 func printOptional(r result) {
 	if r.Appends > 0 {
-		fmt.Printf("%20s %10.1f a second in the site\n", "log appends", r.Appends)
+		fmt.Printf("%20s %10.1f per second in the site\n", "log appends", r.Appends)
 	}
 	if t := r.Spread; t != nil {
 		fmt.Printf("%20s %d changes in force everywhere: p50 %.2f s, p95 %.2f s, max %.2f s\n", "settings", t.Number, t.P50, t.P95, t.Max)
--- a/test/capacity/measure.go
+++ b/test/capacity/measure.go
@@ -13,22 +13,23 @@
 	"time"
 )
 
-// clockTicks is the unit of processor time in /proc, a constant of Linux.
+// clockTicks is the number of CPU time units per second in /proc, a constant of Linux.
 const clockTicks = 100
 
-// sample is what a daemon has used since its start.
+// sample holds the resource use of a daemon since its start.
 type sample struct {
 	at       time.Time
-	cpu      float64 // seconds
-	rss      float64 // MiB
-	sent     map[string]float64
-	received map[string]float64
-	appends  float64
-	offset   float64            // of the settings
-	counters map[string]float64 // counters without their labels, but for those of bytes
+	cpu      float64            // seconds
+	rss      float64            // MiB
+	sent     map[string]float64 // bytes by purpose
+	received map[string]float64 // bytes by purpose
+	appends  float64            // appends to the claim log
+	offset   float64            // settings offset applied
+	counters map[string]float64 // values by metric name, summed over labels, without byte counters
 }
 
-// measureSite starts a site, lets it settle, and measures its daemons.
+// measureSite starts a site of n daemons, waits until it has settled, and measures the
+// daemons.
 func measureSite(ctx context.Context, o options, n int) (result, error) {
 	s, err := startSite(ctx, o, n)
 	if err != nil {
@@ -70,13 +71,14 @@
 	r.Answer = o.answer
 	r.StepMs = o.step.Seconds() * 1000
 	r.Customers = o.customers
-	r.Others = o.others
+	r.Others = o.unservedUpstreams
 	r.Keyed = o.keyed
 	r.Changes = o.changes
 	return r, nil
 }
 
-// runMeasurement lets the time to measure pass, with changes of the settings if wanted.
+// runMeasurement waits for the duration of the measurement. Meanwhile it publishes
+// settings changes if the options ask for them, and returns how long each took.
 func (s *site) runMeasurement(ctx context.Context, o options) ([]time.Duration, error) {
 	if o.changes == 0 {
 		return nil, sleep(ctx, o.measure)
@@ -117,7 +119,7 @@
 	if err != nil {
 		return sm, err
 	}
-	// The name in brackets may hold blanks; the fields are counted after it.
+	// The process name in parentheses may contain spaces; fields are counted after it.
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+2:]))
 	const userTime, systemTime, residentPages = 11, 12, 21
 	sm.cpu = (parseNumber(fields[userTime]) + parseNumber(fields[systemTime])) / clockTicks
@@ -135,7 +137,7 @@
 	return sm, nil
 }
 
-// parseMetrics takes the byte counters out of a daemon's metrics.
+// parseMetrics reads the counters and the settings offset from a daemon's metrics text.
 func (sm *sample) parseMetrics(text string) {
 	for line := range strings.Lines(text) {
 		name, value, ok := strings.Cut(strings.TrimSpace(line), " ")
@@ -164,7 +166,7 @@
 	}
 }
 
-// labelValue returns the value of a single label, as in purpose="log"}.
+// labelValue returns the value of the first label in text such as purpose="log"}.
 func labelValue(labels string) string {
 	_, v, _ := strings.Cut(labels, `"`)
 	v, _, _ = strings.Cut(v, `"`)
@@ -206,7 +208,8 @@
 	return r
 }
 
-// counterRates returns how fast the counters rose, the mean of the daemons.
+// counterRates returns the rates of the counters that changed, as the mean of the
+// daemons.
 func counterRates(before, after []sample) (rates []counterRate) {
 	sums := map[string]float64{}
 	for i := range after {
@@ -224,7 +227,7 @@
 	return rates
 }
 
-// add counts one daemon in; Mean holds the sum until the end.
+// add adds the value of one daemon. Mean holds the sum until the caller divides it.
 func (s *meanMax) add(v float64) {
 	s.Mean += v
 	s.Max = max(s.Max, v)
--- a/test/capacity/replace.go
+++ b/test/capacity/replace.go
@@ -10,27 +10,28 @@
 	"time"
 )
 
-// Limits of a replacement.
+// Poll interval and waits of a replacement.
 const (
 	readyPollInterval = 5 * time.Millisecond
 	readyTimeout      = time.Minute
-	joinWait          = 10 * time.Second // after which the whole of its start is counted
+	joinWait          = 10 * time.Second // wait until the joined values are sampled
 )
 
-// joinCost is what a fresh daemon took to be ready in a running site.
+// joinCost holds the time and resources that a new daemon needs to become ready in a
+// running site.
 type joinCost struct {
 	ReadySeconds  float64 `json:"ready_seconds"`
 	CPUSeconds    float64 `json:"cpu_seconds"`
 	SentBytes     float64 `json:"sent_bytes"`
 	ReceivedBytes float64 `json:"received_bytes"`
-	// The same after ten seconds, when it also knows its peers and the engines.
+	// The same joinWait later, when it also knows its peers and the engines.
 	JoinedCPUSeconds    float64 `json:"joined_cpu_seconds"`
 	JoinedSentBytes     float64 `json:"joined_sent_bytes"`
 	JoinedReceivedBytes float64 `json:"joined_received_bytes"`
 }
 
-// replaceDaemons kills daemons one after another and puts fresh ones of other
-// names in their places.
+// replaceDaemons kills daemons one after another and starts a new one with another
+// name in place of each.
 func (s *site) replaceDaemons(ctx context.Context, o options) ([]joinCost, error) {
 	var starts []joinCost
 	for i := range o.replace {
@@ -75,7 +76,7 @@
 	return st, err
 }
 
-// kill ends a daemon as a host failure does.
+// kill ends a daemon by SIGKILL, as a host failure does.
 func (s *site) kill(d *daemon) error {
 	if err := d.process.Signal(syscall.SIGKILL); err != nil {
 		return err
@@ -95,7 +96,7 @@
 	return kept
 }
 
-// awaitReady waits until the daemon says that it is ready.
+// awaitReady waits until the daemon reports that it is ready, at most for readyTimeout.
 func (d *daemon) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
--- a/test/capacity/site.go
+++ b/test/capacity/site.go
@@ -19,21 +19,22 @@
 	"time"
 )
 
-// site is a running site.
+// site holds the processes of a running site.
 type site struct {
 	dir       string
 	processes []*exec.Cmd
 	daemons   []*daemon
-	log       string // IP:port of the log
-	hosts     string
-	weights   string
+	log       string // IP:port of the platform's log
+	hosts     string // IP:port of the platform's host list
+	weights   string // IP:port of the platform's weight store
 }
 
+// daemon is one daemon process.
 type daemon struct {
 	name    string
 	domain  string
-	address string
-	peer    string
+	address string // IP:port for callers
+	peer    string // IP:port for peers
 	pid     int
 	process *os.Process
 }
@@ -41,8 +42,8 @@
 const (
 	peerKey       = "capacity-key-0123456789abcdef0123"
 	operatorToken = "capacity-operator"
-	// unusedUpstreamIP is the address of the upstreams that only the settings name; each
-	// has a port of its own and nobody asks them anything.
+	// unusedUpstreamIP is the IP address of the upstreams that are only in the settings.
+	// Each has its own port, and no daemon sends them anything.
 	unusedUpstreamIP = "127.1.0.0"
 )
 
@@ -50,7 +51,7 @@
 
 func tokenHash(token string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(token))) }
 
-// startSite starts n daemons with their engines and publishes settings.
+// startSite starts n daemons with their engines and publishes the settings.
 func startSite(ctx context.Context, o options, n int) (s *site, err error) {
 	dir, err := os.MkdirTemp("", "buckthorndock-capacity-")
 	if err != nil {
@@ -91,7 +92,7 @@
 	if err := s.setHostList(); err != nil {
 		return s, err
 	}
-	for i := range o.others {
+	for i := range o.unservedUpstreams {
 		fmt.Fprintf(&upstreams, "      - {name: other%d, address: \"%s:%d\", domain: %s}\n",
 			i, unusedUpstreamIP, minPort+i, domainName(o.domains+i%otherDomains))
 	}
@@ -102,11 +103,12 @@
 	return s, s.publish(ctx, o, upstreams.String(), services)
 }
 
-// otherDomains is the number of domains over which the upstreams without daemons
-// are spread: 7 domains less the one that runs.
+// otherDomains is the number of domains without daemons over which the unserved
+// upstreams are spread: 7 domains minus the one that runs.
 const otherDomains = 6
 
-// startServices starts a service in each domain and returns their pool.
+// startServices starts a service in each domain and returns the settings of their pool.
+// It returns an empty string when no requests call a service.
 func (s *site) startServices(o options) (string, error) {
 	if o.keyed == 0 {
 		return "", nil
@@ -124,7 +126,7 @@
 
 func domainName(i int) string { return fmt.Sprintf("domain-%d", i) }
 
-// startStandin starts a stand-in and returns its address.
+// startStandin starts a stand-in of the given kind and returns its IP:port.
 func (s *site) startStandin(o options, kind string, args ...string) (string, error) {
 	cmd := exec.Command(filepath.Join(o.bin, "standin"), append([]string{kind, "--listen", "127.0.0.1:0"}, args...)...)
 	out, err := cmd.StdoutPipe()
@@ -181,7 +183,7 @@
 	return &daemon{name: name, domain: domain, address: address, peer: peer, pid: cmd.Process.Pid, process: cmd.Process}, nil
 }
 
-// Daemons' ports come from below the range of outgoing connections.
+// Ports of daemons are below the range that the kernel uses for outgoing connections.
 const (
 	minPort  = 10000
 	numPorts = 20000
@@ -198,6 +200,7 @@
 	return "", fmt.Errorf("no free port")
 }
 
+// setHostList sets the platform's list of hosts to the site's daemons.
 func (s *site) setHostList() error {
 	type entry struct {
 		Name    string `json:"name"`
@@ -222,7 +225,7 @@
 	return resp.Body.Close()
 }
 
-// publish puts the settings in force through the first daemon.
+// publish publishes the settings through the first daemon, retrying until it accepts.
 func (s *site) publish(ctx context.Context, o options, upstreams, services string) error {
 	if err := os.Mkdir(s.settingsDir(), 0o700); err != nil {
 		return err
@@ -251,7 +254,7 @@
 	return err
 }
 
-// stop ends all processes of the site.
+// stop kills all processes of the site and removes its directory.
 func (s *site) stop() {
 	for _, p := range s.processes {
 		_ = p.Process.Signal(syscall.SIGKILL)
