--- a/test/capacity/main.go
+++ b/test/capacity/main.go
@@ -50,19 +50,19 @@
 	RSSMiB        spread  `json:"rss_mib"`
 	SentBytes     spread  `json:"sent_bytes_per_second"`
 	ReceivedBytes spread  `json:"received_bytes_per_second"`
-	Appends       float64 `json:"log_appends_per_second"`
+	LogAppends    float64 `json:"log_appends_per_second"`
 	Purposes      []line  `json:"bytes_per_second_by_purpose"` // sent and received, mean of the daemons
 	Counters      []event `json:"events_per_second"`           // of the daemons' counters, mean
 
-	Prompt    int     `json:"prompt_tokens"`
-	Answer    int     `json:"answer_tokens"`
-	StepMs    float64 `json:"engine_step_ms"`
-	Customers int     `json:"customers"`
-	Others    int     `json:"upstreams_of_other_domains"`
-	Keyed     float64 `json:"share_keyed"`
-	Changes   float64 `json:"changes_per_minute"`
-	Spread    *times  `json:"change_until_in_force_everywhere,omitempty"`
-	Starts    []start `json:"replacements,omitempty"`
+	Prompt            int     `json:"prompt_tokens"`
+	Answer            int     `json:"answer_tokens"`
+	StepMs            float64 `json:"engine_step_ms"`
+	Customers         int     `json:"customers"`
+	UnservedUpstreams int     `json:"upstreams_of_other_domains"`
+	Keyed             float64 `json:"share_keyed"`
+	Changes           float64 `json:"changes_per_minute"`
+	ChangeLatency     *times  `json:"change_until_in_force_everywhere,omitempty"`
+	Replacements      []start `json:"replacements,omitempty"`
 }
 
 // line is one purpose of control traffic.
@@ -150,13 +150,13 @@
 
 // printMore prints what only some runs have.
 func printMore(r result) {
-	if r.Appends > 0 {
-		fmt.Printf("%20s %10.1f a second in the site\n", "log appends", r.Appends)
+	if r.LogAppends > 0 {
+		fmt.Printf("%20s %10.1f a second in the site\n", "log appends", r.LogAppends)
 	}
-	if t := r.Spread; t != nil {
+	if t := r.ChangeLatency; t != nil {
 		fmt.Printf("%20s %d changes in force everywhere: p50 %.2f s, p95 %.2f s, max %.2f s\n", "settings", t.Number, t.P50, t.P95, t.Max)
 	}
-	for _, s := range r.Starts {
+	for _, s := range r.Replacements {
 		fmt.Printf("%20s ready in %.3f s, cpu %.2f s, sent %.0f B, received %.0f B; after 10 s cpu %.2f s, sent %.0f B, received %.0f B\n", "replacement",
 			s.ReadySeconds, s.CPUSeconds, s.SentBytes, s.ReceivedBytes, s.JoinedCPUSeconds, s.JoinedSentBytes, s.JoinedReceivedBytes)
 	}
--- a/test/capacity/measure.go
+++ b/test/capacity/measure.go
@@ -58,8 +58,8 @@
 		return result{}, err
 	}
 	r := summarize(before, after)
-	r.Spread = timesOf(took)
-	if r.Starts, err = s.replaceDaemons(ctx, o); err != nil {
+	r.ChangeLatency = timesOf(took)
+	if r.Replacements, err = s.replaceDaemons(ctx, o); err != nil {
 		return result{}, err
 	}
 	r.Daemons = n
@@ -70,7 +70,7 @@
 	r.Answer = o.answer
 	r.StepMs = o.step.Seconds() * 1000
 	r.Customers = o.customers
-	r.Others = o.others
+	r.UnservedUpstreams = o.others
 	r.Keyed = o.keyed
 	r.Changes = o.changes
 	return r, nil
@@ -189,7 +189,7 @@
 		r.RSSMiB.add(a.rss)
 		r.SentBytes.add((total(a.sent) - total(b.sent)) / span)
 		r.ReceivedBytes.add((total(a.received) - total(b.received)) / span)
-		r.Appends += (a.appends - b.appends) / span
+		r.LogAppends += (a.appends - b.appends) / span
 		for p := range a.sent {
 			purposes[p] += (a.sent[p] - b.sent[p] + a.received[p] - b.received[p]) / span
 		}
