--- a/internal/cli/verify.go
+++ b/internal/cli/verify.go
@@ -11,7 +11,7 @@
 // verifyCompletion reports whether got is the answer of a stand-in engine to the
 // prompt.
 func verifyCompletion(prompt string, answerTokens int, got string) bool {
-	return got == answer.Whole(prompt, answerTokens)
+	return got == answer.FullText(prompt, answerTokens)
 }
 
 // echoedRequest is the part of a stand-in service's answer that identifies its
--- a/test/capacity/measure.go
+++ b/test/capacity/measure.go
@@ -59,8 +59,8 @@
 		return result{}, err
 	}
 	r := summarize(before, after)
-	r.Spread = newDurationStats(took)
-	if r.Starts, err = s.replaceDaemons(ctx, o); err != nil {
+	r.ChangeLatency = newDurationStats(took)
+	if r.Replacements, err = s.replaceDaemons(ctx, o); err != nil {
 		return result{}, err
 	}
 	r.Daemons = n
@@ -71,7 +71,7 @@
 	r.Answer = o.answer
 	r.StepMs = o.step.Seconds() * 1000
 	r.Customers = o.customers
-	r.Others = o.unservedUpstreams
+	r.UnservedUpstreams = o.unservedUpstreams
 	r.Keyed = o.keyed
 	r.Changes = o.changes
 	return r, nil
@@ -191,7 +191,7 @@
 		r.RSSMiB.add(a.rss)
 		r.SentBytes.add((sumOf(a.sent) - sumOf(b.sent)) / span)
 		r.ReceivedBytes.add((sumOf(a.received) - sumOf(b.received)) / span)
-		r.Appends += (a.appends - b.appends) / span
+		r.LogAppends += (a.appends - b.appends) / span
 		for p := range a.sent {
 			purposes[p] += (a.sent[p] - b.sent[p] + a.received[p] - b.received[p]) / span
 		}
--- a/test/ci/knownred_test.go
+++ b/test/ci/knownred_test.go
@@ -19,14 +19,14 @@
 	return strings.TrimSpace(string(out)), err
 }
 
-func TestOnlyListedTestsArePassedOver(t *testing.T) {
+func TestPatternMatchesOnlyListedTests(t *testing.T) {
 	pattern, err := runKnownRed(t, "TestA: go test ./x, seed 7, issue 2\n  saw a lost event\nTestB_c: go test ./y\n  open as issue 31\n")
 	if err != nil || pattern != "^(TestA|TestB_c)$" {
 		t.Errorf("got %q, %v", pattern, err)
 	}
 }
 
-func TestNothingListedPassesNothingOver(t *testing.T) {
+func TestEmptyListGivesEmptyPattern(t *testing.T) {
 	if pattern, err := runKnownRed(t, "Nothing is red.\n"); err != nil || pattern != "" {
 		t.Errorf("got %q, %v", pattern, err)
 	}
--- a/test/ci/linked_test.go
+++ b/test/ci/linked_test.go
@@ -24,13 +24,13 @@
 exit 1
 `
 
-func TestLinkedReadsTheListingToItsEnd(t *testing.T) {
+func TestLinkedReadsWholeListing(t *testing.T) {
 	if out, err := runLinked(t, slowLdd); err != nil {
 		t.Errorf("a linked program is turned down: %v\n%s", err, out)
 	}
 }
 
-func TestLinkedTurnsDownOthers(t *testing.T) {
+func TestLinkedRejectsOtherPrograms(t *testing.T) {
 	for name, ldd := range map[string]string{"no libc": noLibc, "static": static} {
 		if out, err := runLinked(t, ldd); err == nil {
 			t.Errorf("%s: passed\n%s", name, out)
