--- a/test/days/compare/main.go
+++ b/test/days/compare/main.go
@@ -1,6 +1,6 @@
-// Command compare plays the same days with the same seeds on two working trees, with the
-// users' bench, and prints the paired differences of worth: what a change of policy gives
-// beyond the luck of a play.
+// Command compare runs the same days with the same seeds on two working trees, with the
+// users' bench, and prints the paired differences of their scores. Pairing by seed
+// separates the effect of a change from the random variation between runs.
 //
 //	go run ./test/days/compare -bench PATH -days trouble-1,scale-1 -seeds 5 BEFORE AFTER SITE...
 package main
@@ -21,15 +21,16 @@
 	"gonum.org/v1/gonum/stat"
 )
 
+// options holds the flags and arguments.
 type options struct {
-	bench      string
+	bench      string // path of the bench
 	days       []string
-	seeds      int
-	secondSeed int
-	jobs       int
+	seeds      int // seeds per day; the first is the day's own
+	secondSeed int // the others count up from it
+	jobs       int // concurrent runs
 	why        string
-	extra      []string // further options of each play
-	trees      [2]string
+	extra      []string  // additional options of each run
+	trees      [2]string // before and after
 	sites      []string
 }
 
@@ -49,11 +50,11 @@
 	var days, extra string
 	flag.StringVar(&o.bench, "bench", "", "path of the bench")
 	flag.StringVar(&days, "days", "trouble-1,scale-1,trouble-2,scale-2,trouble-3", "days, separated by commas")
-	flag.IntVar(&o.seeds, "seeds", 5, "seeds of each day; the first is the day's own")
+	flag.IntVar(&o.seeds, "seeds", 5, "number of seeds of each day; the first is the day's own")
 	flag.IntVar(&o.secondSeed, "first", 4001, "the second seed; the others count up from it")
-	flag.IntVar(&o.jobs, "jobs", 4, "plays at a time")
-	flag.StringVar(&o.why, "why", "", "reason, for the journal")
-	flag.StringVar(&extra, "extra", "--no-cpu", "options of each play, separated by spaces")
+	flag.IntVar(&o.jobs, "jobs", 4, "number of concurrent runs")
+	flag.StringVar(&o.why, "why", "", "reason to record in the journal")
+	flag.StringVar(&extra, "extra", "--no-cpu", "additional options of each run, separated by spaces")
 	flag.Parse()
 	const trees = 2
 	if flag.NArg() <= trees || o.bench == "" || o.why == "" {
@@ -64,33 +65,33 @@
 	return o, nil
 }
 
-// pairedPlay is a day with a seed on both trees.
-type pairedPlay struct {
+// pairedRun is a day run with one seed on both trees.
+type pairedRun struct {
 	site, day string
-	seed      int // zero: the day's own
+	seed      int // zero for the day's own
 	results   [2]result
 }
 
-// result is what the comparison needs of a play's report.
+// result is the part of the bench's report that the comparison uses.
 type result struct {
 	Worth  float64                    `json:"G"`
 	Served float64                    `json:"served"`
-	Parts  [][]any                    `json:"parts"` // name, weight, value
+	Parts  [][]any                    `json:"parts"` // name, weight and value of each part of the score
 	Breaks map[string]json.RawMessage `json:"breaks"`
 	Fault  *string                    `json:"fault"`
-	Short  []string                   `json:"short"` // floors that were missed
+	Short  []string                   `json:"short"` // floors (minimum scores) that were missed
 }
 
 func run(o *options) error {
-	var plays []*pairedPlay
+	var runs []*pairedRun
 	for _, site := range o.sites {
 		for _, day := range o.days {
 			for n := range o.seeds {
-				p := &pairedPlay{site: site, day: day}
+				p := &pairedRun{site: site, day: day}
 				if n > 0 {
 					p.seed = o.secondSeed + n - 1
 				}
-				plays = append(plays, p)
+				runs = append(runs, p)
 			}
 		}
 	}
@@ -102,12 +103,12 @@
 	if err := o.build(); err != nil {
 		return err
 	}
-	o.runAll(plays, dir)
-	printComparison(plays)
+	o.runAll(runs, dir)
+	printComparison(runs)
 	return nil
 }
 
-// build builds each tree once, before several plays want it at the same time.
+// build builds each tree once, so that concurrent runs do not build it at the same time.
 func (o *options) build() error {
 	for _, tree := range o.trees {
 		cmd := exec.Command(o.bench, "build")
@@ -119,10 +120,10 @@
 	return nil
 }
 
-func (o *options) runAll(plays []*pairedPlay, dir string) {
+func (o *options) runAll(runs []*pairedRun, dir string) {
 	var wg sync.WaitGroup
 	free := make(chan struct{}, o.jobs)
-	for i, p := range plays {
+	for i, p := range runs {
 		for side := range o.trees {
 			free <- struct{}{}
 			wg.Go(func() {
@@ -140,14 +141,14 @@
 	wg.Wait()
 }
 
-func (o *options) runDay(p *pairedPlay, tree, report string) (result, error) {
+func (o *options) runDay(p *pairedRun, tree, report string) (result, error) {
 	args := []string{"run", p.site, p.day, "--report", report, "--why", o.why}
 	if p.seed != 0 {
 		args = append(args, "--seed", strconv.Itoa(p.seed))
 	}
 	cmd := exec.Command(o.bench, append(args, o.extra...)...)
 	cmd.Dir = tree
-	out, runErr := cmd.CombinedOutput() // it exits with an error also when a rule broke
+	out, runErr := cmd.CombinedOutput() // the bench exits with an error also when a rule is broken
 	var r result
 	text, err := os.ReadFile(report)
 	if err != nil {
@@ -156,13 +157,14 @@
 	return r, json.Unmarshal(text, &r)
 }
 
-// printComparison prints each day's mean worth before and after, and the paired difference with its
-// standard error; then that of all plays of a site, and of its parts.
-func printComparison(plays []*pairedPlay) {
-	fmt.Printf("%-24s %-24s %5s %7s %7s %8s %7s\n", "site", "day", "plays", "before", "after", "change", "error")
-	bySite, order := map[string][]*pairedPlay{}, []string{}
-	byDay := map[string][]*pairedPlay{}
-	for _, p := range plays {
+// printComparison prints each day's mean score before and after, and the paired difference
+// with its standard error; then the same for all runs of a site and for the parts of the
+// score. It also lists the runs that broke a rule, had a fault or missed a minimum.
+func printComparison(runs []*pairedRun) {
+	fmt.Printf("%-24s %-24s %5s %7s %7s %8s %7s\n", "site", "day", "runs", "before", "after", "change", "error")
+	bySite, order := map[string][]*pairedRun{}, []string{}
+	byDay := map[string][]*pairedRun{}
+	for _, p := range runs {
 		key := p.site + " " + p.day
 		if byDay[key] == nil {
 			order = append(order, key)
@@ -181,7 +183,7 @@
 			printRow(site, fmt.Sprint(all[0].results[0].Parts[i][0]), all, func(r result) float64 { return r.partValue(i) })
 		}
 	}
-	for _, p := range plays {
+	for _, p := range runs {
 		for side, r := range p.results {
 			if len(r.Breaks) > 0 || r.Fault != nil || len(r.Short) > 0 {
 				fmt.Printf("FAILED %s %s seed %d %s: rules %v, fault %v, floors %v\n",
@@ -211,9 +213,9 @@
 	return v
 }
 
-func printRow(site, what string, plays []*pairedPlay, of func(result) float64) {
+func printRow(site, what string, runs []*pairedRun, of func(result) float64) {
 	var before, after, change []float64
-	for _, p := range plays {
+	for _, p := range runs {
 		a, b := of(p.results[0]), of(p.results[1])
 		if math.IsNaN(a) || math.IsNaN(b) {
 			continue
