--- a/test/days/compare/main.go
+++ b/test/days/compare/main.go
@@ -73,12 +73,12 @@
 
 // result is what the comparison needs of a play's report.
 type result struct {
-	Worth  float64                    `json:"G"`
-	Served float64                    `json:"served"`
-	Parts  [][]any                    `json:"parts"` // name, weight, value
-	Breaks map[string]json.RawMessage `json:"breaks"`
-	Fault  *string                    `json:"fault"`
-	Short  []string                   `json:"short"` // floors that were missed
+	Score        float64                    `json:"G"`
+	Served       float64                    `json:"served"`
+	Parts        [][]any                    `json:"parts"` // name, weight, value
+	Breaks       map[string]json.RawMessage `json:"breaks"`
+	Fault        *string                    `json:"fault"`
+	MissedFloors []string                   `json:"short"` // floors that were missed
 }
 
 func run(o *options) error {
@@ -131,7 +131,7 @@
 				r, err := o.play(p, o.trees[side], report)
 				if err != nil {
 					fmt.Fprintf(os.Stderr, "%s %s %d in %s: %v\n", p.site, p.day, p.seed, o.trees[side], err)
-					r.Worth = math.NaN()
+					r.Score = math.NaN()
 				}
 				p.results[side] = r
 			})
@@ -172,10 +172,10 @@
 	}
 	for _, key := range order {
 		site, day, _ := strings.Cut(key, " ")
-		row(site, filepath.Base(day), byDay[key], func(r result) float64 { return r.Worth })
+		row(site, filepath.Base(day), byDay[key], func(r result) float64 { return r.Score })
 	}
 	for site, all := range bySite {
-		row(site, "all", all, func(r result) float64 { return r.Worth })
+		row(site, "all", all, func(r result) float64 { return r.Score })
 		row(site, "served", all, func(r result) float64 { return r.Served })
 		for i := range all[0].results[0].Parts {
 			row(site, fmt.Sprint(all[0].results[0].Parts[i][0]), all, func(r result) float64 { return r.part(i) })
@@ -183,9 +183,9 @@
 	}
 	for _, p := range plays {
 		for side, r := range p.results {
-			if len(r.Breaks) > 0 || r.Fault != nil || len(r.Short) > 0 {
+			if len(r.Breaks) > 0 || r.Fault != nil || len(r.MissedFloors) > 0 {
 				fmt.Printf("FAILED %s %s seed %d %s: rules %v, fault %v, floors %v\n",
-					p.site, p.day, p.seed, []string{"before", "after"}[side], keys(r.Breaks), r.Fault != nil, r.Short)
+					p.site, p.day, p.seed, []string{"before", "after"}[side], keys(r.Breaks), r.Fault != nil, r.MissedFloors)
 			}
 		}
 	}
