--- a/test/days/compare/main.go
+++ b/test/days/compare/main.go
@@ -74,12 +74,12 @@
 
 // result is the part of the bench's report that the comparison uses.
 type result struct {
-	Worth  float64                    `json:"G"`
-	Served float64                    `json:"served"`
-	Parts  [][]any                    `json:"parts"` // name, weight and value of each part of the score
-	Breaks map[string]json.RawMessage `json:"breaks"`
-	Fault  *string                    `json:"fault"`
-	Short  []string                   `json:"short"` // floors (minimum scores) that were missed
+	Score        float64                    `json:"G"`
+	Served       float64                    `json:"served"`
+	Parts        [][]any                    `json:"parts"` // name, weight and value of each part of the score
+	Breaks       map[string]json.RawMessage `json:"breaks"`
+	Fault        *string                    `json:"fault"`
+	MissedFloors []string                   `json:"short"` // floors (minimum scores) that were missed
 }
 
 func run(o *options) error {
@@ -132,7 +132,7 @@
 				r, err := o.runDay(p, o.trees[side], report)
 				if err != nil {
 					fmt.Fprintf(os.Stderr, "%s %s %d in %s: %v\n", p.site, p.day, p.seed, o.trees[side], err)
-					r.Worth = math.NaN()
+					r.Score = math.NaN()
 				}
 				p.results[side] = r
 			})
@@ -174,10 +174,10 @@
 	}
 	for _, key := range order {
 		site, day, _ := strings.Cut(key, " ")
-		printRow(site, filepath.Base(day), byDay[key], func(r result) float64 { return r.Worth })
+		printRow(site, filepath.Base(day), byDay[key], func(r result) float64 { return r.Score })
 	}
 	for site, all := range bySite {
-		printRow(site, "all", all, func(r result) float64 { return r.Worth })
+		printRow(site, "all", all, func(r result) float64 { return r.Score })
 		printRow(site, "served", all, func(r result) float64 { return r.Served })
 		for i := range all[0].results[0].Parts {
 			printRow(site, fmt.Sprint(all[0].results[0].Parts[i][0]), all, func(r result) float64 { return r.partValue(i) })
@@ -185,9 +185,9 @@
 	}
 	for _, p := range runs {
 		for side, r := range p.results {
-			if len(r.Breaks) > 0 || r.Fault != nil || len(r.Short) > 0 {
+			if len(r.Breaks) > 0 || r.Fault != nil || len(r.MissedFloors) > 0 {
 				fmt.Printf("FAILED %s %s seed %d %s: rules %v, fault %v, floors %v\n",
-					p.site, p.day, p.seed, []string{"before", "after"}[side], ruleNames(r.Breaks), r.Fault != nil, r.Short)
+					p.site, p.day, p.seed, []string{"before", "after"}[side], ruleNames(r.Breaks), r.Fault != nil, r.MissedFloors)
 			}
 		}
 	}
