--- a/test/demo/run.sh
+++ b/test/demo/run.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Starts a small site as separate processes, publishes the example settings, sends
-# a mix and shows what came back and what each daemon decided. Exits 0 only if
-# every admitted request had a complete answer that matches its own request.
-# KEEP=1 leaves the site running.
+# Starts a small site as separate processes, publishes the example settings, sends a
+# mix and prints the results and each daemon's placement decisions. Exits 0 only if
+# every admitted request has a complete answer that belongs to it and each class has at
+# least one. KEEP=1 leaves the site running.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 . test/demo/site.sh
@@ -26,7 +26,8 @@
 trap finish EXIT
 trap 'exit 130' INT TERM
 
-# decisions HOST: how often the daemon placed what where, and its long placements.
+# decisions HOST prints the daemon's placements, counted by target, class, verdict and
+# reason, and each placement of a prompt of 100,000 tokens or more.
 decisions() {
 	echo "$1:"
 	awk '
@@ -43,7 +44,7 @@
 		}' "$dir/logs/$1.log"
 }
 
-echo "== start: three failure domains, a daemon, engines and services in each"
+echo "== start: three failure domains with a daemon, engines and services in each"
 start_site "$dir"
 cat "$dir/site.log"
 
@@ -53,7 +54,7 @@
 bin/buckthorndock bench run --strict --mix test/demo/mix.yaml || sent=$?
 
 echo
-echo "== what each daemon decided"
+echo "== placement decisions of each daemon"
 for host in $DAEMONS; do
 	decisions "$host"
 done
--- a/test/demo/site.sh
+++ b/test/demo/site.sh
@@ -1,8 +1,8 @@
-# Functions to start and stop the site of test/demo/site; sourced by scripts that
-# stand at the root of the repository and have built the programs.
+# Functions that start and stop the site of test/demo/site. Scripts source this file
+# from the root of the repository after building the binaries.
 
-# start_site DIR [FLAG...]: returns once the site is up and its settings are in
-# force. Sets SITE_PID and what the file DIR/env has.
+# start_site DIR [FLAG...] returns once the site is up and its settings are in force. It
+# sets SITE_PID and the variables of the file DIR/env.
 start_site() {
 	local dir=$1
 	shift
@@ -21,7 +21,8 @@
 	await_settings
 }
 
-# await_settings: every daemon is ready and follows the same settings.
+# await_settings waits until all daemons, at least three, are ready and have the same
+# settings.
 await_settings() {
 	local try state
 	for try in $(seq 200); do
@@ -32,12 +33,12 @@
 		fi
 		sleep 0.1
 	done
-	echo "the daemons are not ready, or follow different settings:" >&2
+	echo "the daemons are not ready, or have different settings:" >&2
 	bin/buckthorndock status >&2
 	return 1
 }
 
-# stop_site: ends every process of the site; fails when one had ended by itself or
+# stop_site stops every process of the site. It fails when one had exited on its own or
 # had to be killed.
 stop_site() {
 	kill "$SITE_PID" 2>/dev/null || true
--- a/test/demo/site/process.go
+++ b/test/demo/site/process.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	addressTimeout = 10 * time.Second // for a process to say its address
-	stopTimeout    = 10 * time.Second // for a process to end by itself
+	addressTimeout = 10 * time.Second // for a stand-in to print its address
+	stopTimeout    = 10 * time.Second // for a process to exit after SIGTERM
 )
 
-// addressPrefix starts the first line of every stand-in.
+// addressPrefix is the start of the first line that every stand-in prints.
 const addressPrefix = "listening address="
 
-// process is one running program.
+// process is one process of the site.
 type process struct {
 	name    string
 	cmd     *exec.Cmd
-	address string // of a stand-in
-	ended   chan struct{}
-	err     error // of the end
+	address string        // IP:port of a stand-in, empty for a daemon
+	ended   chan struct{} // closed when the process has exited
+	err     error         // result of Wait; read it after ended is closed
 }
 
-// startProcess starts a program in a process group of its own, so that only the
-// site's orderly stop ends it. Its standard error goes to a log file.
+// startProcess starts a program in its own process group, so that signals from the
+// terminal do not reach it and only stop ends it. Its standard error goes to a log file.
 func startProcess(dir, name, program string, args ...string) (p *process, stdout io.Reader, err error) {
 	log, err := os.Create(filepath.Join(dir, "logs", name+".log"))
 	if err != nil {
@@ -50,7 +50,8 @@
 	return &process{name: name, cmd: cmd, ended: make(chan struct{})}, out, nil
 }
 
-// watch reads the standard output to its end and then waits for the process.
+// watch sends the first line of the standard output to firstLine, reads the rest and
+// waits until the process has exited.
 func (p *process) watch(stdout io.Reader, firstLine chan<- string) {
 	r := bufio.NewReader(stdout)
 	line, _ := r.ReadString('\n')
@@ -60,7 +61,8 @@
 	close(p.ended)
 }
 
-// startStandin starts a stand-in and waits for its address.
+// startStandin starts a stand-in and waits until it has printed its address. The process
+// is returned also with an error when it was started.
 func startStandin(o options, name string, args ...string) (*process, error) {
 	p, stdout, err := startProcess(o.dir, name, filepath.Join(o.bin, "standin"), args...)
 	if err != nil {
@@ -72,16 +74,16 @@
 	case text := <-line:
 		address, ok := strings.CutPrefix(text, addressPrefix)
 		if !ok {
-			return p, fmt.Errorf("%s gave %q in place of its address; see its log", name, text)
+			return p, fmt.Errorf("%s printed %q instead of its address; see its log", name, text)
 		}
 		p.address = address
 		return p, nil
 	case <-time.After(addressTimeout):
-		return p, fmt.Errorf("%s gave no address", name)
+		return p, fmt.Errorf("%s printed no address within %v", name, addressTimeout)
 	}
 }
 
-// startDaemon starts a daemon.
+// startDaemon starts a daemon with its configuration file.
 func startDaemon(o options, name, config string) (*process, error) {
 	p, stdout, err := startProcess(o.dir, name, filepath.Join(o.bin, "buckthorndockd"), "--config", config)
 	if err != nil {
@@ -91,15 +93,16 @@
 	return p, nil
 }
 
-// stop ends a process: by a signal first, by force after a while.
+// stop sends SIGTERM and, after stopTimeout, SIGKILL. It returns an error when the
+// process had exited before or had to be killed.
 func (p *process) stop() error {
 	select {
 	case <-p.ended:
-		return fmt.Errorf("%s had ended: %v", p.name, p.err)
+		return fmt.Errorf("%s had already exited: %v", p.name, p.err)
 	default:
 	}
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
-	_ = p.cmd.Process.Signal(syscall.SIGCONT) // one that was stopped
+	_ = p.cmd.Process.Signal(syscall.SIGCONT) // a stopped process handles SIGTERM only then
 	select {
 	case <-p.ended:
 		return nil
@@ -107,5 +110,5 @@
 	}
 	_ = p.cmd.Process.Kill()
 	<-p.ended
-	return fmt.Errorf("%s did not end within %v and was killed", p.name, stopTimeout)
+	return fmt.Errorf("%s did not exit within %v and was killed", p.name, stopTimeout)
 }
--- a/test/demo/site/settings.go
+++ b/test/demo/site/settings.go
@@ -17,7 +17,7 @@
 	document *settings.Document
 }
 
-// readExamples reads every document of a directory.
+// readExamples reads and parses every YAML document below a directory.
 func readExamples(dir string) ([]example, error) {
 	var all []example
 	err := filepath.WalkDir(dir, func(file string, e fs.DirEntry, err error) error {
@@ -42,16 +42,16 @@
 	return all, err
 }
 
-// upstream is a stand-in that the examples ask for.
+// upstream describes a stand-in for an upstream of the examples.
 type upstream struct {
 	name, kind, domain string
 	placeholder        string   // address in the example
-	checksFencing      bool     // of an engine
-	models             []string // of an engine
-	operations         []string // of a service
+	checksFencing      bool     // for an engine
+	models             []string // for an engine
+	operations         []string // for a service
 }
 
-// listUpstreams lists what the documents need.
+// listUpstreams returns the upstreams of all pools in the documents.
 func listUpstreams(all []example) []upstream {
 	models, operations := map[string][]string{}, map[string][]string{}
 	for _, e := range all {
@@ -78,7 +78,8 @@
 	return list
 }
 
-// writeSettings writes the documents with the real addresses and domains.
+// writeSettings writes the documents to a directory, with the placeholders replaced by
+// the real addresses and the domains by those of the site.
 func writeSettings(dir string, all []example, addresses map[string]string) error {
 	var pairs []string
 	for placeholder, address := range addresses {
--- a/test/demo/site/site.go
+++ b/test/demo/site/site.go
@@ -23,13 +23,13 @@
 	healthPollInterval = 50 * time.Millisecond
 )
 
-// Demonstration secrets; the operator token is the one of examples/_root.yaml.
+// Secrets for demonstration; the operator token matches examples/_root.yaml.
 const (
 	peerKey       = "demo-peer-key-for-this-run-only-0001"
 	operatorToken = "demo-operator"
 )
 
-// daemon is one daemon of the site.
+// daemon is the configuration of one daemon: its addresses and its configuration file.
 type daemon struct {
 	host, domain         string
 	listen, peer, config string
@@ -45,7 +45,8 @@
 	processes []*process // in the order of their start
 }
 
-// track notes a process, also one that did not come up, so that stop ends it.
+// track records a process, even one that did not come up, so that stop ends it. It
+// returns its arguments.
 func (s *site) track(p *process, err error) (*process, error) {
 	if p != nil {
 		s.processes = append(s.processes, p)
@@ -133,7 +134,7 @@
 	}
 }
 
-// setHostList sets the platform's list of hosts.
+// setHostList replaces the platform's list of hosts.
 func (s *site) setHostList(list []platformapi.HostEntry) error {
 	body, err := json.Marshal(list)
 	if err != nil {
@@ -145,19 +146,19 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("the host list answers %s", resp.Status)
+		return fmt.Errorf("set host list: %s", resp.Status)
 	}
 	return nil
 }
 
-// configureDaemons chooses free ports and writes the daemon files.
+// configureDaemons chooses free ports and writes the daemons' configuration files.
 func (s *site) configureDaemons() error {
 	domains := strings.Split(s.opts.daemons, ",")
 	ports, err := freeAddresses(2 * len(domains))
 	if err != nil {
 		return err
 	}
-	hosts := map[string]int{} // in each domain
+	hosts := map[string]int{} // number of hosts in each domain
 	for i, domain := range domains {
 		hosts[domain]++
 		host := fmt.Sprintf("%s-entry-%d", domain, hosts[domain])
@@ -174,6 +175,7 @@
 	return nil
 }
 
+// daemonConfig returns the text of a daemon's configuration file.
 func (s *site) daemonConfig(d daemon) string {
 	var seeds []string
 	for _, other := range s.daemons {
@@ -190,7 +192,7 @@
 	return b.String()
 }
 
-// freeAddresses returns addresses whose ports were free a moment ago.
+// freeAddresses returns n addresses with ports that were free when it checked.
 func freeAddresses(n int) ([]string, error) {
 	var list []string
 	for range n {
@@ -215,7 +217,7 @@
 	for _, d := range s.daemons {
 		for !isHealthy(ctx, "http://"+d.listen+"/healthz") {
 			if ctx.Err() != nil {
-				return fmt.Errorf("daemon %s does not come up; see its log", d.host)
+				return fmt.Errorf("daemon %s is not healthy; see its log", d.host)
 			}
 			time.Sleep(healthPollInterval)
 		}
@@ -223,6 +225,7 @@
 	return nil
 }
 
+// isHealthy reports whether a GET of the URL returns status 200.
 func isHealthy(ctx context.Context, url string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -236,8 +239,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// writeEnv writes what a shell needs to talk to the site. The file comes last and
-// whole, so that its presence says that the site is up.
+// writeEnv writes the file env with the shell variables for using the site. The file is
+// written last and atomically, so that its existence means that the site is up.
 func (s *site) writeEnv() error {
 	var addresses, names []string
 	for _, d := range s.daemons {
@@ -256,7 +259,7 @@
 	return os.Rename(file+".part", file)
 }
 
-// writePIDs writes the process id of each process, for runs that make faults.
+// writePIDs writes the name and id of each process, for tests that inject faults.
 func (s *site) writePIDs() error {
 	var b strings.Builder
 	for _, p := range s.processes {
@@ -265,12 +268,13 @@
 	return os.WriteFile(filepath.Join(s.opts.dir, "pids"), []byte(b.String()), filePerm)
 }
 
-// mayEnd says whether the run ends or stops a process itself.
+// mayEnd reports whether the test kills or stops the process.
 func (s *site) mayEnd(p *process) bool {
 	return slices.Contains(strings.Split(s.opts.mayEnd, ","), p.name)
 }
 
-// wait returns when the context ends, or with an error when a process does.
+// wait returns nil when the context ends, or an error when a process exits that must
+// not end.
 func (s *site) wait(ctx context.Context) error {
 	ended := make(chan *process, len(s.processes))
 	for _, p := range s.processes {
@@ -286,12 +290,12 @@
 	case <-ctx.Done():
 		return nil
 	case p := <-ended:
-		return fmt.Errorf("%s ended by itself: %v; see its log", p.name, p.err)
+		return fmt.Errorf("%s exited on its own: %v; see its log", p.name, p.err)
 	}
 }
 
-// stop ends every process, the last started first, so that daemons go before
-// what they depend on.
+// stop ends every process in the reverse order of their start, so that daemons stop
+// before the processes they depend on. It returns the errors of those that must not end.
 func (s *site) stop() error {
 	var errs []error
 	for i := len(s.processes) - 1; i >= 0; i-- {
