--- a/test/ci/doc.go
+++ b/test/ci/doc.go
@@ -1,2 +1,2 @@
-// Package ci tests the checks of the CI script that are programs of their own.
+// Package ci tests the separate programs that the CI script uses for its checks.
 package ci
--- a/test/ci/knownred_test.go
+++ b/test/ci/knownred_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// runKnownRed runs the script on a file with the text.
+// runKnownRed runs .ci/known-red on a file with the text and returns the pattern of
+// test names that it prints.
 func runKnownRed(t *testing.T, text string) (pattern string, err error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
--- a/test/ci/linked_test.go
+++ b/test/ci/linked_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// slowLdd stands in for an ldd that is still writing when its reader has found what
-// it looks for: it fails where it cannot write to the end.
+// slowLdd replaces ldd. It still writes after the check has found the line it looks for,
+// and fails when it cannot write all its output.
 const slowLdd = `#!/bin/sh
 echo "	libc.so.6 => /lib/libc.so.6 (0x1)"
 sleep 0.2
@@ -26,7 +26,7 @@
 
 func TestLinkedReadsWholeListing(t *testing.T) {
 	if out, err := runLinked(t, slowLdd); err != nil {
-		t.Errorf("a linked program is turned down: %v\n%s", err, out)
+		t.Errorf("a linked program is rejected: %v\n%s", err, out)
 	}
 }
 
@@ -38,7 +38,7 @@
 	}
 }
 
-// runLinked runs the check on some program with a stand-in of ldd.
+// runLinked runs .ci/linked with a script in place of ldd and returns its output.
 func runLinked(t *testing.T, ldd string) ([]byte, error) {
 	t.Helper()
 	dir := t.TempDir()
