--- a/internal/cli/caller/caller_test.go
+++ b/internal/cli/caller/caller_test.go
@@ -56,6 +56,6 @@
 func TestPromptIsDeterminedBySeed(t *testing.T) {
 	a, b, other := Prompt(1000, 1), Prompt(1000, 1), Prompt(1000, 2)
 	if a != b || a == other || len(a) != 1000*BytesPerToken {
-		t.Errorf("equal seeds give equal prompts: %v, other seeds other ones: %v, length %d", a == b, a != other, len(a))
+		t.Errorf("equal seeds give equal prompts: %v, different seeds different prompts: %v, length %d", a == b, a != other, len(a))
 	}
 }
