--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestScheduleFollowsFromSeed(t *testing.T) {
+func TestScheduleIsDeterminedBySeed(t *testing.T) {
 	m := testMix()
 	one, again, other := Schedule(m, Scale{}, 1), Schedule(m, Scale{}, 1), Schedule(m, Scale{}, 2)
 	if !reflect.DeepEqual(one, again) {
@@ -42,12 +42,12 @@
 		t.Error("two seeds give the same schedule")
 	}
 	if len(one) != 6000+2 {
-		t.Errorf("%d arrivals, want the rate over the duration and the two counted", len(one))
+		t.Errorf("%d arrivals, want rate times duration plus the class with a count of 2", len(one))
 	}
 }
 
-func TestScheduleHasTheMixesShape(t *testing.T) {
-	woke, tail, completions := 0, 0, 0
+func TestScheduleMatchesMixDistribution(t *testing.T) {
+	burst, tail, completions := 0, 0, 0
 	arrivals := Schedule(testMix(), Scale{Lengths: 0.5}, 1)
 	for i, a := range arrivals {
 		if i > 0 && a.At < arrivals[i-1].At {
@@ -57,7 +57,7 @@
 			t.Fatalf("customer %s may not send class stock", a.Customer.Name)
 		}
 		if a.At < 6*time.Second {
-			woke++
+			burst++
 		}
 		if a.Class.Name == "draft" {
 			completions++
@@ -69,16 +69,16 @@
 			}
 		}
 	}
-	// Half of all and a tenth of the rest come within the wake: 55%.
-	if share := float64(woke) / float64(len(arrivals)); share < 0.52 || share > 0.58 {
-		t.Errorf("%.3f of the arrivals within the wake", share)
+	// Half of all arrivals and a tenth of the others come within the wake: 55%.
+	if share := float64(burst) / float64(len(arrivals)); share < 0.52 || share > 0.58 {
+		t.Errorf("%.3f of the arrivals come within the wake, want 0.52 to 0.58", share)
 	}
 	if share := float64(tail) / float64(completions); share < 0.013 || share > 0.027 {
 		t.Errorf("%.4f of the prompts in the tail, want about one in fifty", share)
 	}
 }
 
-func TestShortsAreTheSameRequests(t *testing.T) {
+func TestShortArrivalsAreTheSameRequests(t *testing.T) {
 	m := testMix()
 	all := Schedule(m, Scale{}, 1)
 	short := ShortArrivals(m, all)
@@ -92,38 +92,38 @@
 	}
 }
 
-// record builds a record of the first class of the mix.
-func record(m *Mix, customer int, tokens int, started, total, first time.Duration, o request.Outcome) Record {
+// newTestRecord builds a record of the first class of the mix.
+func newTestRecord(m *Mix, customer int, tokens int, started, total, first time.Duration, o request.Outcome) Record {
 	a := &Arrival{Class: &m.Classes[0], Customer: &m.Customers[customer], UnscaledPromptTokens: tokens, Deadline: time.Second, At: started}
 	return Record{Arrival: a, Started: started, Ended: started + total, Total: total, FirstToken: first, Outcome: o}
 }
 
 func TestReportCounts(t *testing.T) {
 	m := testMix()
-	late := record(m, 0, 2000, 0, 2*time.Second, 100*time.Millisecond, request.Complete)
-	wrong := record(m, 1, 2000, 0, time.Second, 400*time.Millisecond, request.Complete)
+	late := newTestRecord(m, 0, 2000, 0, 2*time.Second, 100*time.Millisecond, request.Complete)
+	wrong := newTestRecord(m, 1, 2000, 0, time.Second, 400*time.Millisecond, request.Complete)
 	wrong.Mismatch = true
-	refused := record(m, 0, 2000, 5*time.Second, 3*time.Second, 0, request.NotRun)
+	refused := newTestRecord(m, 0, 2000, 5*time.Second, 3*time.Second, 0, request.NotRun)
 	refused.RetryAfter, refused.RetriedAt, refused.RefusalLatency = time.Second, 6*time.Second, 2*time.Millisecond
 	records := []Record{
 		late, wrong, refused,
-		record(m, 0, 500_000, 0, time.Second, 900*time.Millisecond, request.Failed),
-		record(m, 0, 500_000, 0, time.Second, 900*time.Millisecond, request.Unknown),
+		newTestRecord(m, 0, 500_000, 0, time.Second, 900*time.Millisecond, request.Failed),
+		newTestRecord(m, 0, 500_000, 0, time.Second, 900*time.Millisecond, request.Unknown),
 	}
 	r := NewReport(m, Scale{}, 1, 3, records)
 	if r.All.Sent != 5 || r.All.Complete != 2 || r.All.NotRun != 1 || r.All.Failed != 1 || r.All.Unknown != 1 || r.All.Late != 1 || r.All.Mismatched != 1 {
 		t.Errorf("counts %+v", r.All)
 	}
 	if r.All.GoodShare != 0 {
-		t.Errorf("a late and a wrong answer count as good: %v", r.All.GoodShare)
+		t.Errorf("a late or a wrong answer counts as good: %v", r.All.GoodShare)
 	}
 	if len(r.Buckets) != 2 || r.Buckets[0].Bucket != "1k-4k" || r.Buckets[0].Sent != 3 || r.Buckets[1].Bucket != "256k-1M" {
 		t.Errorf("buckets %+v", r.Buckets)
 	}
-	if got := r.Short.FirstTokenMs; got.Count != 2 || !near(got.P50, 100) || !near(got.Max, 400) {
+	if got := r.Short.FirstTokenMs; got.Count != 2 || !approxEqual(got.P50, 100) || !approxEqual(got.Max, 400) {
 		t.Errorf("first tokens of short %+v", got)
 	}
-	if f := r.Fairness; f.WorstCustomer != "b" || !near(f.Ratio, 1) {
+	if f := r.Fairness; f.WorstCustomer != "b" || !approxEqual(f.Ratio, 1) {
 		t.Errorf("fairness %+v", f)
 	}
 	if r.Retries.Count != 1 || r.Retries.Amplification != 1.2 || r.Retries.PeakToMean != 1 {
@@ -131,34 +131,34 @@
 	}
 }
 
-// near allows for the three digits of the histograms.
-func near(got, want float64) bool {
+// approxEqual compares with the precision of the histograms, three digits.
+func approxEqual(got, want float64) bool {
 	return got > want*0.999 && got < want*1.001
 }
 
-func TestStalled(t *testing.T) {
+func TestLongestStall(t *testing.T) {
 	m := testMix()
 	s := time.Second
 	records := []Record{
-		record(m, 0, 1, 0, s, 0, request.Complete),       // 0 to 1
-		record(m, 0, 1, 10*s, 8*s, 0, request.Failed),    // nothing waits from 1 to 10
-		record(m, 0, 1, 13*s, 20*s, 0, request.Complete), // first completion after 10 is at 33
+		newTestRecord(m, 0, 1, 0, s, 0, request.Complete),       // 0 to 1
+		newTestRecord(m, 0, 1, 10*s, 8*s, 0, request.Failed),    // nothing waits from 1 to 10
+		newTestRecord(m, 0, 1, 13*s, 20*s, 0, request.Complete), // first completion after 10 is at 33
 	}
-	if got := stalled(pointers(records)); got != 23*s {
+	if got := longestStall(pointers(records)); got != 23*s {
 		t.Errorf("stalled for %v, want 23 s", got)
 	}
 }
 
 func TestBucketsAndPeaks(t *testing.T) {
 	for tokens, want := range map[int]string{999: "under 1k", 1000: "1k-4k", 3999: "1k-4k", 4000: "4k-16k", 64_000: "64k-256k", 256_000: "256k-1M", 5_000_000: "256k-1M"} {
-		if got := bucketOf(tokens); got != want {
+		if got := bucketName(tokens); got != want {
 			t.Errorf("%d tokens in bucket %s, want %s", tokens, got, want)
 		}
 	}
 	m := testMix()
 	var records []Record
 	for i, at := range []time.Duration{1, 1, 1, 2, 4} {
-		r := record(m, 0, 1, 0, time.Second, 0, request.Complete)
+		r := newTestRecord(m, 0, 1, 0, time.Second, 0, request.Complete)
 		r.RetryAfter, r.RetriedAt = time.Second, at*time.Second+time.Duration(i)
 		records = append(records, r)
 	}
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestMixFindingsComeTogether(t *testing.T) {
+func TestLoadMixReportsAllFindings(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "mix.yaml")
 	text := "name: x\nrate: 0\nduration: 1s\nclasses:\n  - {name: a, share: 1, deadline: 1s}\n"
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestRunComesBackOnceAndVerifies(t *testing.T) {
+func TestRunRetriesOnceAndVerifies(t *testing.T) {
 	var mu sync.Mutex
 	attempts := 0
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -222,9 +222,9 @@
 	}
 }
 
-func TestPagesStandAlone(t *testing.T) {
+func TestPagesNeedNoOtherFile(t *testing.T) {
 	m := testMix()
-	r := NewReport(m, Scale{}, 1, 1, []Record{record(m, 0, 2000, 0, time.Second, time.Millisecond, request.Complete)})
+	r := NewReport(m, Scale{}, 1, 1, []Record{newTestRecord(m, 0, 2000, 0, time.Second, time.Millisecond, request.Complete)})
 	c := &Comparison{Policies: []PolicyResult{{Policy: "random", Mix: r, Alone: r, Slowdown: newSlowdown(r, r)}}}
 	for _, write := range []func(*bytes.Buffer) error{
 		func(b *bytes.Buffer) error { return r.WriteHTML(b) },
@@ -236,7 +236,7 @@
 		}
 		page := b.String()
 		if strings.Count(page, "<svg") != 2 || strings.Contains(page, "src=") || strings.Contains(page, "<link") {
-			t.Errorf("the page has %d plots, or needs another file", strings.Count(page, "<svg"))
+			t.Errorf("the page has %d plots, want 2, or needs another file", strings.Count(page, "<svg"))
 		}
 	}
 	file := filepath.Join(t.TempDir(), "HISTORY.md")
--- a/internal/cli/caller/caller_test.go
+++ b/internal/cli/caller/caller_test.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	chunkA   = `data: {"id":"r1","choices":[{"text":"a","finish_reason":null}]}` + "\n\n"
-	chunkB   = `data: {"id":"r1","choices":[{"text":"b","finish_reason":null}]}` + "\n\n"
-	finished = `data: {"id":"r1","choices":[{"text":"","finish_reason":"stop"}]}` + "\n\n"
-	marker   = "data: [DONE]\n\n"
-	broken   = `data: {"error":{"code":"deadline","message":"m","outcome":"failed","request_id":"r2"}}` + "\n\n"
+	chunkA     = `data: {"id":"r1","choices":[{"text":"a","finish_reason":null}]}` + "\n\n"
+	chunkB     = `data: {"id":"r1","choices":[{"text":"b","finish_reason":null}]}` + "\n\n"
+	finalChunk = `data: {"id":"r1","choices":[{"text":"","finish_reason":"stop"}]}` + "\n\n"
+	doneMarker = "data: [DONE]\n\n"
+	errorEvent = `data: {"error":{"code":"deadline","message":"m","outcome":"failed","request_id":"r2"}}` + "\n\n"
 )
 
-func TestStreamIsWholeOnlyWithItsEnd(t *testing.T) {
+func TestStreamIsCompleteOnlyWithFinalEvent(t *testing.T) {
 	cases := []struct {
-		name, body string
-		once       bool
-		outcome    request.Outcome
-		code       request.Code
-		answer     string
+		name, body    string
+		notRepeatable bool
+		outcome       request.Outcome
+		code          request.Code
+		answer        string
 	}{
-		{"whole", chunkA + chunkB + finished + marker, false, request.Complete, "", "ab"},
-		{"comments and empty lines", ": ping\n\n" + chunkA + finished + marker, false, request.Complete, "", "a"},
+		{"whole", chunkA + chunkB + finalChunk + doneMarker, false, request.Complete, "", "ab"},
+		{"comments and empty lines", ": ping\n\n" + chunkA + finalChunk + doneMarker, false, request.Complete, "", "a"},
 		{"cut", chunkA + chunkB, false, request.Failed, CodeConnectionLost, "ab"},
 		{"cut, at most once", chunkA, true, request.Unknown, CodeConnectionLost, "a"},
-		{"no finish reason", chunkA + marker, false, request.Failed, CodeBadAnswer, "a"},
-		{"error event", chunkA + broken, false, request.Failed, request.CodeDeadline, "a"},
+		{"no finish reason", chunkA + doneMarker, false, request.Failed, CodeBadAnswer, "a"},
+		{"error event", chunkA + errorEvent, false, request.Failed, request.CodeDeadline, "a"},
 		{"garbage", chunkA + "data: {\n\n", false, request.Failed, CodeBadAnswer, "a"},
 	}
 	for _, c := range cases {
@@ -44,7 +44,7 @@
 			res := NewClient().Do(context.Background(), Call{
 				Address:       s.Listener.Addr().String(),
 				Completion:    &Completion{Model: "m", Prompt: "p", Stream: true},
-				NotRepeatable: c.once,
+				NotRepeatable: c.notRepeatable,
 			}, nil)
 			if res.Outcome != c.outcome || res.Code != c.code || res.Answer != c.answer {
 				t.Errorf("got %s %q, answer %q", res.Outcome, res.Code, res.Answer)
@@ -53,9 +53,9 @@
 	}
 }
 
-func TestPromptFollowsFromSeed(t *testing.T) {
+func TestPromptIsDeterminedBySeed(t *testing.T) {
 	a, b, other := Prompt(1000, 1), Prompt(1000, 1), Prompt(1000, 2)
 	if a != b || a == other || len(a) != 1000*BytesPerToken {
-		t.Errorf("equal seeds give equal prompts: %v, other seeds other ones: %v, length %d", a == b, a != other, len(a))
+		t.Errorf("equal seeds give equal prompts: %v, different seeds different prompts: %v, length %d", a == b, a != other, len(a))
 	}
 }
--- a/internal/cli/verify.go
+++ b/internal/cli/verify.go
@@ -8,24 +8,24 @@
 	"github.com/buckthorndock/buckthorndock/internal/standin/answer"
 )
 
-// verifyCompletion says whether an answer is the one that a stand-in engine gives
-// to the prompt.
+// verifyCompletion reports whether got is the answer of a stand-in engine to the
+// prompt.
 func verifyCompletion(prompt string, answerTokens int, got string) bool {
 	return got == answer.FullText(prompt, answerTokens)
 }
 
-// echo is the part of a stand-in service's answer that names its request.
-type echo struct {
+// echoedRequest is the part of a stand-in service's answer that identifies its
+// request by the hash of the body.
+type echoedRequest struct {
 	SHA256 string `json:"echo_sha256"`
 	Result struct {
 		SHA256 string `json:"echo_sha256"`
 	} `json:"result"`
 }
 
-// verifyService says whether an answer is the one that a stand-in service gives
-// to the body.
+// verifyService reports whether got is the answer of a stand-in service to the body.
 func verifyService(body, got string) bool {
-	var e echo
+	var e echoedRequest
 	if json.Unmarshal([]byte(got), &e) != nil {
 		return false
 	}
--- a/test/capacity/measure.go
+++ b/test/capacity/measure.go
@@ -13,22 +13,23 @@
 	"time"
 )
 
-// clockTicks is the unit of processor time in /proc, a constant of Linux.
+// clockTicks is the number of CPU time units per second in /proc, a constant of Linux.
 const clockTicks = 100
 
-// sample is what a daemon has used since its start.
+// sample holds the resource use of a daemon since its start.
 type sample struct {
 	at       time.Time
-	cpu      float64 // seconds
-	rss      float64 // MiB
-	sent     map[string]float64
-	received map[string]float64
-	appends  float64
-	offset   float64            // of the settings
-	counters map[string]float64 // counters without their labels, but for those of bytes
+	cpu      float64            // seconds
+	rss      float64            // MiB
+	sent     map[string]float64 // bytes by purpose
+	received map[string]float64 // bytes by purpose
+	appends  float64            // appends to the claim log
+	offset   float64            // settings offset applied
+	counters map[string]float64 // values by metric name, summed over labels, without byte counters
 }
 
-// measureSite starts a site, lets it settle, and measures its daemons.
+// measureSite starts a site of n daemons, waits until it has settled, and measures the
+// daemons.
 func measureSite(ctx context.Context, o options, n int) (result, error) {
 	s, err := startSite(ctx, o, n)
 	if err != nil {
@@ -39,27 +40,27 @@
 	defer stopLoad()
 	if o.rate > 0 {
 		for _, d := range s.daemons {
-			go newCallers(o, d.address).run(loadCtx)
+			go newLoadGenerator(o, d.address).run(loadCtx)
 		}
 	}
-	if err := pause(ctx, o.settle); err != nil {
+	if err := sleep(ctx, o.settle); err != nil {
 		return result{}, err
 	}
-	before, err := s.sample()
+	before, err := s.sampleAll()
 	if err != nil {
 		return result{}, err
 	}
-	took, err := s.during(ctx, o)
+	took, err := s.runMeasurement(ctx, o)
 	if err != nil {
 		return result{}, err
 	}
-	after, err := s.sample()
+	after, err := s.sampleAll()
 	if err != nil {
 		return result{}, err
 	}
 	r := summarize(before, after)
-	r.Spread = timesOf(took)
-	if r.Starts, err = s.replaceDaemons(ctx, o); err != nil {
+	r.ChangeLatency = newDurationStats(took)
+	if r.Replacements, err = s.replaceDaemons(ctx, o); err != nil {
 		return result{}, err
 	}
 	r.Daemons = n
@@ -70,16 +71,17 @@
 	r.Answer = o.answer
 	r.StepMs = o.step.Seconds() * 1000
 	r.Customers = o.customers
-	r.Others = o.others
+	r.UnservedUpstreams = o.unservedUpstreams
 	r.Keyed = o.keyed
 	r.Changes = o.changes
 	return r, nil
 }
 
-// during lets the time to measure pass, with changes of the settings if wanted.
-func (s *site) during(ctx context.Context, o options) ([]time.Duration, error) {
+// runMeasurement waits for the duration of the measurement. Meanwhile it publishes
+// settings changes if the options ask for them, and returns how long each took.
+func (s *site) runMeasurement(ctx context.Context, o options) ([]time.Duration, error) {
 	if o.changes == 0 {
-		return nil, pause(ctx, o.measure)
+		return nil, sleep(ctx, o.measure)
 	}
 	span, cancel := context.WithTimeout(ctx, o.measure)
 	defer cancel()
@@ -90,7 +92,7 @@
 	return took, ctx.Err()
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -99,7 +101,7 @@
 	}
 }
 
-func (s *site) sample() ([]sample, error) {
+func (s *site) sampleAll() ([]sample, error) {
 	var samples []sample
 	for _, d := range s.daemons {
 		sm, err := d.sample()
@@ -117,11 +119,11 @@
 	if err != nil {
 		return sm, err
 	}
-	// The name in brackets may hold blanks; the fields are counted after it.
+	// The process name in parentheses may contain spaces; fields are counted after it.
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+2:]))
 	const userTime, systemTime, residentPages = 11, 12, 21
-	sm.cpu = (number(fields[userTime]) + number(fields[systemTime])) / clockTicks
-	sm.rss = number(fields[residentPages]) * float64(os.Getpagesize()) / (1 << 20)
+	sm.cpu = (parseNumber(fields[userTime]) + parseNumber(fields[systemTime])) / clockTicks
+	sm.rss = parseNumber(fields[residentPages]) * float64(os.Getpagesize()) / (1 << 20)
 	resp, err := http.Get("http://" + d.address + "/metrics")
 	if err != nil {
 		return sm, err
@@ -131,12 +133,12 @@
 	if err != nil {
 		return sm, err
 	}
-	sm.read(string(text))
+	sm.parseMetrics(string(text))
 	return sm, nil
 }
 
-// read takes the byte counters out of a daemon's metrics.
-func (sm *sample) read(text string) {
+// parseMetrics reads the counters and the settings offset from a daemon's metrics text.
+func (sm *sample) parseMetrics(text string) {
 	for line := range strings.Lines(text) {
 		name, value, ok := strings.Cut(strings.TrimSpace(line), " ")
 		if !ok {
@@ -146,32 +148,32 @@
 		purpose := labelValue(labels)
 		switch kind {
 		case "buckthorndock_peer_sent_bytes_total":
-			sm.sent["peer:"+purpose] += number(value)
+			sm.sent["peer:"+purpose] += parseNumber(value)
 		case "buckthorndock_peer_received_bytes_total":
-			sm.received["peer:"+purpose] += number(value)
+			sm.received["peer:"+purpose] += parseNumber(value)
 		case "buckthorndock_control_sent_bytes_total":
-			sm.sent[purpose] += number(value)
+			sm.sent[purpose] += parseNumber(value)
 		case "buckthorndock_control_received_bytes_total":
-			sm.received[purpose] += number(value)
+			sm.received[purpose] += parseNumber(value)
 		case "buckthorndock_claim_appends_total":
-			sm.appends += number(value)
+			sm.appends += parseNumber(value)
 		case "buckthorndock_settings_offset":
-			sm.offset = number(value)
+			sm.offset = parseNumber(value)
 		}
 		if strings.HasPrefix(kind, "buckthorndock_") && strings.HasSuffix(kind, "_total") && !strings.HasSuffix(kind, "_bytes_total") {
-			sm.counters[kind] += number(value)
+			sm.counters[kind] += parseNumber(value)
 		}
 	}
 }
 
-// labelValue returns the value of a single label, as in purpose="log"}.
+// labelValue returns the value of the first label in text such as purpose="log"}.
 func labelValue(labels string) string {
 	_, v, _ := strings.Cut(labels, `"`)
 	v, _, _ = strings.Cut(v, `"`)
 	return v
 }
 
-func number(s string) float64 {
+func parseNumber(s string) float64 {
 	f, err := strconv.ParseFloat(s, 64)
 	if err != nil {
 		return 0
@@ -187,27 +189,28 @@
 		span := a.at.Sub(b.at).Seconds()
 		r.CPUPercent.add((a.cpu - b.cpu) / span * 100)
 		r.RSSMiB.add(a.rss)
-		r.SentBytes.add((total(a.sent) - total(b.sent)) / span)
-		r.ReceivedBytes.add((total(a.received) - total(b.received)) / span)
-		r.Appends += (a.appends - b.appends) / span
+		r.SentBytes.add((sumOf(a.sent) - sumOf(b.sent)) / span)
+		r.ReceivedBytes.add((sumOf(a.received) - sumOf(b.received)) / span)
+		r.LogAppends += (a.appends - b.appends) / span
 		for p := range a.sent {
 			purposes[p] += (a.sent[p] - b.sent[p] + a.received[p] - b.received[p]) / span
 		}
 	}
 	n := float64(len(after))
-	r.Counters = events(before, after)
-	for _, s := range []*spread{&r.CPUPercent, &r.RSSMiB, &r.SentBytes, &r.ReceivedBytes} {
+	r.Counters = counterRates(before, after)
+	for _, s := range []*meanMax{&r.CPUPercent, &r.RSSMiB, &r.SentBytes, &r.ReceivedBytes} {
 		s.Mean /= n
 	}
 	for p, v := range purposes {
-		r.Purposes = append(r.Purposes, line{Purpose: p, Bytes: v / n})
+		r.Purposes = append(r.Purposes, purposeRate{Purpose: p, Bytes: v / n})
 	}
 	sort.Slice(r.Purposes, func(i, j int) bool { return r.Purposes[i].Purpose < r.Purposes[j].Purpose })
 	return r
 }
 
-// events returns how fast the counters rose, the mean of the daemons.
-func events(before, after []sample) (rates []event) {
+// counterRates returns the rates of the counters that changed, as the mean of the
+// daemons.
+func counterRates(before, after []sample) (rates []counterRate) {
 	sums := map[string]float64{}
 	for i := range after {
 		span := after[i].at.Sub(before[i].at).Seconds()
@@ -217,20 +220,20 @@
 	}
 	for name, v := range sums {
 		if v != 0 {
-			rates = append(rates, event{Name: name, Rate: v / float64(len(after))})
+			rates = append(rates, counterRate{Name: name, Rate: v / float64(len(after))})
 		}
 	}
 	sort.Slice(rates, func(i, j int) bool { return rates[i].Name < rates[j].Name })
 	return rates
 }
 
-// add counts one daemon in; Mean holds the sum until the end.
-func (s *spread) add(v float64) {
+// add adds the value of one daemon. Mean holds the sum until the caller divides it.
+func (s *meanMax) add(v float64) {
 	s.Mean += v
 	s.Max = max(s.Max, v)
 }
 
-func total(m map[string]float64) (sum float64) {
+func sumOf(m map[string]float64) (sum float64) {
 	for _, v := range m {
 		sum += v
 	}
