--- a/internal/cli/publish.go
+++ b/internal/cli/publish.go
@@ -10,31 +10,31 @@
 	"github.com/buckthorndock/buckthorndock/internal/api/callerapi"
 )
 
-// A change whose verdict was lost is looked for this often in the history.
+// Limits of the search of the history for a change whose verdict was lost.
 const (
-	resolveTries = 20
-	resolvePause = 500 * time.Millisecond
+	maxHistoryReads     = 20
+	historyReadInterval = 500 * time.Millisecond
 )
 
-// publishChange sends a change to the first daemon that takes it. When the
-// verdict is lost, the change is not sent again: it is looked for by its id in
-// the history that every daemon replays.
+// publishChange sends a change to the first daemon that can be reached. When the
+// verdict is lost, the change is not sent again, but searched by its id in the
+// settings history that every daemon replays.
 func publishChange(ctx context.Context, c *cli.Command, change *callerapi.SettingsChange) (*callerapi.SettingsVerdict, error) {
-	v, err := sendOnce(ctx, c, change)
+	v, err := submitChange(ctx, c, change)
 	if err == nil {
 		return v, nil
 	}
 	if exitCode(err) == ExitUnknown {
-		fmt.Fprintf(c.Root().ErrWriter, "change %s: the verdict was lost, looking for it in the history\n", change.ChangeID)
-		if v := resolveChange(ctx, c, change); v != nil {
+		fmt.Fprintf(c.Root().ErrWriter, "change %s: the verdict was lost, searching the history for it\n", change.ChangeID)
+		if v := awaitVerdictInHistory(ctx, c, change); v != nil {
 			return v, nil
 		}
 	}
 	return nil, fmt.Errorf("change %s: %w", change.ChangeID, err)
 }
 
-func sendOnce(ctx context.Context, c *cli.Command, change *callerapi.SettingsChange) (*callerapi.SettingsVerdict, error) {
-	res, err := first(c, false, func(api *callerapi.Client) (callerapi.ChangeSettingsRes, error) {
+func submitChange(ctx context.Context, c *cli.Command, change *callerapi.SettingsChange) (*callerapi.SettingsVerdict, error) {
+	res, err := callFirstReachable(c, false, func(api *callerapi.Client) (callerapi.ChangeSettingsRes, error) {
 		return api.ChangeSettings(ctx, change)
 	})
 	if err != nil {
@@ -46,15 +46,15 @@
 	case *callerapi.ErrorStatusCode:
 		return nil, apiError(r)
 	default:
-		return nil, unexpected(res)
+		return nil, unexpectedAnswerError(res)
 	}
 }
 
-// resolveChange returns the verdict of a change from the history, nil when no
-// daemon comes to know of it.
-func resolveChange(ctx context.Context, c *cli.Command, change *callerapi.SettingsChange) *callerapi.SettingsVerdict {
-	for range resolveTries {
-		history, err := getHistory(ctx, c, change.Edits[0].Path, resolveTries)
+// awaitVerdictInHistory polls the settings history and returns the verdict of a
+// change, or nil when it does not appear.
+func awaitVerdictInHistory(ctx context.Context, c *cli.Command, change *callerapi.SettingsChange) *callerapi.SettingsVerdict {
+	for range maxHistoryReads {
+		history, err := getHistory(ctx, c, change.Edits[0].Path, maxHistoryReads)
 		if err == nil {
 			if v := findVerdict(history, change); v != nil {
 				return v
@@ -63,12 +63,13 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(resolvePause):
+		case <-time.After(historyReadInterval):
 		}
 	}
 	return nil
 }
 
+// findVerdict returns the verdict of a change in a history, nil when it is not there.
 func findVerdict(history *callerapi.SettingsHistory, change *callerapi.SettingsChange) *callerapi.SettingsVerdict {
 	for _, h := range history.Changes {
 		if h.ChangeID != change.ChangeID {
@@ -83,13 +84,14 @@
 	return nil
 }
 
-// getHistory reads the changes of a path and its subtree, newest first.
+// getHistory returns the newest changes of a path and its subtree, newest first, at
+// most limit of them.
 func getHistory(ctx context.Context, c *cli.Command, path string, limit int) (*callerapi.SettingsHistory, error) {
 	params := callerapi.GetSettingsHistoryParams{
 		Path:  callerapi.NewOptString(path),
 		Limit: callerapi.NewOptInt(limit),
 	}
-	res, err := first(c, true, func(api *callerapi.Client) (callerapi.GetSettingsHistoryRes, error) {
+	res, err := callFirstReachable(c, true, func(api *callerapi.Client) (callerapi.GetSettingsHistoryRes, error) {
 		return api.GetSettingsHistory(ctx, params)
 	})
 	if err != nil {
@@ -101,6 +103,6 @@
 	case *callerapi.ErrorStatusCode:
 		return nil, apiError(r)
 	default:
-		return nil, unexpected(res)
+		return nil, unexpectedAnswerError(res)
 	}
 }
--- a/internal/config/parser.go
+++ b/internal/config/parser.go
@@ -16,13 +16,13 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/finding"
 )
 
-// field is one key of the file with the line it stands on.
+// field is one key of the file with its line and its value.
 type field struct {
 	line  int
 	value string
 	list  []string
 	kind  fieldKind
-	taken bool
+	taken bool // the parser knows the key
 }
 
 type fieldKind uint8
@@ -35,17 +35,17 @@
 
 // parser collects the fields of a file and the findings about them.
 type parser struct {
-	file     string
-	seen     map[string]field
-	known    []string // keys that the daemon has asked for
-	findings finding.List
+	file      string
+	fields    map[string]field
+	knownKeys []string // keys that the parser has looked up
+	findings  finding.List
 }
 
 func (p *parser) addf(line int, key, format string, args ...any) {
 	p.findings.Addf(finding.Place{File: p.file, Line: line, Key: key}, format, args...)
 }
 
-// flatten fills seen with dotted keys.
+// flatten parses the file and fills fields, whose keys are dotted paths.
 func (p *parser) flatten(text []byte) {
 	f, err := yamlparser.ParseBytes(text, 0)
 	if err != nil {
@@ -56,69 +56,71 @@
 		p.addf(1, "", "the file is empty")
 		return
 	}
-	p.walk("", f.Docs[0].Body)
+	p.collect("", f.Docs[0].Body)
 }
 
-func (p *parser) walk(prefix string, n ast.Node) {
+// collect adds the entries of a mapping to fields.
+func (p *parser) collect(prefix string, n ast.Node) {
 	switch n := n.(type) {
 	case *ast.MappingNode:
 		for _, v := range n.Values {
-			p.entry(prefix, v)
+			p.collectEntry(prefix, v)
 		}
 	case *ast.MappingValueNode:
-		p.entry(prefix, n)
+		p.collectEntry(prefix, n)
 	default:
 		p.addf(n.GetToken().Position.Line, prefix, "expected keys and values")
 	}
 }
 
-func (p *parser) entry(prefix string, v *ast.MappingValueNode) {
+func (p *parser) collectEntry(prefix string, v *ast.MappingValueNode) {
 	name := v.Key.GetToken().Value
 	key := name
 	if prefix != "" {
 		key = prefix + "." + name
 	}
 	line := v.Key.GetToken().Position.Line
-	if _, twice := p.seen[key]; twice {
-		p.addf(line, key, "the key stands twice")
+	if _, duplicate := p.fields[key]; duplicate {
+		p.addf(line, key, "duplicate key")
 		return
 	}
 	switch value := v.Value.(type) {
 	case *ast.MappingNode, *ast.MappingValueNode:
-		p.seen[key] = field{line: line, kind: mapping, taken: true}
-		p.walk(key, value)
+		p.fields[key] = field{line: line, kind: mapping, taken: true}
+		p.collect(key, value)
 	case *ast.SequenceNode:
 		f := field{line: line, kind: sequence}
 		for _, item := range value.Values {
 			f.list = append(f.list, item.GetToken().Value)
 		}
-		p.seen[key] = f
+		p.fields[key] = f
 	case *ast.NullNode:
-		p.seen[key] = field{line: line}
+		p.fields[key] = field{line: line}
 	default:
-		p.seen[key] = field{line: line, value: value.GetToken().Value}
+		p.fields[key] = field{line: line, value: value.GetToken().Value}
 	}
 }
 
 // take returns a scalar field and marks the key as known.
 func (p *parser) take(key string) (field, bool) {
-	p.known = append(p.known, key)
-	f, ok := p.seen[key]
+	p.knownKeys = append(p.knownKeys, key)
+	f, ok := p.fields[key]
 	if !ok {
 		return field{}, false
 	}
 	f.taken = true
-	p.seen[key] = f
+	p.fields[key] = f
 	if f.kind != scalar {
-		p.addf(f.line, key, "expected one value")
+		p.addf(f.line, key, "expected a single value")
 		return field{}, false
 	}
 	return f, true
 }
 
+// required returns a scalar field. A missing or empty one is a finding.
 func (p *parser) required(key string) (field, bool) {
-	if _, there := p.seen[key]; !there {
-		p.known = append(p.known, key)
+	if _, found := p.fields[key]; !found {
+		p.knownKeys = append(p.knownKeys, key)
 		p.addf(0, key, "missing")
 		return field{}, false
 	}
@@ -154,13 +156,13 @@
 }
 
 func (p *parser) addresses(key string) []string {
-	p.known = append(p.known, key)
-	f, ok := p.seen[key]
+	p.knownKeys = append(p.knownKeys, key)
+	f, ok := p.fields[key]
 	if !ok {
 		return nil
 	}
 	f.taken = true
-	p.seen[key] = f
+	p.fields[key] = f
 	if f.kind != sequence {
 		p.addf(f.line, key, "expected a list of IP:port")
 		return nil
@@ -196,28 +198,29 @@
 	return time.Duration(n) * time.Second
 }
 
-// logRetention refuses a log that forgets claims while they still protect a key.
-// The daemon leaves the times of the claims at their defaults.
+// logRetention returns the retention of the log. One that drops claims while they
+// still protect an idempotency key is a finding; the daemon leaves the times of the
+// claims at their defaults.
 func (p *parser) logRetention(key string) time.Duration {
-	f, there := p.seen[key]
+	f, found := p.fields[key]
 	before := len(p.findings)
 	d := p.seconds(key)
-	if !there {
+	if !found {
 		return DefaultLogRetention
 	}
-	least := claims.Options{}.MinRetention()
-	if d < least && len(p.findings) == before {
-		p.addf(f.line, key, "%d: claims of idempotency keys need a log that keeps records for %d seconds at least",
-			int(d.Seconds()), int(least.Seconds()))
+	minRetention := claims.Options{}.MinRetention()
+	if d < minRetention && len(p.findings) == before {
+		p.addf(f.line, key, "%d: claims of idempotency keys need a log that keeps records for at least %d seconds",
+			int(d.Seconds()), int(minRetention.Seconds()))
 	}
 	return d
 }
 
-// count returns a number of at least one.
-func (p *parser) count(key string, byDefault int) int {
+// positiveCount returns a number of at least 1, or defaultValue for a missing key.
+func (p *parser) positiveCount(key string, defaultValue int) int {
 	f, ok := p.take(key)
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	n, err := strconv.Atoi(f.value)
 	if err != nil || n < 1 {
@@ -257,7 +260,7 @@
 	return f.value
 }
 
-// daemon takes every known key.
+// daemon reads every known key.
 func (p *parser) daemon() *Daemon {
 	d := &Daemon{
 		Host:       p.name("host"),
@@ -277,17 +280,18 @@
 		LogLevel:            p.logLevel("log_level"),
 		OperatorTokenSHA256: p.tokenHash("operator_token_sha256"),
 		ShutdownTimeout:     p.seconds("shutdown_timeout_seconds"),
-		MaxConnections:      p.count("max_connections", DefaultMaxConnections),
+		MaxConnections:      p.positiveCount("max_connections", DefaultMaxConnections),
 		TestFaults:          p.boolean("test_faults"),
 	}
 	if d.Listen != "" && d.Listen == d.PeerListen {
-		p.addf(p.seen["peer_listen"].line, "peer_listen", "the same as listen")
+		p.addf(p.fields["peer_listen"].line, "peer_listen", "the same as listen")
 	}
 	return d
 }
 
-func (p *parser) unknownKeys() {
-	for key, f := range p.seen {
+// reportUnknownKeys adds a finding for each key that daemon has not read.
+func (p *parser) reportUnknownKeys() {
+	for key, f := range p.fields {
 		switch {
 		case f.kind == mapping && key != "platform":
 			p.addf(f.line, key, "unknown key")
--- a/internal/core/avoid/avoid.go
+++ b/internal/core/avoid/avoid.go
@@ -1,6 +1,6 @@
-// Package avoid remembers which upstreams failed a daemon lately, so that they are
-// left alone for a while and let back in slowly. It goes by the outcomes of
-// requests, for health answers may be wrong either way. It is pure: no I/O, goroutines or
+// Package avoid tracks the upstreams whose requests failed recently, so that they get no
+// requests for a time that doubles with each failure in a row. It goes by the outcomes of
+// requests, for health checks may be wrong either way. It is pure: no I/O, goroutines or
 // clocks.
 package avoid
 
@@ -8,10 +8,10 @@
 
 // Options configure a Tracker.
 type Options struct {
-	First time.Duration // how long an upstream is avoided after one failure
-	Most  time.Duration // the longest; each failure in a row doubles the time
-	// Forget is how long after the last failure they count as in a row.
-	Forget time.Duration
+	Initial time.Duration // how long an upstream is avoided after one failure
+	Max     time.Duration // the longest time; each failure in a row doubles the time
+	// ResetAfter is how long after the last failure the next one still counts as in a row.
+	ResetAfter time.Duration
 }
 
 type record struct {
@@ -20,7 +20,7 @@
 	until  time.Time
 }
 
-// Tracker is the memory of one daemon. It is not safe for concurrent use.
+// Tracker tracks the failures that one daemon has seen. It is not safe for concurrent use.
 type Tracker struct {
 	opts Options
 	byID map[string]*record
@@ -31,9 +31,9 @@
 	return &Tracker{opts: o, byID: map[string]*record{}}
 }
 
-// Failed notes a failure and returns for how long the upstream is avoided. Failures
-// of attempts that began before it was avoided count as one.
-func (t *Tracker) Failed(id string, now time.Time) time.Duration {
+// RecordFailure records a failure and returns for how long the upstream is avoided. Failures
+// while it is avoided, of attempts that began before, count as one.
+func (t *Tracker) RecordFailure(id string, now time.Time) time.Duration {
 	r := t.byID[id]
 	if r == nil {
 		r = &record{}
@@ -42,39 +42,39 @@
 	if now.Before(r.until) {
 		return r.until.Sub(now)
 	}
-	if now.Sub(r.last) > t.opts.Forget {
+	if now.Sub(r.last) > t.opts.ResetAfter {
 		r.streak = 0
 	}
-	span := min(t.opts.First<<min(r.streak, 16), t.opts.Most)
+	span := min(t.opts.Initial<<min(r.streak, 16), t.opts.Max)
 	r.streak++
 	r.last = now
 	r.until = now.Add(span)
 	return span
 }
 
-// Forgive forgets the failures of an upstream since a time: what was at fault was not the
-// upstream.
-func (t *Tracker) Forgive(id string, since time.Time) {
+// ClearFailures drops the failures of an upstream if the last one is not before since: the
+// fault was not the upstream's.
+func (t *Tracker) ClearFailures(id string, since time.Time) {
 	if r := t.byID[id]; r != nil && !r.last.Before(since) {
 		delete(t.byID, id)
 	}
 }
 
-// Succeeded ends a streak of failures.
-func (t *Tracker) Succeeded(id string, now time.Time) {
+// RecordSuccess ends a streak of failures; a success while the upstream is avoided does not.
+func (t *Tracker) RecordSuccess(id string, now time.Time) {
 	if r := t.byID[id]; r != nil && !now.Before(r.until) {
 		delete(t.byID, id)
 	}
 }
 
-// Avoided returns the upstreams to leave alone now, and forgets old failures.
+// Avoided returns the upstreams to avoid now, and drops old failures.
 func (t *Tracker) Avoided(now time.Time) []string {
 	var ids []string
 	for id, r := range t.byID {
 		switch {
 		case now.Before(r.until):
 			ids = append(ids, id)
-		case now.Sub(r.last) > t.opts.Forget:
+		case now.Sub(r.last) > t.opts.ResetAfter:
 			delete(t.byID, id)
 		}
 	}
--- a/internal/core/booking/book_test.go
+++ b/internal/core/booking/book_test.go
@@ -18,15 +18,15 @@
 
 var figures = cost.Figures{
 	Slots: 16, Memory: 450_000, Stride: 46, Chunk: 2048, StepMs: 0.925, PerSeqMs: 0.00483,
-	ContextPerK: 0.00254, ReadPerMs: 256, PairsMsPerM: 0.0917, UsualPrompt: 13_000, UsualAnswer: 1500, MaxHelpers: 16,
+	ContextPerK: 0.00254, PrefillTokensPerMs: 256, PairsMsPerM: 0.0917, UsualPrompt: 13_000, UsualAnswer: 1500, MaxHelpers: 16,
 }
 
 func upstreams(n int) *fleet.Snapshot {
-	l := fleet.New(fleet.Options{AwayAfter: time.Hour})
+	l := fleet.New(fleet.Options{OutageAfter: time.Hour})
 	var all []fleet.Change
 	for i := range n {
 		id := fmt.Sprintf("e%02d", i)
-		u := fleet.Upstream{Life: fleet.Life{Name: id}, Service: "llm", Address: id + ":1", Slots: 16}
+		u := fleet.Upstream{Incarnation: fleet.Incarnation{Name: id}, Service: "llm", Address: id + ":1", Slots: 16}
 		all = append(all, fleet.Change{Name: id, Upstream: &u})
 	}
 	l.Replace(all, start)
@@ -35,13 +35,13 @@
 
 func newBook(engines int) *Book {
 	b := New()
-	b.SetServices([]Service{{Name: "llm", Figures: figures, TightGap: 200 * time.Millisecond}})
+	b.SetServices([]Service{{Name: "llm", Figures: figures, MinGap: 200 * time.Millisecond}})
 	b.SetUpstreams(upstreams(engines))
 	return b
 }
 
-func ask(id string, prompt int) Ask {
-	a := Ask{ID: id, Host: "h1", Service: "llm", Prompt: prompt, Answer: 1600, Expected: 1500, Left: 10 * time.Second}
+func newRequest(id string, prompt int) Request {
+	a := Request{ID: id, Host: "h1", Service: "llm", Prompt: prompt, Answer: 1600, Expected: 1500, Left: 10 * time.Second}
 	switch {
 	case prompt < 24_000:
 		a.Objective, a.Gap = 300*time.Millisecond, 200*time.Millisecond
@@ -58,11 +58,11 @@
 	used := map[string]int{}
 	for i := range 12 {
 		id := fmt.Sprint(i)
-		p := b.Place(ask(id, 5000), start)
+		p := b.Place(newRequest(id, 5000), start)
 		if p.Verdict != Booked || len(p.Parts) != 1 {
 			t.Fatalf("%d: %+v", i, p)
 		}
-		b.First(id)
+		b.RecordFirstEvent(id)
 		used[p.Parts[0].Upstream]++
 	}
 	if len(used) != 1 {
@@ -70,8 +70,8 @@
 	}
 	for i := range 8 {
 		id := fmt.Sprint("more", i)
-		p := b.Place(ask(id, 5000), start)
-		b.First(id)
+		p := b.Place(newRequest(id, 5000), start)
+		b.RecordFirstEvent(id)
 		used[p.Parts[0].Upstream]++
 	}
 	if len(used) != 2 {
@@ -81,21 +81,18 @@
 
 func TestShortPromptAvoidsEnginesWithBookedParts(t *testing.T) {
 	b := newBook(10)
-	open := b.Place(ask("writes", 5000), start).Parts[0]
-	b.First("writes")
+	open := b.Place(newRequest("writes", 5000), start).Parts[0]
+	b.RecordFirstEvent("writes")
 	booked := Plan{Parts: []Part{open}, Wait: 500 * time.Millisecond, Read: 400 * time.Millisecond, First: time.Second}
-	b.Note(ask("long", 210_000), booked, start)
-	if p := b.Place(ask("short", 5000), start); p.Parts[0].Upstream == open.Upstream {
-		t.Error("it is on the engine on which a long part begins soon")
+	b.Record(newRequest("long", 210_000), booked, start)
+	if p := b.Place(newRequest("short", 5000), start); p.Parts[0].Upstream == open.Upstream {
+		t.Error("it is on the engine on which the prefill of a long part starts soon")
 	}
 }
 
-// TestTheLargestAreNotPutBehindWhileTheyAreInTime is the pattern of many long prompts on
-// engines that are all busy: one of the largest that can still be read in time is planned
-// as the others are. Put behind them for what it earns a second, it was late in the end.
 func TestFailingEnginesAreTakenWhenNoOtherIsLeft(t *testing.T) {
 	b := newBook(2)
-	a := ask("a", 5000)
+	a := newRequest("a", 5000)
 	a.Avoid = []string{"e00"}
 	if p := b.Place(a, start); p.Parts[0].Upstream != "e01" {
 		t.Errorf("got %+v", p)
@@ -110,36 +107,36 @@
 	}
 }
 
-func TestFiguresThatAreMissingRefuseNothing(t *testing.T) {
+func TestMissingFiguresCauseNoRefusal(t *testing.T) {
 	b := newBook(3)
 	b.SetServices([]Service{{Name: "llm", Figures: cost.Figures{StepMs: 1, Stride: 10}}})
 	for i, prompt := range []int{1000, 45_000, 900_000} {
-		p := b.Place(ask(fmt.Sprint(i), prompt), start)
+		p := b.Place(newRequest(fmt.Sprint(i), prompt), start)
 		if p.Verdict != Booked || len(p.Parts) != 1 {
 			t.Errorf("%d tokens: %+v", prompt, p)
 		}
 	}
 }
 
-func TestWriterWithoutAGapObjectiveBearsAnyPart(t *testing.T) {
+func TestDecodeWithoutAGapObjectiveToleratesAnyPause(t *testing.T) {
 	b := newBook(1)
-	a := ask("calm", 5000)
+	a := newRequest("calm", 5000)
 	a.Gap = 0
 	b.Place(a, start)
-	b.First("calm")
-	if l := b.ordered[0].look(start, 200*time.Millisecond); !l.bearsAll(10 * time.Second) {
-		t.Error("a part of ten seconds harms it")
+	b.RecordFirstEvent("calm")
+	if l := b.packOrder[0].loadAt(start, 200*time.Millisecond); !l.toleratesPause(10 * time.Second) {
+		t.Error("a pause of ten seconds makes it late")
 	}
 }
 
-func TestRestoreReplacesWhatADaemonBooked(t *testing.T) {
+func TestRestoreReplacesTheAttemptsOfADaemon(t *testing.T) {
 	b := newBook(4)
-	p := b.Place(ask("old", 5000), start)
-	b.Restore("h1", []Open{{Ask: ask("new", 5000), Plan: p, Age: time.Second, HasFirst: true}}, start)
-	if b.Len() != 1 || b.entries["new"] == nil || !b.entries["new"].first {
+	p := b.Place(newRequest("old", 5000), start)
+	b.Restore("h1", []OpenAttempt{{Ask: newRequest("new", 5000), Plan: p, Age: time.Second, HasFirst: true}}, start)
+	if b.Len() != 1 || b.entries["new"] == nil || !b.entries["new"].hasFirst {
 		t.Errorf("the book has %v", b.entries)
 	}
-	b.Forget("h1")
+	b.DropHost("h1")
 	if b.Len() != 0 || len(b.byHost) != 0 {
 		t.Errorf("left: %v", b.entries)
 	}
@@ -149,7 +146,7 @@
 	params := gopter.DefaultTestParametersWithSeed(31)
 	params.MinSuccessfulTests = 60
 	props := gopter.NewProperties(params)
-	props.Property("entries stand on their engines and nowhere else, and memory is never overbooked", prop.ForAll(
+	props.Property("entries are on their engines and nowhere else, and memory is never overbooked", prop.ForAll(
 		func(seed uint64) bool {
 			rng := rand.New(rand.NewPCG(seed, 7))
 			b, now, booked := newBook(5), start, 0
@@ -165,14 +162,14 @@
 					}
 				case 3:
 					if len(open) > 0 {
-						b.First(open[rng.IntN(len(open))])
+						b.RecordFirstEvent(open[rng.IntN(len(open))])
 					}
 				case 4:
 					b.SetUpstreams(upstreams(1 + rng.IntN(5)))
 				default:
 					id := fmt.Sprint(i)
 					sizes := []int{1000, 5000, 45_000, 210_000, 600_000}
-					if b.Place(ask(id, sizes[rng.IntN(len(sizes))]), now).Verdict == Booked {
+					if b.Place(newRequest(id, sizes[rng.IntN(len(sizes))]), now).Verdict == Booked {
 						open = append(open, id)
 						booked++
 					}
@@ -189,44 +186,44 @@
 func consistent(b *Book, now time.Time) bool {
 	for _, e := range b.engines {
 		for _, x := range e.entries {
-			if b.entries[x.ask.ID] != x {
+			if b.entries[x.req.ID] != x {
 				return false
 			}
 		}
-		if l := e.look(now, 200*time.Millisecond); l.memory > figures.Memory {
+		if l := e.loadAt(now, 200*time.Millisecond); l.memory > figures.Memory {
 			return false
 		}
 	}
 	for id, x := range b.entries {
-		if b.byHost[x.ask.Host][id] != x {
+		if b.byHost[x.req.Host][id] != x {
 			return false
 		}
 	}
 	return true
 }
 
-func TestAttemptWhoseEndIsNeverToldExpires(t *testing.T) {
+func TestAttemptWithoutAReportedEndExpires(t *testing.T) {
 	b := newBook(2)
-	a := ask("lost", 5000)
+	a := newRequest("lost", 5000)
 	b.Place(a, start)
 	b.Expire(start.Add(a.Left))
 	if b.Len() != 1 {
 		t.Error("it expired before its deadline")
 	}
-	b.Expire(start.Add(a.Left + 2*lastsOver))
+	b.Expire(start.Add(a.Left + 2*expiryGrace))
 	if b.Len() != 0 {
-		t.Error("it is a writer for good")
+		t.Error("it did not expire")
 	}
 }
 
-// TestShortPromptsGatherAfterABurst is the pattern of loads that turn: many short prompts,
-// then few of them beside many long ones. An answer takes 1.7 s, as those of 35 events do.
-// The engines that the burst has opened have to fall clear, or each long prompt harms some.
-func TestShortPromptsGatherAfterABurst(t *testing.T) {
+// TestShortPromptsArePackedAgainAfterABurst has a load that changes from many short prompts to
+// few of them beside many long ones. An answer takes 1.7 s, as one of 35 events does. The engines
+// that the burst has opened must run empty, or each long prompt makes some decodes late.
+func TestShortPromptsArePackedAgainAfterABurst(t *testing.T) {
 	const (
-		lasts     = 1700 * time.Millisecond
-		readAfter = 100 * time.Millisecond
-		step      = 10 * time.Millisecond
+		answerTime  = 1700 * time.Millisecond
+		prefillTime = 100 * time.Millisecond
+		step        = 10 * time.Millisecond
 	)
 	b := newBook(18)
 	ends, firsts := map[time.Duration][]string{}, map[time.Duration][]string{}
@@ -241,7 +238,7 @@
 	play := func(from, to, every time.Duration) {
 		for at := from; at < to; at += step {
 			for _, id := range firsts[at] {
-				b.First(id)
+				b.RecordFirstEvent(id)
 			}
 			for _, id := range ends[at] {
 				b.End(id)
@@ -251,19 +248,19 @@
 			}
 			placed++
 			id := fmt.Sprint(placed)
-			if p := b.Place(ask(id, 5000), start.Add(at)); p.Verdict != Booked {
+			if p := b.Place(newRequest(id, 5000), start.Add(at)); p.Verdict != Booked {
 				t.Fatalf("%s: %+v", id, p)
 			}
-			firsts[at+readAfter] = append(firsts[at+readAfter], id)
-			ends[at+lasts] = append(ends[at+lasts], id)
+			firsts[at+prefillTime] = append(firsts[at+prefillTime], id)
+			ends[at+answerTime] = append(ends[at+answerTime], id)
 		}
 	}
 	play(0, 5*time.Second, step) // 170 at a time
 	if n := open(); n < 11 {
-		t.Fatalf("the burst is on %d engines only", n)
+		t.Fatalf("the burst uses %d engines only", n)
 	}
 	play(5*time.Second, 10*time.Second, 8*step) // 21 at a time, for which two engines have room
 	if n := open(); n > 3 {
-		t.Errorf("%d short prompts hold %d engines", b.Len(), n)
+		t.Errorf("%d short prompts use %d engines", b.Len(), n)
 	}
 }
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -16,13 +16,14 @@
 	return p
 }
 
-// runWorld returns what is wrong with a random run, or nothing.
+// runWorld does a random run. It returns an error if an engine holds more than
+// its memory or something is left over.
 func runWorld(w *world, steps int) error {
 	stranger := Item{ID: ID{Kind: Export, Name: "x1"}, Holder: Holder{Host: "gone", Incarnation: "9"}, Tokens: 500}
 	for _, n := range w.names {
 		w.engines[n].books[stranger.ID] = stranger
 		for _, l := range w.owners {
-			w.do(l, l.Own(n))
+			w.carryOut(l, l.Own(n))
 		}
 	}
 	for range steps {
@@ -34,10 +35,10 @@
 		}
 	}
 	w.drain()
-	return w.left()
+	return w.leftovers()
 }
 
-func (w *world) left() error {
+func (w *world) leftovers() error {
 	for _, e := range w.engines {
 		if len(e.books) > 0 {
 			return fmt.Errorf("engine %s still lists %v", e.name, e.books)
@@ -53,8 +54,9 @@
 	return nil
 }
 
-// One owner keeps below capacity by its own books: these engines check nothing.
-func TestGrantsStayBelowCapacityAndEndAtZero(t *testing.T) {
+// A single owner stays below capacity by its own accounting: its engines check
+// nothing.
+func TestGrantsStayBelowCapacityAndAreReleased(t *testing.T) {
 	props := gopter.NewProperties(parameters(300))
 	granted := 0
 	props.Property("one owner, engines that check nothing", prop.ForAll(func(seed uint64) string {
@@ -68,7 +70,7 @@
 	}, gen.UInt64()))
 	props.TestingRun(t)
 	if granted < 1000 {
-		t.Errorf("only %d grants: the property saw too little", granted)
+		t.Errorf("only %d grants: the property was hardly exercised", granted)
 	}
 }
 
@@ -95,20 +97,20 @@
 	t.Error("granting before the rebuild passed 100 runs")
 }
 
-// Books that are taken for newer than they are drop fresh grants.
+// A ledger that takes old books for new ones drops fresh grants and must fail.
 func TestMutantTrustingOldBooksIsCaught(t *testing.T) {
 	for seed := range uint64(100) {
 		w := newWorld(seed, 1, 1, 3, false)
 		for _, n := range w.names {
-			w.do(w.owners[0], w.owners[0].Own(n))
+			w.carryOut(w.owners[0], w.owners[0].Own(n))
 		}
 		for range 30 {
 			old := w.engines["e0"].read(w.now)
 			for range 20 {
 				w.step()
 			}
-			old.Asked = w.now
-			w.do(w.owners[0], w.owners[0].ApplyBooks(old, w.now))
+			old.ReadStarted = w.now
+			w.carryOut(w.owners[0], w.owners[0].ApplyBooks(old, w.now))
 			if w.engines["e0"].used() > 1000 {
 				return
 			}
@@ -123,7 +125,7 @@
 func ownedWith(items ...Item) *Ledger {
 	l := New(Options{})
 	l.Own("e0")
-	l.ApplyBooks(Books{Engine: "e0", Incarnation: "1", Total: 1000, Asked: epoch, Items: items}, epoch)
+	l.ApplyBooks(Books{Engine: "e0", Incarnation: "1", Total: 1000, ReadStarted: epoch, Items: items}, epoch)
 	return l
 }
 
@@ -131,7 +133,7 @@
 	return Item{ID: ID{Kind: kind, Name: name, Attempt: 1}, Holder: Holder{Host: host, Incarnation: incarnation}, Tokens: tokens}
 }
 
-// tickUntil ticks each second and returns when and why the first end was asked.
+// tickUntil ticks each second and returns when and why the first end was requested.
 func tickUntil(l *Ledger, renew func(now time.Time), limit time.Duration) (time.Duration, Cause) {
 	for d := time.Second; d <= limit; d += time.Second {
 		now := epoch.Add(d)
@@ -180,7 +182,7 @@
 	for _, c := range cases {
 		l := ownedWith(c.item)
 		if c.gone {
-			l.HostGone("h", epoch)
+			l.MarkHostGone("h", epoch)
 		}
 		at, cause := tickUntil(l, renewEmpty(l, c.renewUntil), 10*time.Minute)
 		if at != c.want || cause != c.cause {
@@ -214,8 +216,9 @@
 	}
 }
 
-// A claim that the books do not know is gone only when newer books lack it too.
-func TestGoneIsSaidAfterFreshBooks(t *testing.T) {
+// A claimed reservation that is not in the books is reported gone only if books
+// read after the claim do not list it either.
+func TestGoneIsReportedAfterFreshBooks(t *testing.T) {
 	l := ownedWith()
 	claim := Claim{Engine: "e0", ID: ID{Kind: Reservation, Name: "r"}}
 	renew := func(seq uint64, at time.Duration) (int, int) {
@@ -230,27 +233,28 @@
 		t.Error("gone by books older than the first claim")
 	}
 	now := epoch.Add(3 * time.Second)
-	l.ApplyBooks(Books{Engine: "e0", Total: 1000, Asked: now}, now)
+	l.ApplyBooks(Books{Engine: "e0", Total: 1000, ReadStarted: now}, now)
 	if gone, _ := renew(3, 4*time.Second); gone != 1 {
 		t.Error("not gone by fresh books")
 	}
 }
 
-// A reserve call that takes effect after its release is undone by the next books.
+// A reserve call that takes effect after its release is undone when the next books
+// list it.
 func TestLateReservationIsEndedAtOnce(t *testing.T) {
 	l := ownedWith()
 	late := item(Reservation, "r", "h", "1")
 	late.Attempt = 0
 	l.Release("e0", late.ID, late.Holder, epoch)
-	l.EndAnswer("e0", late.ID, true, epoch)
+	l.HandleEndAnswer("e0", late.ID, true, epoch)
 	now := epoch.Add(time.Second)
-	acts := l.ApplyBooks(Books{Engine: "e0", Total: 1000, Asked: now, Items: []Item{late}}, now)
+	acts := l.ApplyBooks(Books{Engine: "e0", Total: 1000, ReadStarted: now, Items: []Item{late}}, now)
 	if len(acts) != 1 || acts[0] != (ReleaseOn{Engine: "e0", ID: late.ID, Cause: CauseLate}) {
 		t.Errorf("got %+v, want a release of the late reservation", acts)
 	}
 }
 
-// A paused owner must not take its own pause for its holders' silence.
+// A paused owner must not mistake its own pause for silence of the holders.
 func TestPauseOfTheOwnerEndsNothing(t *testing.T) {
 	l := ownedWith(item(Reservation, "r", "h", "1"))
 	l.Renew(Renewal{Holder: Holder{Host: "h", Incarnation: "1"}, Seq: 1}, epoch)
@@ -265,7 +269,7 @@
 	now := epoch.Add(time.Second)
 	h := Holder{Host: "h", Incarnation: "1"}
 	ask := func(id string, n int64, size int, until time.Duration) Action {
-		a := Ask{Engine: "e0", ID: id, Request: id, Holder: h, Tokens: n, GangSize: size}
+		a := ReserveRequest{Engine: "e0", ID: id, Request: id, Holder: h, Tokens: n, GangSize: size}
 		if until > 0 {
 			a.Until = now.Add(until)
 		}
@@ -302,7 +306,7 @@
 	for b.Loop() {
 		seq++
 		now = now.Add(time.Second)
-		l.ApplyBooks(Books{Engine: "e0", Total: 1000, Asked: now, Items: items}, now)
+		l.ApplyBooks(Books{Engine: "e0", Total: 1000, ReadStarted: now, Items: items}, now)
 		for host := range 60 {
 			r := Renewal{Holder: Holder{Host: fmt.Sprintf("host-%02d", host), Incarnation: "1"}, Seq: seq}
 			for i := host; i < len(claims); i += 60 {
--- a/internal/core/ledger/sim_test.go
+++ b/internal/core/ledger/sim_test.go
@@ -8,11 +8,11 @@
 
 var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fakeEngine keeps books the way an engine does.
+// fakeEngine keeps books as an engine does.
 type fakeEngine struct {
 	name    string
 	total   int64
-	refuses bool // checks its own accounting
+	refuses bool // refuses what does not fit
 	starts  int
 	books   map[ID]Item
 }
@@ -29,7 +29,7 @@
 	return sum
 }
 
-func (f *fakeEngine) reserve(a Ask) Result {
+func (f *fakeEngine) reserve(a ReserveRequest) Result {
 	id := ID{Kind: Reservation, Name: a.ID}
 	if _, ok := f.books[id]; ok {
 		return Held
@@ -42,7 +42,7 @@
 }
 
 func (f *fakeEngine) read(now time.Time) Books {
-	b := Books{Engine: f.name, Incarnation: fmt.Sprint(f.starts), Total: f.total, Asked: now}
+	b := Books{Engine: f.name, Incarnation: fmt.Sprint(f.starts), Total: f.total, ReadStarted: now}
 	for _, it := range f.books {
 		b.Items = append(b.Items, it)
 	}
@@ -70,21 +70,21 @@
 	return r
 }
 
-// world runs ledgers, engines and fronts against each other. Answers of engines
-// come in any order and are lost at times.
+// world simulates ledgers, engines and fronts. Answers of engines arrive in any
+// order, and some are lost.
 type world struct {
-	rnd     *rand.Rand
-	now     time.Time
-	engines map[string]*fakeEngine
-	names   []string
-	owners  []*Ledger
-	fronts  []*front
-	lossy   bool
-	under   []func() // deliveries under way
-	serial  int
-	granted int
-	denied  map[Reason]int
-	ended   func(Ended) // hears of confirmed ends; may be nil
+	rnd      *rand.Rand
+	now      time.Time
+	engines  map[string]*fakeEngine
+	names    []string
+	owners   []*Ledger
+	fronts   []*front
+	lossy    bool
+	inFlight []func() // undelivered messages
+	serial   int
+	granted  int
+	denied   map[Reason]int
+	ended    func(Ended) // called on confirmed ends; may be nil
 }
 
 func newWorld(seed uint64, engines, owners, fronts int, refuses bool) *world {
@@ -109,12 +109,12 @@
 	return w
 }
 
-// do carries out a ledger's actions.
-func (w *world) do(l *Ledger, acts []Action) {
+// carryOut carries out a ledger's actions.
+func (w *world) carryOut(l *Ledger, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case ReserveOn:
-			w.reserveOn(l, a.Ask)
+			w.reserveOn(l, a.Request)
 		case ReleaseOn:
 			w.endOn(l, a.Engine, a.ID)
 		case CancelOn:
@@ -123,7 +123,7 @@
 			w.readBooks(l, a.Engine)
 		case Grant:
 			w.granted++
-			w.told(a.Ask)
+			w.recordGrant(a.Request)
 		case Deny:
 			w.denied[a.Reason]++
 		case Ended:
@@ -134,7 +134,7 @@
 	}
 }
 
-func (w *world) told(a Ask) {
+func (w *world) recordGrant(a ReserveRequest) {
 	for _, f := range w.fronts {
 		if f.holder() == a.Holder {
 			f.held[a.ID] = a.Engine
@@ -144,7 +144,7 @@
 
 func (w *world) lost() bool { return w.lossy && w.rnd.IntN(5) == 0 }
 
-func (w *world) reserveOn(l *Ledger, a Ask) {
+func (w *world) reserveOn(l *Ledger, a ReserveRequest) {
 	w.send(func() {
 		result := Lost
 		if !w.lost() {
@@ -153,7 +153,7 @@
 		if w.lost() {
 			result = Lost
 		}
-		w.send(func() { w.do(l, l.ReserveAnswer(a, result, w.now)) })
+		w.send(func() { w.carryOut(l, l.HandleReserveAnswer(a, result, w.now)) })
 	})
 }
 
@@ -166,32 +166,32 @@
 		if w.lost() {
 			return
 		}
-		w.send(func() { w.do(l, l.EndAnswer(engine, id, true, w.now)) })
+		w.send(func() { w.carryOut(l, l.HandleEndAnswer(engine, id, true, w.now)) })
 	})
 }
 
 func (w *world) readBooks(l *Ledger, engine string) {
-	asked := w.now
+	readStart := w.now
 	w.send(func() {
-		b := w.engines[engine].read(asked)
-		w.send(func() { w.do(l, l.ApplyBooks(b, w.now)) })
+		b := w.engines[engine].read(readStart)
+		w.send(func() { w.carryOut(l, l.ApplyBooks(b, w.now)) })
 	})
 }
 
-func (w *world) send(f func()) { w.under = append(w.under, f) }
+func (w *world) send(f func()) { w.inFlight = append(w.inFlight, f) }
 
-// deliver runs one delivery; any may be next.
+// deliver delivers one message, chosen at random.
 func (w *world) deliver() {
-	if len(w.under) == 0 {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	i := w.rnd.IntN(len(w.under))
-	f := w.under[i]
-	w.under = append(w.under[:i], w.under[i+1:]...)
+	i := w.rnd.IntN(len(w.inFlight))
+	f := w.inFlight[i]
+	w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
 	f()
 }
 
-// step does one random thing.
+// step makes one random event happen.
 func (w *world) step() {
 	w.now = w.now.Add(time.Duration(1+w.rnd.IntN(200)) * time.Millisecond)
 	l := w.owners[w.rnd.IntN(len(w.owners))]
@@ -200,18 +200,18 @@
 	switch w.rnd.IntN(12) {
 	case 0, 1, 2:
 		w.serial++
-		ask := Ask{Engine: name, ID: fmt.Sprintf("r%d", w.serial), Holder: f.holder(), Tokens: 1 + w.rnd.Int64N(600)}
-		w.do(l, l.Reserve(ask, w.now))
+		req := ReserveRequest{Engine: name, ID: fmt.Sprintf("r%d", w.serial), Holder: f.holder(), Tokens: 1 + w.rnd.Int64N(600)}
+		w.carryOut(l, l.Reserve(req, w.now))
 	case 3:
 		w.releaseOne(l, f)
 	case 4:
 		w.renew(l, f)
 	case 5:
-		w.do(l, l.Tick(w.now))
+		w.carryOut(l, l.Tick(w.now))
 	case 6:
 		w.readBooks(l, name)
 	case 7:
-		w.rare(f, name)
+		w.restartSome(f, name)
 	default:
 		w.deliver()
 	}
@@ -220,7 +220,7 @@
 func (w *world) releaseOne(l *Ledger, f *front) {
 	for id, e := range f.held {
 		delete(f.held, id)
-		w.do(l, l.Release(e, ID{Kind: Reservation, Name: id}, f.holder(), w.now))
+		w.carryOut(l, l.Release(e, ID{Kind: Reservation, Name: id}, f.holder(), w.now))
 		return
 	}
 }
@@ -230,11 +230,11 @@
 	for _, c := range reply.Gone {
 		delete(f.held, c.ID.Name)
 	}
-	w.do(l, acts)
+	w.carryOut(l, acts)
 }
 
-// rare restarts a front or an engine.
-func (w *world) rare(f *front, engine string) {
+// restartSome restarts a front or an engine now and then.
+func (w *world) restartSome(f *front, engine string) {
 	switch w.rnd.IntN(8) {
 	case 0:
 		f.start++
@@ -247,7 +247,7 @@
 	}
 }
 
-// drain lets everything end: fronts want nothing any more.
+// drain lets all holdings end: the fronts claim nothing any more.
 func (w *world) drain() {
 	w.lossy = false
 	for _, f := range w.fronts {
@@ -259,9 +259,9 @@
 			for _, n := range l.Owned() {
 				w.readBooks(l, n)
 			}
-			w.do(l, l.Tick(w.now))
+			w.carryOut(l, l.Tick(w.now))
 		}
-		for len(w.under) > 0 {
+		for len(w.inFlight) > 0 {
 			w.deliver()
 		}
 	}
--- a/internal/core/membership/bench_test.go
+++ b/internal/core/membership/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// domainsOf splits a site's hosts as they are planned: 60 a domain.
+// domainsOf splits a site's hosts into domains of 60, as planned.
 func domainsOf(hosts int) []int {
 	const most = 60
 	var sizes []int
@@ -16,8 +16,8 @@
 	return sizes
 }
 
-// settled returns two hosts of one domain that know a whole site.
-func settled(b *testing.B, hosts int) (s *site, one, two *Members) {
+// settledSite returns a site whose hosts all know each other, and two hosts of one domain.
+func settledSite(b *testing.B, hosts int) (s *site, one, two *Members) {
 	b.Helper()
 	s = newSite(b, 1)
 	for i, size := range domainsOf(hosts) {
@@ -32,20 +32,20 @@
 	return s, s.hosts[0], s.hosts[1]
 }
 
-// BenchmarkExchange runs whole exchanges between two hosts that know a site,
-// encoding included. Before each, the opener hears a beat of every other host of
-// the domain, which the answerer lacks. Bytes are those of gob.
+// BenchmarkExchange runs complete exchanges between two hosts that know a site,
+// including the encoding. Before each, the opener gets a heartbeat of every other
+// host of the domain, which the answerer lacks. Bytes are those of gob.
 func BenchmarkExchange(b *testing.B) {
 	for _, hosts := range []int{8, 60, 420} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
-			s, one, two := settled(b, hosts)
+			s, one, two := settledSite(b, hosts)
 			w := newWire()
 			b.ReportAllocs()
 			for b.Loop() {
 				s.now = s.now.Add(time.Millisecond)
 				for _, e := range one.order {
-					if one.local(e) && e.id.Host != two.Self().Host {
-						e.beat()
+					if one.isLocal(e) && e.id.Host != two.Self().Host {
+						e.advanceHeartbeat()
 					}
 				}
 				exchangeOnce(s, w, one, two)
@@ -73,7 +73,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, hosts := range []int{8, 60, 420} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
-			s, one, _ := settled(b, hosts)
+			s, one, _ := settledSite(b, hosts)
 			b.ReportAllocs()
 			for b.Loop() {
 				one.Tick(s.now, s.rng)
@@ -85,7 +85,7 @@
 func BenchmarkView(b *testing.B) {
 	for _, hosts := range []int{8, 60, 420} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
-			s, one, _ := settled(b, hosts)
+			s, one, _ := settledSite(b, hosts)
 			b.ReportAllocs()
 			for b.Loop() {
 				one.View(s.now)
@@ -97,7 +97,7 @@
 func BenchmarkOwner(b *testing.B) {
 	for _, hosts := range []int{8, 60, 420} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
-			s, one, _ := settled(b, hosts)
+			s, one, _ := settledSite(b, hosts)
 			view := one.View(s.now)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -110,7 +110,7 @@
 func BenchmarkLocalOwner(b *testing.B) {
 	for _, hosts := range []int{8, 60, 420} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
-			s, one, _ := settled(b, hosts)
+			s, one, _ := settledSite(b, hosts)
 			view := one.View(s.now)
 			domain := view[0].Domain
 			b.ReportAllocs()
@@ -121,13 +121,12 @@
 	}
 }
 
-// BenchmarkSite reports the bytes that a host sends a second, by gob alone, in a
-// site of the full size. Each message's gob here carries its type descriptions,
-// so they are taken out.
+// BenchmarkSite reports the gob bytes that a host sends per second, without type
+// descriptions, which a connection carries only once.
 func BenchmarkSite(b *testing.B) {
 	for _, hosts := range []int{8, 60, 420} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
-			s, _, _ := settled(b, hosts)
+			s, _, _ := settledSite(b, hosts)
 			s.wire = newWire()
 			const span = 30 * time.Second
 			for b.Loop() {
@@ -141,16 +140,16 @@
 			}
 			b.ReportMetric(float64(total)/float64(hosts)/span.Seconds(), "mean-B/s")
 			b.ReportMetric(float64(most)/span.Seconds(), "most-B/s")
-			local, remote := oldest(s)
+			local, remote := longestSilence(s)
 			b.ReportMetric(local.Seconds(), "oldest-local-s")
 			b.ReportMetric(remote.Seconds(), "oldest-remote-s")
 		})
 	}
 }
 
-// oldest returns for how long the longest unheard host of the same and of
-// another domain was not heard.
-func oldest(s *site) (local, remote time.Duration) {
+// longestSilence returns the longest time for which a host of the viewer's own
+// domain, and of another domain, was not heard from.
+func longestSilence(s *site) (local, remote time.Duration) {
 	for _, m := range s.hosts {
 		for _, v := range m.View(s.now) {
 			silence := s.now.Sub(v.LastHeard)
--- a/internal/core/membership/members.go
+++ b/internal/core/membership/members.go
@@ -8,51 +8,51 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/option"
 )
 
-// Config sets a Members up. Zero durations and counts take the defaults. All
-// hosts of a site should use the same values.
+// Config configures a Members. Zero durations and counts select the defaults.
+// All hosts of a site should use the same values.
 type Config struct {
 	Self Identity
 
-	Beat          time.Duration // between two beats of the own version; default 1 s
-	SuspectAfter  time.Duration // silence after which a host of the own domain is suspect; default 5 s
-	DeadAfter     time.Duration // silence after which it is dead; default 12 s
-	RemoteFactor  int           // the two limits times this hold for other domains; default 10
-	RemoteQuantum int           // beats told to other domains at once; default 16
-	ForgetAfter   time.Duration // silence after which a dead host is forgotten; default 1 h
-
-	Partners int // hosts of the own domain that exchanges go to at a time; default 8
-	// NearBy names a section by whose data hosts of the own domain are near each other, as
-	// those of one failure domain where a domain has several: most partners are near. Empty:
-	// all are alike.
-	NearBy      string
-	FarPartners int // of the partners, those that are not near; default 2
-
-	RotateEvery   time.Duration // after which the oldest partner is replaced; default 10 s
-	ProbeEvery    time.Duration // between tries of a silent or unknown address; default 5 s
-	Gateways      int           // hosts of a domain that exchange with others; default 2
-	GatewayEvery  time.Duration // between two exchanges with one other domain; default 5 s
-	MaxDeltaBytes int           // rough bound of the news in one message; default 32 KiB
+	HeartbeatInterval time.Duration // time between two heartbeats, each of which raises this host's version; default 1 s
+	SuspectAfter      time.Duration // silence after which a host of this domain is suspect; default 5 s
+	DeadAfter         time.Duration // silence after which it is dead; default 12 s
+	RemoteFactor      int           // multiplies both limits for hosts of other domains; default 10
+	RemoteQuantum     int           // heartbeats per version step sent to other domains; default 16
+	ForgetAfter       time.Duration // silence after which a dead host is forgotten; default 1 h
+
+	Partners int // hosts of this domain that this one exchanges with at a time; default 8
+	// LocalitySection names a section: hosts of this domain that publish equal data in it are near each
+	// other, such as those of one failure domain where a domain has several. Most partners are
+	// near ones. Empty: all hosts count as near.
+	LocalitySection string
+	FarPartners     int // number of partners that are not near; default 2
+
+	RotateInterval  time.Duration // time after which the oldest partner is replaced; default 10 s
+	ProbeInterval   time.Duration // time between two probes of silent or unknown addresses; default 5 s
+	Gateways        int           // hosts of a domain that exchange with other domains; default 2
+	GatewayInterval time.Duration // time between two exchanges with the same other domain; default 5 s
+	MaxDeltaBytes   int           // approximate limit of the delta in one message; default 32 KiB
 }
 
 // Defaults of Config.
 const (
-	defaultBeat          = time.Second
-	defaultSuspectAfter  = 5 * time.Second
-	defaultDeadAfter     = 12 * time.Second
-	defaultRemoteFactor  = 10
-	defaultRemoteQuantum = 16
-	defaultForgetAfter   = time.Hour
-	defaultPartners      = 8
-	defaultFarPartners   = 2
-	defaultRotateEvery   = 10 * time.Second
-	defaultProbeEvery    = 5 * time.Second
-	defaultGateways      = 2
-	defaultGatewayEvery  = 5 * time.Second
-	defaultMaxDeltaBytes = 32 << 10
+	defaultHeartbeatInterval = time.Second
+	defaultSuspectAfter      = 5 * time.Second
+	defaultDeadAfter         = 12 * time.Second
+	defaultRemoteFactor      = 10
+	defaultRemoteQuantum     = 16
+	defaultForgetAfter       = time.Hour
+	defaultPartners          = 8
+	defaultFarPartners       = 2
+	defaultRotateInterval    = 10 * time.Second
+	defaultProbeInterval     = 5 * time.Second
+	defaultGateways          = 2
+	defaultGatewayInterval   = 5 * time.Second
+	defaultMaxDeltaBytes     = 32 << 10
 )
 
 func (c *Config) setDefaults() {
-	option.Default(&c.Beat, defaultBeat)
+	option.Default(&c.HeartbeatInterval, defaultHeartbeatInterval)
 	option.Default(&c.SuspectAfter, defaultSuspectAfter)
 	option.Default(&c.DeadAfter, defaultDeadAfter)
 	option.Default(&c.RemoteFactor, defaultRemoteFactor)
@@ -60,27 +60,27 @@
 	option.Default(&c.ForgetAfter, defaultForgetAfter)
 	option.Default(&c.Partners, defaultPartners)
 	option.Default(&c.FarPartners, defaultFarPartners)
-	option.Default(&c.RotateEvery, defaultRotateEvery)
-	option.Default(&c.ProbeEvery, defaultProbeEvery)
+	option.Default(&c.RotateInterval, defaultRotateInterval)
+	option.Default(&c.ProbeInterval, defaultProbeInterval)
 	option.Default(&c.Gateways, defaultGateways)
-	option.Default(&c.GatewayEvery, defaultGatewayEvery)
+	option.Default(&c.GatewayInterval, defaultGatewayInterval)
 	option.Default(&c.MaxDeltaBytes, defaultMaxDeltaBytes)
 }
 
-// entry is what is known of one host's newest incarnation.
+// entry is what is known about one host's newest incarnation.
 type entry struct {
 	id            Identity
 	key           uint64
-	version       uint64 // every section up to it that reaches this domain is held
+	version       uint64 // all sections up to it that are sent to this domain are held
 	leaveVersion  uint64
 	listedLeaving bool
-	heard         time.Time
-	failed        time.Time          // last call to it that failed, zero once it is heard
+	lastHeard     time.Time
+	failedAt      time.Time          // time of the last failed call to it, zero once it is heard from
 	sections      map[string]Section // Age unused
 	publishedAt   map[string]time.Time
 }
 
-// contact is an address that is known only by the daemon file or the list.
+// contact is an address known only from the daemon's configuration or the list.
 type contact struct {
 	address string
 	host    string // empty for a seed
@@ -95,27 +95,27 @@
 	byHost     map[string]*entry
 	byKey      map[uint64]*entry
 	contacts   map[string]contact  // by address
-	hints      map[string][]string // by domain: addresses that another domain told last
-	listed     map[string]bool     // by host: leaving, as the list last said
+	hints      map[string][]string // by domain: addresses in the last hints
+	listed     map[string]bool     // by host: whether the last list has it as leaving
 	superseded bool
 
-	locals      int       // known hosts of the own domain, the own one among them
-	grew        time.Time // when many hosts were last told of for the first time
-	clock       time.Time // newest time seen
-	nextBeat    time.Time
-	nextProbe   time.Time
-	nextRotate  time.Time
-	nextGateway time.Time
-	partners    []string
-	turn        int             // of partners
-	domains     map[string]bool // other domains that were heard of
-	newlyLeft   []*entry
-	published   map[*entry][]Section // learned since the last Forwards
-
-	publishedCount int
+	localCount      int       // known hosts of this domain, this one included
+	grewAt          time.Time // when a message last introduced many hosts at once
+	clock           time.Time // latest time passed in
+	nextHeartbeat   time.Time
+	nextProbe       time.Time
+	nextRotate      time.Time
+	nextGateway     time.Time
+	partners        []string
+	partnerIndex    int             // into partners, of the last exchange
+	domains         map[string]bool // other known domains
+	pendingLeaves   []*entry
+	pendingSections map[*entry][]Section // new since the last TakePushes
+
+	sectionsVersion int
 }
 
-// New returns a state machine that knows only its own host.
+// New returns a Members that knows only its own host.
 func New(cfg Config, now time.Time) *Members {
 	cfg.setDefaults()
 	m := &Members{
@@ -127,27 +127,27 @@
 		domains:  make(map[string]bool),
 		hints:    make(map[string][]string),
 
-		published: make(map[*entry][]Section),
-		clock:     now,
-		grew:      now,
+		pendingSections: make(map[*entry][]Section),
+		clock:           now,
+		grewAt:          now,
 	}
-	m.self = m.put(cfg.Self, now)
-	m.self.version = 1 << beatShift
+	m.self = m.addEntry(cfg.Self, now)
+	m.self.version = 1 << heartbeatShift
 	return m
 }
 
-// Self returns the own identity.
+// Self returns the identity of this host.
 func (m *Members) Self() Identity {
 	return m.self.id
 }
 
-// Superseded tells whether a newer incarnation of the own host was heard of.
-// The process then is a leftover and has to stop taking work.
+// Superseded reports whether a newer incarnation of this host exists. This
+// process is then a leftover and must stop accepting work.
 func (m *Members) Superseded() bool {
 	return m.superseded
 }
 
-// AddSeeds adds addresses to start from.
+// AddSeeds adds addresses through which to discover other hosts.
 func (m *Members) AddSeeds(addresses []string) {
 	for _, a := range addresses {
 		if a == m.self.id.Address {
@@ -159,11 +159,12 @@
 	}
 }
 
-// HostList takes a list that was read from the platform. It adds addresses to
-// try and marks hosts as leaving when their entry turns to leaving. A host that
-// is missing loses nothing, and a mark by the list ends with the list's own
-// word or a newer incarnation: the list may be about the host's former life.
-func (m *Members) HostList(now time.Time, list []Listed) {
+// ApplyHostList applies a host list read from the platform. It adds addresses to
+// probe and marks hosts as leaving when their entry changes to leaving. A host
+// missing from the list keeps its state. The mark ends when the list no longer
+// has the host as leaving, or with a newer incarnation: the list may refer to
+// the previous incarnation.
+func (m *Members) ApplyHostList(now time.Time, list []ListedHost) {
 	m.advance(now)
 	for addr, c := range m.contacts {
 		if c.host != "" {
@@ -178,12 +179,12 @@
 		m.noteDomain(l.Domain)
 		listed[l.Host] = l.Leaving
 		m.contacts[l.Address] = contact{address: l.Address, host: l.Host, domain: l.Domain}
-		m.markListed(l)
+		m.applyListedState(l)
 	}
 	m.listed = listed
 }
 
-func (m *Members) markListed(l Listed) {
+func (m *Members) applyListedState(l ListedHost) {
 	e := m.byHost[l.Host]
 	if e == nil {
 		return
@@ -197,8 +198,7 @@
 	}
 }
 
-// View returns all members that are not forgotten, the own host among them,
-// ordered by host.
+// View returns all known members, this host included, ordered by host.
 func (m *Members) View(now time.Time) []Member {
 	m.advance(now)
 	return m.view()
@@ -213,12 +213,12 @@
 }
 
 func (m *Members) member(e *entry) Member {
-	return Member{Identity: e.id, Seq: e.version, State: m.state(e), LastHeard: e.heard}
+	return Member{Identity: e.id, Version: e.version, State: m.state(e), LastHeard: e.lastHeard}
 }
 
 func (m *Members) state(e *entry) State {
-	silence := m.clock.Sub(e.heard)
-	suspect, dead := m.limits(e)
+	silence := m.clock.Sub(e.lastHeard)
+	suspect, dead := m.silenceLimits(e)
 	switch {
 	case e != m.self && silence >= dead:
 		return Dead
@@ -230,7 +230,7 @@
 	return Live
 }
 
-func (m *Members) limits(e *entry) (suspect, dead time.Duration) {
+func (m *Members) silenceLimits(e *entry) (suspect, dead time.Duration) {
 	factor := m.silenceFactor()
 	suspect = time.Duration(factor * float64(m.cfg.SuspectAfter))
 	dead = time.Duration(factor * float64(m.cfg.DeadAfter))
@@ -241,35 +241,35 @@
 	return suspect, dead
 }
 
-// advance moves the clock. A gap that is far longer than the time between two
-// inputs means that this process was paused: the others' silence is then not
-// counted against them.
+// advance moves the clock forward. A gap far longer than the time between two
+// inputs means that this process was paused; it does not count as silence of
+// the other hosts.
 func (m *Members) advance(now time.Time) {
 	gap := now.Sub(m.clock)
 	if gap <= 0 {
 		return
 	}
-	if pause := gap - m.mostQuiet(); pause > 0 {
+	if pause := gap - m.maxInputGap(); pause > 0 {
 		for _, e := range m.order {
-			e.heard = e.heard.Add(pause)
+			e.lastHeard = e.lastHeard.Add(pause)
 		}
 	}
 	m.clock = now
-	m.self.heard = now
+	m.self.lastHeard = now
 }
 
-// mostQuiet is the longest time between two inputs of a process that is not paused.
-func (m *Members) mostQuiet() time.Duration { return m.stretched(m.cfg.SuspectAfter / 2) }
+// maxInputGap returns the longest time between two inputs of a process that is not paused.
+func (m *Members) maxInputGap() time.Duration { return m.scaleInterval(m.cfg.SuspectAfter / 2) }
 
-// put makes an entry the newest of its host.
-func (m *Members) put(id Identity, heard time.Time) *entry {
+// addEntry adds an entry for an incarnation and replaces the host's older one.
+func (m *Members) addEntry(id Identity, heard time.Time) *entry {
 	if old := m.byHost[id.Host]; old != nil {
-		m.drop(old)
+		m.removeEntry(old)
 	}
 	e := &entry{
 		id:          id,
 		key:         id.key(),
-		heard:       heard,
+		lastHeard:   heard,
 		sections:    make(map[string]Section),
 		publishedAt: make(map[string]time.Time),
 	}
@@ -278,22 +278,22 @@
 	m.byHost[id.Host] = e
 	m.byKey[e.key] = e
 	if id.Domain == m.cfg.Self.Domain {
-		m.locals++
+		m.localCount++
 	}
 	m.noteDomain(id.Domain)
 	return e
 }
 
-// beatShift is the number of low bits of a version that count the sections
-// published since the last beat. So the beat can be told from a version however
-// often sections change. More sections than fit only bring a beat forward.
-const beatShift = 6
+// heartbeatShift is the number of low bits of a version that count the sections
+// published since the last heartbeat. The heartbeat can thus be derived from a version
+// however often sections change. More sections than fit only advance the heartbeat.
+const heartbeatShift = 6
 
-func (e *entry) beat() {
-	e.version = (e.version>>beatShift + 1) << beatShift
+func (e *entry) advanceHeartbeat() {
+	e.version = (e.version>>heartbeatShift + 1) << heartbeatShift
 }
 
-// maxDomains bounds the domains that are exchanged with.
+// maxDomains limits the number of other domains to exchange with.
 const maxDomains = 64
 
 func (m *Members) noteDomain(domain string) {
@@ -302,13 +302,13 @@
 	}
 }
 
-func (m *Members) drop(e *entry) {
+func (m *Members) removeEntry(e *entry) {
 	at, _ := slices.BinarySearchFunc(m.order, e.id.Host, compareHost)
 	m.order = slices.Delete(m.order, at, at+1)
 	delete(m.byHost, e.id.Host)
 	delete(m.byKey, e.key)
-	if m.local(e) {
-		m.locals--
+	if m.isLocal(e) {
+		m.localCount--
 	}
 }
 
@@ -316,9 +316,9 @@
 	return strings.Compare(e.id.Host, host)
 }
 
-// introduce returns the entry of an identity, nil when a newer incarnation of
-// it is known or when it is the own host.
-func (m *Members) introduce(id Identity, heard time.Time) *entry {
+// upsertEntry returns the entry of an identity and adds it when it is new. It
+// returns nil when a newer incarnation is known or when it is this host.
+func (m *Members) upsertEntry(id Identity, heard time.Time) *entry {
 	if id.Host == m.self.id.Host {
 		m.superseded = m.superseded || id.Incarnation > m.self.id.Incarnation
 		return nil
@@ -330,30 +330,30 @@
 	if e != nil && id.Incarnation == e.id.Incarnation {
 		return e
 	}
-	fresh := m.put(id, heard)
-	// The list may have told of the host before it was heard of. Of a host that
-	// was known the list's word is about the former incarnation.
+	fresh := m.addEntry(id, heard)
+	// The list may have named the host before it was discovered. For a host that
+	// was known, the list refers to the previous incarnation.
 	fresh.listedLeaving = e == nil && m.listed[id.Host]
 	return fresh
 }
 
-// meet notes that a host was heard directly.
-func (m *Members) meet(id Identity) {
-	e := m.introduce(id, m.clock)
+// markHeard records that a message came from the host itself.
+func (m *Members) markHeard(id Identity) {
+	e := m.upsertEntry(id, m.clock)
 	if e == nil {
 		return
 	}
-	e.failed = time.Time{}
-	if e.heard.Before(m.clock) {
-		e.heard = m.clock
+	e.failedAt = time.Time{}
+	if e.lastHeard.Before(m.clock) {
+		e.lastHeard = m.clock
 	}
 }
 
-// forget drops the hosts that have been dead for long.
-func (m *Members) forget() {
+// forgetDead removes the hosts that have been silent for ForgetAfter.
+func (m *Members) forgetDead() {
 	for _, e := range slices.Clone(m.order) {
-		if e != m.self && m.clock.Sub(e.heard) >= m.cfg.ForgetAfter {
-			m.drop(e)
+		if e != m.self && m.clock.Sub(e.lastHeard) >= m.cfg.ForgetAfter {
+			m.removeEntry(e)
 		}
 	}
 }
--- a/internal/core/membership/members_test.go
+++ b/internal/core/membership/members_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestDomainsMeetThroughOneSeed(t *testing.T) {
+func TestDomainsDiscoverEachOtherThroughOneSeed(t *testing.T) {
 	s := newSite(t, 1)
 	s.gob = true
 	s.addDomain("a", 6)
@@ -16,16 +16,16 @@
 	s.run(40 * time.Second)
 	for _, viewers := range []string{"a", "b", "c"} {
 		for _, domain := range []string{"a", "b", "c"} {
-			if w := s.wrong(viewers, domain, Live); w != "" {
+			if w := s.mismatch(viewers, domain, Live); w != "" {
 				t.Error(w)
 			}
 		}
 	}
 }
 
-// TestNobodyIsSuspectedWithoutCause runs a site of as many domains as are
-// planned, whose hosts all know one seed, and then watches it for two minutes.
-func TestNobodyIsSuspectedWithoutCause(t *testing.T) {
+// TestRunningHostsAreNeverSuspected runs a site of the planned number of domains,
+// whose hosts all know one seed, and then checks all views for two minutes.
+func TestRunningHostsAreNeverSuspected(t *testing.T) {
 	s := newSite(t, 11)
 	for i := range 12 {
 		for _, domain := range []string{"a", "b", "c", "d", "e", "f", "g"} {
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestSilentHostDiesAndComesBack(t *testing.T) {
+func TestSilentHostBecomesDeadAndRecovers(t *testing.T) {
 	s := newSite(t, 2)
 	s.addDomain("a", 8)
 	s.run(20 * time.Second)
@@ -65,12 +65,12 @@
 	}
 	s.at["a-03:1"] = lost
 	s.run(20 * time.Second)
-	if w := s.wrong("a", "a", Live); w != "" {
+	if w := s.mismatch("a", "a", Live); w != "" {
 		t.Error(w)
 	}
 }
 
-func TestDomainCutOffGoesOnAndHeals(t *testing.T) {
+func TestPartitionedDomainKeepsWorkingAndRecovers(t *testing.T) {
 	s := newSite(t, 3)
 	s.gob = true
 	s.addDomain("a", 4)
@@ -83,7 +83,7 @@
 		viewers, domain string
 		want            State
 	}{{"a", "c", Dead}, {"c", "a", Dead}, {"c", "b", Dead}, {"c", "c", Live}, {"a", "b", Live}, {"a", "a", Live}} {
-		if w := s.wrong(c.viewers, c.domain, c.want); w != "" {
+		if w := s.mismatch(c.viewers, c.domain, c.want); w != "" {
 			t.Errorf("cut: %s", w)
 		}
 	}
@@ -91,14 +91,14 @@
 	s.run(40 * time.Second)
 	for _, viewers := range []string{"a", "b", "c"} {
 		for _, domain := range []string{"a", "b", "c"} {
-			if w := s.wrong(viewers, domain, Live); w != "" {
+			if w := s.mismatch(viewers, domain, Live); w != "" {
 				t.Errorf("healed: %s", w)
 			}
 		}
 	}
 }
 
-func TestCutBetweenTwoDomainsIsNotBridgedByAThird(t *testing.T) {
+func TestPartitionBetweenTwoDomainsIsNotBridgedByAThird(t *testing.T) {
 	s := newSite(t, 4)
 	s.addDomain("a", 3)
 	s.addDomain("b", 3)
@@ -106,58 +106,58 @@
 	s.run(40 * time.Second)
 	s.cut = func(from, to string) bool { return from+to == "ab" || from+to == "ba" }
 	s.run(2 * time.Minute)
-	if w := s.wrong("a", "b", Dead); w != "" {
+	if w := s.mismatch("a", "b", Dead); w != "" {
 		t.Error(w)
 	}
-	if w := s.wrong("c", "a", Live); w != "" {
+	if w := s.mismatch("c", "a", Live); w != "" {
 		t.Error(w)
 	}
 }
 
-func TestHostsThatKnowOnlyTheListMeet(t *testing.T) {
+func TestHostsDiscoverEachOtherThroughTheList(t *testing.T) {
 	s := newSite(t, 5)
-	var list []Listed
+	var list []ListedHost
 	for _, host := range []string{"x", "y", "z"} {
 		s.at[host+":1"] = New(Config{Self: testIdentity(host, "a", 1)}, s.now)
 		s.hosts = append(s.hosts, s.at[host+":1"])
-		list = append(list, Listed{Host: host, Domain: "a", Address: host + ":1"})
+		list = append(list, ListedHost{Host: host, Domain: "a", Address: host + ":1"})
 	}
-	s.hosts[1].HostList(s.now, list)
+	s.hosts[1].ApplyHostList(s.now, list)
 	s.run(20 * time.Second)
-	if w := s.wrong("a", "a", Live); w != "" {
+	if w := s.mismatch("a", "a", Live); w != "" {
 		t.Error(w)
 	}
 }
 
-// TestHostList feeds a host that hears "b" lists in turn.
-func TestHostList(t *testing.T) {
-	live := []Listed{{Host: "b", Domain: "a", Address: "b:1"}}
-	leaving := []Listed{{Host: "b", Domain: "a", Address: "b:1", Leaving: true}}
+// TestApplyHostList applies lists in turn at a host that hears from "b".
+func TestApplyHostList(t *testing.T) {
+	live := []ListedHost{{Host: "b", Domain: "a", Address: "b:1"}}
+	leaving := []ListedHost{{Host: "b", Domain: "a", Address: "b:1", Leaving: true}}
 	for _, c := range []struct {
 		name  string
-		lists [][]Listed
+		lists [][]ListedHost
 		newer bool // a newer incarnation is heard before the last list
 		want  State
 	}{
 		{name: "no list was ever read", want: Live},
-		{name: "absent from the list", lists: [][]Listed{nil}, want: Live},
-		{name: "listed live", lists: [][]Listed{live}, want: Live},
-		{name: "listed leaving", lists: [][]Listed{leaving}, want: Leaving},
-		{name: "turned to leaving", lists: [][]Listed{live, leaving}, want: Leaving},
-		{name: "leaving, then gone", lists: [][]Listed{leaving, nil}, want: Leaving},
-		{name: "leaving taken back", lists: [][]Listed{leaving, live}, want: Live},
-		{name: "stale word about the former life", lists: [][]Listed{leaving, leaving}, newer: true, want: Live},
-		{name: "new life leaves too", lists: [][]Listed{live, leaving}, newer: true, want: Leaving},
-		{name: "entries without a name", lists: [][]Listed{{{Leaving: true}}}, want: Live},
+		{name: "absent from the list", lists: [][]ListedHost{nil}, want: Live},
+		{name: "listed live", lists: [][]ListedHost{live}, want: Live},
+		{name: "listed leaving", lists: [][]ListedHost{leaving}, want: Leaving},
+		{name: "turned to leaving", lists: [][]ListedHost{live, leaving}, want: Leaving},
+		{name: "leaving, then absent", lists: [][]ListedHost{leaving, nil}, want: Leaving},
+		{name: "leaving withdrawn", lists: [][]ListedHost{leaving, live}, want: Live},
+		{name: "stale mark of the previous incarnation", lists: [][]ListedHost{leaving, leaving}, newer: true, want: Live},
+		{name: "new incarnation leaves too", lists: [][]ListedHost{live, leaving}, newer: true, want: Leaving},
+		{name: "entries without a name", lists: [][]ListedHost{{{Leaving: true}}}, want: Live},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := New(Config{Self: testIdentity("a", "a", 1)}, epoch)
-			hear(t, m, testIdentity("b", "a", 1))
+			receivePush(t, m, testIdentity("b", "a", 1))
 			for i, list := range c.lists {
 				if c.newer && i == len(c.lists)-1 {
-					hear(t, m, testIdentity("b", "a", 2))
+					receivePush(t, m, testIdentity("b", "a", 2))
 				}
-				m.HostList(epoch, list)
+				m.ApplyHostList(epoch, list)
 			}
 			if got := m.View(epoch)[1].State; got != c.want {
 				t.Errorf("state is %s, want %s", got, c.want)
@@ -166,14 +166,14 @@
 	}
 }
 
-func hear(t *testing.T, m *Members, id Identity) {
+func receivePush(t *testing.T, m *Members, id Identity) {
 	t.Helper()
 	if err := m.HandlePush(m.clock, &Push{From: id}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestOwnPauseKillsNobody(t *testing.T) {
+func TestOwnPauseMarksNoHostDead(t *testing.T) {
 	s := newSite(t, 6)
 	s.addDomain("a", 4)
 	s.run(20 * time.Second)
@@ -185,13 +185,13 @@
 	}
 }
 
-func TestOwnNewerIncarnationIsNoticed(t *testing.T) {
+func TestNewerOwnIncarnationSupersedes(t *testing.T) {
 	m := New(Config{Self: testIdentity("a", "a", 5)}, epoch)
-	hear(t, m, testIdentity("a", "a", 4))
+	receivePush(t, m, testIdentity("a", "a", 4))
 	if m.Superseded() {
 		t.Error("superseded by an older incarnation")
 	}
-	hear(t, m, testIdentity("a", "a", 6))
+	receivePush(t, m, testIdentity("a", "a", 6))
 	if !m.Superseded() {
 		t.Error("not superseded by a newer incarnation")
 	}
@@ -206,7 +206,7 @@
 	s.addDomain("b", 30)
 	s.run(40 * time.Second)
 	s.hosts[7].Leave(s.now)
-	s.send(s.hosts[7], s.hosts[7].Forwards(s.rng))
+	s.send(s.hosts[7], s.hosts[7].TakePushes(s.rng))
 	s.run(3 * time.Second)
 	for _, m := range s.hosts {
 		if got, _ := s.stateAt(m, "a-07"); got != Leaving {
@@ -215,18 +215,18 @@
 	}
 }
 
-func TestForgottenAfterAnHour(t *testing.T) {
+func TestDeadHostIsForgottenAfterAnHour(t *testing.T) {
 	s := newSite(t, 8)
 	s.addDomain("a", 3)
 	s.run(20 * time.Second)
 	s.kill(s.hosts[2])
 	s.run(defaultForgetAfter + time.Minute)
 	if _, known := s.stateAt(s.hosts[0], "a-02"); known {
-		t.Error("a host that is long dead is still kept")
+		t.Error("a host dead for longer than ForgetAfter is still known")
 	}
 }
 
-func TestSectionsReachWhoMayHaveThem(t *testing.T) {
+func TestWideSectionsReachAllDomainsAndOthersTheirOwn(t *testing.T) {
 	s := newSite(t, 9)
 	s.gob = true
 	s.addDomain("a", 4)
@@ -244,8 +244,8 @@
 			t.Errorf("%s has wide sections %v", m.Self().Host, far)
 			continue
 		}
-		if late := far[0].At.Sub(published).Abs(); late > time.Second {
-			t.Errorf("%s dates the section %v off", m.Self().Host, late)
+		if late := far[0].PublishedAt.Sub(published).Abs(); late > time.Second {
+			t.Errorf("%s has the publication time of the section off by %v", m.Self().Host, late)
 		}
 		if want := m.Self().Domain == "a"; (len(near) == 1) != want {
 			t.Errorf("%s has %d near sections", m.Self().Host, len(near))
@@ -256,8 +256,8 @@
 	}
 }
 
-// TestManyLargeSectionsArriveInBoundedMessages publishes more than one message
-// may hold.
+// TestManyLargeSectionsArriveInBoundedMessages publishes more data than one
+// message may hold.
 func TestManyLargeSectionsArriveInBoundedMessages(t *testing.T) {
 	s := newSite(t, 10)
 	s.gob = true
--- a/internal/core/notice/seconds.go
+++ b/internal/core/notice/seconds.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// longestBackOff bounds what an answer may ask for.
-const longestBackOff = time.Hour
+// maxBackOff is the longest back-off that an answer may ask for.
+const maxBackOff = time.Hour
 
-// ParseBackOff reads a number of seconds, fractions among them, for which an upstream wants
-// nothing; what is none is zero.
+// ParseBackOff parses a back-off in seconds, which may have a fraction, and bounds it to an
+// hour. It returns zero for text that is not a positive number.
 func ParseBackOff(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds > 0) {
 		return 0
 	}
-	return time.Duration(math.Min(seconds, longestBackOff.Seconds()) * float64(time.Second))
+	return time.Duration(math.Min(seconds, maxBackOff.Seconds()) * float64(time.Second))
 }
--- a/internal/core/quarantine/tracker.go
+++ b/internal/core/quarantine/tracker.go
@@ -9,30 +9,30 @@
 
 // Defaults of a Tracker.
 const (
-	DefaultCrashes     = 2
-	DefaultFor         = 10 * time.Minute
-	DefaultSettleAfter = 3 * time.Second
-	DefaultMaxRecords  = 256
+	DefaultCrashThreshold = 2
+	DefaultQuarantineTime = 10 * time.Minute
+	DefaultSettleAfter    = 3 * time.Second
+	DefaultMaxRecords     = 256
 )
 
 // Options configures a Tracker.
 type Options struct {
-	Host        string
-	Crashes     int           // deaths of engines after which a proved fingerprint is refused; DefaultCrashes when zero
-	For         time.Duration // how long it is refused, and evidence counts; DefaultFor when zero
-	SettleAfter time.Duration // time for other hosts' part of a record to arrive; DefaultSettleAfter when zero, none when negative
-	MaxRecords  int           // kept records, the newest; DefaultMaxRecords when zero
+	Host           string
+	CrashThreshold int           // deaths of engines after which a proven cause is refused; DefaultCrashThreshold when zero
+	QuarantineTime time.Duration // how long a refusal lasts and evidence counts; DefaultQuarantineTime when zero
+	SettleAfter    time.Duration // time for other hosts' parts of a record to arrive; DefaultSettleAfter when zero, none when negative
+	MaxRecords     int           // number of records kept, the newest; DefaultMaxRecords when zero
 }
 
-// Standing is what the evidence says of a fingerprint.
+// Standing is the status of a fingerprint according to the evidence.
 type Standing uint8
 
-// Standings, from the best.
+// Standings, from the least to the most restrictive.
 const (
 	Clear   Standing = iota // place it anywhere
 	Suspect                 // place it apart from other suspects
 	Isolate                 // place it where nothing else runs
-	Held                    // do not place it until its last crash has settled
+	Held                    // do not place it until its last death has settled
 	Refused                 // refuse it at once
 )
 
@@ -46,7 +46,7 @@
 	return standingNames[s]
 }
 
-// Run is one attempt of a fingerprint on an engine.
+// Run identifies one attempt of a fingerprint on an engine.
 type Run uint64
 
 type run struct {
@@ -55,112 +55,113 @@
 	trial       bool
 }
 
-// brokenRun is a run that broke when its engine may have died.
+// brokenRun is a run that broke off, possibly because its engine died.
 type brokenRun struct {
 	run
 	at time.Time
 }
 
-// brokenFor is how long a broken run waits for word of its engine.
-const brokenFor = 30 * time.Second
+// brokenRunTTL is how long after it broke a run counts as evidence if its engine turns out to be dead.
+const brokenRunTTL = 30 * time.Second
 
-// RecordID names the death of one start of an engine.
+// RecordID identifies the death of one incarnation of an engine.
 type RecordID struct {
 	Engine      string
 	Incarnation string
 }
 
-// record is the evidence of one death: true for a fingerprint that was cleared.
+// record is the evidence of one death. Its maps are keyed by fingerprint.
 type record struct {
-	at      time.Time
-	cleared map[uint64]bool
-	open    int             // not cleared
-	tried   map[uint64]bool // ran under trial
-	own     map[uint64]bool // ran for this host
+	at        time.Time
+	cleared   map[uint64]bool // all that ran: whether it completed afterwards
+	openCount int             // not cleared
+	tried     map[uint64]bool // those that ran under trial
+	own       map[uint64]bool // those that ran for this host
 }
 
 // Tracker holds the evidence of one host. It is not safe for concurrent use.
 type Tracker struct {
-	opts     Options
-	lastRun  Run
-	runs     map[Run]run
-	engines  map[string]map[Run]uint64
-	records  map[RecordID]*record
-	of       map[uint64][]*record   // records in which a fingerprint is not cleared
-	refused  map[uint64]time.Time   // until when
-	holds    map[string][]Hold      // of other hosts
-	broken   map[string][]brokenRun // by engine
-	trials   map[string]*trial      // by ID
-	trialsOf map[uint64][]*trial    // by fingerprint
-	derived  map[uint64]bool        // refusals that follow from trials, as they were told
-	version  uint64
-	expired  time.Time // when expire ran last
-
-	lastTrial uint64 // place of the newest that was read
+	opts        Options
+	lastRun     Run
+	runs        map[Run]run
+	engines     map[string]map[Run]uint64
+	records     map[RecordID]*record
+	openRecords map[uint64][]*record   // by fingerprint: records in which it is not cleared
+	refused     map[uint64]time.Time   // by fingerprint: end of the refusal
+	peerHolds   map[string][]Hold      // by host
+	brokenRuns  map[string][]brokenRun // by engine
+	trials      map[string]*trial      // by ID
+	trialsOf    map[uint64][]*trial    // by fingerprint
+	derived     map[uint64]bool        // by fingerprint: its refusal, which follows from trials, raised version
+	version     uint64
+	lastExpiry  time.Time // time of the last scan by expire
+
+	lastPosition uint64 // store position of the newest trial read
 }
 
 // New returns a Tracker without evidence.
 func New(o Options) *Tracker {
 	t := &Tracker{
-		runs:     make(map[Run]run),
-		engines:  make(map[string]map[Run]uint64),
-		records:  make(map[RecordID]*record),
-		of:       make(map[uint64][]*record),
-		refused:  make(map[uint64]time.Time),
-		holds:    make(map[string][]Hold),
-		broken:   make(map[string][]brokenRun),
-		trials:   make(map[string]*trial),
-		trialsOf: make(map[uint64][]*trial),
-		derived:  make(map[uint64]bool),
+		runs:        make(map[Run]run),
+		engines:     make(map[string]map[Run]uint64),
+		records:     make(map[RecordID]*record),
+		openRecords: make(map[uint64][]*record),
+		refused:     make(map[uint64]time.Time),
+		peerHolds:   make(map[string][]Hold),
+		brokenRuns:  make(map[string][]brokenRun),
+		trials:      make(map[string]*trial),
+		trialsOf:    make(map[uint64][]*trial),
+		derived:     make(map[uint64]bool),
 	}
 	t.SetOptions(o)
 	return t
 }
 
-// SetOptions changes the options, as the settings do.
+// SetOptions replaces the options, for example after a change of the settings.
 func (t *Tracker) SetOptions(o Options) {
-	o.Crashes = cmp.Or(max(o.Crashes, 0), DefaultCrashes)
-	o.For = cmp.Or(max(o.For, 0), DefaultFor)
+	o.CrashThreshold = cmp.Or(max(o.CrashThreshold, 0), DefaultCrashThreshold)
+	o.QuarantineTime = cmp.Or(max(o.QuarantineTime, 0), DefaultQuarantineTime)
 	o.SettleAfter = max(cmp.Or(o.SettleAfter, DefaultSettleAfter), 0)
 	o.MaxRecords = cmp.Or(max(o.MaxRecords, 0), DefaultMaxRecords)
 	t.opts = o
 }
 
-// Standing returns what the evidence says of a fingerprint now.
+// Standing returns the standing of a fingerprint at a time.
 func (t *Tracker) Standing(fingerprint uint64, now time.Time) Standing {
 	if t.isRefused(fingerprint, now) {
 		return Refused
 	}
 	t.expire(now)
-	if _, spent := t.spentUntil(fingerprint, now); spent {
-		return t.derive(fingerprint)
+	if _, spent := t.trialsSpentUntil(fingerprint, now); spent {
+		return t.noteDerivedRefusal(fingerprint)
 	}
-	rs := t.of[fingerprint]
+	rs := t.openRecords[fingerprint]
 	if len(rs) == 0 {
 		return Clear
 	}
-	if len(rs) < t.opts.Crashes {
+	if len(rs) < t.opts.CrashThreshold {
 		return Suspect
 	}
-	if _, condemned := t.condemnedUntil(fingerprint, now); condemned {
-		return t.derive(fingerprint)
+	if _, condemned := t.provedByTrialUntil(fingerprint, now); condemned {
+		return t.noteDerivedRefusal(fingerprint)
 	}
-	proved, settled := t.weigh(rs, now)
+	proved, settled := t.evaluateRecords(rs, now)
 	switch {
 	case !settled:
 		return Held
 	case !proved:
 		return Isolate
 	}
-	t.refuse(fingerprint, now.Add(t.opts.For))
+	t.refuse(fingerprint, now.Add(t.opts.QuarantineTime))
 	return Refused
 }
 
 // Deaths returns the number of records in which a fingerprint is not cleared.
-func (t *Tracker) Deaths(fingerprint uint64) int { return len(t.of[fingerprint]) }
+func (t *Tracker) Deaths(fingerprint uint64) int { return len(t.openRecords[fingerprint]) }
 
-// derive notes a refusal that follows from trials: hosts of former releases are to be told.
-func (t *Tracker) derive(fingerprint uint64) Standing {
+// noteDerivedRefusal raises the version for a refusal that follows from trials, because hosts of
+// earlier releases need it in the digest. It returns Refused.
+func (t *Tracker) noteDerivedRefusal(fingerprint uint64) Standing {
 	if !t.derived[fingerprint] {
 		t.derived[fingerprint] = true
 		t.version++
@@ -168,24 +169,24 @@
 	return Refused
 }
 
-// RefusedFor returns how long a fingerprint stays refused, zero when it is not.
+// RefusedFor returns how long a fingerprint stays refused, zero when it is not refused.
 func (t *Tracker) RefusedFor(fingerprint uint64, now time.Time) time.Duration {
 	if t.Standing(fingerprint, now) != Refused {
 		return 0
 	}
 	until := t.refused[fingerprint]
-	for _, told := range []func(uint64, time.Time) (time.Time, bool){t.spentUntil, t.condemnedUntil} {
-		if end, _ := told(fingerprint, now); end.After(until) {
+	for _, refusalEnd := range []func(uint64, time.Time) (time.Time, bool){t.trialsSpentUntil, t.provedByTrialUntil} {
+		if end, _ := refusalEnd(fingerprint, now); end.After(until) {
 			until = end
 		}
 	}
 	return until.Sub(now)
 }
 
-// HeldFor returns how long a fingerprint waits for its last death to settle.
+// HeldFor returns the time until a fingerprint's last death settles, zero when all have settled.
 func (t *Tracker) HeldFor(fingerprint uint64, now time.Time) time.Duration {
 	var left time.Duration
-	for _, r := range t.of[fingerprint] {
+	for _, r := range t.openRecords[fingerprint] {
 		left = max(left, t.opts.SettleAfter-now.Sub(r.at))
 	}
 	return left
@@ -193,24 +194,24 @@
 
 // MayPlace reports whether a fingerprint may start on an engine now.
 func (t *Tracker) MayPlace(engine string, fingerprint uint64, now time.Time) bool {
-	if len(t.of) == 0 && len(t.refused) == 0 && len(t.holds) == 0 && len(t.trials) == 0 {
+	if len(t.openRecords) == 0 && len(t.refused) == 0 && len(t.peerHolds) == 0 && len(t.trials) == 0 {
 		return true
 	}
 	standing := t.Standing(fingerprint, now)
 	if standing == Held || standing == Refused {
 		return false
 	}
-	if standing != Clear && t.runsAnywhere(fingerprint) {
+	if standing != Clear && t.isRunning(fingerprint) {
 		return false
 	}
 	for _, other := range t.engines[engine] {
-		if !beside(standing, t.Standing(other, now)) {
+		if !mayRunTogether(standing, t.Standing(other, now)) {
 			return false
 		}
 	}
-	for _, holds := range t.holds {
+	for _, holds := range t.peerHolds {
 		for _, h := range holds {
-			if h.Engine == engine && !beside(standing, h.Standing) {
+			if h.Engine == engine && !mayRunTogether(standing, h.Standing) {
 				return false
 			}
 		}
@@ -218,16 +219,16 @@
 	return true
 }
 
-// beside reports whether two requests may run on one engine.
-func beside(a, b Standing) bool {
+// mayRunTogether reports whether requests of two standings may run on one engine.
+func mayRunTogether(a, b Standing) bool {
 	if a >= Isolate || b >= Isolate {
 		return false
 	}
 	return a == Clear || b == Clear
 }
 
-// Started notes that a fingerprint begins on an engine. End must be called with
-// the Run at its end.
+// Started records that a fingerprint starts on an engine. End must be called with
+// the returned Run at its end.
 func (t *Tracker) Started(engine string, fingerprint uint64) Run {
 	return t.started(run{engine: engine, fingerprint: fingerprint})
 }
@@ -245,59 +246,59 @@
 		t.engines[engine] = make(map[Run]uint64)
 	}
 	t.engines[engine][t.lastRun] = fingerprint
-	if len(t.of[fingerprint]) > 0 {
+	if len(t.openRecords[fingerprint]) > 0 {
 		t.version++
 	}
 	return t.lastRun
 }
 
-// End notes that a run is over. One that completed clears its fingerprint of all
-// deaths so far. The end of a run whose engine was told dead changes nothing.
+// End records that a run is over. A completed run clears its fingerprint from all
+// deaths so far. The end of a run whose engine was recorded as dead has no effect.
 func (t *Tracker) End(r Run, completed bool) {
 	ended, ok := t.runs[r]
 	if !ok {
 		return
 	}
-	t.forget(r, ended.engine)
+	t.removeRun(r, ended.engine)
 	if completed {
-		t.forgetBroken(ended.fingerprint)
+		t.dropBrokenRuns(ended.fingerprint)
 	}
-	if len(t.of[ended.fingerprint]) == 0 {
+	if len(t.openRecords[ended.fingerprint]) == 0 {
 		return
 	}
 	t.version++
 	if completed {
-		t.clear(ended.fingerprint)
+		t.clearFromAll(ended.fingerprint)
 	}
 }
 
-// Broke notes that a run broke in a way in which a death of its engine shows, while nothing tells
-// whether it died. If it did, Died within brokenFor counts the run; Lives drops it.
-func (t *Tracker) Broke(r Run, now time.Time) {
+// EndBroken ends a run that broke off as it would if its engine had died, while it is not known
+// whether it has. EngineDied within brokenRunTTL counts the run as evidence; EngineAlive drops it.
+func (t *Tracker) EndBroken(r Run, now time.Time) {
 	if broke, ok := t.runs[r]; ok {
-		t.broken[broke.engine] = append(t.broken[broke.engine], brokenRun{broke, now})
+		t.brokenRuns[broke.engine] = append(t.brokenRuns[broke.engine], brokenRun{broke, now})
 	}
 	t.End(r, false)
 }
 
-// forgetBroken drops the broken runs of a fingerprint, which has completed since.
-func (t *Tracker) forgetBroken(fingerprint uint64) {
-	for engine, runs := range t.broken {
+// dropBrokenRuns drops the broken runs of a fingerprint that has completed since.
+func (t *Tracker) dropBrokenRuns(fingerprint uint64) {
+	for engine, runs := range t.brokenRuns {
 		runs = slices.DeleteFunc(runs, func(r brokenRun) bool { return r.fingerprint == fingerprint })
-		t.broken[engine] = runs
+		t.brokenRuns[engine] = runs
 		if len(runs) == 0 {
-			delete(t.broken, engine)
+			delete(t.brokenRuns, engine)
 		}
 	}
 }
 
-// Lives notes that an engine has not died.
-func (t *Tracker) Lives(engine string) { delete(t.broken, engine) }
+// EngineAlive records that an engine has not died.
+func (t *Tracker) EngineAlive(engine string) { delete(t.brokenRuns, engine) }
 
-// MayHaveDied reports whether a run has broken on an engine of which nothing was heard since.
-func (t *Tracker) MayHaveDied(engine string) bool { return len(t.broken[engine]) > 0 }
+// HasBrokenRuns reports whether an engine has broken runs and its state is not known since.
+func (t *Tracker) HasBrokenRuns(engine string) bool { return len(t.brokenRuns[engine]) > 0 }
 
-func (t *Tracker) forget(r Run, engine string) {
+func (t *Tracker) removeRun(r Run, engine string) {
 	delete(t.runs, r)
 	delete(t.engines[engine], r)
 	if len(t.engines[engine]) == 0 {
@@ -305,23 +306,23 @@
 	}
 }
 
-// Died notes that an engine died and makes all that ran on it suspects. It
-// returns their fingerprints, each once. The incarnation, of the start that died,
-// joins the reports of one death; one that was only out of reach is not a death.
-func (t *Tracker) Died(engine, incarnation string, now time.Time) []uint64 {
-	tried := make(map[uint64]bool) // all that ran: whether under trial
+// EngineDied records that an engine died and makes all that ran on it suspects. It
+// returns their fingerprints, each once. The incarnation that died identifies reports
+// of the same death. It must not be called for an engine that was merely unreachable.
+func (t *Tracker) EngineDied(engine, incarnation string, now time.Time) []uint64 {
+	tried := make(map[uint64]bool) // all fingerprints that ran: whether under trial
 	for r := range t.engines[engine] {
 		dead := t.runs[r]
 		tried[dead.fingerprint] = tried[dead.fingerprint] || dead.trial
 		delete(t.runs, r)
 	}
-	for _, broke := range t.broken[engine] {
-		if now.Sub(broke.at) < brokenFor {
+	for _, broke := range t.brokenRuns[engine] {
+		if now.Sub(broke.at) < brokenRunTTL {
 			tried[broke.fingerprint] = tried[broke.fingerprint] || broke.trial
 		}
 	}
 	delete(t.engines, engine)
-	delete(t.broken, engine)
+	delete(t.brokenRuns, engine)
 	ran := slices.Collect(maps.Keys(tried))
 	if len(ran) == 0 {
 		return nil
@@ -329,18 +330,18 @@
 	r := t.addRecord(RecordID{engine, incarnation}, now, ran)
 	for fingerprint, trial := range tried {
 		r.own[fingerprint] = true
-		t.tryIn(r, fingerprint, trial)
+		t.markTried(r, fingerprint, trial)
 	}
 	return ran
 }
 
-func (t *Tracker) runsAnywhere(fingerprint uint64) bool {
+func (t *Tracker) isRunning(fingerprint uint64) bool {
 	for _, r := range t.runs {
 		if r.fingerprint == fingerprint {
 			return true
 		}
 	}
-	for _, holds := range t.holds {
+	for _, holds := range t.peerHolds {
 		for _, h := range holds {
 			if h.Fingerprint == fingerprint {
 				return true
--- a/internal/core/reach/reach.go
+++ b/internal/core/reach/reach.go
@@ -4,126 +4,128 @@
 
 // Options configure a Tracker. All must be positive.
 type Options struct {
-	// Quiet is how long a domain in which answers are written may give no sign of life.
-	Quiet time.Duration
-	// Again is the time from one look at a domain to the next, while it stays doubtful or
-	// cut.
-	Again time.Duration
+	// QuietAfter is the silence after which a domain that is sending answers is probed.
+	QuietAfter time.Duration
+	// ProbeInterval is the least time from the start of one probe of a domain to the next.
+	ProbeInterval time.Duration
 }
 
-// Look is the result of a look at a domain.
-type Look struct {
-	Began   time.Time
-	Tried   int // connections
-	Reached int // of them made
+// ProbeResult is the result of a probe of a domain.
+type ProbeResult struct {
+	Started time.Time
+	Tried   int // connections tried
+	Reached int // of them established
 }
 
-// Change is what a look changes.
+// Change is the change of a path's state by a probe.
 type Change uint8
 
-// Changes of a belief.
+// Changes of a path's state.
 const (
 	None Change = iota
 	BecameCut
-	BecameReached
+	BecameReachable
 )
 
-// way is what is known of the way to a domain.
-type way struct {
-	heard   time.Time // last sign of life
-	looked  time.Time // when the last look began
-	looking bool
-	cut     time.Time // since when it is cut; zero: it is not
+// path is the state of the path to a domain.
+type path struct {
+	lastActivity time.Time // last message or connection from the domain
+	lastProbe    time.Time // start of the last probe
+	probing      bool
+	cutSince     time.Time // start of the cut; zero: the path is not cut
 }
 
-// Tracker has the beliefs of one daemon. It is not safe for concurrent use.
+// Tracker has the state of all paths from one daemon. It is not safe for concurrent use.
 //
-// Invariant: at most one look at a domain is under way, and a belief changes only by one.
+// Invariant: at most one probe of a domain runs at a time, and only a probe changes the state.
 type Tracker struct {
-	opts Options
-	ways map[string]*way
+	opts  Options
+	paths map[string]*path
 }
 
-// New returns a Tracker that believes all ways open.
-func New(o Options) *Tracker { return &Tracker{opts: o, ways: map[string]*way{}} }
+// New returns a Tracker with no path cut.
+func New(o Options) *Tracker { return &Tracker{opts: o, paths: map[string]*path{}} }
 
-func (t *Tracker) way(domain string) *way {
-	w := t.ways[domain]
+func (t *Tracker) path(domain string) *path {
+	w := t.paths[domain]
 	if w == nil {
-		w = &way{}
-		t.ways[domain] = w
+		w = &path{}
+		t.paths[domain] = w
 	}
 	return w
 }
 
-// Heard notes a sign of life from a domain.
-func (t *Tracker) Heard(domain string, now time.Time) { t.way(domain).heard = now }
+// RecordActivity records that a message or connection came from a domain.
+func (t *Tracker) RecordActivity(domain string, now time.Time) { t.path(domain).lastActivity = now }
 
-// Doubt notes a reason to look at a domain. It returns true when a look is to begin now;
-// Looked must follow.
-func (t *Tracker) Doubt(domain string, now time.Time) bool {
-	w := t.way(domain)
-	if w.looking || now.Sub(w.looked) < t.opts.Again {
+// BeginProbe asks for a probe of a domain. It returns true when the probe is to start now;
+// EndProbe or DiscardProbe must follow.
+func (t *Tracker) BeginProbe(domain string, now time.Time) bool {
+	w := t.path(domain)
+	if w.probing || now.Sub(w.lastProbe) < t.opts.ProbeInterval {
 		return false
 	}
-	w.looking, w.looked = true, now
+	w.probing, w.lastProbe = true, now
 	return true
 }
 
-// Due returns the domains to look at now: those that are cut, and those of writing, in
-// which answers are written, that are quiet. Looked must follow for each.
-func (t *Tracker) Due(writing []string, now time.Time) []string {
+// DueProbes returns the domains to probe now: those that are cut, and those of streaming, the
+// domains that are sending answers, that are silent. EndProbe or DiscardProbe must follow for
+// each.
+func (t *Tracker) DueProbes(streaming []string, now time.Time) []string {
 	var due []string
-	for domain, w := range t.ways {
-		if !w.cut.IsZero() && t.Doubt(domain, now) {
+	for domain, w := range t.paths {
+		if !w.cutSince.IsZero() && t.BeginProbe(domain, now) {
 			due = append(due, domain)
 		}
 	}
-	for _, domain := range writing {
-		w := t.way(domain)
-		if now.Sub(w.heard) >= t.opts.Quiet && t.Doubt(domain, now) {
+	for _, domain := range streaming {
+		w := t.path(domain)
+		if now.Sub(w.lastActivity) >= t.opts.QuietAfter && t.BeginProbe(domain, now) {
 			due = append(due, domain)
 		}
 	}
 	return due
 }
 
-// leastTried is how many connections have to fail in a look: one upstream may be dead.
-const leastTried = 2
+// minTried is the number of failed connections from which a probe finds a cut: one upstream may
+// be dead.
+const minTried = 2
 
-// Looked notes the result of a look. One without enough connections changes nothing, for
-// where a domain has a single upstream, its death and a cut are not told apart; neither does
-// one during which the domain gave a sign of life: those that were tried are dead.
-func (t *Tracker) Looked(domain string, l Look, now time.Time) Change {
-	w := t.way(domain)
-	w.looking = false
+// EndProbe takes in the result of a probe. A probe with too few connections changes nothing, for
+// in a domain with a single upstream its failure and a cut look the same; neither does one
+// during which the domain was active: the upstreams that were tried are dead.
+func (t *Tracker) EndProbe(domain string, r ProbeResult, now time.Time) Change {
+	w := t.path(domain)
+	w.probing = false
 	switch {
-	case l.Reached > 0:
-		w.heard = now
-		if w.cut.IsZero() {
+	case r.Reached > 0:
+		w.lastActivity = now
+		if w.cutSince.IsZero() {
 			return None
 		}
-		w.cut = time.Time{}
-		return BecameReached
-	case l.Tried < leastTried || !w.cut.IsZero() || w.heard.After(l.Began):
+		w.cutSince = time.Time{}
+		return BecameReachable
+	case r.Tried < minTried || !w.cutSince.IsZero() || w.lastActivity.After(r.Started):
 		return None
 	}
-	w.cut = l.Began
+	w.cutSince = r.Started
 	return BecameCut
 }
 
-// Void notes that a look has told nothing, as one during which the daemon stood still.
-func (t *Tracker) Void(domain string) { t.way(domain).looking = false }
+// DiscardProbe ends a probe that has no valid result, such as one during which the daemon itself
+// was stalled.
+func (t *Tracker) DiscardProbe(domain string) { t.path(domain).probing = false }
 
-// Cut reports whether the way to a domain is believed cut.
+// Cut reports whether the path to a domain is taken as cut.
 func (t *Tracker) Cut(domain string) bool {
-	w := t.ways[domain]
-	return w != nil && !w.cut.IsZero()
+	w := t.paths[domain]
+	return w != nil && !w.cutSince.IsZero()
 }
 
-// AnyCut reports whether some way is believed cut.
+// AnyCut reports whether some path is taken as cut.
 func (t *Tracker) AnyCut() bool {
-	for domain := range t.ways {
+	for domain := range t.paths {
 		if t.Cut(domain) {
 			return true
 		}
@@ -131,10 +133,10 @@
 	return false
 }
 
-// CutFor returns how long the way to a domain has been cut, zero when it is not.
+// CutFor returns how long the path to a domain has been cut, zero when it is not.
 func (t *Tracker) CutFor(domain string, now time.Time) time.Duration {
 	if !t.Cut(domain) {
 		return 0
 	}
-	return now.Sub(t.ways[domain].cut)
+	return now.Sub(t.paths[domain].cutSince)
 }
--- a/internal/core/settings/cache_test.go
+++ b/internal/core/settings/cache_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestCacheKeepsTheLastReadableForm(t *testing.T) {
+func TestCacheKeepsTheLastValidDocument(t *testing.T) {
 	c := NewCache()
 	good := StoredDocument{Path: "/t", Version: 1, YAML: "routing: {idle_ms: 70}"}
 	if _, findings := c.Compile([]StoredDocument{good}); len(findings) > 0 {
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestCheckSeesTheWholeTree(t *testing.T) {
+func TestCheckChangeCoversAllDocuments(t *testing.T) {
 	documents := []StoredDocument{
 		{Path: "/", Version: 1, YAML: "pools: [{name: eng, kind: engine, upstreams: []}]"},
 		{Path: "/t", Version: 2, YAML: "models: [{name: chat, pool: eng}]"},
@@ -36,16 +36,16 @@
 	change := func(path, yaml string) *Change {
 		return &Change{ID: "x", Edits: []Edit{{Path: path, YAML: &yaml}}}
 	}
-	if f := Check(documents, change("/", "limits: {}")); len(f) != 1 || f[0].Place.File != "/t" {
-		t.Errorf("a pool in use was taken away: %v", f)
+	if f := CheckChange(documents, change("/", "limits: {}")); len(f) != 1 || f[0].Place.File != "/t" {
+		t.Errorf("removing a pool that is in use was not reported: %v", f)
 	}
-	if f := Check(documents, change("/t", "models: [{name: chat2, pool: eng}]")); len(f) > 0 {
-		t.Errorf("a fault of another team held up a change: %v", f)
+	if f := CheckChange(documents, change("/t", "models: [{name: chat2, pool: eng}]")); len(f) > 0 {
+		t.Errorf("an existing fault in another document was reported: %v", f)
 	}
-	if f := Check(documents, change("/u", "models: [{name: lost, pool: none}, {name: m, pool: eng}]")); len(f) == 0 {
-		t.Error("a fault in the edited document was let pass")
+	if f := CheckChange(documents, change("/u", "models: [{name: lost, pool: none}, {name: m, pool: eng}]")); len(f) == 0 {
+		t.Error("a fault in the edited document was not reported")
 	}
-	if f := Check(documents, change("/v", "models: [{name: chat, pool: eng}]")); len(f) != 1 || f[0].Place.File != "/v" {
-		t.Errorf("a name in use was taken: %v", f)
+	if f := CheckChange(documents, change("/v", "models: [{name: chat, pool: eng}]")); len(f) != 1 || f[0].Place.File != "/v" {
+		t.Errorf("a duplicate name was not reported: %v", f)
 	}
 }
--- a/internal/core/settings/compile_test.go
+++ b/internal/core/settings/compile_test.go
@@ -94,7 +94,7 @@
 		if c.operation == "" {
 			_, err = s.Model(s.Customer(c.customer), c.model)
 		} else {
-			_, err = s.Service(s.Customer(c.customer), c.model, c.operation)
+			_, err = s.Operation(s.Customer(c.customer), c.model, c.operation)
 		}
 		var refusal *request.Refusal
 		errors.As(err, &refusal)
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestCompileLeavesOutTheLaterOfTwoAndReportsIt(t *testing.T) {
+func TestCompileReportsAndLeavesOutTheLaterDuplicate(t *testing.T) {
 	s, findings := compile(t,
 		"/team", teamDocument,
 		"/aaa", teamDocument+"requests: {deadline_ms: 5000, max_deadline_ms: 10}\n")
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -14,25 +14,26 @@
 	"github.com/buckthorndock/buckthorndock/internal/suspects"
 )
 
-// evidenceStream has the evidence on requests that crash engines.
+// evidenceStream is the log stream of the evidence on requests that crash engines.
 const evidenceStream = "evidence"
 
-// Times of a graceful end.
+// Times of a graceful shutdown.
 const (
-	// lameDuck is how long a leaving daemon still takes requests, while the
-	// balancer finds out.
-	lameDuck   = 2 * time.Second
-	drainCheck = 50 * time.Millisecond
-	endsWait   = 2 * time.Second // for ends of attempts that no engine has confirmed
-	closeWait  = 2 * time.Second
+	// lameDuckPeriod is how long a leaving daemon still accepts requests while the
+	// load balancer notices that it is not ready.
+	lameDuckPeriod        = 2 * time.Second
+	drainPollInterval     = 50 * time.Millisecond
+	maxEndsWait           = 2 * time.Second // for engines to confirm the ends of attempts
+	serverShutdownTimeout = 2 * time.Second
 )
 
-// Run runs the daemon until the context ends, and then until all requests in
-// progress have ended. The error is nil after a graceful end.
+// Run runs the daemon until ctx is cancelled, then lets the requests in progress
+// finish, within cfg.ShutdownTimeout if that is set. It returns nil after a graceful
+// shutdown.
 func Run(ctx context.Context, cfg *config.Daemon, log *logrus.Entry) error {
-	work, stopWork := context.WithCancel(context.Background())
+	workCtx, stopWork := context.WithCancel(context.Background())
 	defer stopWork()
-	p, err := newProcess(work, cfg, log)
+	p, err := newProcess(workCtx, cfg, log)
 	if err != nil {
 		return err
 	}
@@ -41,7 +42,7 @@
 		p.node.Close()
 		return merry.Prepend(err, "listen for callers")
 	}
-	limited := &limitedListener{Listener: listener, most: int64(cfg.MaxConnections)}
+	limited := &limitedListener{Listener: listener, max: int64(cfg.MaxConnections)}
 	gauges := metrics.NewSet()
 	gauges.NewGauge("buckthorndock_connections_open", func() float64 { return float64(limited.open.Load()) })
 	p.follower.RegisterMetrics(gauges)
@@ -63,13 +64,14 @@
 	return err
 }
 
-// start starts the background work, which ends with the work context.
+// start starts the background goroutines, which end when workCtx is cancelled. The
+// WaitGroup waits for them.
 func (p *process) start() *sync.WaitGroup {
 	var wg sync.WaitGroup
 	run := func(name string, loop func(context.Context) error) {
 		wg.Go(func() {
-			if err := loop(p.work); err != nil {
-				p.log.WithError(err).WithField("part", name).Error("part_ended")
+			if err := loop(p.workCtx); err != nil {
+				p.log.WithError(err).WithField("part", name).Error("component_failed")
 			}
 		})
 	}
@@ -77,10 +79,10 @@
 	run("follower", p.follower.Run)
 	run("settings", p.applySettings)
 	run("digests", p.readDigests)
-	run("listed", p.applyListed)
+	run("listed", p.shareListed)
 	run("watch", p.watch)
 	run("owner", p.owner.Run)
-	run("hosts", p.followHosts)
+	run("hosts", p.trackHosts)
 	run("holder", p.holder.Run)
 	run("orders", p.orders.Run)
 	run("claims", p.claims.Run)
@@ -88,29 +90,29 @@
 	run("work", p.shareWork)
 	run("suspects", func(ctx context.Context) error { return p.suspects.Share(ctx, p.node) })
 	run("evidence", func(ctx context.Context) error {
-		return p.suspects.Keep(ctx, suspects.InLog(p.logService, evidenceStream), p.peers)
+		return p.suspects.SyncWithStore(ctx, suspects.NewLogStore(p.logService, evidenceStream), p.peers)
 	})
 	run("front", p.front.Run)
-	run("successor", p.yieldToSuccessor)
+	run("successor", p.stopWhenSuperseded)
 	return &wg
 }
 
-// drain ends gracefully: balancer and peers are told first, requests in progress
-// are finished, then all is closed.
+// drain shuts down gracefully: it announces the end to load balancer and peers, lets
+// the requests in progress finish and then closes the server.
 func (p *process) drain() {
 	p.log.WithField("in_flight", p.front.InFlight()).Info("leaving")
-	p.front.Leave()
-	ctx, cancel := context.WithTimeout(context.Background(), lameDuck)
+	p.front.MarkLeaving()
+	ctx, cancel := context.WithTimeout(context.Background(), lameDuckPeriod)
 	defer cancel()
 	if err := p.node.Leave(ctx); err != nil {
-		p.log.WithError(err).Warn("leaving_untold")
+		p.log.WithError(err).Warn("leave_not_announced")
 	}
 	<-ctx.Done()
-	p.front.Refuse()
-	p.log.WithField("in_flight", p.front.InFlight()).Info("refusing")
+	p.front.RefuseNew()
+	p.log.WithField("in_flight", p.front.InFlight()).Info("refusing_requests")
 	p.waitDrained()
 	p.closeServer()
-	p.waitEnds()
+	p.waitAttemptEnds()
 }
 
 func (p *process) waitDrained() {
@@ -120,38 +122,38 @@
 			p.log.WithField("in_flight", p.front.InFlight()).Warn("shutdown_timeout")
 			return
 		}
-		time.Sleep(drainCheck)
+		time.Sleep(drainPollInterval)
 	}
 }
 
 func (p *process) closeServer() {
-	ctx, cancel := context.WithTimeout(context.Background(), closeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), serverShutdownTimeout)
 	defer cancel()
 	if err := p.server.Shutdown(ctx); err != nil {
-		p.log.WithError(err).Warn("connections_closed")
+		p.log.WithError(err).Warn("server_shutdown_failed")
 	}
 }
 
-// waitEnds gives cancels and releases that no engine has confirmed a little
-// time; the engines' owners see to the rest.
-func (p *process) waitEnds() {
-	deadline := time.Now().Add(endsWait)
+// waitAttemptEnds waits up to maxEndsWait for engines to confirm cancels and
+// releases. The engines' owners end the rest.
+func (p *process) waitAttemptEnds() {
+	deadline := time.Now().Add(maxEndsWait)
 	for time.Now().Before(deadline) {
-		if _, ending := p.holder.Held(); ending == 0 {
+		if _, ending := p.holder.Counts(); ending == 0 {
 			return
 		}
-		time.Sleep(drainCheck)
+		time.Sleep(drainPollInterval)
 	}
 }
 
-// supersededEvery is the time between two looks for a newer daemon with this
-// host's name.
-const supersededEvery = time.Second
+// supersededCheckInterval is the time between two checks for a newer daemon with
+// this host's name.
+const supersededCheckInterval = time.Second
 
-// yieldToSuccessor stops taking work when a newer daemon runs under this host's
-// name: peers and engine owners count only the newer one's word.
-func (p *process) yieldToSuccessor(ctx context.Context) error {
-	ticker := time.NewTicker(supersededEvery)
+// stopWhenSuperseded stops accepting requests when a newer daemon runs under this
+// host's name: peers and engine owners accept messages of the newer one only.
+func (p *process) stopWhenSuperseded(ctx context.Context) error {
+	ticker := time.NewTicker(supersededCheckInterval)
 	defer ticker.Stop()
 	for !p.node.Superseded() {
 		select {
@@ -161,7 +163,7 @@
 		}
 	}
 	p.log.Error("superseded")
-	p.front.Leave()
-	p.front.Refuse()
+	p.front.MarkLeaving()
+	p.front.RefuseNew()
 	return nil
 }
--- a/internal/daemon/feed.go
+++ b/internal/daemon/feed.go
@@ -18,26 +18,26 @@
 	"github.com/buckthorndock/buckthorndock/internal/wait"
 )
 
-// Times of the loops that feed the router.
+// Times of the loops that update the router.
 const (
-	digestEvery = 20 * time.Millisecond  // between two looks at the owners' digests
-	watchEvery  = 200 * time.Millisecond // between two choices of what to watch
-	watchEach   = 100 * time.Millisecond // between two looks at one of them
-	watchAnswer = 400 * time.Millisecond // in which it has to answer
+	digestReadInterval   = 20 * time.Millisecond  // between two reads of the owners' digests
+	watchTargetsInterval = 200 * time.Millisecond // between two selections of the upstreams to poll directly
+	watchInterval        = 100 * time.Millisecond // between two polls of one of them
+	watchTimeout         = 400 * time.Millisecond // of one poll
 )
 
-// A report is stale, and its engine is looked at directly, when it is much older
-// than those of most engines of the pool, and in any case when it is older than
-// staleMost, and a little more for each engine of the domain: owners tell less often
-// where there are more of them.
+// A report is stale, and its engine is polled directly, when it is much older than
+// the median report of the pool, and in any case when it is older than
+// maxStaleAgeBase plus staleAgePerEngine for each engine of the pool in this domain:
+// owners publish less often where there are more engines.
 const (
-	staleFactor = 3                      // times the median age
-	staleLeast  = 700 * time.Millisecond // never stale before
-	staleMost   = 2500 * time.Millisecond
-	stalePerOne = 60 * time.Millisecond
+	staleMedianFactor = 3                      // multiple of the median age
+	minStaleAge       = 700 * time.Millisecond // a younger report is never stale
+	maxStaleAgeBase   = 2500 * time.Millisecond
+	staleAgePerEngine = 60 * time.Millisecond
 )
 
-// applySettings passes new settings on.
+// applySettings passes each version of the settings to the components that use them.
 func (p *process) applySettings(ctx context.Context) error {
 	changed, cancel := p.follower.Subscribe()
 	defer cancel()
@@ -54,30 +54,30 @@
 	}
 }
 
-// digestKey names one host's life.
-type digestKey struct {
+// incarnationKey identifies one incarnation of a host.
+type incarnationKey struct {
 	host        string
 	incarnation uint64
 }
 
-// readDigests passes the load reports and cache events that engine owners spread
-// on to the router.
+// readDigests passes the load reports and cache events that engine owners publish
+// to the router.
 func (p *process) readDigests(ctx context.Context) error {
-	seen := map[digestKey]uint64{} // version last read
-	wait.Every(ctx, digestEvery, func(time.Time) {
+	seen := map[incarnationKey]uint64{} // version last read
+	wait.Every(ctx, digestReadInterval, func(time.Time) {
 		for _, section := range p.node.Sections(owner.Section) {
-			key := digestKey{section.Host, section.Incarnation}
+			key := incarnationKey{section.Host, section.Incarnation}
 			if section.Domain != p.cfg.Domain || seen[key] == section.Version {
 				continue
 			}
 			seen[key] = section.Version
-			p.takeDigest(section)
+			p.applyDigest(section)
 		}
 	})
 	return nil
 }
 
-func (p *process) takeDigest(section membership.SectionView) {
+func (p *process) applyDigest(section membership.SectionView) {
 	digest, err := owner.DecodeDigest(section.Data)
 	if err != nil {
 		p.log.WithError(err).WithField("from", section.Host).Warn("digest_undecodable")
@@ -85,9 +85,9 @@
 	}
 	for i := range digest.Engines {
 		e := &digest.Engines[i]
-		incarnation := strconv.FormatUint(uint64(e.Inc), 16) // placement.ShortIncarnation's form
-		p.router.Report(e.Name, reportOf(e.Load(), incarnation, section.At))
-		p.router.CacheEvents(e.Name, incarnation, cacheEventsOf(e.Events()))
+		incarnation := strconv.FormatUint(uint64(e.IncarnationHash), 16) // placement.ShortIncarnation's form
+		p.router.ApplyReport(e.Name, reportOf(e.Load(), incarnation, section.PublishedAt))
+		p.router.ApplyCacheEvents(e.Name, incarnation, cacheEventsOf(e.Events()))
 	}
 }
 
@@ -118,16 +118,16 @@
 	return out
 }
 
-// watch has those upstreams of the own domain looked at directly that are not
-// known to be well: failing ones, and engines whose owner tells nothing fresh.
+// watch polls the watchTargets directly. It also drops attempts whose end was never
+// reported to the router.
 func (p *process) watch(ctx context.Context) error {
 	defer p.watcher.Wait()
-	ticker := time.NewTicker(watchEvery)
+	ticker := time.NewTicker(watchTargetsInterval)
 	defer ticker.Stop()
 	for {
-		p.watcher.Watch(ctx, p.unsure())
+		p.watcher.SetTargets(ctx, p.watchTargets())
 		if n := p.router.Expire(); n > 0 {
-			p.log.WithField("attempts", n).Error("attempts_without_end")
+			p.log.WithField("attempts", n).Error("attempts_expired")
 		}
 		select {
 		case <-ticker.C:
@@ -137,47 +137,51 @@
 	}
 }
 
-func (p *process) unsure() []upstream.Target {
+// watchTargets returns the upstreams of this domain that are not known to work:
+// failing ones, and engines without a fresh report. If none of a pool works, it adds
+// upstreams of other domains, unless the pool never spills over.
+func (p *process) watchTargets() []upstream.Target {
 	var targets []upstream.Target
 	for _, pool := range p.follower.Current().Pools() {
 		isEngine := pool.Kind == settings.PoolEngine
-		own, others := p.byDomain(p.router.Upstreams(pool.Name))
+		own, others := p.splitByDomain(p.router.Upstreams(pool.Name))
 		served := false
-		limit := staleLimit(own)
+		limit := staleAge(own)
 		for _, u := range own {
 			stale := isEngine && (!u.Reported || u.ReportAge > limit)
 			failing := u.State == placement.Dead || u.State == placement.Suspect
 			served = served || !failing
 			if stale || failing {
-				targets = append(targets, upstream.Target{Name: u.Name, Address: u.Address, Engine: isEngine})
+				targets = append(targets, upstream.Target{Name: u.Name, Address: u.Address, IsEngine: isEngine})
 			}
 		}
 		if !served && pool.Routing.Spill != settings.SpillNever {
-			for _, u := range p.spillChoice(others) {
-				targets = append(targets, upstream.Target{Name: u.Name, Address: u.Address, Engine: isEngine})
+			for _, u := range p.spillTargets(others) {
+				targets = append(targets, upstream.Target{Name: u.Name, Address: u.Address, IsEngine: isEngine})
 			}
 		}
 	}
 	return targets
 }
 
-// staleLimit returns the age from which a report of one of these engines is stale.
-func staleLimit(engines []router.UpstreamStatus) time.Duration {
+// staleAge returns the age from which a report of one of these engines is stale.
+func staleAge(engines []router.UpstreamStatus) time.Duration {
 	var ages []time.Duration
 	for _, u := range engines {
 		if u.Reported {
 			ages = append(ages, u.ReportAge)
 		}
 	}
-	most := staleMost + time.Duration(len(engines))*stalePerOne
+	maxAge := maxStaleAgeBase + time.Duration(len(engines))*staleAgePerEngine
 	if len(ages) == 0 {
-		return most
+		return maxAge
 	}
 	slices.Sort(ages)
-	return min(max(staleFactor*ages[len(ages)/2], staleLeast), most)
+	return min(max(staleMedianFactor*ages[len(ages)/2], minStaleAge), maxAge)
 }
 
-func (p *process) byDomain(all []router.UpstreamStatus) (own, others []router.UpstreamStatus) {
+// splitByDomain separates the upstreams of this failure domain from all others.
+func (p *process) splitByDomain(all []router.UpstreamStatus) (own, others []router.UpstreamStatus) {
 	for _, u := range all {
 		if u.Domain == p.cfg.Domain {
 			own = append(own, u)
@@ -188,14 +192,15 @@
 	return own, others
 }
 
-// spillWatched bounds the upstreams of other domains that one front watches when
-// its own domain has none. Each front takes others, so that they share the load.
-const spillWatched = 8
+// maxSpillTargets limits the upstreams of other domains that one front polls for a
+// pool when none of its own domain works. Fronts select different ones, so that they
+// share the load.
+const maxSpillTargets = 8
 
-// spillChoice returns the upstreams that come first for this host by rendezvous
-// hashing.
-func (p *process) spillChoice(others []router.UpstreamStatus) []router.UpstreamStatus {
+// spillTargets returns the maxSpillTargets upstreams that rank first for this host by
+// rendezvous hashing. It sorts others in place.
+func (p *process) spillTargets(others []router.UpstreamStatus) []router.UpstreamStatus {
 	score := func(u router.UpstreamStatus) uint64 { return xxhash.Sum64String(p.cfg.Host + "\x00" + u.Name) }
 	slices.SortFunc(others, func(a, b router.UpstreamStatus) int { return cmp.Compare(score(a), score(b)) })
-	return others[:min(len(others), spillWatched)]
+	return others[:min(len(others), maxSpillTargets)]
 }
--- a/internal/edge/cold.go
+++ b/internal/edge/cold.go
@@ -10,50 +10,51 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/route"
 )
 
-// coldFigure is what the settings say of the cold servers of a service.
-type coldFigure struct {
-	lasts     time.Duration // after a start; zero: servers are never cold
-	perSecond float64       // requests that one takes from all daemons together
+// coldSettings are the settings for the cold servers of a service.
+type coldSettings struct {
+	duration  time.Duration // how long a server is cold after its start; zero: never
+	perSecond float64       // requests per second that a cold server takes from all daemons together
 }
 
-// coldPerSecond is taken where the settings name no rate for cold servers: one request a
-// second is bearable for any.
-const coldPerSecond = 1
+// defaultColdPerSecond applies if the settings have no rate for cold servers: any server can
+// handle one request per second.
+const defaultColdPerSecond = 1
 
-func coldFigures(spec route.Spec) map[string]coldFigure {
-	figures := make(map[string]coldFigure, len(spec.Services))
+// coldSettingsOf returns the cold settings by service.
+func coldSettingsOf(spec route.Spec) map[string]coldSettings {
+	byService := make(map[string]coldSettings, len(spec.Services))
 	for _, s := range spec.Services {
-		f := coldFigure{lasts: s.ColdFor, perSecond: s.ColdPerSecond}
+		f := coldSettings{duration: s.ColdFor, perSecond: s.ColdPerSecond}
 		if !(f.perSecond > 0) {
-			f.perSecond = coldPerSecond
+			f.perSecond = defaultColdPerSecond
 		}
-		figures[s.Name] = f
+		byService[s.Name] = f
 	}
-	return figures
+	return byService
 }
 
-// coldFor returns how long servers of a service stay cold. The caller holds the lock.
-func (p *process) coldFor(service string) time.Duration { return p.coldFigures[service].lasts }
+// coldFor returns how long servers of a service are cold after a start. The caller holds p.mu.
+func (p *process) coldFor(service string) time.Duration { return p.coldSettings[service].duration }
 
-// coldOf returns the limits of upstreams of which the list has said that they are cold, those
-// that are warm again among them. A service that the settings do not know has none.
-func coldOf(list *fleet.Snapshot, figures map[string]coldFigure) []pace.Cold {
-	var cold []pace.Cold
+// coldLimits returns the limits of the upstreams that the list has given as cold, including those
+// that are warm again. Services that are not in the settings have none.
+func coldLimits(list *fleet.Snapshot, byService map[string]coldSettings) []pace.ColdLimit {
+	var cold []pace.ColdLimit
 	for _, u := range list.Upstreams {
-		f, known := figures[u.Service]
+		f, known := byService[u.Service]
 		if known && !u.ColdUntil.IsZero() {
-			cold = append(cold, pace.Cold{Upstream: u.ID, PerSecond: f.perSecond, Until: u.ColdUntil})
+			cold = append(cold, pace.ColdLimit{Upstream: u.ID, PerSecond: f.perSecond, Until: u.ColdUntil})
 		}
 	}
 	return cold
 }
 
-// heardCold takes in that an answer of an upstream says for how long it stays cold.
-func (p *process) heardCold(id string, left time.Duration) {
+// recordCold records how much longer an upstream stays cold, as one of its answers says.
+func (p *process) recordCold(id string, left time.Duration) {
 	now := time.Now()
 	changed := false
 	p.changeList(func(l *fleet.List) bool {
-		changed = l.HearCold(id, left, now)
+		changed = l.UpdateCold(id, left, now)
 		return changed
 	})
 	if !changed {
@@ -61,22 +62,22 @@
 	}
 	u, _ := p.list.Load().Get(id)
 	p.mu.Lock()
-	f := p.coldFigures[u.Service]
+	f := p.coldSettings[u.Service]
 	p.mu.Unlock()
-	p.schedule.Cool(pace.Cold{Upstream: id, PerSecond: f.perSecond, Until: now.Add(left)})
+	p.schedule.ReportCold(pace.ColdLimit{Upstream: id, PerSecond: f.perSecond, Until: now.Add(left)})
 }
 
-// doubtWarmth makes the upstreams of a failure domain that can be reached again count as cold
-// until they say otherwise.
-func (p *process) doubtWarmth(domain string) {
+// assumeCold treats the upstreams of a failure domain that has become reachable again as cold
+// until they report otherwise.
+func (p *process) assumeCold(domain string) {
 	p.changeList(func(l *fleet.List) bool {
-		l.DoubtWarmth(domain, p.coldFor, time.Now())
+		l.AssumeCold(domain, p.coldFor, time.Now())
 		return true
 	})
 }
 
-// logCold writes one line on the upstreams that have become cold or warm, and reports whether
-// there were any.
+// logCold logs one line about the upstreams that have become cold or warm, and reports whether
+// there are any.
 func (p *process) logCold(before, after *fleet.Snapshot) bool {
 	now := time.Now()
 	cold, warm, longest := 0, 0, time.Duration(0)
--- a/internal/edge/listen.go
+++ b/internal/edge/listen.go
@@ -12,40 +12,41 @@
 	"github.com/buckthorndock/buckthorndock/internal/wait"
 )
 
-// Times of the opening. Until daemons that start together have met, each plans alone: it
+// Times of the start. Until daemons that start together know each other, each plans alone: it
 // gives every long prompt nearly all engines, and prompts pile up on each engine.
 const (
-	joinWait  = 220 * time.Millisecond
-	joinCheck = 10 * time.Millisecond
+	joinTimeout      = 220 * time.Millisecond
+	joinPollInterval = 10 * time.Millisecond
 )
 
-// openWhenJoined lets held calls in when this daemon can serve and knows another one, or
-// has looked for one long enough.
+// openWhenJoined admits the held calls once this daemon can serve and knows another daemon, or
+// joinTimeout has passed since the start.
 func (p *process) openWhenJoined(ctx context.Context) error {
-	for wait.For(ctx, joinCheck) {
+	for wait.For(ctx, joinPollInterval) {
 		joined := len(p.node.Members()) > 1
-		if p.serving.Load() && (joined || time.Since(p.started) >= joinWait) {
-			p.door.Open()
+		if p.serving.Load() && (joined || time.Since(p.started) >= joinTimeout) {
+			p.admitter.MarkReady()
 			return nil
 		}
 	}
 	return nil
 }
 
-// listener is an HTTP server with the address that it serves.
+// listener is an HTTP server with its address.
 type listener struct {
 	address string
 	server  *http.Server
 }
 
-// listen opens all listeners and serves them. The channel tells of one that failed.
+// listen opens all listeners and serves them. The channel receives the errors of servers that fail
+// later.
 func (p *process) listen() ([]*http.Server, <-chan error, error) {
-	metrics.GetOrCreateGauge("buckthorndock_requests_in_flight", func() float64 { return float64(p.door.InFlight()) })
+	metrics.GetOrCreateGauge("buckthorndock_requests_in_flight", func() float64 { return float64(p.admitter.InFlight()) })
 	page := http.NewServeMux()
 	page.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
 	all := []listener{
 		{p.cfg.Listen.Callers, p.callerServer()},
-		{p.cfg.Listen.Ready, &http.Server{Handler: p.provider.Ready(p.ready), ReadHeaderTimeout: headerTimeout}},
+		{p.cfg.Listen.Ready, &http.Server{Handler: p.provider.ReadyHandler(p.ready), ReadHeaderTimeout: headerTimeout}},
 		{p.cfg.Listen.Metrics, &http.Server{Handler: page, ReadHeaderTimeout: headerTimeout}},
 	}
 	failed := make(chan error, len(all))
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -9,14 +9,14 @@
 	"github.com/sirupsen/logrus"
 )
 
-// reloadEvery is the time between two looks at the daemon file, which may change
-// without a signal.
-const reloadEvery = 2 * time.Second
+// fileCheckInterval is the time between two checks of the daemon file, which may change without a
+// signal.
+const fileCheckInterval = 2 * time.Second
 
-// watchFile reads the daemon file again when the reload channel says that it has
-// changed, and now and then.
+// watchFile reads the daemon file again when a value comes from p.reloads, and when its
+// modification time has changed.
 func (p *process) watchFile(ctx context.Context) error {
-	ticker := time.NewTicker(reloadEvery)
+	ticker := time.NewTicker(fileCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -32,18 +32,18 @@
 	}
 }
 
-// fileChanged reports whether the file was written since it was last read.
+// fileChanged reports whether the daemon file was written since the last check.
 func (p *process) fileChanged() bool {
 	info, err := os.Stat(p.cfg.File)
-	if err != nil || info.ModTime().Equal(p.fileTime) {
-		return false // a file that is being replaced is there at the next look
+	if err != nil || info.ModTime().Equal(p.fileModTime) {
+		return false // a file that is being replaced will exist at the next check
 	}
-	p.fileTime = info.ModTime()
+	p.fileModTime = info.ModTime()
 	return true
 }
 
-// reload takes over what may change while the daemon runs: the log level and the
-// bounds. Names and addresses are those of the start.
+// reload applies the values of the daemon file that may change while the daemon runs: the log
+// level and the limits. Names and addresses stay as they were at the start.
 func (p *process) reload(why string) {
 	log := p.log.WithField("why", why)
 	next, err := LoadConfig(p.cfg.File)
@@ -59,11 +59,11 @@
 	if level, err := logrus.ParseLevel(next.LogLevel); err == nil {
 		p.log.Logger.SetLevel(level)
 	}
-	p.live.Store(next)
+	p.currentConfig.Store(next)
 	log.WithFields(logrus.Fields{
 		"grace_s": next.GraceS, "retry_ratio": next.Retry.Ratio, "retry_slack": next.Retry.Slack, "level": next.LogLevel,
 	}).Info("reloaded")
 }
 
-// current returns the daemon file as it was last read.
-func (p *process) current() *Config { return p.live.Load() }
+// current returns the values of the daemon file as last read without a fault.
+func (p *process) current() *Config { return p.currentConfig.Load() }
--- a/internal/front/keyed.go
+++ b/internal/front/keyed.go
@@ -14,33 +14,33 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/request"
 )
 
-// A key that its holder released is asked for again, a few times within one
-// request and with growing waits: the release may not be in the log yet.
+// After its holder has released a key, the key is acquired again with a delay, because
+// the release may not be in the log yet.
 const (
-	maxSupersedes = 8
-	supersedeWait = 20 * time.Millisecond // the first, then doubled each time
+	maxSupersedes = 8                     // tries per request
+	supersedeWait = 20 * time.Millisecond // before the first retry, doubled each time
 )
 
-// work runs an admitted job until its end.
-type work func(ctx context.Context) *request.Refusal
+// runFunc runs an admitted job. It returns nil when the job completed.
+type runFunc func(ctx context.Context) *request.Refusal
 
-// relay passes on what the holder of a key has recorded.
-type relay func(io.Reader) error
+// readAnswerFunc reads a recorded answer and delivers it to the caller.
+type readAnswerFunc func(io.Reader) error
 
-// serve runs a job from admission to its one end. A job that runs at most once
-// and has a key runs only at the holder of the key; elsewhere the holder's answer
-// is relayed.
-func (s *Server) serve(ctx context.Context, j *job, do work, pass relay) *request.Refusal {
+// serve runs a job from admission to its end and returns nil when it completed. A job
+// that is not repeatable and has a key runs only on the host that holds the key; other
+// hosts relay the holder's answer.
+func (s *Server) serve(ctx context.Context, j *job, run runFunc, readAnswer readAnswerFunc) *request.Refusal {
 	switch {
 	case j.req.Repeatable && j.req.Key == "":
-		return s.admitted(ctx, j, do)
+		return s.runAdmitted(ctx, j, run)
 	case j.req.Repeatable:
-		return s.joined(ctx, j, do, pass)
+		return s.runOrJoin(ctx, j, run, readAnswer)
 	case j.req.Key == "":
-		return s.withoutKey(ctx, j, do)
+		return s.runWithoutKey(ctx, j, run)
 	}
-	for try := range maxSupersedes {
-		res, err := s.opts.Claims.Acquire(ctx, claims.Ask{
+	for attempt := range maxSupersedes {
+		res, err := s.opts.Claims.Acquire(ctx, claims.AcquireRequest{
 			Customer:    j.req.Customer,
 			Key:         j.req.Key,
 			Fingerprint: j.req.Fingerprint,
@@ -49,10 +49,10 @@
 		if err != nil {
 			return asRefusal(err)
 		}
-		if res.Mine() {
-			return s.asHolder(ctx, j, res, do)
+		if res.HoldsKey() {
+			return s.runAsKeyHolder(ctx, j, res, run)
 		}
-		end, err := s.passOn(ctx, j, pass, func(ctx context.Context, w io.Writer) (claims.Ending, error) {
+		end, err := s.relayAnswer(ctx, j, readAnswer, func(ctx context.Context, w io.Writer) (claims.Ending, error) {
 			return s.opts.Claims.Await(ctx, res, w)
 		})
 		if err != nil {
@@ -61,14 +61,15 @@
 		if end.State != claims.AnswerReleased {
 			return end.Refusal()
 		}
-		if !s.pause(ctx, supersedeWait<<try, j.req.Deadline) {
+		if !s.pause(ctx, supersedeWait<<attempt, j.req.Deadline) {
 			break
 		}
 	}
-	return request.Refuse(request.CodeKeyUnavailable, retryElsewhere, "the idempotency key changes hands too often")
+	return request.Refuse(request.CodeKeyUnavailable, retryElsewhere, "the idempotency key was released and taken again too often")
 }
 
-// pause waits, and reports false when the context or the deadline ends first.
+// pause waits for d. It returns false when the context ends first, and at once when the
+// deadline is nearer than d.
 func (s *Server) pause(ctx context.Context, d time.Duration, deadline time.Time) bool {
 	if time.Until(deadline) < d {
 		return false
@@ -81,16 +82,16 @@
 	}
 }
 
-// admitted runs a job that the gate lets in.
-func (s *Server) admitted(ctx context.Context, j *job, do work) *request.Refusal {
+// runAdmitted has the gate admit a job, runs it and ends its ticket.
+func (s *Server) runAdmitted(ctx context.Context, j *job, run runFunc) *request.Refusal {
 	ctx, cancel := context.WithDeadline(ctx, j.req.Deadline)
 	defer cancel()
 	ticket, refusal := s.admit(ctx, j)
 	if refusal != nil {
 		return refusal
 	}
-	refusal = do(ctx)
-	outcome, tokens := request.Complete, j.req.PromptTokens+j.answered
+	refusal = run(ctx)
+	outcome, tokens := request.Complete, j.req.PromptTokens+j.deliveredTokens
 	if refusal != nil {
 		outcome = refusal.Outcome
 	}
@@ -98,19 +99,20 @@
 	return refusal
 }
 
-// withoutKey runs a job that may be dispatched once and has no key.
-func (s *Server) withoutKey(ctx context.Context, j *job, do work) *request.Refusal {
+// runWithoutKey runs a job that may be dispatched at most once and has no key.
+func (s *Server) runWithoutKey(ctx context.Context, j *job, run runFunc) *request.Refusal {
 	j.permit = claim.NewPermit(j.req.Deadline)
 	j.permit.Grant(0)
-	refusal := s.admitted(ctx, j, do)
+	refusal := s.runAdmitted(ctx, j, run)
 	if refusal != nil && j.permit.Release() {
-		return neverSent(refusal)
+		return markNotSent(refusal)
 	}
-	return maybeSent(refusal)
+	return markMaybeSent(refusal)
 }
 
-// maybeSent corrects the outcome of a job whose permit was used.
-func maybeSent(r *request.Refusal) *request.Refusal {
+// markMaybeSent changes a refusal's outcome from not run to unknown, for a job whose
+// permit was used.
+func markMaybeSent(r *request.Refusal) *request.Refusal {
 	if r == nil || r.Outcome != request.NotRun {
 		return r
 	}
@@ -119,9 +121,9 @@
 	return &changed
 }
 
-// neverSent tells what is certain of a job whose permit was given back unused:
-// nothing was sent, and nothing will be.
-func neverSent(r *request.Refusal) *request.Refusal {
+// markNotSent changes a refusal's outcome to not run, for a job whose permit was
+// released unused: nothing was sent, and nothing will be.
+func markNotSent(r *request.Refusal) *request.Refusal {
 	if r.Outcome == request.NotRun {
 		return r
 	}
@@ -129,61 +131,63 @@
 	if code == request.CodeOutcomeLost {
 		code = request.CodeDeadline
 	}
-	return request.Refuse(code, retryElsewhere, "it ended before it was sent")
+	return request.Refuse(code, retryElsewhere, "the request ended before it was sent")
 }
 
-// asHolder runs a job whose key this host holds. It goes on when the caller has
-// gone, for the caller may ask for the answer again.
-func (s *Server) asHolder(ctx context.Context, j *job, res claims.Result, do work) *request.Refusal {
+// runAsKeyHolder runs a job whose key this host holds. The job continues after its
+// caller has disconnected, because the caller may request the answer again.
+func (s *Server) runAsKeyHolder(ctx context.Context, j *job, res claims.Result, run runFunc) *request.Refusal {
 	j.permit = res.Permit
-	j.record = res.Answer
-	j.needed = func() bool { return true }
-	refusal := s.admitted(context.WithoutCancel(ctx), j, do)
+	j.recording = res.Answer
+	j.neededWithoutCaller = func() bool { return true }
+	refusal := s.runAdmitted(context.WithoutCancel(ctx), j, run)
 	switch {
 	case refusal == nil:
 		res.Answer.Finish(claims.Ending{State: claims.AnswerComplete})
 	case s.opts.Claims.Release(res):
-		// Nothing was sent: the key is free again.
-		refusal = neverSent(refusal)
+		// Nothing was sent, and the key is free again.
+		refusal = markNotSent(refusal)
 	case refusal.Outcome == request.Failed:
 		res.Answer.Finish(claims.Ending{State: claims.AnswerFailed, Code: refusal.Code, Message: refusal.Message})
 	default:
-		refusal = maybeSent(refusal)
+		refusal = markMaybeSent(refusal)
 		res.Answer.Finish(claims.Ending{State: claims.AnswerUnknown, Code: refusal.Code, Message: refusal.Message})
 	}
 	return refusal
 }
 
-// passOn passes the answer of another run on within the job's time.
-func (s *Server) passOn(ctx context.Context, j *job, pass relay, from func(context.Context, io.Writer) (claims.Ending, error)) (claims.Ending, error) {
+// relayAnswer delivers the answer of another run, written by copyAnswer, to the caller,
+// until the job's deadline.
+func (s *Server) relayAnswer(ctx context.Context, j *job, readAnswer readAnswerFunc, copyAnswer func(context.Context, io.Writer) (claims.Ending, error)) (claims.Ending, error) {
 	ctx, cancel := context.WithDeadline(ctx, j.req.Deadline)
 	defer cancel()
 	r, w := io.Pipe()
-	passed := make(chan error, 1)
+	readDone := make(chan error, 1)
 	go func() {
-		err := pass(r)
+		err := readAnswer(r)
 		r.CloseWithError(err)
-		passed <- err
+		readDone <- err
 	}()
-	end, err := from(ctx, w)
+	end, err := copyAnswer(ctx, w)
 	if err == nil && end.State != claims.AnswerComplete {
-		err = errNotWhole
+		err = errAnswerIncomplete
 	}
 	w.CloseWithError(err)
-	passErr := <-passed
+	readErr := <-readDone
 	if end.State != claims.AnswerComplete && ctx.Err() == nil {
 		return end, nil
 	}
 	if err == nil {
-		err = passErr
+		err = readErr
 	}
 	return end, err
 }
 
-// errNotWhole ends the relay of an answer that did not become whole.
-var errNotWhole = merry.Sentinel("the holder's answer is not whole")
+// errAnswerIncomplete ends the relay of an answer that did not become complete.
+var errAnswerIncomplete = merry.Sentinel("the relayed answer is incomplete")
 
-// awaitRefusal is the end of a repeat whose wait for the holder ended.
+// awaitRefusal returns the refusal of a repeat whose wait for the holder's answer ended
+// without one.
 func awaitRefusal(ctx context.Context) *request.Refusal {
 	code := request.CodeDeadline
 	if ctx.Err() != nil {
@@ -191,49 +195,49 @@
 	}
 	return &request.Refusal{
 		Outcome: request.Unknown, Code: code, RetryAfter: retryElsewhere,
-		Message: "the request under this key is running or has run; ask again with the same key",
+		Message: "the request with this key is running or has run; retry with the same key",
 	}
 }
 
-// recorded is one line of a recorded generation.
-type recorded struct {
+// recordedTokens is one line of a recorded generation.
+type recordedTokens struct {
 	Text   string `json:"t"`
 	Tokens int    `json:"n"`
 }
 
-// recordTokens keeps a piece of the answer for repeats of the key.
+// recordTokens appends a part of the answer to the recording for repeats of the key.
 func (j *job) recordTokens(text string, tokens int) {
-	if j.record == nil {
+	if j.recording == nil {
 		return
 	}
-	line, err := json.Marshal(recorded{Text: text, Tokens: tokens})
+	line, err := json.Marshal(recordedTokens{Text: text, Tokens: tokens})
 	if err != nil {
 		return
 	}
-	_, _ = j.record.Write(append(line, '\n'))
+	_, _ = j.recording.Write(append(line, '\n'))
 }
 
-// relayTokens passes a recorded generation on to the job's sink.
-func relayTokens(j *job) relay {
+// relayTokens returns a function that delivers a recorded generation to the job's sink.
+func relayTokens(j *job) readAnswerFunc {
 	return func(r io.Reader) error {
 		lines := bufio.NewReader(r)
 		for {
 			line, err := lines.ReadBytes('\n')
 			if err == io.EOF {
-				return j.sink.finish(j.answered)
+				return j.sink.finish(j.deliveredTokens)
 			}
 			if err != nil {
 				return err
 			}
-			var rec recorded
+			var rec recordedTokens
 			if err := json.Unmarshal(line, &rec); err != nil {
 				return merry.Prepend(err, "recorded answer")
 			}
 			if err := j.sink.token(rec.Text); err != nil {
 				return err
 			}
-			j.answered += rec.Tokens
-			j.passed.WriteString(rec.Text)
+			j.deliveredTokens += rec.Tokens
+			j.relayedText.WriteString(rec.Text)
 		}
 	}
 }
--- a/internal/keyed/era.go
+++ b/internal/keyed/era.go
@@ -7,233 +7,238 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// Rank is what a value says itself of when it was written.
+// Rank orders the values of a key by when they were written. It is read from the value itself.
 type Rank struct {
-	Life  int64 // of its writer; zero: not told
-	Count int64 // rises with each value of a life
+	Incarnation int64 // of the writer; zero: the value does not have it
+	Count       int64 // rises with each value of an incarnation
 }
 
-// compare compares two ranks. It is not ok where one alone tells the life.
+// compare compares two ranks. ok is false if only one of them has an incarnation.
 func (r Rank) compare(other Rank) (order int, ok bool) {
-	if (r.Life == 0) != (other.Life == 0) {
+	if (r.Incarnation == 0) != (other.Incarnation == 0) {
 		return 0, false
 	}
-	return cmp.Or(cmp.Compare(r.Life, other.Life), cmp.Compare(r.Count, other.Count)), true
+	return cmp.Or(cmp.Compare(r.Incarnation, other.Incarnation), cmp.Compare(r.Count, other.Count)), true
 }
 
-// RankOf returns the rank of a value of a key. It is not ok where the value does not tell.
+// RankOf returns the rank of a value of a key. ok is false if the value has none.
 type RankOf func(key string, value []byte) (rank Rank, ok bool)
 
-// A store that comes back from an older copy begins an era. Its offsets from some place on,
-// which nobody tells, are given out again, and what was there is written again in time. So a
-// record that is read in the new era is
+// A store that is restored from an older copy of itself begins a new era. It assigns the offsets
+// after the end of that copy again, but does not report where the copy ended; writers write the
+// lost records again in time. So a record that is read in the new era is
 //
-//   - newer, where its value ranks higher than the known one; where it was written after the
-//     era was first seen; where its offset is over that of the known one, for up to the place the
-//     eras have the same records; or where the former era had another record at its offset;
-//   - older, where its value ranks lower;
-//   - in doubt, else: the copy's, of before the known one, or written anew at a low offset.
+//   - newer, if its value ranks higher than the known one; if it was written after the era was
+//     first seen; if its offset is higher than that of the known one, because up to the end of
+//     the copy the eras have the same records; or if the former era had another record at its
+//     offset;
+//   - older, if its value ranks lower;
+//   - doubtful otherwise: it may be a record of the copy that is older than the known one, or one
+//     written in the new era at a low offset.
 //
-// What is in doubt, and what the new era lacks, stands as it was until the writers have had
-// time to write it again. Then the store's word counts.
+// The known records of doubtful keys, and of keys that the new era lacks, stay in force until the
+// writers have had time to write them again. Then the state of the store replaces them.
 
-// verdict says what a record is beside the known one of its key.
+// verdict is how a record compares with the known one of its key.
 type verdict int
 
 const (
 	older     verdict = iota
-	outranked         // older, by what it says itself
-	confirmed         // it says the same, and its place is a later one
+	outranked         // older, by the ranks of the values
+	confirmed         // the same value at a later offset
 	newer
 	doubtful
 )
 
-// doubts is what the present era has left open so far.
-type doubts struct {
-	since   time.Time // when the era was first seen, by any daemon that told; zero: no earlier era is known
-	certain int64     // offset from which all records were written in the era, at the latest
-	missing map[string]bool
-	older   map[string]platform.KeyedRecord // of the store, beside newer ones of an earlier era
-	// outrank has the keys whose known value is not the one that the store has at its place.
-	outrank map[string]bool
+// unresolved holds the keys whose newest record is not certain yet in the current era.
+type unresolved struct {
+	eraSeen     time.Time                       // when any daemon first saw the era; zero: no earlier era is known
+	certainFrom int64                           // from this offset on, if not before, all records were written in the era
+	missing     map[string]bool                 // keys known from earlier eras that the store lacks
+	doubtful    map[string]platform.KeyedRecord // records of the store that may be older than the known ones
+	// outranking has the keys whose known value ranks over the one that the store has at its offset.
+	outranking map[string]bool
 }
 
-func newDoubts(since time.Time, certain int64) doubts {
-	return doubts{
-		since: since, certain: certain,
-		missing: map[string]bool{}, older: map[string]platform.KeyedRecord{}, outrank: map[string]bool{},
+func newUnresolved(since time.Time, certain int64) unresolved {
+	return unresolved{
+		eraSeen: since, certainFrom: certain,
+		missing: map[string]bool{}, doubtful: map[string]platform.KeyedRecord{}, outranking: map[string]bool{},
 	}
 }
 
-// end ends the doubts about a key.
-func (d *doubts) end(key string) {
+// resolve removes a key: its newest record is certain.
+func (d *unresolved) resolve(key string) {
 	delete(d.missing, key)
-	delete(d.older, key)
-	delete(d.outrank, key)
+	delete(d.doubtful, key)
+	delete(d.outranking, key)
 }
 
-// judge compares a record with the known one of its key. past is the copy of the era before,
-// for a record of a whole page that begins another one; nil else.
-func (c *copied) judge(known platform.KeyedRecord, isKnown bool, r platform.KeyedRecord, past *copied) verdict {
+// classify compares a record with the known one of its key. past is the state of the former era
+// if the record is of the page with all keys that begins a new one, else nil.
+func (s *streamState) classify(known platform.KeyedRecord, isKnown bool, r platform.KeyedRecord, past *streamState) verdict {
 	if !isKnown {
 		return newer
 	}
 	later := r.Era > known.Era || r.Era == known.Era && r.Offset > known.Offset
-	if order, ok := c.compare(known, r); ok && order != 0 {
+	if order, ok := s.compareRanks(known, r); ok && order != 0 {
 		if order > 0 {
 			return newer
 		}
 		return outranked
 	}
 	switch {
-	case !later, known.Era == platform.NoEra && r.Era < c.era: // what tells no era may be of any
+	case !later, known.Era == platform.NoEra && r.Era < s.era: // a record without an era may be of any
 		return older
 	case sameValue(known, r):
 		return confirmed
-	case r.Era == known.Era, r.Offset > known.Offset, c.isCertain(r), past.had(r.Offset, r):
+	case r.Era == known.Era, r.Offset > known.Offset, s.isCertain(r), past.hadOtherAt(r.Offset, r):
 		return newer
-	case r.Era == c.era:
+	case r.Era == s.era:
 		return doubtful
 	}
 	return older
 }
 
-// isCertain reports whether a record was written in the present era for sure.
-func (c *copied) isCertain(r platform.KeyedRecord) bool {
-	return r.Era == c.era && r.Offset >= c.doubts.certain
+// isCertain reports whether a record was certainly written in the current era.
+func (s *streamState) isCertain(r platform.KeyedRecord) bool {
+	return r.Era == s.era && r.Offset >= s.unresolved.certainFrom
 }
 
-// compare compares a record with the known one by what they say themselves.
-func (c *copied) compare(known, r platform.KeyedRecord) (order int, ok bool) {
-	if c.rankOf == nil || known.Value == nil || r.Value == nil {
+// compareRanks compares a record with the known one by the ranks of their values. order is over
+// zero if the record ranks higher; ok is false if the ranks cannot be compared.
+func (s *streamState) compareRanks(known, r platform.KeyedRecord) (order int, ok bool) {
+	if s.rankOf == nil || known.Value == nil || r.Value == nil {
 		return 0, false
 	}
-	former, ok := c.rankOf(r.Key, known.Value)
+	former, ok := s.rankOf(r.Key, known.Value)
 	if !ok {
 		return 0, false
 	}
-	latter, ok := c.rankOf(r.Key, r.Value)
+	latter, ok := s.rankOf(r.Key, r.Value)
 	if !ok {
 		return 0, false
 	}
 	return latter.compare(former)
 }
 
-// had reports whether another record than this one is known to have had an offset.
-func (c *copied) had(offset int64, other platform.KeyedRecord) bool {
-	if c == nil {
+// hadOtherAt reports whether the state is known to have had another record at the offset. A nil
+// state knows none.
+func (s *streamState) hadOtherAt(offset int64, other platform.KeyedRecord) bool {
+	if s == nil {
 		return false
 	}
-	i, found := c.find(offset)
-	return found && (c.recent[i].Key != other.Key || !sameValue(c.recent[i], other))
-}
-
-// enter takes in all keys of a later era, which was first seen at a time and whose records from
-// an offset on were all written in it. It returns the records by which what is known changes.
-func (c *copied) enter(page platform.KeyedPage, since time.Time, certain int64) []platform.KeyedRecord {
-	past := *c
-	c.era, c.next = page.Era, page.Next
-	c.recent, c.recentFrom = nil, page.Next
-	c.changes++
-	c.doubts = newDoubts(since, certain)
+	i, found := s.findRecent(offset)
+	return found && (s.recent[i].Key != other.Key || !sameValue(s.recent[i], other))
+}
+
+// enterEra applies a page with all keys of a later era. since is when the era was first seen; all
+// records from offset certain on were written in it. It returns the records that changed.
+func (s *streamState) enterEra(page platform.KeyedPage, since time.Time, certain int64) []platform.KeyedRecord {
+	past := *s
+	s.era, s.next = page.Era, page.NextOffset
+	s.recent, s.recentFrom = nil, page.NextOffset
+	s.version++
+	s.unresolved = newUnresolved(since, certain)
 	var changed []platform.KeyedRecord
 	for _, r := range page.Records {
-		before, known := c.records[r.Key]
-		switch c.judge(before, known, r, &past) {
+		before, known := s.records[r.Key]
+		switch s.classify(before, known, r, &past) {
 		case newer:
-			c.put(r)
+			s.put(r)
 			changed = append(changed, r)
 		case confirmed:
-			c.put(r)
+			s.put(r)
 		case doubtful:
-			c.doubt(r)
+			s.setAside(r)
 		case outranked:
-			c.keepPlace(before, r)
+			s.adoptOffset(before, r)
 		}
 	}
-	c.miss(listedKeys(page))
+	s.markMissing(listedKeys(page))
 	return changed
 }
 
-// doubt keeps a record of the store aside that may be older than the known one.
-func (c *copied) doubt(r platform.KeyedRecord) {
-	delete(c.doubts.missing, r.Key)
-	c.doubts.older[r.Key] = r
-	c.changes++
+// setAside keeps a record of the store that may be older than the known one as doubtful.
+func (s *streamState) setAside(r platform.KeyedRecord) {
+	delete(s.unresolved.missing, r.Key)
+	s.unresolved.doubtful[r.Key] = r
+	s.version++
 }
 
-// keepPlace gives a known value that ranks over the one that a later era has the place of that
-// one: the store does not lack its key.
-func (c *copied) keepPlace(known, r platform.KeyedRecord) {
+// adoptOffset gives a known value the era and offset of the outranked record r, if that is of a
+// later era: the store has the key, so it must not count as missing.
+func (s *streamState) adoptOffset(known, r platform.KeyedRecord) {
 	if r.Era > known.Era {
-		c.put(platform.KeyedRecord{Era: r.Era, Offset: r.Offset, Key: r.Key, Value: known.Value})
-		c.doubts.outrank[r.Key] = true
+		s.put(platform.KeyedRecord{Era: r.Era, Offset: r.Offset, Key: r.Key, Value: known.Value})
+		s.unresolved.outranking[r.Key] = true
 	}
 }
 
-// miss notes the keys that are known from earlier eras alone and that the store lacks.
-func (c *copied) miss(listed map[string]bool) {
-	for key, r := range c.records {
-		_, doubted := c.doubts.older[key]
-		if r.Value != nil && r.Era < c.era && !listed[key] && !doubted {
-			c.doubts.missing[key] = true
+// markMissing records the keys that are known only from earlier eras and that the store lacks.
+func (s *streamState) markMissing(listed map[string]bool) {
+	for key, r := range s.records {
+		_, doubted := s.unresolved.doubtful[key]
+		if r.Value != nil && r.Era < s.era && !listed[key] && !doubted {
+			s.unresolved.missing[key] = true
 		}
 	}
 }
 
-// merge takes in what a peer knows from an earlier era, or from an earlier time in this one; of a
-// later era, or of none, what ranks higher. It returns the records by which what is known
-// changes. A key that has no value here is taken only while what the store has lost may still be
-// written again.
-func (c *copied) merge(records []platform.KeyedRecord, lost time.Duration) []platform.KeyedRecord {
-	open := c.at.Before(c.doubts.since.Add(lost))
+// mergePeerRecords merges a peer's records of an earlier era, or of an earlier time in the current one;
+// of records of a later era, or of none, only those that rank higher. It returns the records that
+// changed. A record of a key without a value here is taken only while writers may still write
+// again what the store has lost, which takes them up to rewriteTime.
+func (s *streamState) mergePeerRecords(records []platform.KeyedRecord, rewriteTime time.Duration) []platform.KeyedRecord {
+	rewriting := s.at.Before(s.unresolved.eraSeen.Add(rewriteTime))
 	var changed []platform.KeyedRecord
 	for _, r := range records {
-		before, known := c.records[r.Key]
-		order, ranked := c.compare(before, r)
+		before, known := s.records[r.Key]
+		order, ranked := s.compareRanks(before, r)
 		switch {
 		case ranked && order > 0:
 			r.Era, r.Offset = before.Era, before.Offset
-			c.doubts.outrank[r.Key] = true
-		case ranked, c.isUnread(r), r.Era == platform.NoEra:
+			s.unresolved.outranking[r.Key] = true
+		case ranked, s.isUnread(r), r.Era == platform.NoEra:
 			continue
-		case before.Value == nil && !(open && c.isLost(r)), c.judge(before, known, r, nil) != newer:
+		case before.Value == nil && !(rewriting && s.mayBeLost(r)), s.classify(before, known, r, nil) != newer:
 			continue
 		}
-		c.records[r.Key] = r
-		c.changes++
+		s.records[r.Key] = r
+		s.version++
 		changed = append(changed, r)
 		if before.Value == nil {
-			c.doubts.missing[r.Key] = true
+			s.unresolved.missing[r.Key] = true
 		}
 	}
 	return changed
 }
 
-// isUnread reports whether a record of a peer is one that a read will bring.
-func (c *copied) isUnread(r platform.KeyedRecord) bool {
-	return r.Era > c.era || r.Era == c.era && r.Offset >= c.next
+// isUnread reports whether a record of a peer will come with a later read.
+func (s *streamState) isUnread(r platform.KeyedRecord) bool {
+	return r.Era > s.era || r.Era == s.era && r.Offset >= s.next
 }
 
-// isLost reports whether a record of a key that has no value is one that the store may have lost.
-func (c *copied) isLost(r platform.KeyedRecord) bool { return r.Value != nil && r.Era < c.era }
+// mayBeLost reports whether the store may have lost the record: it has a value and is of an
+// earlier era. The caller has checked that its key has no value here.
+func (s *streamState) mayBeLost(r platform.KeyedRecord) bool { return r.Value != nil && r.Era < s.era }
 
-// settle ends the doubts whose time is over, by the newest read: what the store lacked for the
-// first time is removed, what was in doubt for the second one is the store's. It returns the
-// records by which what is known changes.
-func (c *copied) settle(lost, doubt time.Duration) []platform.KeyedRecord {
+// resolve decides the keys whose time is over, as of the newest read: keys that the store lacks
+// are removed after rewriteTime, and doubtful records replace the known ones after doubtTime.
+// It returns the records that changed.
+func (s *streamState) resolve(rewriteTime, doubtTime time.Duration) []platform.KeyedRecord {
 	var changed []platform.KeyedRecord
-	if !c.at.Before(c.doubts.since.Add(lost)) {
-		for key := range c.doubts.missing {
-			r := platform.KeyedRecord{Era: c.era, Offset: c.next - 1, Key: key}
-			c.put(r)
+	if !s.at.Before(s.unresolved.eraSeen.Add(rewriteTime)) {
+		for key := range s.unresolved.missing {
+			r := platform.KeyedRecord{Era: s.era, Offset: s.next - 1, Key: key}
+			s.put(r)
 			changed = append(changed, r)
 		}
-		c.alone = false
+		s.storeOnly = false
 	}
-	if !c.at.Before(c.doubts.since.Add(doubt)) {
-		for _, r := range c.doubts.older {
-			c.put(r)
+	if !s.at.Before(s.unresolved.eraSeen.Add(doubtTime)) {
+		for _, r := range s.unresolved.doubtful {
+			s.put(r)
 			changed = append(changed, r)
 		}
 	}
--- a/internal/keyed/era_test.go
+++ b/internal/keyed/era_test.go
@@ -10,16 +10,16 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// TestNothingOlderComesBackAndNothingNewerIsRefusedWhenTheStoreGoesBack guards against offsets
-// of one era of the store that are compared with those of another, in any order of writes,
-// restores, reads, cuts and starts, and beside daemons of the release before.
-func TestNothingOlderComesBackAndNothingNewerIsRefusedWhenTheStoreGoesBack(t *testing.T) {
+// TestRecordsOnlyGetNewerAcrossStoreRestores guards against comparing
+// offsets of different eras of the store, for random sequences of writes, restores, reads, cuts
+// and restarts, and with daemons of the former release among the others.
+func TestRecordsOnlyGetNewerAcrossStoreRestores(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 1500
 	properties := gopter.NewProperties(parameters)
-	properties.Property("what is known goes forward, to the truth", prop.ForAll(
+	properties.Property("the known records only get newer and converge to what was written", prop.ForAll(
 		func(seed uint64, steps, former int) string {
-			if broken := playWorld(seed, steps, former); len(broken) > 0 {
+			if broken := runSimulation(seed, steps, former); len(broken) > 0 {
 				return strings.Join(broken, "; ")
 			}
 			return ""
@@ -29,12 +29,12 @@
 	properties.TestingRun(t)
 }
 
-// TestRecordAtAnOffsetThatHadAnotherIsNews has a key removed at offset 3, and written in the next
-// era at offset 2, which had another record: that cannot be the older copy's.
-func TestRecordAtAnOffsetThatHadAnotherIsNews(t *testing.T) {
+// TestRecordAtReassignedOffsetIsNewer removes a key at offset 3. In the next era the key is
+// written at offset 2, which had another record: so it cannot be a record of the older copy.
+func TestRecordAtReassignedOffsetIsNewer(t *testing.T) {
 	store := &fakeStore{era: 1}
 	f, table := newFollower(store, nil)
-	f.opts.Doubt = time.Hour
+	f.opts.DoubtTime = time.Hour
 	store.put("a", "1")
 	mustRead(t, f)
 	store.put("a", "2")
@@ -44,19 +44,19 @@
 	store.restore(2)
 	store.put("a", "3")
 	for f.read(t.Context()) != nil {
-		f.restart()
+		f.requestFullRead()
 	}
 	if got := table.get("a"); got != "3" {
 		t.Errorf("got %q", got)
 	}
 }
 
-// TestRecordOfTheOlderCopyIsLeftAsideUntilTheDoubtEnds: the one before the known removal, at the
-// offset that it has had.
-func TestRecordOfTheOlderCopyIsLeftAsideUntilTheDoubtEnds(t *testing.T) {
+// TestRestoredRecordIsDoubtfulUntilDoubtTime restores the store to the record before a
+// known removal. The restored record replaces the removal only after the doubt time.
+func TestRestoredRecordIsDoubtfulUntilDoubtTime(t *testing.T) {
 	store := &fakeStore{era: 1}
 	f, table := newFollower(store, nil)
-	f.opts.Doubt = time.Hour
+	f.opts.DoubtTime = time.Hour
 	store.put("b", "1")
 	mustRead(t, f)
 	store.put("a", "1")
@@ -64,23 +64,23 @@
 	mustRead(t, f)
 	store.restore(2)
 	for f.read(t.Context()) != nil {
-		f.restart()
+		f.requestFullRead()
 	}
 	if got := table.get("a"); got != "" {
 		t.Errorf("got %q, which was removed", got)
 	}
-	f.copied.doubts.since = time.Now().Add(-2 * time.Hour)
+	f.state.unresolved.eraSeen = time.Now().Add(-2 * time.Hour)
 	mustRead(t, f)
 	if got := table.get("a"); got != "1" {
 		t.Errorf("got %q, not what the store still has", got)
 	}
 }
 
-// twoDaemons returns a world of two daemons and a store, of which the first has read a value of
-// the ranked key that the store has lost, and which one it was.
-func twoDaemons(t *testing.T) (w *world, lost int) {
+// twoDaemons returns a simulation of two daemons, of which the first has read a value of the
+// ranked key that the store has then lost, and the number of that value.
+func twoDaemons(t *testing.T) (w *simulation, lost int) {
 	t.Helper()
-	w = newWorld(1, 0)
+	w = newSimulation(1, 0)
 	w.daemons = w.daemons[:2]
 	w.write(rankedKey)
 	w.daemons[0].read()
@@ -88,44 +88,45 @@
 	return w, w.truth[rankedKey]
 }
 
-// knows returns the number of the value of the ranked key that a daemon knows.
-func (d *eraDaemon) knows() int { return valueNumber(d.follower.copied.records[rankedKey].Value) }
+// knownNumber returns the number of the ranked key's value that a daemon knows.
+func (d *eraDaemon) knownNumber() int { return valueNumber(d.follower.state.records[rankedKey].Value) }
 
-// TestDaemonThatKnowsOnlyTheStoreAsksOthersForWhatItHasLost has a daemon that starts when the
-// store has come back, and reads it before it reaches any other daemon.
-func TestDaemonThatKnowsOnlyTheStoreAsksOthersForWhatItHasLost(t *testing.T) {
+// TestStartedDaemonRecoversLostRecordsFromPeers starts a daemon after the store was
+// restored; it reads the store before it reaches any other daemon.
+func TestStartedDaemonRecoversLostRecordsFromPeers(t *testing.T) {
 	w, lost := twoDaemons(t)
 	first, second := w.daemons[0], w.daemons[1]
 	first.alone = true
 	second.readStore()
-	if got := second.knows(); got == lost {
-		t.Fatal("the store has lost nothing")
+	if got := second.knownNumber(); got == lost {
+		t.Fatal("the store has lost no record")
 	}
-	first.readStore() // it knows the new era, and what the store has lost
+	first.readStore() // it enters the new era and keeps what the store has lost
 	first.alone = false
-	second.follower.opts.Spread.silent.Succeeded(first.host, time.Now())
+	second.follower.opts.Feed.unresponsive.RecordSuccess(first.host, time.Now())
 	second.read()
-	if got := second.knows(); got != lost {
+	if got := second.knownNumber(); got != lost {
 		t.Errorf("it has %d, not %d", got, lost)
 	}
 }
 
-// TestPeerOfAnEarlierEraTellsWhatTheStoreHasLost has a daemon that is cut off from the store
-// since before it came back.
-func TestPeerOfAnEarlierEraTellsWhatTheStoreHasLost(t *testing.T) {
+// TestLostRecordsComeFromPeerOfEarlierEra has a daemon that has been cut off from the store
+// since before the restore.
+func TestLostRecordsComeFromPeerOfEarlierEra(t *testing.T) {
 	w, lost := twoDaemons(t)
 	first, second := w.daemons[0], w.daemons[1]
 	first.cut = true
 	second.readStore()
-	second.follower.copied.alone = false
+	second.follower.state.storeOnly = false
 	second.read()
-	if got := second.knows(); got != lost {
+	if got := second.knownNumber(); got != lost {
 		t.Errorf("it has %d, not %d", got, lost)
 	}
 }
 
-// TestAnswerOfAnEarlierEraIsNoRead: it was under way when the store was restored.
-func TestAnswerOfAnEarlierEraIsNoRead(t *testing.T) {
+// TestAnswerOfEarlierEraIsNotARead covers an answer that was in progress when the store was
+// restored.
+func TestAnswerOfEarlierEraIsNotARead(t *testing.T) {
 	store := &fakeStore{era: 2}
 	f, table := newFollower(store, nil)
 	store.put("a", "2")
@@ -134,18 +135,18 @@
 	store.put("a", "1")
 	for range 2 { // from an offset, and all keys
 		if err := f.read(t.Context()); err == nil {
-			t.Error("it counts as a read")
+			t.Error("an answer of an earlier era counts as a read")
 		}
-		f.restart()
+		f.requestFullRead()
 	}
 	if got := table.get("a"); got != "2" {
 		t.Errorf("got %q", got)
 	}
 }
 
-// TestValueThatRanksOverTheStoresIsKeptByThoseWhoHeardOfIt: the store has an older one of the
-// key, so its key is not missing, however long nobody writes it again.
-func TestValueThatRanksOverTheStoresIsKeptByThoseWhoHeardOfIt(t *testing.T) {
+// TestHigherRankedValueSurvivesStoreRestore covers a key of which the store has an
+// older value: the key does not count as missing, however long it is not written again.
+func TestHigherRankedValueSurvivesStoreRestore(t *testing.T) {
 	w, lost := twoDaemons(t)
 	first, second := w.daemons[0], w.daemons[1]
 	first.readStore()
@@ -154,16 +155,17 @@
 	w.settle()
 	second.read()
 	for _, d := range w.daemons {
-		if got := d.knows(); got != lost {
+		if got := d.knownNumber(); got != lost {
 			t.Errorf("%s has %d, not %d", d.host, got, lost)
 		}
 	}
 }
 
-// TestDaemonThatHasHeardOnlyOfAFormerReleaseAsksTheStoreItself guards against a rolling update in
-// which what comes from the former release is held up by offsets of an earlier era.
-func TestDaemonThatHasHeardOnlyOfAFormerReleaseAsksTheStoreItself(t *testing.T) {
-	w := newWorld(1, 1)
+// TestDaemonWithDataOfFormerReleaseReadsStore guards against a fault in rolling
+// updates: offsets of an earlier era hide newer records that come from daemons of the former
+// release.
+func TestDaemonWithDataOfFormerReleaseReadsStore(t *testing.T) {
+	w := newSimulation(1, 1)
 	w.daemons = w.daemons[:2]
 	former, present := w.daemons[0], w.daemons[1]
 	w.write(rankedKey)
@@ -172,21 +174,21 @@
 	present.read()
 	w.store.restore(1)
 	w.write("a")
-	w.present["a"] = true
+	w.listed["a"] = true
 	w.store.put("a", "a#7")
 	former.read()
 	for range 2 {
 		present.read()
 	}
-	if r := present.follower.copied.records["a"]; string(r.Value) != "a#7" || present.follower.copied.era != 2 {
-		t.Errorf("got %+v in era %d", r, present.follower.copied.era)
+	if r := present.follower.state.records["a"]; string(r.Value) != "a#7" || present.follower.state.era != 2 {
+		t.Errorf("got %+v in era %d", r, present.follower.state.era)
 	}
 }
 
-// TestSettingsOfAFormerReleaseAreHeardAtEachQuestion guards against a rolling update in which the
-// daemons that read the store are still of the former release, which counts as behind.
-func TestSettingsOfAFormerReleaseAreHeardAtEachQuestion(t *testing.T) {
-	w := newWorld(1, 1)
+// TestReadersOfFormerReleaseAreNotAvoided guards against a fault in rolling updates:
+// the daemons that read the store are still of the former release and are avoided as behind.
+func TestReadersOfFormerReleaseAreNotAvoided(t *testing.T) {
+	w := newSimulation(1, 1)
 	w.daemons = w.daemons[:2]
 	former, present := w.daemons[0], w.daemons[1]
 	present.readStore()
@@ -195,21 +197,22 @@
 		w.write(rankedKey)
 		former.readStore()
 		present.read()
-		if got := present.knows(); got != w.truth[rankedKey] {
+		if got := present.knownNumber(); got != w.truth[rankedKey] {
 			t.Errorf("it has %d, not %d", got, w.truth[rankedKey])
 		}
 	}
 }
 
-// TestEntryThatIsWrittenAgainAsItWasReachesThoseWhoReadFromPeers guards against upstreams that
-// vanish at these, two seconds after the store came back without them: an entry that differs in
-// nothing is no news within an era, but it is the one by which the store has it again.
-func TestEntryThatIsWrittenAgainAsItWasReachesThoseWhoReadFromPeers(t *testing.T) {
-	w := newWorld(1, 0)
+// TestRewrittenUnchangedEntryReachesPeers guards against upstreams that
+// vanish from daemons that read from peers, two seconds after the store was restored without
+// them. An unchanged entry is not significant within an era, but it must be passed on when it
+// shows that the store has the entry again.
+func TestRewrittenUnchangedEntryReachesPeers(t *testing.T) {
+	w := newSimulation(1, 0)
 	w.daemons = w.daemons[:2]
 	reader, other := w.daemons[0], w.daemons[1]
 	other.cut = true
-	w.truth["a"], w.present["a"] = 2, true
+	w.truth["a"], w.listed["a"] = 2, true
 	w.append("a")
 	reader.readStore()
 	other.read()
--- a/internal/keyed/follower_test.go
+++ b/internal/keyed/follower_test.go
@@ -15,7 +15,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// table is what a follower has been told.
+// table holds the values that a Follower has passed to Apply.
 type table struct {
 	mu     sync.Mutex
 	values map[string]string
@@ -42,13 +42,13 @@
 	return t.values[key]
 }
 
-func newFollower(store platform.Keyed, spread *Spread) (*Follower, *table) {
+func newFollower(store platform.Keyed, feed *Feed) (*Follower, *table) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	tb := &table{values: map[string]string{}}
 	return New(Options{
-		Store: store, Stream: "s", Pace: time.Millisecond, Timeout: time.Second, MostAge: 900 * time.Millisecond,
-		Spread: spread, PeerWait: time.Second, Apply: tb.apply, Log: logrus.NewEntry(log),
+		Store: store, Stream: "s", ReadInterval: time.Millisecond, Timeout: time.Second, MaxAge: 900 * time.Millisecond,
+		Feed: feed, PeerTimeout: time.Second, Apply: tb.apply, Log: logrus.NewEntry(log),
 	}), tb
 }
 
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestTrimmedStreamIsReadAnew(t *testing.T) {
+func TestTrimmedStreamIsReadAgain(t *testing.T) {
 	store := &fakeStore{}
 	store.put("a", "1")
 	store.put("gone", "1")
@@ -85,36 +85,36 @@
 	if err := f.read(t.Context()); !errors.Is(err, platform.ErrTrimmed) {
 		t.Fatalf("got %v", err)
 	}
-	f.restart()
+	f.requestFullRead()
 	mustRead(t, f)
 	if tb.get("a") != "2" || tb.get("gone") != "" {
 		t.Errorf("got %v", tb.values)
 	}
 }
 
-func TestOldCopyTakesNothingBack(t *testing.T) {
+func TestOldCopyIsRefused(t *testing.T) {
 	store := &fakeStore{}
 	store.put("a", "1")
 	store.put("a", "2")
 	f, tb := newFollower(store, nil)
 	mustRead(t, f)
-	f.restart()
+	f.requestFullRead()
 	store.set(func(s *fakeStore) { s.lag = 1 })
 	if err := f.read(t.Context()); err == nil {
-		t.Error("an old copy was taken")
+		t.Error("an old copy was applied")
 	}
 	if tb.get("a") != "2" {
 		t.Errorf("got %v", tb.values)
 	}
 }
 
-func TestOthersReadFromTailersAndTailersFromThoseWhoAreServed(t *testing.T) {
-	peers := &fakePeers{hosts: []string{"t1", "t2", "x"}, spreads: map[string]*Spread{}}
+func TestDaemonsReadFromReadersInOrder(t *testing.T) {
+	peers := &fakePeers{hosts: []string{"t1", "t2", "x"}, feeds: map[string]*Feed{}}
 	stores, followers, tables := map[string]*fakeStore{}, map[string]*Follower{}, map[string]*table{}
 	for _, h := range peers.hosts {
 		stores[h] = &fakeStore{}
-		peers.spreads[h] = NewSpread(h, peers)
-		followers[h], tables[h] = newFollower(stores[h], peers.spreads[h])
+		peers.feeds[h] = NewFeed(h, peers)
+		followers[h], tables[h] = newFollower(stores[h], peers.feeds[h])
 		for _, value := range []string{"1", "2"} {
 			stores[h].put("a", value)
 		}
@@ -126,48 +126,48 @@
 	}
 	mustRead(t, followers["t2"])
 	if stores["t2"].reads != 0 {
-		t.Error("the second reads the store beside the first")
+		t.Error("the second reader reads the store as well as the first")
 	}
-	// The first is gone: the second reads, the others read from it.
-	first := peers.spreads["t1"]
-	delete(peers.spreads, "t1")
+	// The first is gone: the second reads the store, the others read from it.
+	first := peers.feeds["t1"]
+	delete(peers.feeds, "t1")
 	mustRead(t, followers["t2"])
 	mustRead(t, followers["x"])
 	if stores["t2"].reads != 1 || stores["x"].reads != 0 {
-		t.Errorf("the second has read %d times, another daemon %d", stores["t2"].reads, stores["x"].reads)
+		t.Errorf("the second reader has read the store %d times, another daemon %d", stores["t2"].reads, stores["x"].reads)
 	}
-	peers.spreads["t1"] = first
-	// The store turns t2 away.
+	peers.feeds["t1"] = first
+	// The store refuses t2.
 	stores["t2"].set(func(s *fakeStore) { s.down = true })
 	mustRead(t, followers["t2"])
 	if tables["t2"].get("a") != "2" {
 		t.Errorf("got %v", tables["t2"].values)
 	}
-	// A removal reaches those who read from peers, once the first counts as back.
-	peers.spreads["x"].silent = avoid.New(avoid.Options{})
+	// A removal reaches daemons that read from peers, once t1 is no longer avoided.
+	peers.feeds["x"].unresponsive = avoid.New(avoid.Options{})
 	stores["t1"].put("a", "")
 	mustRead(t, followers["t1"])
 	mustRead(t, followers["x"])
 	if tables["x"].get("a") != "" {
 		t.Errorf("got %v", tables["x"].values)
 	}
-	// Nobody who knows anything answers: the store is read.
-	delete(peers.spreads, "t1")
-	delete(peers.spreads, "t2")
+	// No peer with data answers: the store is read.
+	delete(peers.feeds, "t1")
+	delete(peers.feeds, "t2")
 	mustRead(t, followers["x"])
 	if stores["x"].reads != 1 {
 		t.Errorf("%d reads of the store", stores["x"].reads)
 	}
 }
 
-func TestKickBeginsAReadAnew(t *testing.T) {
+func TestRestartReadCancelsOpenRead(t *testing.T) {
 	store := &hangingStore{entered: make(chan struct{}, 1)}
 	f, _ := newFollower(store, nil)
 	result := make(chan error)
 	go func() { result <- f.read(t.Context()) }()
 	<-store.entered
-	f.Kick()
-	if err := <-result; err != errKicked {
+	f.RestartRead()
+	if err := <-result; err != errRestarted {
 		t.Errorf("got %v", err)
 	}
 }
@@ -186,11 +186,11 @@
 
 func (s *hangingStore) Put(context.Context, string, string, []byte) error { return nil }
 
-func TestPackedRecordsComeBackAndAreKept(t *testing.T) {
-	c := copied{next: 3, recentFrom: 3, records: map[string]platform.KeyedRecord{
+func TestPackedRecordsRoundTripAndAreCached(t *testing.T) {
+	c := streamState{next: 3, recentFrom: 3, records: map[string]platform.KeyedRecord{
 		"a": {Offset: 1, Key: "a", Value: []byte("1")}, "b": {Offset: 2, Key: "b"},
 	}}
-	var p packed
+	var p replyCache
 	first, err := p.get(&c, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -210,61 +210,61 @@
 	}
 }
 
-// TestReadersFromPeersSeeWhatALateRecordCovers has a key whose newest record was written
-// late: a reader of the store has seen the one before it, so must a reader of a peer.
-func TestReadersFromPeersSeeWhatALateRecordCovers(t *testing.T) {
-	peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Spread{}}
+// TestPeersGetTheRecordBeforeALateOne has a key whose newest record was written late. A
+// daemon that reads from a peer must get the record before it too, as one that reads the store.
+func TestPeersGetTheRecordBeforeALateOne(t *testing.T) {
+	peers := &fakePeers{hosts: []string{"t1", "x"}, feeds: map[string]*Feed{}}
 	store := &fakeStore{}
 	var seen []string
 	followers := map[string]*Follower{}
 	for _, h := range peers.hosts {
-		peers.spreads[h] = NewSpread(h, peers)
-		followers[h], _ = newFollower(store, peers.spreads[h])
+		peers.feeds[h] = NewFeed(h, peers)
+		followers[h], _ = newFollower(store, peers.feeds[h])
 	}
 	followers["x"].opts.Apply = func(b Batch) {
 		for _, r := range b.Records {
 			seen = append(seen, string(r.Value))
 		}
 	}
-	store.put("server", "beat 1: ready")
+	store.put("server", "heartbeat 1: ready")
 	mustRead(t, followers["t1"])
 	mustRead(t, followers["x"])
-	store.put("server", "beat 3: leaving")
-	store.put("server", "beat 2: ready")
+	store.put("server", "heartbeat 3: leaving")
+	store.put("server", "heartbeat 2: ready")
 	mustRead(t, followers["t1"])
 	mustRead(t, followers["x"])
-	if want := []string{"beat 1: ready", "beat 3: leaving", "beat 2: ready"}; !slices.Equal(seen, want) {
-		t.Errorf("the reader of a peer saw %q", seen)
+	if want := []string{"heartbeat 1: ready", "heartbeat 3: leaving", "heartbeat 2: ready"}; !slices.Equal(seen, want) {
+		t.Errorf("the daemon that reads from a peer got %q", seen)
 	}
 }
 
-func TestOnlyTheNewestRecordsAreKeptInOrder(t *testing.T) {
-	c := copied{next: -1, records: map[string]platform.KeyedRecord{}}
-	c.replace(platform.KeyedPage{Next: 0})
-	for i := range int64(mostRecent + 10) {
-		c.add(platform.KeyedPage{Next: i + 1, Records: []platform.KeyedRecord{{Offset: i, Key: "k", Value: []byte("v")}}}, nil)
+func TestRecentRecordsAreBounded(t *testing.T) {
+	c := streamState{next: -1, records: map[string]platform.KeyedRecord{}}
+	c.replace(platform.KeyedPage{NextOffset: 0})
+	for i := range int64(maxRecent + 10) {
+		c.add(platform.KeyedPage{NextOffset: i + 1, Records: []platform.KeyedRecord{{Offset: i, Key: "k", Value: []byte("v")}}}, nil)
 	}
-	if n := len(c.since(15)); n != mostRecent-5 {
+	if n := len(c.recordsSince(15)); n != maxRecent-5 {
 		t.Errorf("%d records since 15", n)
 	}
-	if n := len(c.since(3)); n != 1 {
-		t.Errorf("%d records since 3, want the newest of the key", n)
+	if n := len(c.recordsSince(3)); n != 1 {
+		t.Errorf("%d records since 3, want only the newest of the key", n)
 	}
 }
 
-// TestPeerThatHasJustReadAllDoesNotHideARemoval has a tailer that read all keys right
-// after one was removed, so that it has never known of it.
-func TestPeerThatHasJustReadAllDoesNotHideARemoval(t *testing.T) {
-	peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Spread{}}
+// TestFullReadOfPeerDoesNotHideRemoval has a reader that read all keys right after one
+// was removed, so that it has no record of the removal.
+func TestFullReadOfPeerDoesNotHideRemoval(t *testing.T) {
+	peers := &fakePeers{hosts: []string{"t1", "x"}, feeds: map[string]*Feed{}}
 	store := &fakeStore{}
 	store.put("gone", "1")
 	store.put("stays", "1")
-	peers.spreads["x"] = NewSpread("x", peers)
-	x, table := newFollower(store, peers.spreads["x"])
+	peers.feeds["x"] = NewFeed("x", peers)
+	x, table := newFollower(store, peers.feeds["x"])
 	mustRead(t, x)
 	store.put("gone", "")
-	peers.spreads["t1"] = NewSpread("t1", peers)
-	t1, _ := newFollower(store, peers.spreads["t1"])
+	peers.feeds["t1"] = NewFeed("t1", peers)
+	t1, _ := newFollower(store, peers.feeds["t1"])
 	mustRead(t, t1)
 	mustRead(t, x)
 	if table.get("gone") != "" || table.get("stays") != "1" {
@@ -272,28 +272,28 @@
 	}
 }
 
-// TestDaemonThatStartsBehindACutTakesAnOldCopy is the pattern of a daemon that starts again
-// while its failure domain is cut off from the store and the others: only one peer there
-// answers, whose copy is as old as the cut.
-func TestDaemonThatStartsBehindACutTakesAnOldCopy(t *testing.T) {
+// TestDaemonStartedInCutDomainAcceptsOldCopy covers a daemon that restarts while its failure
+// domain is cut off from the store and the other domains: only one peer answers, whose copy is as
+// old as the cut.
+func TestDaemonStartedInCutDomainAcceptsOldCopy(t *testing.T) {
 	hosts := []string{"far1", "far2", "far3", "far4", "far5", "far6", "near", "new"}
-	peers := &fakePeers{hosts: hosts, spreads: map[string]*Spread{}, near: []string{"near", "new"}}
+	peers := &fakePeers{hosts: hosts, feeds: map[string]*Feed{}, sameDomain: []string{"near", "new"}}
 	store := &fakeStore{}
 	store.put("a", "1")
-	peers.spreads["near"] = NewSpread("near", peers)
-	near, _ := newFollower(store, peers.spreads["near"])
+	peers.feeds["near"] = NewFeed("near", peers)
+	near, _ := newFollower(store, peers.feeds["near"])
 	mustRead(t, near)
-	near.copied.at = near.copied.at.Add(-time.Hour)
+	near.state.at = near.state.at.Add(-time.Hour)
 	store.set(func(s *fakeStore) { s.down = true })
-	fresh, table := newFollower(store, NewSpread("new", peers))
+	fresh, table := newFollower(store, NewFeed("new", peers))
 	mustRead(t, fresh)
 	if table.get("a") != "1" {
 		t.Fatalf("got %v", table.values)
 	}
-	if age := time.Since(fresh.copied.at); age < time.Hour {
+	if age := time.Since(fresh.state.at); age < time.Hour {
 		t.Errorf("the old copy counts as %s old", age)
 	}
-	// One that knows something keeps to what is fresh.
+	// A daemon that has data accepts only fresh copies.
 	if err := fresh.read(t.Context()); err == nil {
 		t.Error("an old copy counts as a read")
 	}
--- a/internal/keyed/fleet_test.go
+++ b/internal/keyed/group_test.go
@@ -11,19 +11,19 @@
 	"github.com/sirupsen/logrus/hooks/test"
 )
 
-// fleetOf is a group of daemons that follow one stream, each with its own way to the store.
-type fleetOf struct {
+// daemonGroup is a group of daemons that follow one stream, each from a store of its own.
+type daemonGroup struct {
 	peers     *fakePeers
 	stores    map[string]*fakeStore
 	followers map[string]*Follower
 	tables    map[string]*table
 }
 
-// newFleet has a number of daemons, every fifth of them in the failure domain of all that
-// read.
-func newFleet(t *testing.T, n int) *fleetOf {
-	f := &fleetOf{
-		peers:     &fakePeers{spreads: map[string]*Spread{}},
+// newGroup returns a group of n daemons. Every fifth of them is in the failure domain of each
+// daemon that reads.
+func newGroup(t *testing.T, n int) *daemonGroup {
+	f := &daemonGroup{
+		peers:     &fakePeers{feeds: map[string]*Feed{}},
 		stores:    map[string]*fakeStore{},
 		followers: map[string]*Follower{},
 		tables:    map[string]*table{},
@@ -32,34 +32,35 @@
 		h := fmt.Sprintf("h%03d", i)
 		f.peers.hosts = append(f.peers.hosts, h)
 		if i%5 == 0 {
-			f.peers.near = append(f.peers.near, h)
+			f.peers.sameDomain = append(f.peers.sameDomain, h)
 		}
 	}
 	for _, h := range f.peers.hosts {
 		f.stores[h] = &fakeStore{}
 		f.stores[h].put("a", "1")
-		f.peers.spreads[h] = NewSpread(h, f.peers)
-		f.followers[h], f.tables[h] = newFollower(f.stores[h], f.peers.spreads[h])
+		f.peers.feeds[h] = NewFeed(h, f.peers)
+		f.followers[h], f.tables[h] = newFollower(f.stores[h], f.peers.feeds[h])
 		mustRead(t, f.followers[h])
 	}
 	return f
 }
 
-// age makes all that the daemons know an hour old.
-func (f *fleetOf) age() {
+// age makes the data of all daemons an hour old.
+func (f *daemonGroup) age() {
 	for _, x := range f.followers {
-		x.copied.at = x.copied.at.Add(-time.Hour)
+		x.state.at = x.state.at.Add(-time.Hour)
 	}
 }
 
-func (f *fleetOf) set(down func(host string) bool) {
+// set sets which stores are down and resets their read counts.
+func (f *daemonGroup) set(down func(host string) bool) {
 	for h, s := range f.stores {
 		s.set(func(s *fakeStore) { s.down, s.reads = down(h), 0 })
 	}
 }
 
-// round has each daemon try one read, and returns the reads of the store.
-func (f *fleetOf) round() (reads int) {
+// round lets each daemon try one read and returns the number of reads of the store.
+func (f *daemonGroup) round() (reads int) {
 	for _, h := range f.peers.hosts {
 		_ = f.followers[h].read(context.Background())
 	}
@@ -69,11 +70,11 @@
 	return reads
 }
 
-// TestStoreAwayIsTriedByFew is the pattern of a store that is away for all of many daemons.
-// Each try has a price at the store, and one that succeeds is enough for all.
-func TestStoreAwayIsTriedByFew(t *testing.T) {
+// TestFewDaemonsTryAnUnavailableStore covers a store that is down for all of many daemons. Each
+// try costs the store something, and one successful read is enough for all daemons.
+func TestFewDaemonsTryAnUnavailableStore(t *testing.T) {
 	const daemons, rounds = 300, 10
-	f := newFleet(t, daemons)
+	f := newGroup(t, daemons)
 	f.age()
 	f.set(func(string) bool { return true })
 	reads := 0
@@ -81,16 +82,17 @@
 		f.set(func(string) bool { return true })
 		reads += f.round()
 	}
-	// Five readers, and of the others one in 60, as many as are near.
-	if most := rounds * daemons / 20; reads > most {
-		t.Errorf("%d reads of the store in %d rounds, at most %d", reads, rounds, most)
+	// Five readers, and one in 60 of the others, as the failure domain has 60 daemons.
+	if limit := rounds * daemons / 20; reads > limit {
+		t.Errorf("%d reads of the store in %d rounds, want at most %d", reads, rounds, limit)
 	}
 }
 
-// TestDaemonThatReadsFromOthersTellsOfTheStoresLoss has one that does not read the store.
-func TestDaemonThatReadsFromOthersTellsOfTheStoresLoss(t *testing.T) {
+// TestDaemonReadingFromPeersLogsStoreLoss checks that a daemon that does not read the
+// store logs store_lost and store_regained.
+func TestDaemonReadingFromPeersLogsStoreLoss(t *testing.T) {
 	const daemons = 300
-	f := newFleet(t, daemons)
+	f := newGroup(t, daemons)
 	last := f.peers.hosts[daemons-1]
 	logger, hook := test.NewNullLogger()
 	f.followers[last].log = logrus.NewEntry(logger)
@@ -111,12 +113,12 @@
 	}
 }
 
-// TestOneThatTheStoreServesIsEnough is the pattern of a store that turns away all that
-// usually read it and a third of the others: what a few of the rest read spreads to all
-// within a second and a half, of tries half a second apart.
-func TestOneThatTheStoreServesIsEnough(t *testing.T) {
+// TestFewServedDaemonsSupplyAll covers a store that refuses all its usual readers and a third
+// of the other daemons: what a few of the rest read reaches all daemons within eight tries, half
+// a second apart.
+func TestFewServedDaemonsSupplyAll(t *testing.T) {
 	const daemons, rounds = 300, 8
-	f := newFleet(t, daemons)
+	f := newGroup(t, daemons)
 	f.age()
 	served := func(h string) bool { return h > "h030" && h[3] != '1' && h[3] != '4' && h[3] != '7' }
 	for h, s := range f.stores {
@@ -137,9 +139,9 @@
 		}
 	}
 	if missing > 0 {
-		t.Errorf("%d daemons do not know it after %d tries", missing, rounds)
+		t.Errorf("%d daemons do not have the new value after %d tries", missing, rounds)
 	}
-	if most := rounds * daemons / 20; reads > most {
-		t.Errorf("%d reads of the store, at most %d", reads, most)
+	if limit := rounds * daemons / 20; reads > limit {
+		t.Errorf("%d reads of the store, want at most %d", reads, limit)
 	}
 }
--- a/internal/keyed/tree_test.go
+++ b/internal/keyed/tree_test.go
@@ -10,15 +10,16 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// newDomain has a number of daemons in one failure domain.
-func newDomain(t *testing.T, n int) *fleetOf {
-	f := newFleet(t, n)
-	f.peers.near = f.peers.hosts
+// newDomainGroup returns a group of n daemons in one failure domain.
+func newDomainGroup(t *testing.T, n int) *daemonGroup {
+	f := newGroup(t, n)
+	f.peers.sameDomain = f.peers.hosts
 	f.peers.asked, f.peers.bytes = map[string]int{}, map[string]int{}
 	return f
 }
 
-func most(of map[string]int) int {
+// maxCount returns the highest count of any host.
+func maxCount(of map[string]int) int {
 	n := 0
 	for _, count := range of {
 		n = max(n, count)
@@ -26,27 +27,27 @@
 	return n
 }
 
-// TestBusiestDaemonAnswersAsManyHoweverManyThereAre guards against one daemon that all ask: its
-// work grows with the fleet.
-func TestBusiestDaemonAnswersAsManyHoweverManyThereAre(t *testing.T) {
+// TestCallsPerDaemonAreBoundedAtAnyFleetSize guards against one daemon that all others
+// call, whose load grows with the fleet.
+func TestCallsPerDaemonAreBoundedAtAnyFleetSize(t *testing.T) {
 	for _, daemons := range []int{100, 200, 400} {
-		f := newDomain(t, daemons)
+		f := newDomainGroup(t, daemons)
 		f.set(func(string) bool { return false })
 		f.round()
-		if n := most(f.peers.asked); n > children+siteReaders+nearReaders {
-			t.Errorf("%d daemons: one of them answers %d", daemons, n)
+		if n := maxCount(f.peers.asked); n > maxChildren+siteReaders+domainReaders {
+			t.Errorf("%d daemons: one of them answers %d calls", daemons, n)
 		}
 	}
 }
 
-// TestNewsReachAllInFewLevels: the steps that news take grow by one as the fleet grows by a
-// factor.
-func TestNewsReachAllInFewLevels(t *testing.T) {
+// TestTreeHasFewLevels checks that the levels between a daemon and a reader grow with the
+// logarithm of the fleet's size.
+func TestTreeHasFewLevels(t *testing.T) {
 	for daemons, levels := range map[int]int{9: 1, 70: 2, 300: 3} {
-		f := newDomain(t, daemons)
+		f := newDomainGroup(t, daemons)
 		deepest := 0
 		for _, h := range f.peers.hosts {
-			deepest = max(deepest, f.peers.spreads[h].sources().levels)
+			deepest = max(deepest, f.peers.feeds[h].sources().levels)
 		}
 		if deepest > levels {
 			t.Errorf("%d daemons: %d levels", daemons, deepest)
@@ -54,14 +55,14 @@
 	}
 }
 
-// TestTreeRepairsItself: with every third daemon gone, the others ask the parents of those.
+// TestTreeRepairsItself removes every third daemon: the others read from further ancestors.
 func TestTreeRepairsItself(t *testing.T) {
 	const daemons = 200
-	f := newDomain(t, daemons)
+	f := newDomainGroup(t, daemons)
 	f.set(func(string) bool { return false })
 	for i, h := range f.peers.hosts {
 		if i%3 == 1 {
-			delete(f.peers.spreads, h)
+			delete(f.peers.feeds, h)
 			delete(f.followers, h)
 		}
 	}
@@ -73,51 +74,52 @@
 		if x := f.followers[h]; x != nil {
 			mustRead(t, x)
 			if f.tables[h].get("a") != "2" {
-				t.Fatalf("%s does not know it", h)
+				t.Fatalf("%s does not have the new value", h)
 			}
 		}
 	}
-	if n := most(f.peers.asked); n > children*children {
-		t.Errorf("one answers %d", n)
+	if n := maxCount(f.peers.asked); n > maxChildren*maxChildren {
+		t.Errorf("one daemon answers %d calls", n)
 	}
 }
 
-// sameBeats takes records for the same that differ in what follows a colon.
-func sameBeats(before, after []byte) bool {
+// contentDiffers reports whether two records differ in what precedes the colon; heartbeats
+// change only what follows it.
+func contentDiffers(before, after []byte) bool {
 	a, _, _ := strings.Cut(string(before), ":")
 	b, _, _ := strings.Cut(string(after), ":")
 	return a != b
 }
 
-// TestHeartbeatsAreNoNews guards against bytes that grow with upstreams times daemons: what
-// others go by has not changed.
-func TestHeartbeatsAreNoNews(t *testing.T) {
+// TestHeartbeatsAreNotSentToPeers guards against traffic that grows with upstreams times daemons:
+// heartbeats alone are not significant to peers.
+func TestHeartbeatsAreNotSentToPeers(t *testing.T) {
 	bytes := map[int]int{}
 	for _, upstreams := range []int{100, 200, 400} {
-		peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Spread{}, asked: map[string]int{}, bytes: map[string]int{}}
+		peers := &fakePeers{hosts: []string{"t1", "x"}, feeds: map[string]*Feed{}, asked: map[string]int{}, bytes: map[string]int{}}
 		store := &fakeStore{}
 		followers, tables := map[string]*Follower{}, map[string]*table{}
 		for _, h := range peers.hosts {
-			peers.spreads[h] = NewSpread(h, peers)
-			followers[h], tables[h] = newFollower(store, peers.spreads[h])
-			followers[h].opts.News = sameBeats
+			peers.feeds[h] = NewFeed(h, peers)
+			followers[h], tables[h] = newFollower(store, peers.feeds[h])
+			followers[h].opts.IsSignificant = contentDiffers
 		}
-		beat := func(n int) {
+		heartbeat := func(n int) {
 			for i := range upstreams {
 				store.put(fmt.Sprint("u", i), fmt.Sprintf("ready:%d", n))
 			}
 			mustRead(t, followers["t1"])
 			mustRead(t, followers["x"])
 		}
-		beat(1)
+		heartbeat(1)
 		peers.bytes = map[string]int{}
 		for n := range 5 {
-			beat(2 + n)
+			heartbeat(2 + n)
 		}
 		bytes[upstreams] = peers.bytes["t1"]
 		store.put("u7", "leaving:9")
 		store.put("u8", "")
-		beat(10)
+		heartbeat(10)
 		if got := tables["x"].get("u8"); !strings.HasPrefix(got, "ready") || tables["t1"].get("u7") != "ready:10" {
 			t.Errorf("after a removal and a return: %q, %q", got, tables["t1"].get("u7"))
 		}
@@ -126,27 +128,28 @@
 		}
 	}
 	if bytes[400] > 0 {
-		t.Errorf("bytes of heartbeats by upstreams: %v", bytes)
+		t.Errorf("bytes sent for heartbeats, by number of upstreams: %v", bytes)
 	}
 }
 
-// TestHeldAnswerComesWithTheNextRead: news goes through a level as fast as an answer, and a
-// daemon without news is asked as often as the store is read.
-func TestHeldAnswerComesWithTheNextRead(t *testing.T) {
-	peers := &fakePeers{hosts: []string{"t1", "x"}, spreads: map[string]*Spread{}}
+// TestHeldAnswerIsSentAfterNextRead checks that a held answer is sent as soon as the peer's next
+// read succeeds, so that a change passes a level of the tree without delay, and that a daemon
+// without changes is called only as often as the store is read.
+func TestHeldAnswerIsSentAfterNextRead(t *testing.T) {
+	peers := &fakePeers{hosts: []string{"t1", "x"}, feeds: map[string]*Feed{}}
 	store := &fakeStore{}
 	store.put("a", "1")
-	peers.spreads["t1"], peers.spreads["x"] = NewSpread("t1", peers), NewSpread("x", peers)
-	t1, _ := newFollower(store, peers.spreads["t1"])
-	x, tb := newFollower(store, peers.spreads["x"])
-	x.opts.PeerHold = time.Hour // bounded by the one that is asked
+	peers.feeds["t1"], peers.feeds["x"] = NewFeed("t1", peers), NewFeed("x", peers)
+	t1, _ := newFollower(store, peers.feeds["t1"])
+	x, tb := newFollower(store, peers.feeds["x"])
+	x.opts.PeerHold = time.Hour // limited by the peer
 	mustRead(t, t1)
 	mustRead(t, x)
 	done := make(chan error)
 	go func() { done <- x.read(t.Context()) }()
 	select {
 	case err := <-done:
-		t.Fatalf("an answer without news came at once: %v", err)
+		t.Fatalf("an answer without new records came at once: %v", err)
 	case <-time.After(20 * time.Millisecond):
 	}
 	store.put("a", "2")
@@ -159,70 +162,70 @@
 	if tb.get("a") != "2" {
 		t.Errorf("got %v", tb.values)
 	}
-	if at := x.copied.at; at.After(time.Now()) {
-		t.Errorf("what it knows is of %s from now", time.Until(at))
+	if at := x.state.at; at.After(time.Now()) {
+		t.Errorf("its data is from %s in the future", time.Until(at))
 	}
 }
 
-// TestDaemonWithoutFreshKnowledgeAnswersAtOnce guards against readers that take over from others
-// only after each of these has held its answer back.
-func TestDaemonWithoutFreshKnowledgeAnswersAtOnce(t *testing.T) {
-	f := newDomain(t, 10)
+// TestDaemonWithStaleDataAnswersAtOnce guards against a reader that takes over from other
+// readers only after each of them has held its answer back.
+func TestDaemonWithStaleDataAnswersAtOnce(t *testing.T) {
+	f := newDomainGroup(t, 10)
 	f.age()
 	for _, h := range f.peers.hosts {
 		x := f.followers[h]
 		x.opts.PeerHold = time.Hour
-		if held := x.hold(&SinceRequest{Stream: "s", From: x.copied.next, Hold: time.Hour}); held > 0 {
+		if held := x.holdReply(&SinceRequest{Stream: "s", From: x.state.next, Hold: time.Hour}); held > 0 {
 			t.Fatalf("%s held an old answer back for %s", h, held)
 		}
 	}
 	last := f.followers[f.peers.hosts[4]]
 	mustRead(t, last)
 	if f.stores[f.peers.hosts[4]].reads == 0 {
-		t.Error("a reader has not taken over")
+		t.Error("the reader did not take over")
 	}
 }
 
-// TestDaemonsThatStartTogetherLeaveTheStoreToFew guards against reads of the store that grow
-// with the daemons that start.
-func TestDaemonsThatStartTogetherLeaveTheStoreToFew(t *testing.T) {
+// TestFewDaemonsReadStoreAtCommonStart guards against a number of reads of the store
+// that grows with the number of daemons that start.
+func TestFewDaemonsReadStoreAtCommonStart(t *testing.T) {
 	const daemons = 300
-	f := newDomain(t, daemons)
+	f := newDomainGroup(t, daemons)
 	start := func(began time.Time, demand chan struct{}) {
 		for h, x := range f.followers {
-			x.copied = copied{next: -1, records: map[string]platform.KeyedRecord{}}
-			x.began, x.opts.Patience, x.opts.Demand = began, time.Hour, demand
-			f.peers.spreads[h] = NewSpread(h, f.peers)
-			f.peers.spreads[h].add("s", x)
+			x.state = streamState{next: -1, records: map[string]platform.KeyedRecord{}}
+			x.started, x.opts.StartupDelay, x.opts.Demand = began, time.Hour, demand
+			f.peers.feeds[h] = NewFeed(h, f.peers)
+			f.peers.feeds[h].add("s", x)
 		}
 		f.set(func(string) bool { return false })
 	}
 	start(time.Now(), nil)
 	if reads := f.round(); reads > 0 {
-		t.Errorf("%d reads before they have met", reads)
+		t.Errorf("%d reads before the daemons know each other", reads)
 	}
 	start(time.Now().Add(-90*time.Minute), nil)
 	if reads := f.round(); reads != 1 {
-		t.Errorf("%d reads when they have met", reads)
+		t.Errorf("%d reads when the daemons know each other, want 1", reads)
 	}
 	for h, tb := range f.tables {
 		if tb.get("a") != "1" {
-			t.Fatalf("%s knows nothing", h)
+			t.Fatalf("%s has no data", h)
 		}
 	}
 	start(time.Now().Add(-3*time.Hour), nil)
-	delete(f.peers.spreads, f.peers.hosts[0])
+	delete(f.peers.feeds, f.peers.hosts[0])
 	if err := f.followers[f.peers.hosts[9]].read(t.Context()); err != nil {
-		t.Errorf("a daemon that has waited for long: %v", err)
+		t.Errorf("a daemon that has waited long: %v", err)
 	}
-	called := make(chan struct{})
-	close(called)
-	start(time.Now(), called)
+	demanded := make(chan struct{})
+	close(demanded)
+	start(time.Now(), demanded)
 	if err := f.followers[f.peers.hosts[200]].read(t.Context()); err != nil {
-		t.Errorf("a daemon that is called: %v", err)
+		t.Errorf("a daemon whose data a caller waits for: %v", err)
 	}
 	start(time.Now(), make(chan struct{}))
 	if err := f.followers[f.peers.hosts[200]].read(t.Context()); !errors.Is(err, errNothingFresh) {
-		t.Errorf("one that nobody calls: %v", err)
+		t.Errorf("a daemon whose data no caller waits for: %v", err)
 	}
 }
--- a/internal/obs/bytes.go
+++ b/internal/obs/bytes.go
@@ -10,7 +10,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Purposes of the connections whose bytes are counted.
+// Purposes under which the bytes of connections are counted.
 const (
 	PurposeLog     = "log"     // the platform's log
 	PurposeHosts   = "hosts"   // the platform's list of hosts
@@ -18,11 +18,11 @@
 	PurposeEngines = "engines" // polls and orders, not requests
 )
 
-// DefaultDialTimeout bounds the opening of a counted connection.
+// DefaultDialTimeout limits the time to open a counted connection.
 const DefaultDialTimeout = 2 * time.Second
 
-// CountedClient returns an HTTP client without an overall timeout whose bytes, as
-// they stand on the connection, are counted under a purpose.
+// CountedClient returns an HTTP client without an overall timeout that counts the
+// bytes sent and received on its connections under a purpose.
 func CountedClient(purpose string) *http.Client {
 	dialer := &net.Dialer{Timeout: DefaultDialTimeout}
 	return &http.Client{Transport: &http.Transport{
@@ -32,12 +32,12 @@
 	}}
 }
 
-// Dial opens a connection.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens a connection.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // CountBytes wraps a Dial so that the bytes of its connections are counted under
 // a purpose.
-func CountBytes(purpose string, dial Dial) Dial {
+func CountBytes(purpose string, dial DialFunc) DialFunc {
 	sent := metrics.GetOrCreateCounter(fmt.Sprintf(`buckthorndock_control_sent_bytes_total{purpose=%q}`, purpose))
 	received := metrics.GetOrCreateCounter(fmt.Sprintf(`buckthorndock_control_received_bytes_total{purpose=%q}`, purpose))
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// countedConn counts what passes over a connection.
+// countedConn counts the bytes sent and received on a connection.
 type countedConn struct {
 	net.Conn
 	sent, received *metrics.Counter
--- a/internal/owner/act.go
+++ b/internal/owner/actions.go
@@ -11,23 +11,24 @@
 
 type fields = logrus.Fields
 
-// background carries out actions that nobody waits for.
-func (s *Service) background(ctx context.Context, acts []ledger.Action) {
+// executeInBackground carries out actions whose results no caller waits for. It
+// skips an action, and counts it, when too many calls are under way.
+func (s *Service) executeInBackground(ctx context.Context, acts []ledger.Action) {
 	for _, a := range acts {
 		if b, ok := a.(ledger.ReadBooks); ok {
-			s.wantBooks(b.Engine)
+			s.requestBooks(b.Engine)
 			continue
 		}
-		if !s.slots.TryGo(func() error { s.do(ctx, []ledger.Action{a}); return nil }) {
-			// The ledger repeats every end that is not confirmed.
+		if !s.backgroundCalls.TryGo(func() error { s.execute(ctx, []ledger.Action{a}); return nil }) {
+			// The ledger repeats each release or cancel that is not confirmed.
 			metricDeferred.Inc()
 		}
 	}
 }
 
-// do carries out actions one after another, with those that follow from them,
-// and returns the verdicts for fronts.
-func (s *Service) do(ctx context.Context, acts []ledger.Action) (verdicts []ledger.Action) {
+// execute carries out actions one after another, including those that follow from
+// their results, and returns the ledger's verdicts, which are meant for fronts.
+func (s *Service) execute(ctx context.Context, acts []ledger.Action) (verdicts []ledger.Action) {
 	for len(acts) > 0 {
 		a := acts[0]
 		acts = acts[1:]
@@ -39,7 +40,7 @@
 		case ledger.CancelOn:
 			acts = append(acts, s.endOn(ctx, a.Engine, a.ID, a.Cause)...)
 		case ledger.ReadBooks:
-			s.wantBooks(a.Engine)
+			s.requestBooks(a.Engine)
 		default:
 			verdicts = append(verdicts, a)
 		}
@@ -48,28 +49,28 @@
 }
 
 func (s *Service) reserveOn(ctx context.Context, a ledger.ReserveOn) []ledger.Action {
-	result := s.reserve(ctx, a.Ask)
+	result := s.callReserve(ctx, a.Request)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.ReserveAnswer(a.Ask, result, s.opts.Clock())
+	return s.ledger.HandleReserveAnswer(a.Request, result, s.opts.Clock())
 }
 
-func (s *Service) reserve(ctx context.Context, ask ledger.Ask) ledger.Result {
-	address, ok := s.address(ask.Engine)
+func (s *Service) callReserve(ctx context.Context, req ledger.ReserveRequest) ledger.Result {
+	address, ok := s.address(req.Engine)
 	if !ok {
 		return ledger.Refused // never sent
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.opts.CallTimeout)
 	defer cancel()
-	err := s.opts.Engines.Reserve(ctx, address, ask)
-	var refused *Refused
+	err := s.opts.Engines.Reserve(ctx, address, req)
+	var refused *RefusedError
 	switch {
 	case err == nil:
 		return ledger.Held
 	case errors.As(err, &refused):
 		return ledger.Refused
 	default:
-		s.opts.Log.WithFields(fields{"engine": ask.Engine, "id": ask.ID}).WithError(err).Warn("reserve_lost")
+		s.opts.Log.WithFields(fields{"engine": req.Engine, "id": req.ID}).WithError(err).Warn("reserve_answer_lost")
 		return ledger.Lost
 	}
 }
@@ -79,11 +80,11 @@
 	if !ok {
 		return nil
 	}
-	err := end(ctx, s.opts.Engines, s.opts.CallTimeout, address, id)
+	err := endHolding(ctx, s.opts.Engines, s.opts.CallTimeout, address, id)
 	s.logEnd(engine, id, cause, err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.EndAnswer(engine, id, err == nil, s.opts.Clock())
+	return s.ledger.HandleEndAnswer(engine, id, err == nil, s.opts.Clock())
 }
 
 func (s *Service) logEnd(engine string, id ledger.ID, cause ledger.Cause, err error) {
@@ -106,8 +107,8 @@
 	entry.Info("holding_ended")
 }
 
-// wantBooks has an engine's books read soon.
-func (s *Service) wantBooks(engine string) {
+// requestBooks makes the poller of an owned engine read its books soon.
+func (s *Service) requestBooks(engine string) {
 	s.mu.Lock()
 	p := s.owned[engine]
 	s.mu.Unlock()
@@ -115,7 +116,7 @@
 		return
 	}
 	select {
-	case p.doubt <- struct{}{}:
+	case p.booksRequested <- struct{}{}:
 	default:
 	}
 }
