--- a/internal/owner/gang.go
+++ b/internal/owner/gang.go
@@ -11,19 +11,21 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/ledger"
 )
 
-// turnKey is the key of the host that keeps a pool's turn.
+// turnKey returns the ownership key whose owner grants the turn of a pool: the
+// exclusive right of one gang to gather its members.
 func turnKey(pool string) string { return "gang/" + pool }
 
-// GangFailed says why a gang was not gathered. Nothing is held, or its release is
-// under way.
-type GangFailed struct{ Reason ledger.Reason }
+// GangError is the error for a gang that was not gathered. Its members hold nothing,
+// or their release is under way.
+type GangError struct{ Reason ledger.Reason }
 
 // Error implements error.
-func (g *GangFailed) Error() string { return "gang not gathered: " + string(g.Reason) }
+func (g *GangError) Error() string { return "gang not gathered: " + string(g.Reason) }
 
 // Gather reserves memory on all engines of a gang or on none, and returns the id
-// of the reservations, the same on each. It ends with the gang's deadline or the
-// context. The caller ends each member with End when the work is over.
+// of the reservations, which is the same on each engine. It gives up at the gang's
+// deadline or when the context ends, with a *GangError. The caller calls End for
+// each member when the work is over.
 func (h *Holder) Gather(ctx context.Context, opts ledger.GatherOptions, gang ledger.Gang, engines []Engine) (id string, err error) {
 	d := &gatherDriver{holder: h, ctx: ctx, engines: map[string]Engine{}}
 	for _, e := range engines {
@@ -34,11 +36,12 @@
 			return "", merry.Errorf("gang member %s has no address", m.Engine)
 		}
 	}
-	gang.Holder = h.opts.Me
-	d.gather = ledger.NewGather(opts, gang, gangRand(gang, h.opts.Clock()))
+	gang.Holder = h.opts.Self
+	d.gather = ledger.NewGatherer(opts, gang, gangRand(gang, h.opts.Clock()))
 	return d.run()
 }
 
+// gangRand returns a random source seeded by the gang's request and the time.
 func gangRand(g ledger.Gang, now time.Time) *rand.Rand {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(g.Request)) // never fails
@@ -49,10 +52,10 @@
 type gatherDriver struct {
 	holder  *Holder
 	ctx     context.Context
-	gather  *ledger.Gather
+	gather  *ledger.Gatherer
 	engines map[string]Engine
 	id      string
-	failed  *GangFailed
+	failed  *GangError
 }
 
 func (d *gatherDriver) run() (string, error) {
@@ -61,9 +64,9 @@
 	for {
 		select {
 		case <-d.ctx.Done():
-			d.do(d.gather.Abort(d.now()))
+			d.execute(d.gather.Abort(d.now()))
 		case <-timer.C:
-			d.do(d.gather.Tick(d.now()))
+			d.execute(d.gather.Tick(d.now()))
 		}
 		switch {
 		case d.failed != nil:
@@ -71,53 +74,54 @@
 		case d.id != "":
 			return d.id, nil
 		}
-		timer.Reset(max(time.Millisecond, d.gather.Next().Sub(d.now())))
+		timer.Reset(max(time.Millisecond, d.gather.NextTick().Sub(d.now())))
 	}
 }
 
 func (d *gatherDriver) now() time.Time { return d.holder.opts.Clock() }
 
-func (d *gatherDriver) do(steps []ledger.Step) {
+func (d *gatherDriver) execute(steps []ledger.Step) {
 	for len(steps) > 0 {
 		s := steps[0]
-		steps = append(steps[1:], d.step(s)...)
+		steps = append(steps[1:], d.executeStep(s)...)
 	}
 }
 
-func (d *gatherDriver) step(s ledger.Step) []ledger.Step {
+func (d *gatherDriver) executeStep(s ledger.Step) []ledger.Step {
 	h := d.holder
 	switch s := s.(type) {
-	case ledger.AskTurn:
+	case ledger.AcquireTurn:
 		var reply TurnReply
 		args := TurnArgs{Pool: s.Pool, Gang: s.Gang}
 		err := h.callOwner(d.ctx, turnKey(s.Pool), methodTurn, args, &reply)
-		return d.gather.Turn(err == nil && reply.OK, reply.Wait, d.now())
-	case ledger.GiveTurn:
-		// A turn that is not given back lapses. The caller may be gone by now.
+		return d.gather.HandleTurnAnswer(err == nil && reply.OK, reply.Wait, d.now())
+	case ledger.ReleaseTurn:
+		// A turn that is not given back expires. The context may have ended with
+		// its caller.
 		ctx := context.WithoutCancel(d.ctx)
 		args := TurnArgs{Pool: s.Pool, Gang: s.Gang, Give: true}
 		_ = h.callOwner(ctx, turnKey(s.Pool), methodTurn, args, &TurnReply{})
-	case ledger.AskMember:
-		return d.askMember(s.Ask)
+	case ledger.ReserveMember:
+		return d.reserveMember(s.Request)
 	case ledger.ReleaseMember:
-		// The holder keeps on asking until it is confirmed.
+		// The holder repeats the release until it is confirmed.
 		h.End(d.engines[s.Engine], ledger.ID{Kind: ledger.Reservation, Name: s.ID})
 		d.gather.Released(s.Engine, s.ID)
 	case ledger.Gathered:
 		d.id = s.ID
 	case ledger.GaveUp:
-		d.failed = &GangFailed{Reason: s.Reason}
+		d.failed = &GangError{Reason: s.Reason}
 	}
 	return nil
 }
 
-func (d *gatherDriver) askMember(ask ledger.Ask) []ledger.Step {
-	reply, err := d.holder.Reserve(d.ctx, d.engines[ask.Engine], ask)
+func (d *gatherDriver) reserveMember(req ledger.ReserveRequest) []ledger.Step {
+	reply, err := d.holder.Reserve(d.ctx, d.engines[req.Engine], req)
 	if err == nil && reply.Granted {
-		return d.gather.Granted(ask, d.now())
+		return d.gather.Granted(req, d.now())
 	}
-	// What Reserve has begun to release must not be asked for again by its id.
+	// Reserve has begun to release this id, so it must not be requested again.
 	lost := err != nil || reply.Reason == ledger.InProgress
-	deny := ledger.Deny{Ask: ask, Reason: reply.Reason, RetryAfter: reply.RetryAfter}
+	deny := ledger.Deny{Request: req, Reason: reply.Reason, RetryAfter: reply.RetryAfter}
 	return d.gather.Denied(deny, lost, d.now())
 }
--- a/internal/owner/orders_test.go
+++ b/internal/owner/orders_test.go
@@ -14,7 +14,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/standin"
 )
 
-// orderSite is a site whose hosts keep order leases in a stand-in log.
+// orderSite is a site whose hosts hold order leases in a stand-in log.
 type orderSite struct {
 	*site
 	log     *standin.Log
@@ -54,7 +54,7 @@
 	desired := order.Desired{Models: []order.Model{{Name: model, Version: "2", Urgent: true}, {Name: "other"}}}
 	o := NewOrders(OrderOptions{
 		Domain:    "d",
-		Me:        order.Holder{Host: h.name, Incarnation: "1"},
+		Self:      order.Holder{Host: h.name, Incarnation: "1"},
 		Log:       log,
 		Weights:   weights,
 		Engines:   s.http,
@@ -62,17 +62,17 @@
 		Pools: func() []OrderPool {
 			return []OrderPool{{Name: "p", ChecksFencing: true, Desired: desired, Engines: s.engines}}
 		},
-		Logger: s.quiet,
-		Lease:  order.Options{Lease: lease, Renew: 200 * time.Millisecond, Margin: 100 * time.Millisecond, Answer: 300 * time.Millisecond},
-		Plan:   order.PlanOptions{RetryEvery: 200 * time.Millisecond},
-		Every:  20 * time.Millisecond,
+		Logger:   s.logger,
+		Lease:    order.Options{Lease: lease, RenewInterval: 200 * time.Millisecond, Margin: 100 * time.Millisecond, ReadBackTimeout: 300 * time.Millisecond},
+		Plan:     order.PlanOptions{RetryEvery: 200 * time.Millisecond},
+		Interval: 20 * time.Millisecond,
 	})
 	s.orders = append(s.orders, o)
 	h.done.Go(func() { _ = o.Run(h.ctx) })
 }
 
-// desired tells whether both engines serve exactly what is wanted, and the lowest
-// fencing number that they have seen.
+// desired reports whether both engines serve exactly the desired models, and returns
+// the lowest fencing number that they have seen.
 func (s *orderSite) desired() (ok bool, fence int64) {
 	for i, e := range s.engines {
 		st, err := s.http.OrderState(context.Background(), e.Address)
@@ -90,7 +90,9 @@
 	return true, fence
 }
 
-func TestOrdersBringAboutAndRepairTheDesiredState(t *testing.T) {
+// TestOrdersReachAndRepairTheDesiredState checks that another host takes over the
+// lease of a killed leader, with a higher fencing number, and repairs the engines.
+func TestOrdersReachAndRepairTheDesiredState(t *testing.T) {
 	s := newOrderSite(t, time.Second)
 	s.eventually("the desired state", func() bool { ok, _ := s.desired(); return ok })
 	_, first := s.desired()
@@ -100,12 +102,13 @@
 		leader = s.hosts[0]
 	}
 	leader.kill()
-	s.disturb()
+	s.loadStrayModel()
 	s.eventually("the next holder's repair", func() bool { ok, fence := s.desired(); return ok && fence > first })
 }
 
-// disturb loads a model that nobody wants, with the highest fence seen.
-func (s *orderSite) disturb() {
+// loadStrayModel loads a model that is not in the desired state on each engine, with
+// the highest fencing number that the engine has seen.
+func (s *orderSite) loadStrayModel() {
 	s.t.Helper()
 	for _, e := range s.engines {
 		st, err := s.http.OrderState(context.Background(), e.Address)
@@ -119,7 +122,9 @@
 	}
 }
 
-func TestNoOrdersGoOutWhileTheLogIsAway(t *testing.T) {
+// TestNoOrdersWhileTheLogIsUnavailable checks that a leader whose lease is still
+// valid sends no orders during an outage of the log.
+func TestNoOrdersWhileTheLogIsUnavailable(t *testing.T) {
 	s := newOrderSite(t, time.Minute) // longer than the test: only the log stops orders
 	s.eventually("the desired state", func() bool { ok, _ := s.desired(); return ok })
 	if err := s.log.SetFault(standin.Fault{Kind: standin.FaultOutage, On: true}); err != nil {
@@ -129,12 +134,12 @@
 	const tries = 2
 	repaired := 0
 	for range tries {
-		if s.repairs() {
+		if s.repairsStrayModel() {
 			repaired++
 		}
 	}
 	if repaired == tries {
-		t.Error("the state was repaired while the log was away")
+		t.Error("the state was repaired while the log was unavailable")
 	}
 	if err := s.log.SetFault(standin.Fault{Kind: standin.FaultOutage, On: false}); err != nil {
 		t.Fatal(err)
@@ -142,11 +147,11 @@
 	s.eventually("repair after the outage", func() bool { ok, _ := s.desired(); return ok })
 }
 
-// repairs disturbs the engines and tells whether they are put right within many
-// steps of the leader.
-func (s *orderSite) repairs() bool {
+// repairsStrayModel loads a stray model and reports whether the engines return to
+// the desired state within 50 steps of the leader.
+func (s *orderSite) repairsStrayModel() bool {
 	s.t.Helper()
-	s.disturb()
+	s.loadStrayModel()
 	for range 50 {
 		time.Sleep(20 * time.Millisecond)
 		if ok, _ := s.desired(); ok {
@@ -158,7 +163,7 @@
 
 func TestOrderPoolsOfSettings(t *testing.T) {
 	pools := []settings.Pool{
-		{Name: "p", Kind: settings.PoolEngine, OrderMs: 3000, Upstreams: []settings.Upstream{
+		{Name: "p", Kind: settings.PoolEngine, MaxOrderMs: 3000, Upstreams: []settings.Upstream{
 			{Name: "here", Address: "127.0.0.1:1", Domain: "d"}, {Name: "there", Domain: "x"},
 		}},
 		{Name: "empty", Kind: settings.PoolEngine, Upstreams: []settings.Upstream{{Name: "idle", Domain: "d"}}},
@@ -167,7 +172,7 @@
 	models := []settings.Model{{Name: "m", Pool: "p", Version: "2", Adapters: []string{"a"}, Urgent: true}}
 	got := OrderPoolsOf(pools, models, "d")
 	want := []OrderPool{{
-		Name: "p", LongestOrder: 3 * time.Second,
+		Name: "p", MaxOrderTime: 3 * time.Second,
 		Desired: order.Desired{Models: []order.Model{{Name: "m", Version: "2", Adapters: []string{"a"}, Urgent: true}}},
 		Engines: []Engine{{Name: "here", Address: "127.0.0.1:1", Pool: "p"}},
 	}}
--- a/internal/owner/site_test.go
+++ b/internal/owner/site_test.go
@@ -22,26 +22,26 @@
 )
 
 const (
-	patience  = 30 * time.Second
+	waitLimit = 30 * time.Second
 	pollEvery = 5 * time.Millisecond
 	memory    = 10_000 // tokens of an engine
 	model     = "m"
 )
 
-// site is some stand-in engines and hosts that call each other in memory.
+// site is a group of stand-in engines, and of hosts that call each other in memory.
 type site struct {
-	t       *testing.T
-	engines []Engine
-	fakes   []*standin.Engine
-	http    *HTTPEngines
-	quiet   *logrus.Logger
+	t        *testing.T
+	engines  []Engine
+	standins []*standin.Engine
+	http     *HTTPEngines
+	logger   *logrus.Logger
 
-	mu    sync.Mutex
-	hosts []*testHost
-	split bool // each host believes that it owns every engine
+	mu        sync.Mutex
+	hosts     []*testHost
+	allOwnAll bool // each host believes that it owns every engine
 }
 
-// testHost is one daemon: an owner and a front.
+// testHost is one daemon with its owner and its front.
 type testHost struct {
 	site    *site
 	name    string
@@ -51,13 +51,13 @@
 	cancel  context.CancelFunc
 	done    sync.WaitGroup
 	alive   bool
-	digest  []byte // the last that its service published
+	digest  []byte // the last one that its service published
 	ctx     context.Context
 }
 
 func newSite(t *testing.T, engines, hosts int) *site {
-	s := &site{t: t, quiet: logrus.New()}
-	s.quiet.SetOutput(io.Discard)
+	s := &site{t: t, logger: logrus.New()}
+	s.logger.SetOutput(io.Discard)
 	transport := &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
 	s.http = NewHTTPEngines(&http.Client{Transport: transport}, time.Now)
@@ -81,7 +81,7 @@
 	}
 	s.t.Cleanup(server.Close)
 	s.engines = append(s.engines, Engine{Name: name, Address: server.Address, Pool: "p"})
-	s.fakes = append(s.fakes, e)
+	s.standins = append(s.standins, e)
 }
 
 func (s *site) addHost(name, incarnation string) *testHost {
@@ -91,8 +91,8 @@
 		Ownership:    h,
 		Catalog:      func() []Engine { return s.engines },
 		Publisher:    h,
-		Log:          s.quiet,
-		Ledger:       ledger.Options{Soft: 1500 * time.Millisecond, Hard: 3 * time.Second, Stream: 4 * time.Second, RetryEvery: 50 * time.Millisecond},
+		Log:          s.logger,
+		Ledger:       ledger.Options{UnclaimedTimeout: 1500 * time.Millisecond, SilentTimeout: 3 * time.Second, StreamTimeout: 4 * time.Second, RetryEvery: 50 * time.Millisecond},
 		LoadEvery:    50 * time.Millisecond,
 		PublishEvery: 50 * time.Millisecond,
 		BooksEvery:   50 * time.Millisecond,
@@ -101,8 +101,8 @@
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.rpc = h.service.RPC(h.ctx)
 	h.holder = NewHolder(HolderOptions{
-		Me: ledger.Holder{Host: name, Incarnation: incarnation}, Engines: s.http, Peers: h, Ownership: h,
-		Local: h.rpc, Log: s.quiet, RenewEvery: 100 * time.Millisecond, RetryMin: 20 * time.Millisecond,
+		Self: ledger.Holder{Host: name, Incarnation: incarnation}, Engines: s.http, Peers: h, Ownership: h,
+		Local: h.rpc, Log: s.logger, RenewEvery: 100 * time.Millisecond, RetryMin: 20 * time.Millisecond,
 	})
 	h.done.Go(func() { _ = h.service.Run(h.ctx) })
 	h.done.Go(func() { _ = h.holder.Run(h.ctx) })
@@ -113,7 +113,7 @@
 	return h
 }
 
-// kill ends a host at once; what it holds stays behind.
+// kill stops a host at once; what it holds on engines stays held.
 func (h *testHost) kill() {
 	h.site.mu.Lock()
 	h.alive = false
@@ -122,12 +122,13 @@
 	h.done.Wait()
 }
 
-// Owner implements Ownership: live hosts take the keys in turn.
+// Owner implements Ownership: keys are assigned to live hosts round-robin by their
+// last byte.
 func (h *testHost) Owner(key string) (host, address string, self bool) {
 	s := h.site
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.split {
+	if s.allOwnAll {
 		return h.name, h.name, true
 	}
 	var live []string
@@ -150,7 +151,7 @@
 	h.digest = data
 }
 
-// Call implements Peers. Arguments and answers go through gob as in net/rpc.
+// Call implements Peers. Arguments are encoded with gob, as in net/rpc.
 func (h *testHost) Call(_ context.Context, address, method string, args, reply any) error {
 	s := h.site
 	s.mu.Lock()
@@ -166,12 +167,13 @@
 	return s.hosts[i].rpc.dispatchGob(method, &b, reply)
 }
 
+// dispatchGob decodes the arguments of a call and dispatches it.
 func (r *RPC) dispatchGob(method string, b *bytes.Buffer, reply any) error {
 	decode := gob.NewDecoder(b).Decode
 	var err error
 	switch method {
 	case methodReserve:
-		var a ledger.Ask
+		var a ledger.ReserveRequest
 		if err = decode(&a); err == nil {
 			err = r.dispatch(method, a, reply)
 		}
@@ -194,9 +196,10 @@
 	return err
 }
 
+// eventually waits until ok returns true, for waitLimit.
 func (s *site) eventually(what string, ok func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(pollEvery) {
+	for end := time.Now().Add(waitLimit); !ok(); time.Sleep(pollEvery) {
 		if time.Now().After(end) {
 			s.t.Fatalf("not in time: %s; books: %+v", what, s.books())
 		}
@@ -215,8 +218,9 @@
 	return all
 }
 
-// listed returns the number of holdings of a kind on all engines; 0 is any kind.
-func (s *site) listed(kind ledger.Kind) int {
+// countHoldings returns the number of holdings of a kind on all engines; kind 0
+// counts all kinds.
+func (s *site) countHoldings(kind ledger.Kind) int {
 	n := 0
 	for _, b := range s.books() {
 		for _, it := range b.Items {
@@ -228,30 +232,32 @@
 	return n
 }
 
-func (s *site) booksReturnToZero() {
+// waitForEmptyBooks waits until no engine lists any holding, and logs how long it
+// took.
+func (s *site) waitForEmptyBooks() {
 	defer func(at time.Time) { s.t.Logf("zero after %v", time.Since(at)) }(time.Now())
 	s.t.Helper()
-	s.eventually("books return to zero", func() bool { return s.listed(0) == 0 })
+	s.eventually("books return to zero", func() bool { return s.countHoldings(0) == 0 })
 }
 
-// reserve asks until the reservation is granted.
+// reserve requests a reservation until it is granted.
 func (s *site) reserve(h *testHost, e Engine, id string, tokens int64) {
 	s.t.Helper()
-	ask := ledger.Ask{Engine: e.Name, ID: id, Request: id, Tokens: tokens}
+	req := ledger.ReserveRequest{Engine: e.Name, ID: id, Request: id, Tokens: tokens}
 	s.eventually("grant of "+id, func() bool {
-		reply, err := h.holder.Reserve(context.Background(), e, ask)
+		reply, err := h.holder.Reserve(context.Background(), e, req)
 		return err == nil && reply.Granted
 	})
 }
 
-// generate starts a long stream and leaves it open; the returned function cuts
+// startStream starts a long stream and leaves it open; the returned function closes
 // its connection.
-func (s *site) generate(h *testHost, e Engine, id string) (cut func()) {
+func (s *site) startStream(h *testHost, e Engine, id string) (cut func()) {
 	s.t.Helper()
 	h.holder.Track(e, ledger.ID{Kind: ledger.Running, Name: id, Attempt: 1})
 	req := &engineapi.GenerateRequest{
 		RequestID: id, Attempt: 1, Model: model, Prompt: "x", PromptTokens: 100, MaxTokens: 9000,
-		Holder: engineapi.Holder(h.holder.opts.Me),
+		Holder: engineapi.Holder(h.holder.opts.Self),
 	}
 	stream := s.post(e, req)
 	closeBody := sync.OnceFunc(func() { _ = stream.Close() })
@@ -277,16 +283,16 @@
 	return res.Body
 }
 
-func (s *site) fault(engine int, path string, kind standin.FaultKind, count int) {
+func (s *site) setFault(engine int, path string, kind standin.FaultKind, count int) {
 	s.t.Helper()
 	f := standin.Fault{Kind: kind, On: true, Count: count, Path: path}
-	if err := s.fakes[engine].SetFault(f); err != nil {
+	if err := s.standins[engine].SetFault(f); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
 func (s *site) gang(id string, tokens int64) ledger.Gang {
-	g := ledger.Gang{Request: id, Pool: "p", Deadline: time.Now().Add(patience)}
+	g := ledger.Gang{Request: id, Pool: "p", Deadline: time.Now().Add(waitLimit)}
 	for _, e := range s.engines {
 		g.Members = append(g.Members, ledger.Member{Engine: e.Name, Tokens: tokens})
 	}
--- a/internal/schedule/service_test.go
+++ b/internal/schedule/service_test.go
@@ -20,24 +20,24 @@
 
 // group is a few daemons that call each other directly.
 type group struct {
-	hosts []string // in rank
-	mu    sync.Mutex
-	by    map[string]*Service
-	cut   map[string]bool // hosts that nobody reaches
-	calls map[string]int  // that reached a daemon, by method
-	// cutDomain is cut off from all others; empty: none is.
+	hosts    []string // in the order of their rank
+	mu       sync.Mutex
+	services map[string]*Service
+	cut      map[string]bool // unreachable hosts
+	calls    map[string]int  // calls that reached a daemon, by method
+	// cutDomain is the failure domain that is cut off from all others; empty: none.
 	cutDomain string
-	// onRestore is called while a daemon's open attempts are on their way.
+	// onRestore is called while a RestoreRequest is under way.
 	onRestore func()
 }
 
-// end is one daemon's view of the group.
-type end struct {
+// view is one daemon's view of the group; it implements Peers.
+type view struct {
 	*group
 	host string
 }
 
-func (e end) Rank(_ string, n int) []membership.Member {
+func (e view) Rank(_ string, n int) []membership.Member {
 	var list []membership.Member
 	for _, h := range e.hosts[:min(n, len(e.hosts))] {
 		list = append(list, membership.Member{Identity: membership.Identity{Host: h, Address: h}})
@@ -45,17 +45,17 @@
 	return list
 }
 
-// Near goes by the letters before the first dash of a host's name, its failure domain.
-func (e end) Near(host string) bool { return domainOf(host) == domainOf(e.host) }
+// SameDomain compares the failure domains: the letters before the first dash of a host's name.
+func (e view) SameDomain(host string) bool { return domainOf(host) == domainOf(e.host) }
 
 func domainOf(host string) string {
 	domain, _, _ := strings.Cut(host, "-")
 	return domain
 }
 
-func (e end) Call(_ context.Context, address, method string, args, reply any) error {
+func (e view) Call(_ context.Context, address, method string, args, reply any) error {
 	e.mu.Lock()
-	s, cut := e.by[address], e.cut[address] || e.cut[e.host]
+	s, cut := e.services[address], e.cut[address] || e.cut[e.host]
 	cut = cut || e.cutDomain != "" && (domainOf(e.host) == e.cutDomain) != (domainOf(address) == e.cutDomain)
 	e.mu.Unlock()
 	if cut {
@@ -90,7 +90,7 @@
 }
 
 func newGroup(hosts ...string) *group {
-	g := &group{hosts: hosts, by: map[string]*Service{}, cut: map[string]bool{}, calls: map[string]int{}}
+	g := &group{hosts: hosts, services: map[string]*Service{}, cut: map[string]bool{}, calls: map[string]int{}}
 	g.startAll(1)
 	return g
 }
@@ -100,36 +100,36 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	for i, h := range g.hosts {
-		s := New(Options{Host: h, Incarnation: first + uint64(i), Peers: end{g, h}, Log: logrus.NewEntry(log)})
-		g.by[h] = s
+		s := New(Options{Host: h, Incarnation: first + uint64(i), Peers: view{g, h}, Log: logrus.NewEntry(log)})
+		g.services[h] = s
 	}
-	g.apply(usualSlots)
+	g.setEngines(defaultTestSlots)
 }
 
-// usualSlots is how many requests an engine of the tests runs at once.
-const usualSlots = 4
+// defaultTestSlots is how many requests an engine of the tests runs at once by default.
+const defaultTestSlots = 4
 
-// apply tells all daemons of engines with a number of slots.
-func (g *group) apply(slots int) {
-	l := fleet.New(fleet.Options{AwayAfter: time.Hour})
+// setEngines gives all daemons a list of engines with a number of slots.
+func (g *group) setEngines(slots int) {
+	l := fleet.New(fleet.Options{OutageAfter: time.Hour})
 	var all []fleet.Change
 	for i := range 4 {
 		id := fmt.Sprint("e", i)
-		u := fleet.Upstream{Life: fleet.Life{Name: id}, Service: "llm", Address: id}
+		u := fleet.Upstream{Incarnation: fleet.Incarnation{Name: id}, Service: "llm", Address: id}
 		all = append(all, fleet.Change{Name: id, Upstream: &u})
 	}
 	l.Replace(all, time.Now())
-	services := []booking.Service{{Name: "llm", TightGap: 200 * time.Millisecond, Figures: cost.Figures{
-		Slots: slots, Memory: 100_000, Stride: 10, StepMs: 1, ReadPerMs: 256, MaxHelpers: 3,
+	services := []booking.Service{{Name: "llm", MinGap: 200 * time.Millisecond, Figures: cost.Figures{
+		Slots: slots, Memory: 100_000, Stride: 10, StepMs: 1, PrefillTokensPerMs: 256, MaxHelpers: 3,
 	}}}
-	for _, s := range g.by {
+	for _, s := range g.services {
 		s.Apply(services, l.Snapshot(), nil)
 	}
 }
 
 func (g *group) place(t *testing.T, host, id string) booking.Plan {
 	t.Helper()
-	p := g.by[host].Place(t.Context(), booking.Ask{
+	p := g.services[host].Place(t.Context(), booking.Request{
 		ID: id, Host: host, Service: "llm", Prompt: 1000, Answer: 100,
 		Objective: time.Second, Gap: 200 * time.Millisecond, Left: time.Minute,
 	})
@@ -145,120 +145,120 @@
 	return s.book.Len()
 }
 
-func TestKeeperKnowsWhatAllHaveBooked(t *testing.T) {
+func TestKeeperHasTheBookingsOfAllDaemons(t *testing.T) {
 	g := newGroup("k", "a", "b")
 	g.place(t, "k", "1")
 	g.place(t, "a", "2")
 	g.place(t, "b", "3")
-	if n := g.by["k"].booked(); n != 3 {
-		t.Errorf("the keeper knows %d attempts", n)
+	if n := g.services["k"].booked(); n != 3 {
+		t.Errorf("the keeper has %d attempts", n)
 	}
-	if n := g.by["a"].booked(); n != 1 {
-		t.Errorf("another daemon knows %d attempts", n)
+	if n := g.services["a"].booked(); n != 1 {
+		t.Errorf("another daemon has %d attempts", n)
 	}
-	g.by["a"].First("2")
-	g.by["a"].End("2")
-	g.by["a"].flush(t.Context(), false)
-	if n := g.by["k"].booked(); n != 2 {
-		t.Errorf("after an end the keeper knows %d attempts", n)
+	g.services["a"].FirstEvent("2")
+	g.services["a"].End("2")
+	g.services["a"].flush(t.Context(), false)
+	if n := g.services["k"].booked(); n != 2 {
+		t.Errorf("after an end the keeper has %d attempts", n)
 	}
 }
 
-func TestWithoutItsKeeperADaemonAsksTheNextAndTellsItAll(t *testing.T) {
+func TestDaemonRestoresItsAttemptsAtTheNextKeeper(t *testing.T) {
 	g := newGroup("k", "next", "a")
 	g.place(t, "a", "1")
 	g.setCut("k", true)
-	g.place(t, "a", "2") // by itself: the keeper does not answer
-	if n := g.by["a"].booked(); n != 2 {
-		t.Errorf("the daemon itself knows %d attempts", n)
+	g.place(t, "a", "2") // with its own book: the keeper does not answer
+	if n := g.services["a"].booked(); n != 2 {
+		t.Errorf("the daemon itself has %d attempts", n)
 	}
-	g.by["a"].flush(t.Context(), true)
-	if n := g.by["next"].booked(); n != 2 {
-		t.Errorf("the next keeper was told of %d attempts", n)
+	g.services["a"].flush(t.Context(), true)
+	if n := g.services["next"].booked(); n != 2 {
+		t.Errorf("the next keeper got %d attempts", n)
 	}
 	g.place(t, "a", "3")
-	if n := g.by["next"].booked(); n != 3 {
-		t.Errorf("the next keeper knows %d attempts", n)
+	if n := g.services["next"].booked(); n != 3 {
+		t.Errorf("the next keeper has %d attempts", n)
 	}
 }
 
-func TestKeeperThatStartsAnewIsToldAll(t *testing.T) {
+func TestRestartedKeeperGetsAllAttempts(t *testing.T) {
 	g := newGroup("k", "a")
 	g.place(t, "a", "1")
 	fresh := newGroup("k", "a")
-	g.by["k"] = fresh.by["k"]
+	g.services["k"] = fresh.services["k"]
 	g.place(t, "a", "2")
-	g.by["a"].flush(t.Context(), true)
-	if n := g.by["k"].booked(); n != 2 {
-		t.Errorf("the new keeper knows %d attempts", n)
+	g.services["a"].flush(t.Context(), true)
+	if n := g.services["k"].booked(); n != 2 {
+		t.Errorf("the new keeper has %d attempts", n)
 	}
 }
 
-func TestDaemonThatStartsAnewLeavesNothingBehind(t *testing.T) {
+func TestAttemptsOfARestartedDaemonAreDropped(t *testing.T) {
 	g := newGroup("k", "a")
 	g.place(t, "a", "1")
-	g.by["a"].flush(t.Context(), true)
+	g.services["a"].flush(t.Context(), true)
 	other := newGroup("k", "a")
-	again := other.by["a"]
-	again.opts.Incarnation, again.opts.Peers = 99, end{g, "a"}
+	again := other.services["a"]
+	again.opts.Incarnation, again.opts.Peers = 99, view{g, "a"}
 	g.mu.Lock()
-	g.by["a"] = again
+	g.services["a"] = again
 	g.mu.Unlock()
 	g.place(t, "a", "2")
-	if n := g.by["k"].booked(); n != 1 {
+	if n := g.services["k"].booked(); n != 1 {
 		t.Errorf("the keeper knows %d attempts", n)
 	}
 }
 
-// TestNewsDoNotOvertakeWhatIsOpen has an attempt end while the keeper is being told that it
-// is open: the end must reach the keeper after that, or the attempt stays in its book.
-func TestNewsDoNotOvertakeWhatIsOpen(t *testing.T) {
+// TestEventsDoNotOvertakeARestore has an attempt end while a RestoreRequest with it is under
+// way: the end must reach the keeper later, or the attempt stays in its book.
+func TestEventsDoNotOvertakeARestore(t *testing.T) {
 	g := newGroup("k", "a")
 	g.place(t, "a", "1")
-	g.by["a"].flush(t.Context(), true)
+	g.services["a"].flush(t.Context(), true)
 	g.setCut("k", true)
-	g.by["a"].flush(t.Context(), true) // is lost, so that all is to be told again
+	g.services["a"].flush(t.Context(), true) // is lost, so that a RestoreRequest is due
 	g.setCut("k", false)
-	g.by["a"].down = newSilence()
+	g.services["a"].silent = newSilentHosts()
 	g.onRestore = func() {
-		g.by["a"].End("1")
+		g.services["a"].End("1")
 		g.place(t, "a", "2")
 	}
-	g.by["a"].flush(t.Context(), true)
+	g.services["a"].flush(t.Context(), true)
 	g.onRestore = nil
-	g.by["a"].flush(t.Context(), true)
-	if n := g.by["k"].booked(); n != 1 {
+	g.services["a"].flush(t.Context(), true)
+	if n := g.services["k"].booked(); n != 1 {
 		t.Errorf("the keeper knows %d attempts", n)
 	}
-	g.by["a"].End("2")
-	g.by["a"].flush(t.Context(), true)
-	if n := g.by["k"].booked(); n != 0 {
-		t.Errorf("after all have ended the keeper knows %d attempts", n)
+	g.services["a"].End("2")
+	g.services["a"].flush(t.Context(), true)
+	if n := g.services["k"].booked(); n != 0 {
+		t.Errorf("after all have ended the keeper has %d attempts", n)
 	}
 }
 
-func TestSilentDaemonsAreForgotten(t *testing.T) {
+func TestAttemptsOfSilentDaemonsAreDropped(t *testing.T) {
 	g := newGroup("k", "a")
 	g.place(t, "a", "1")
-	g.by["k"].forgetSilent(time.Now().Add(forgetAfter / 2))
-	if g.by["k"].booked() != 1 {
-		t.Error("forgotten too early")
+	g.services["k"].dropSilent(time.Now().Add(dropAttemptsAfter / 2))
+	if g.services["k"].booked() != 1 {
+		t.Error("dropped too early")
 	}
-	g.by["k"].forgetSilent(time.Now().Add(2 * forgetAfter))
-	if n := g.by["k"].booked(); n != 0 {
-		t.Errorf("the keeper still knows %d attempts", n)
+	g.services["k"].dropSilent(time.Now().Add(2 * dropAttemptsAfter))
+	if n := g.services["k"].booked(); n != 0 {
+		t.Errorf("the keeper still has %d attempts", n)
 	}
 }
 
-func TestKeeperWithoutAListDoesNotRefuse(t *testing.T) {
+func TestKeeperWithoutAListDoesNotCauseARefusal(t *testing.T) {
 	g := newGroup("k", "a")
-	g.by["k"].Apply(nil, &fleet.Snapshot{}, nil)
+	g.services["k"].Apply(nil, &fleet.Snapshot{}, nil)
 	g.place(t, "a", "1")
 }
 
-// TestCutDomainSharesABook is the pattern of many daemons of which the strongest, which come
-// first, are in other failure domains than the one that is cut off.
-func TestCutDomainSharesABook(t *testing.T) {
+// TestDaemonsOfACutDomainShareABook has a failure domain cut off whose daemons rank behind
+// all those of the other domains.
+func TestDaemonsOfACutDomainShareABook(t *testing.T) {
 	var hosts []string
 	for _, domain := range []string{"a", "c", "d"} {
 		for i := range 3 {
@@ -268,7 +268,7 @@
 	near := []string{"b-0", "b-1", "b-2", "b-3"}
 	g := newGroup(append(hosts, near...)...)
 	g.cutDomain = "b"
-	for n := range keeperCandidates { // each question to one behind the cut is in vain once
+	for n := range keeperCandidates { // one call to each candidate behind the cut fails
 		for _, host := range near {
 			g.place(t, host, fmt.Sprintf("%s/in-vain-%d", host, n))
 		}
@@ -277,19 +277,19 @@
 		g.place(t, host, host+"/together")
 	}
 	for _, host := range near[1:] {
-		if keeper := g.by[host].keeper; keeper != near[0] {
-			t.Errorf("%s asks %q, want %s", host, keeper, near[0])
+		if keeper := g.services[host].keeper; keeper != near[0] {
+			t.Errorf("%s uses %q, want %s", host, keeper, near[0])
 		}
 	}
-	if keeper := g.by[near[0]].keeper; keeper != "" {
-		t.Errorf("%s asks %q, want to keep the book itself", near[0], keeper)
+	if keeper := g.services[near[0]].keeper; keeper != "" {
+		t.Errorf("%s uses %q, want to keep the book itself", near[0], keeper)
 	}
 }
 
-// TestAllDaemonsThatStartAtOnceShareABook is the pattern of the death of all daemons: they
-// start at once and their callers come back together. Each prompt is one question to the one
-// keeper, and each daemon tells it what it has open once at the most.
-func TestAllDaemonsThatStartAtOnceShareABook(t *testing.T) {
+// TestDaemonsThatRestartTogetherShareABook has all daemons die, start at once and get their
+// callers back together. Each prompt is one call to the one keeper, and each daemon sends it its
+// open attempts once at most.
+func TestDaemonsThatRestartTogetherShareABook(t *testing.T) {
 	const daemons, prompts = 8, 2 // as many as the engines of the group take
 	var hosts []string
 	for i := range daemons {
@@ -304,21 +304,21 @@
 	for n := range prompts {
 		for _, host := range hosts {
 			g.place(t, host, fmt.Sprintf("%s/%d", host, n))
-			g.by[host].flush(t.Context(), false)
+			g.services[host].flush(t.Context(), false)
 		}
 	}
-	if got := g.by[hosts[0]].booked(); got != daemons*prompts {
+	if got := g.services[hosts[0]].booked(); got != daemons*prompts {
 		t.Errorf("the keeper's book has %d attempts, want %d", got, daemons*prompts)
 	}
 	for _, host := range hosts[1:] {
-		if keeper := g.by[host].keeper; keeper != hosts[0] {
-			t.Errorf("%s asks %q", host, keeper)
+		if keeper := g.services[host].keeper; keeper != hosts[0] {
+			t.Errorf("%s uses %q", host, keeper)
 		}
 	}
 	if got, want := g.calls[ServiceName+".Place"], (daemons-1)*prompts; got != want {
-		t.Errorf("%d questions to the keeper, want %d", got, want)
+		t.Errorf("%d calls to the keeper, want %d", got, want)
 	}
 	if got := g.calls[ServiceName+".Restore"]; got > daemons-1 {
-		t.Errorf("%d daemons' open attempts were told, of %d", got, daemons-1)
+		t.Errorf("%d restores by %d daemons", got, daemons-1)
 	}
 }
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -13,8 +13,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/platform"
 )
 
-// platformClient is the client of the daemons, so that both sides are held
-// against each other.
+// platformClient returns the client that the daemons use, so that the tests check
+// client and stand-in against each other.
 func platformClient(t *testing.T, address string) *platform.HTTP {
 	t.Helper()
 	c, err := platform.NewHTTP(address, &http.Client{Transport: &http.Transport{DisableKeepAlives: true}})
@@ -44,7 +44,7 @@
 
 func TestLogOffsets(t *testing.T) {
 	c := platformClient(t, start(t, NewLog(LogOptions{})).Address)
-	if page := read(t, c, 1, 0); page.FirstKept != 1 || page.Next != 1 {
+	if page := read(t, c, 1, 0); page.FirstKept != 1 || page.EndOffset != 1 {
 		t.Fatalf("empty: %+v", page)
 	}
 	if first := appendOne(t, c, "a"); first != 1 {
@@ -55,7 +55,7 @@
 		t.Fatalf("offset %d, %v", first, err)
 	}
 	page := read(t, c, 2, 0)
-	if len(page.Records) != 3 || page.Next != 5 || page.Records[2].Offset != 4 {
+	if len(page.Records) != 3 || page.EndOffset != 5 || page.Records[2].Offset != 4 {
 		t.Fatalf("page %+v", page)
 	}
 	if !bytes.Equal(page.Records[0].Data, []byte{0, 255}) || string(page.Records[2].Data) != "d" {
@@ -77,8 +77,8 @@
 	if page := <-pages; len(page.Records) != 1 {
 		t.Fatalf("page %+v", page)
 	}
-	if page := read(t, c, 2, 10*time.Millisecond); len(page.Records) != 0 || page.Next != 2 {
-		t.Fatalf("after its wait: %+v", page)
+	if page := read(t, c, 2, 10*time.Millisecond); len(page.Records) != 0 || page.EndOffset != 2 {
+		t.Fatalf("after the wait time: %+v", page)
 	}
 }
 
@@ -88,14 +88,14 @@
 		appendOne(t, c, fmt.Sprint(i))
 	}
 	page := read(t, c, 1, 0)
-	if page.FirstKept != 3 || page.Next != 6 || len(page.Records) != 3 || page.Records[0].Offset != 3 {
+	if page.FirstKept != 3 || page.EndOffset != 6 || len(page.Records) != 3 || page.Records[0].Offset != 3 {
 		t.Fatalf("by count: %+v", page)
 	}
 	aged := platformClient(t, start(t, NewLog(LogOptions{Retention: 20 * time.Millisecond})).Address)
 	appendOne(t, aged, "a")
 	eventually(t, "trimmed by age", func() bool {
 		page := read(t, aged, 1, 0)
-		return page.FirstKept == 2 && page.Next == 2
+		return page.FirstKept == 2 && page.EndOffset == 2
 	})
 	if first := appendOne(t, aged, "b"); first != 2 {
 		t.Fatalf("offset after a trim: %d", first)
@@ -106,10 +106,10 @@
 	c := platformClient(t, start(t, NewLog(LogOptions{AppendRate: 0.1})).Address)
 	appendOne(t, c, "a")
 	if _, err := c.Append(context.Background(), "s", [][]byte{{1}}); err == nil {
-		t.Fatal("a second append in ten seconds was taken")
+		t.Fatal("a second append within ten seconds was accepted")
 	}
-	if page := read(t, c, 1, 0); page.Next != 2 {
-		t.Fatalf("next %d", page.Next)
+	if page := read(t, c, 1, 0); page.EndOffset != 2 {
+		t.Fatalf("next %d", page.EndOffset)
 	}
 }
 
@@ -121,8 +121,8 @@
 	if _, err := c.Append(context.Background(), "s", [][]byte{{1}}); err == nil {
 		t.Fatal("the answer was not dropped")
 	}
-	if page := read(t, c, 1, 0); page.Next != 2 {
-		t.Fatalf("the append took no effect: %+v", page)
+	if page := read(t, c, 1, 0); page.EndOffset != 2 {
+		t.Fatalf("the append had no effect: %+v", page)
 	}
 
 	setFault(t, s.Address, Fault{Kind: FaultDuplicate, On: true, Count: 1})
@@ -130,26 +130,26 @@
 		t.Fatalf("first of two at %d", first)
 	}
 	if page := read(t, c, 2, 0); len(page.Records) != 2 || string(page.Records[1].Data) != "b" {
-		t.Fatalf("not doubled: %+v", page)
+		t.Fatalf("not duplicated: %+v", page)
 	}
 	if first := appendOne(t, c, "c"); first != 4 {
-		t.Fatalf("doubled again: %d", first)
+		t.Fatalf("duplicated again: %d", first)
 	}
 
 	setFault(t, s.Address, Fault{Kind: FaultOutage, On: true})
 	if _, err := c.Read(context.Background(), "s", 1, 1, 0); err == nil {
-		t.Fatal("a read in an outage")
+		t.Fatal("a read succeeded during an outage")
 	}
 	setFault(t, s.Address, Fault{Kind: FaultOutage})
 	setFault(t, s.Address, Fault{Kind: FaultGarbage, On: true, Count: 1})
 	if _, err := c.Read(context.Background(), "s", 1, 1, 0); err == nil {
-		t.Fatal("garbage was read")
+		t.Fatal("a read accepted garbage")
 	}
 	setFault(t, s.Address, Fault{Kind: FaultRefuse, On: true, Count: 1})
 	if _, err := c.Read(context.Background(), "s", 1, 1, 0); err == nil {
 		t.Fatal("a read was not refused")
 	}
-	if page := read(t, c, 1, 0); page.Next != 5 {
+	if page := read(t, c, 1, 0); page.EndOffset != 5 {
 		t.Fatalf("after all faults: %+v", page)
 	}
 }
@@ -166,7 +166,7 @@
 		t.Fatal(err)
 	}
 	if err := <-failed; err == nil {
-		t.Fatal("the long poll outlived the outage")
+		t.Fatal("the outage did not fail the long poll")
 	}
 }
 
@@ -184,7 +184,7 @@
 	if err := l.SetFault(Fault{Kind: FaultFreeze}); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the late append", func() bool { return read(t, c, 1, 0).Next == 2 })
+	eventually(t, "the late append", func() bool { return read(t, c, 1, 0).EndOffset == 2 })
 }
 
 func TestHostsLag(t *testing.T) {
@@ -233,13 +233,13 @@
 	}
 }
 
-// TestLogComesBackFromAnOlderCopy: what is younger than the copy is gone, its offsets are given
-// out again, and a read that waits beyond the end returns.
-func TestLogComesBackFromAnOlderCopy(t *testing.T) {
+// TestRestoreFaultReturnsToOlderCopy checks that the fault restore drops the records younger than
+// the backup, increments the era and frees their offsets for reuse.
+func TestRestoreFaultReturnsToOlderCopy(t *testing.T) {
 	l := NewLog(LogOptions{})
 	l.append("s", [][]byte{[]byte("a"), []byte("b")})
 	if err := l.SetFault(Fault{Kind: FaultRestore, On: true, Count: 1, Ms: -1}); err == nil {
-		t.Error("a copy of the future was taken")
+		t.Error("a negative backup age was accepted")
 	}
 	l.streams["s"].records[0].AtMs -= 2 * time.Minute.Milliseconds() // well within the log's retention
 	if err := l.SetFault(Fault{Kind: FaultRestore, On: true, Count: 1, Ms: time.Minute.Milliseconds()}); err != nil {
--- a/internal/suspects/former_test.go
+++ b/internal/suspects/previous_release_test.go
@@ -12,8 +12,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/quarantine"
 )
 
-// formerDigest is evidence as daemons of the release before spread it.
-type formerDigest struct {
+// previousDigest is the digest of daemons of the previous release.
+type previousDigest struct {
 	Host    string
 	Records []struct {
 		ID            quarantine.RecordID
@@ -27,13 +27,13 @@
 	Holds []quarantine.Hold
 }
 
-// TestDaemonsOfTheReleaseBeforeAreHeardAndHear guards against evidence that one release cannot
-// read of the other while both run: deaths, what runs, and what is refused because of trials.
-func TestDaemonsOfTheReleaseBeforeAreHeardAndHear(t *testing.T) {
+// TestPreviousReleaseExchangesEvidence guards against evidence that one release cannot read from the
+// other while both run: deaths, holds, and refusals that follow from trials.
+func TestPreviousReleaseExchangesEvidence(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	tr, now := New("new", logrus.NewEntry(log)), time.Now()
-	former := formerDigest{Host: "old", Holds: []quarantine.Hold{{Engine: "e9", Fingerprint: culprit, Standing: quarantine.Isolate}}}
+	former := previousDigest{Host: "old", Holds: []quarantine.Hold{{Engine: "e9", Fingerprint: culprit, Standing: quarantine.Isolate}}}
 	former.Records = append(former.Records, struct {
 		ID            quarantine.RecordID
 		Age           time.Duration
@@ -47,15 +47,15 @@
 		t.Fatal(err)
 	}
 	if got := tr.core.Deaths(culprit); got != 1 {
-		t.Errorf("heard of %d deaths", got)
+		t.Errorf("%d deaths after the merge", got)
 	}
 	if _, ok := tr.TryStart("e8", culprit, nil, now); ok {
-		t.Error("started beside the copy of a daemon of the release before")
+		t.Error("started while a daemon of the previous release runs a copy")
 	}
-	tr.Forget("old")
+	tr.ForgetHost("old")
 	tr.core.Started("e2", 103)
 	run := tr.core.StartedOnTrial("e2", culprit)
-	tr.Died("e2", "2", now.Add(-time.Minute))
+	tr.EngineDied("e2", "2", now.Add(-time.Minute))
 	tr.End(run, false)
 	trial := quarantine.Trial{ID: "new/1", Fingerprint: culprit, Outcome: quarantine.TrialRan, Age: time.Minute}
 	tr.core.Merge(quarantine.Digest{Trials: []quarantine.Trial{trial}}, now)
@@ -63,11 +63,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told formerDigest
-	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&told); err != nil {
+	var decoded previousDigest
+	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&decoded); err != nil {
 		t.Fatal(err)
 	}
-	if len(told.Records) != 2 || len(told.Refused) != 1 || told.Refused[0].Fingerprint != culprit {
-		t.Errorf("told %+v", told)
+	if len(decoded.Records) != 2 || len(decoded.Refused) != 1 || decoded.Refused[0].Fingerprint != culprit {
+		t.Errorf("the previous release decodes %+v", decoded)
 	}
 }
--- a/internal/suspects/store.go
+++ b/internal/suspects/store.go
@@ -20,32 +20,32 @@
 	Value []byte // nil: the key was removed
 }
 
-// Batch is what one read of a Store returned, in the store's order.
+// Batch holds the records that one read of a Store returned, in the store's order.
 type Batch struct {
 	Records []Record
-	Whole   bool // all keys, after the start, a gap or a restore: what is not in it is not there
+	Whole   bool // the batch holds all keys, after the start, a gap or a restore; other keys do not exist
 }
 
-// Store keeps evidence and trials beyond the lives of the daemons, in one order for all.
+// Store keeps evidence and trials across restarts of the daemons, in the same order for all readers.
 type Store interface {
-	// Put appends the value of a key; nil removes it. An error does not say that it was not done.
+	// Put appends the value of a key; nil removes it. After an error it may still have taken effect.
 	Put(ctx context.Context, key string, value []byte) error
-	// Next returns what was put since the last call, waiting for a first record; all keys at
-	// first. It is for one goroutine.
+	// Next returns what was put since the last call and waits for a first record; the first call
+	// returns all keys. It is not safe for concurrent use.
 	Next(ctx context.Context, wait time.Duration) (Batch, error)
 }
 
-// keyedStore keeps them in a keyed stream.
+// keyedStore is a Store in a keyed stream.
 type keyedStore struct {
-	store   platform.Keyed
-	stream  string
-	next    int64
-	era     int64
-	reading bool // next is an offset of era
+	store      platform.Keyed
+	stream     string
+	next       int64
+	era        int64
+	positioned bool // next is an offset of era
 }
 
-// InKeyed returns a Store in a keyed stream.
-func InKeyed(store platform.Keyed, stream string) Store {
+// NewKeyedStore returns a Store that keeps its records in a keyed stream.
+func NewKeyedStore(store platform.Keyed, stream string) Store {
 	return &keyedStore{store: store, stream: stream}
 }
 
@@ -56,29 +56,29 @@
 
 // Next implements Store.
 func (s *keyedStore) Next(ctx context.Context, wait time.Duration) (Batch, error) {
-	if !s.reading {
-		return s.whole(ctx)
+	if !s.positioned {
+		return s.readAll(ctx)
 	}
 	page, err := s.store.Since(ctx, s.stream, s.next, wait)
 	if errors.Is(err, platform.ErrTrimmed) || err == nil && page.Era != s.era {
-		s.reading = false
-		return s.whole(ctx)
+		s.positioned = false
+		return s.readAll(ctx)
 	}
 	if err != nil {
-		// A store that came back from an older copy may refuse to read from beyond its end.
-		s.reading = errors.Is(err, platform.ErrBusy)
+		// A store restored from an older copy may refuse to read from beyond its end.
+		s.positioned = errors.Is(err, platform.ErrBusy)
 		return Batch{}, err
 	}
-	s.next = page.Next
+	s.next = page.NextOffset
 	return Batch{Records: keyedRecords(page)}, nil
 }
 
-func (s *keyedStore) whole(ctx context.Context) (Batch, error) {
+func (s *keyedStore) readAll(ctx context.Context) (Batch, error) {
 	page, err := s.store.Newest(ctx, s.stream)
 	if err != nil {
 		return Batch{}, err
 	}
-	s.next, s.era, s.reading = page.Next, page.Era, true
+	s.next, s.era, s.positioned = page.NextOffset, page.Era, true
 	slices.SortFunc(page.Records, func(a, b platform.KeyedRecord) int { return cmp.Compare(a.Offset, b.Offset) })
 	return Batch{Records: keyedRecords(page), Whole: true}, nil
 }
@@ -91,18 +91,18 @@
 	return records
 }
 
-// logStore keeps them in a stream of a log.
+// logStore is a Store in a stream of a log.
 type logStore struct {
-	log     platform.Log
-	stream  string
-	next    int64
-	era     int64
-	reading bool // next is an offset of era
+	log        platform.Log
+	stream     string
+	next       int64
+	era        int64
+	positioned bool // next is an offset of era
 }
 
-// InLog returns a Store in a stream of a log, which has to keep records for as long as evidence
-// counts.
-func InLog(log platform.Log, stream string) Store { return &logStore{log: log, stream: stream} }
+// NewLogStore returns a Store that keeps its records in a stream of a log. The log must retain
+// records for as long as evidence counts.
+func NewLogStore(log platform.Log, stream string) Store { return &logStore{log: log, stream: stream} }
 
 // Put implements Store.
 func (s *logStore) Put(ctx context.Context, key string, value []byte) error {
@@ -114,32 +114,32 @@
 	return err
 }
 
-// firstOffset is that of a log's first record.
+// firstOffset is the offset of a log's first record.
 const firstOffset = 1
 
-// pageRecords is how many records one read of a log returns at the most.
-const pageRecords = 1000
+// maxPageRecords limits the number of records that one read of a log returns.
+const maxPageRecords = 1000
 
 // Next implements Store.
 func (s *logStore) Next(ctx context.Context, wait time.Duration) (Batch, error) {
-	if !s.reading {
+	if !s.positioned {
 		s.next, wait = firstOffset, 0
 	}
-	page, err := s.log.Read(ctx, s.stream, s.next, pageRecords, wait)
+	page, err := s.log.Read(ctx, s.stream, s.next, maxPageRecords, wait)
 	if err != nil {
 		return Batch{}, err
 	}
-	if s.reading && (page.Era != s.era || page.FirstKept > s.next) {
-		s.reading = false
+	if s.positioned && (page.Era != s.era || page.FirstKept > s.next) {
+		s.positioned = false
 		return s.Next(ctx, 0)
 	}
-	batch := Batch{Whole: !s.reading}
-	s.next, s.era, s.reading = max(s.next, page.FirstKept), page.Era, true
+	batch := Batch{Whole: !s.positioned}
+	s.next, s.era, s.positioned = max(s.next, page.FirstKept), page.Era, true
 	for _, r := range page.Records {
 		s.next = r.Offset + 1
 		var decoded Record
 		if err := gob.NewDecoder(bytes.NewReader(r.Data)).Decode(&decoded); err != nil {
-			continue // of another writer; what it would have said is missing, as if it were late
+			continue // written by another program; treated like evidence that has not arrived yet
 		}
 		batch.Records = append(batch.Records, decoded)
 	}
--- a/test/capacity/changes.go
+++ b/test/capacity/changes.go
@@ -11,21 +11,23 @@
 	"time"
 )
 
-// Limits of a wait for settings.
+// Limits of the wait until all daemons have applied a settings change.
 const (
-	spreadPoll  = 50 * time.Millisecond // between two looks at the daemons that lag
-	spreadLimit = time.Minute
+	offsetPollInterval = 50 * time.Millisecond
+	offsetTimeout      = time.Minute
 )
 
-// times are seconds that something took.
-type times struct {
+// durationStats holds quantiles of durations in seconds.
+type durationStats struct {
 	Number int     `json:"number"`
 	P50    float64 `json:"p50_seconds"`
 	P95    float64 `json:"p95_seconds"`
 	Max    float64 `json:"max_seconds"`
 }
 
-func timesOf(all []time.Duration) *times {
+// newDurationStats returns the statistics of durations, nil when there are none. It
+// sorts its argument.
+func newDurationStats(all []time.Duration) *durationStats {
 	if len(all) == 0 {
 		return nil
 	}
@@ -34,12 +36,12 @@
 		i := int(math.Ceil(q*float64(len(all)))) - 1
 		return all[max(i, 0)].Seconds()
 	}
-	return &times{Number: len(all), P50: at(0.5), P95: at(0.95), Max: at(1)}
+	return &durationStats{Number: len(all), P50: at(0.5), P95: at(0.95), Max: at(1)}
 }
 
-// changeSettings publishes changes at a steady rate until the context ends, and
-// returns how long each took from the start of the publishing program until all
-// daemons had it in force.
+// changeSettings publishes changes at a constant rate until the context ends, and
+// returns how long each took from the start of the publishing command until all
+// daemons had applied it.
 func (s *site) changeSettings(ctx context.Context, o options) ([]time.Duration, error) {
 	ticker := time.NewTicker(time.Duration(float64(time.Minute) / o.changes))
 	defer ticker.Stop()
@@ -58,8 +60,9 @@
 	}
 }
 
-// changeOnce publishes the next text of a team's document. It is not broken off
-// when measuring ends, for half a change would be counted as none.
+// changeOnce publishes a new text of a team's document and returns how long it took
+// until all daemons had applied it. It does not use the context of the measurement,
+// so that a change in progress at its end is completed and counted.
 func (s *site) changeOnce(o options, n int) (time.Duration, error) {
 	publisher := s.daemons[n%len(s.daemons)]
 	text := fmt.Sprintf("requests: {max_tokens: %d}\n", 256+n)
@@ -67,7 +70,7 @@
 		return 0, err
 	}
 	began := time.Now()
-	if out, err := s.apply(context.Background(), o, publisher).CombinedOutput(); err != nil {
+	if out, err := s.applyCommand(context.Background(), o, publisher).CombinedOutput(); err != nil {
 		return 0, fmt.Errorf("change %d: %w: %s", n, err, out)
 	}
 	sm, err := publisher.sample()
@@ -80,26 +83,26 @@
 	return time.Since(began), nil
 }
 
-// awaitOffset waits until all daemons have the record at the offset in force.
+// awaitOffset waits until all daemons have applied the settings log up to an offset.
 func (s *site) awaitOffset(offset float64) error {
 	began := time.Now()
 	waiting := append([]*daemon(nil), s.daemons...)
 	for len(waiting) > 0 {
-		if time.Since(began) > spreadLimit {
-			return fmt.Errorf("%d daemons without offset %.0f after %s", len(waiting), offset, spreadLimit)
+		if time.Since(began) > offsetTimeout {
+			return fmt.Errorf("%d daemons have not applied offset %.0f after %s", len(waiting), offset, offsetTimeout)
 		}
-		var still []*daemon
+		var lagging []*daemon
 		for _, d := range waiting {
 			sm, err := d.sample()
 			if err != nil {
 				return err
 			}
 			if sm.offset < offset {
-				still = append(still, d)
+				lagging = append(lagging, d)
 			}
 		}
-		if waiting = still; len(waiting) > 0 {
-			time.Sleep(spreadPoll)
+		if waiting = lagging; len(waiting) > 0 {
+			time.Sleep(offsetPollInterval)
 		}
 	}
 	return nil
@@ -107,8 +110,8 @@
 
 func (s *site) settingsDir() string { return filepath.Join(s.dir, "settings") }
 
-// apply returns the command that publishes the site's settings.
-func (s *site) apply(ctx context.Context, o options, d *daemon) *exec.Cmd {
+// applyCommand returns the command that publishes the site's settings through a daemon.
+func (s *site) applyCommand(ctx context.Context, o options, d *daemon) *exec.Cmd {
 	return exec.CommandContext(ctx, filepath.Join(o.bin, "buckthorndock"),
 		"--address", d.address, "--token", operatorToken, "settings", "apply", s.settingsDir())
 }
--- a/test/demo/site/settings.go
+++ b/test/demo/site/settings.go
@@ -17,7 +17,7 @@
 	document *settings.Document
 }
 
-// readExamples reads every document of a directory.
+// readExamples reads and parses every YAML document below a directory.
 func readExamples(dir string) ([]example, error) {
 	var all []example
 	err := filepath.WalkDir(dir, func(file string, e fs.DirEntry, err error) error {
@@ -42,17 +42,17 @@
 	return all, err
 }
 
-// upstream is a stand-in that the examples ask for.
+// upstream describes a stand-in for an upstream of the examples.
 type upstream struct {
 	name, kind, domain string
 	placeholder        string   // address in the example
-	checksFencing      bool     // of an engine
-	models             []string // of an engine
-	operations         []string // of a service
+	checksFencing      bool     // for an engine
+	models             []string // for an engine
+	operations         []string // for a service
 }
 
-// upstreams lists what the documents need.
-func upstreams(all []example) []upstream {
+// listUpstreams returns the upstreams of all pools in the documents.
+func listUpstreams(all []example) []upstream {
 	models, operations := map[string][]string{}, map[string][]string{}
 	for _, e := range all {
 		for _, m := range e.document.Models {
@@ -69,7 +69,7 @@
 		for _, p := range e.document.Pools {
 			for _, u := range p.Upstreams {
 				list = append(list, upstream{
-					name: u.Name, kind: p.Kind, domain: domainOf.Replace(u.Domain), placeholder: u.Address,
+					name: u.Name, kind: p.Kind, domain: domainReplacer.Replace(u.Domain), placeholder: u.Address,
 					checksFencing: p.ChecksFencing, models: models[p.Name], operations: operations[p.Name],
 				})
 			}
@@ -78,7 +78,8 @@
 	return list
 }
 
-// writeSettings writes the documents with the real addresses and domains.
+// writeSettings writes the documents to a directory, with the placeholders replaced by
+// the real addresses and the domains by those of the site.
 func writeSettings(dir string, all []example, addresses map[string]string) error {
 	var pairs []string
 	for placeholder, address := range addresses {
@@ -90,7 +91,7 @@
 		if err := os.MkdirAll(filepath.Dir(file), dirPerm); err != nil {
 			return err
 		}
-		text := domainOf.Replace(replace.Replace(e.text))
+		text := domainReplacer.Replace(replace.Replace(e.text))
 		if err := os.WriteFile(file, []byte(text), filePerm); err != nil {
 			return err
 		}
--- a/test/demo/site/site.go
+++ b/test/demo/site/site.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	healthTime = 15 * time.Second
-	healthPoll = 50 * time.Millisecond
+	healthTimeout      = 15 * time.Second
+	healthPollInterval = 50 * time.Millisecond
 )
 
-// Demonstration secrets; the operator token is the one of examples/_root.yaml.
+// Secrets for demonstration; the operator token matches examples/_root.yaml.
 const (
 	peerKey       = "demo-peer-key-for-this-run-only-0001"
 	operatorToken = "demo-operator"
 )
 
-// daemon is one daemon of the site.
+// daemon is the configuration of one daemon: its addresses and its configuration file.
 type daemon struct {
 	host, domain         string
 	listen, peer, config string
@@ -45,8 +45,9 @@
 	processes []*process // in the order of their start
 }
 
-// keep notes a process, also one that did not come up, so that stop ends it.
-func (s *site) keep(p *process, err error) (*process, error) {
+// track records a process, even one that did not come up, so that stop ends it. It
+// returns its arguments.
+func (s *site) track(p *process, err error) (*process, error) {
 	if p != nil {
 		s.processes = append(s.processes, p)
 	}
@@ -63,8 +64,8 @@
 	}
 	addresses := map[string]string{}
 	var listed []platformapi.HostEntry
-	for _, u := range upstreams(all) {
-		p, err := s.keep(startStandin(s.opts, u.name, s.upstreamArgs(u)...))
+	for _, u := range listUpstreams(all) {
+		p, err := s.track(startStandin(s.opts, u.name, s.upstreamArgs(u)...))
 		if err != nil {
 			return err
 		}
@@ -74,13 +75,13 @@
 	if err := writeSettings(filepath.Join(s.opts.dir, "settings"), all, addresses); err != nil {
 		return err
 	}
-	if err := s.planDaemons(); err != nil {
+	if err := s.configureDaemons(); err != nil {
 		return err
 	}
 	for _, d := range s.daemons {
 		listed = append(listed, hostEntry(d.host, platformapi.HostEntryKindEntry, d.domain, d.peer))
 	}
-	if err := s.listHosts(listed); err != nil {
+	if err := s.setHostList(listed); err != nil {
 		return err
 	}
 	return s.startDaemons(ctx)
@@ -91,7 +92,7 @@
 		name string
 		at   **process
 	}{{"log", &s.log}, {"hosts", &s.hosts}, {"weights", &s.weights}} {
-		p, err := s.keep(startStandin(s.opts, part.name, part.name, "--listen", "127.0.0.1:0"))
+		p, err := s.track(startStandin(s.opts, part.name, part.name, "--listen", "127.0.0.1:0"))
 		if err != nil {
 			return err
 		}
@@ -133,8 +134,8 @@
 	}
 }
 
-// listHosts sets the platform's list of hosts.
-func (s *site) listHosts(list []platformapi.HostEntry) error {
+// setHostList replaces the platform's list of hosts.
+func (s *site) setHostList(list []platformapi.HostEntry) error {
 	body, err := json.Marshal(list)
 	if err != nil {
 		return err
@@ -145,19 +146,19 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("the host list answers %s", resp.Status)
+		return fmt.Errorf("set host list: %s", resp.Status)
 	}
 	return nil
 }
 
-// planDaemons chooses free ports and writes the daemon files.
-func (s *site) planDaemons() error {
+// configureDaemons chooses free ports and writes the daemons' configuration files.
+func (s *site) configureDaemons() error {
 	domains := strings.Split(s.opts.daemons, ",")
 	ports, err := freeAddresses(2 * len(domains))
 	if err != nil {
 		return err
 	}
-	hosts := map[string]int{} // in each domain
+	hosts := map[string]int{} // number of hosts in each domain
 	for i, domain := range domains {
 		hosts[domain]++
 		host := fmt.Sprintf("%s-entry-%d", domain, hosts[domain])
@@ -167,14 +168,15 @@
 		})
 	}
 	for _, d := range s.daemons {
-		if err := os.WriteFile(d.config, []byte(s.daemonFile(d)), filePerm); err != nil {
+		if err := os.WriteFile(d.config, []byte(s.daemonConfig(d)), filePerm); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *site) daemonFile(d daemon) string {
+// daemonConfig returns the text of a daemon's configuration file.
+func (s *site) daemonConfig(d daemon) string {
 	var seeds []string
 	for _, other := range s.daemons {
 		if other.host != d.host {
@@ -190,7 +192,7 @@
 	return b.String()
 }
 
-// freeAddresses returns addresses whose ports were free a moment ago.
+// freeAddresses returns n addresses with ports that were free when it checked.
 func freeAddresses(n int) ([]string, error) {
 	var list []string
 	for range n {
@@ -206,24 +208,25 @@
 
 func (s *site) startDaemons(ctx context.Context) error {
 	for _, d := range s.daemons {
-		if _, err := s.keep(startDaemon(s.opts, d.host, d.config)); err != nil {
+		if _, err := s.track(startDaemon(s.opts, d.host, d.config)); err != nil {
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, healthTime)
+	ctx, cancel := context.WithTimeout(ctx, healthTimeout)
 	defer cancel()
 	for _, d := range s.daemons {
-		for !answers(ctx, "http://"+d.listen+"/healthz") {
+		for !isHealthy(ctx, "http://"+d.listen+"/healthz") {
 			if ctx.Err() != nil {
-				return fmt.Errorf("daemon %s does not come up; see its log", d.host)
+				return fmt.Errorf("daemon %s is not healthy; see its log", d.host)
 			}
-			time.Sleep(healthPoll)
+			time.Sleep(healthPollInterval)
 		}
 	}
 	return nil
 }
 
-func answers(ctx context.Context, url string) bool {
+// isHealthy reports whether a GET of the URL returns status 200.
+func isHealthy(ctx context.Context, url string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false
@@ -236,8 +239,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// writeEnv writes what a shell needs to talk to the site. The file comes last and
-// whole, so that its presence says that the site is up.
+// writeEnv writes the file env with the shell variables for using the site. The file is
+// written last and atomically, so that its existence means that the site is up.
 func (s *site) writeEnv() error {
 	var addresses, names []string
 	for _, d := range s.daemons {
@@ -256,7 +259,7 @@
 	return os.Rename(file+".part", file)
 }
 
-// writePIDs writes the process id of each process, for runs that make faults.
+// writePIDs writes the name and id of each process, for tests that inject faults.
 func (s *site) writePIDs() error {
 	var b strings.Builder
 	for _, p := range s.processes {
@@ -265,12 +268,13 @@
 	return os.WriteFile(filepath.Join(s.opts.dir, "pids"), []byte(b.String()), filePerm)
 }
 
-// mayEnd says whether the run ends or stops a process itself.
+// mayEnd reports whether the test kills or stops the process.
 func (s *site) mayEnd(p *process) bool {
 	return slices.Contains(strings.Split(s.opts.mayEnd, ","), p.name)
 }
 
-// wait returns when the context ends, or with an error when a process does.
+// wait returns nil when the context ends, or an error when a process exits that must
+// not end.
 func (s *site) wait(ctx context.Context) error {
 	ended := make(chan *process, len(s.processes))
 	for _, p := range s.processes {
@@ -286,12 +290,12 @@
 	case <-ctx.Done():
 		return nil
 	case p := <-ended:
-		return fmt.Errorf("%s ended by itself: %v; see its log", p.name, p.err)
+		return fmt.Errorf("%s exited on its own: %v; see its log", p.name, p.err)
 	}
 }
 
-// stop ends every process, the last started first, so that daemons go before
-// what they depend on.
+// stop ends every process in the reverse order of their start, so that daemons stop
+// before the processes they depend on. It returns the errors of those that must not end.
 func (s *site) stop() error {
 	var errs []error
 	for i := len(s.processes) - 1; i >= 0; i-- {
