--- a/internal/core/fleet/cold.go
+++ b/internal/core/fleet/cold.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// heartbeatsUntilTrusted is the number of heartbeats after which an upstream's entry may again end an
-// assumed cold time. The first of them may have been sent before it was assumed.
+// heartbeatsUntilTrusted is the number of heartbeats after which an upstream's entry may again
+// shorten a cold time that was assumed or reported in an answer. The first of them may have been
+// sent before that.
 const heartbeatsUntilTrusted = 2
 
-// AssumeCold treats the upstreams of a failure domain as cold for at least the time that coldFor gives
-// for their service, until their heartbeats report otherwise. What they last reported may be
-// out of date, because the domain was not in use or could not be reached.
+// AssumeCold treats the upstreams of a failure domain as cold for at least the time that coldFor
+// gives for their service, until their heartbeats report otherwise. What they last reported may
+// be out of date, because the domain was not in use or could not be reached.
 func (l *List) AssumeCold(domain string, coldFor func(service string) time.Duration, now time.Time) {
 	for _, e := range l.byName {
 		if e.Domain != domain {
@@ -21,7 +22,7 @@
 }
 
 // UpdateCold records for how long an upstream stays cold according to one of its answers. It
-// returns false when the upstream is unknown or this is no news.
+// returns false when the upstream is unknown or does not become cold for longer.
 func (l *List) UpdateCold(id string, left time.Duration, now time.Time) bool {
 	until := now.Add(left)
 	for _, e := range l.byName {
--- a/internal/core/fleet/cold_test.go
+++ b/internal/core/fleet/cold_test.go
@@ -36,7 +36,7 @@
 	l := newList()
 	l.Apply([]Change{newEntryIn("a", "a1", 1, 0)}, start)
 	if !l.UpdateCold("a1", 2*time.Second, start) || l.UpdateCold("a1", 2*time.Second, start) || l.UpdateCold("b1", time.Second, start) {
-		t.Error("UpdateCold does not distinguish news from what is known")
+		t.Error("UpdateCold does not report whether the cold time has become longer")
 	}
 	l.Apply([]Change{newEntryIn("a", "a1", 2, 0)}, start) // sent before the answer
 	if got := l.coldUntil("a1"); !got.Equal(start.Add(2 * time.Second)) {
--- a/internal/core/fleet/evacuation_test.go
+++ b/internal/core/fleet/evacuation_test.go
@@ -58,9 +58,8 @@
 	}
 }
 
-// TestUpstreamsAreColdAfterAnEvacuation guards against a burst of
-// requests to servers that became cold during an evacuation, after their last entry was
-// written.
+// TestUpstreamsAreColdAfterAnEvacuation guards against a burst of requests to servers that
+// became cold during an evacuation, after their last entry was written.
 func TestUpstreamsAreColdAfterAnEvacuation(t *testing.T) {
 	l := newList()
 	l.Apply([]Change{newEntryIn("a", "a1", 7, 0), newEntryIn("b", "b1", 7, 0)}, start)
@@ -75,10 +74,10 @@
 	}
 	l.Apply([]Change{newEntryIn("a", "a1", 9, 0)}, start)
 	if !l.coldUntil("a1").IsZero() {
-		t.Error("its second heartbeat, which reports it warm, has no effect")
+		t.Error("the second heartbeat after the evacuation, which reports a warm upstream, has no effect")
 	}
 	l.SetEvacuated("a", false, coldThreeSeconds, start) // a second time
 	if !l.coldUntil("a1").IsZero() {
-		t.Error("a repeated end of the evacuation makes it cold")
+		t.Error("a repeated end of the evacuation makes the upstream cold")
 	}
 }
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -51,7 +51,7 @@
 	l.Apply([]Change{leaving}, start)
 	l.Apply([]Change{{Name: "a"}}, start.Add(10*time.Second))
 	if l.has("a") {
-		t.Error("it is still listed")
+		t.Error("the leaving upstream is still listed")
 	}
 }
 
--- a/internal/core/fleet/list.go
+++ b/internal/core/fleet/list.go
@@ -138,8 +138,8 @@
 	l.ended[e.Name] = endedEntry{*e, now}
 }
 
-// applyEntry applies an entry. Heartbeats may arrive late: one of an earlier incarnation, or an older
-// one of the same incarnation, changes nothing, and leaving is permanent.
+// applyEntry applies an entry. Heartbeats may arrive late: one of an earlier incarnation, or an
+// older one of the same incarnation, changes nothing. Leaving is permanent.
 func (l *List) applyEntry(u Upstream, now time.Time) {
 	before, known := l.lastEntry(u)
 	u.ID = u.Incarnation.ID()
@@ -205,8 +205,8 @@
 	return last, true
 }
 
-// isLaterIncarnation reports whether u is of a later incarnation than the known entry. An entry without
-// a start time counts as one of the known incarnation.
+// isLaterIncarnation reports whether u is of a later incarnation than the known entry. An entry
+// without a start time counts as one of the known incarnation.
 func isLaterIncarnation(u, known Upstream) bool {
 	if known.Born == 0 {
 		return u.Born != 0 && u.Heartbeat < known.Heartbeat
--- a/internal/core/placement/boundary.go
+++ b/internal/core/placement/boundary.go
@@ -17,9 +17,9 @@
 // to any engine.
 //
 // Invariant: with two or more live engines the last accepts any prompt, and the first
-// none of LongSlack times the length from which prompts are long; it accepts long
-// prompts at all only while the others could not process the long work. A single
-// engine accepts any prompt.
+// only prompts shorter than LongSlack times the length from which prompts are long. The
+// first accepts long prompts only while the others could not process the long work. A
+// single engine accepts any prompt.
 type boundary struct {
 	work       Work
 	byPriority [request.NumPriorities]float64
@@ -208,8 +208,8 @@
 		if known {
 			limit = w.quantile(lowerShare(float64(i+1)/float64(n), o))
 		}
-		kept := limit < float64(longFrom) && (known || i < n/2)
-		if kept || i == 0 {
+		shortOnly := limit < float64(longFrom) && (known || i < n/2)
+		if shortOnly || i == 0 {
 			list[i] = int(min(limit, float64(longFrom)*o.LongSlack-1))
 		}
 	}
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -9,20 +9,20 @@
 // choose selects one of the engines with enough free memory, by the policy of the request.
 func (t *task) choose(d *Decision, s *estimator, g *group, c *candidates) {
 	top := newTop(t.rng)
-	var loser Reason
+	var rejectedReason Reason
 	switch t.req.Policy {
 	case settings.PolicyRandom:
-		d.Reason, loser = ReasonRandom, ReasonNotDrawn
+		d.Reason, rejectedReason = ReasonRandom, ReasonNotDrawn
 		t.addRandom(&top, s, c.withMemory)
 	case settings.PolicyLeastLoaded, settings.PolicyLeastLoadedPriority:
-		d.Reason, loser = ReasonFewestRequests, ReasonMoreRequests
+		d.Reason, rejectedReason = ReasonFewestRequests, ReasonMoreRequests
 		t.addFewestRequests(&top, s, c.withMemory)
 	default:
-		d.Reason, loser = ReasonEarliest, ReasonLater
+		d.Reason, rejectedReason = ReasonEarliest, ReasonLater
 		t.addEarliest(&top, s, g, c)
 	}
 	d.Verdict = Placed
-	top.fill(d, loser)
+	top.fill(d, rejectedReason)
 	t.setReason(d, c)
 	if s.missesDeadline(&d.Chosen.Estimate) {
 		t.recheckDeadline(d, s, g, c)
@@ -100,7 +100,7 @@
 // splitByLimit splits the engines, which are in the order of their limits, into those that
 // accept nothing much longer than the prompt, and the rest.
 func (t *task) splitByLimit(s *estimator, engines []*Engine) (similar, others []*Engine) {
-	if s.class == Long || !t.separates() {
+	if s.class == Long || !t.separatesByLength() {
 		return engines, nil
 	}
 	longest := t.view.opts.SimilarRatio * float64(t.req.Tokens)
@@ -143,7 +143,7 @@
 	if !t.eligible(e, c.state) || !t.fitsEngine(e, need) || !e.hasFreeMemory(need) {
 		return false
 	}
-	return !t.separates() || c.relaxed || t.withinLimit(e)
+	return !t.separatesByLength() || c.relaxed || t.withinLimit(e)
 }
 
 // sample selects n random engines without repetition and moves them to the head of from.
@@ -228,14 +228,14 @@
 	p.best[i] = x
 }
 
-// fill sets Chosen and Rejected of the decision. Rejected candidates get the reason loser, or
+// fill sets Chosen and Rejected of the decision. Rejected candidates get rejectedReason, or
 // ReasonTie where the scores are equal.
-func (p *topThree) fill(d *Decision, loser Reason) {
+func (p *topThree) fill(d *Decision, rejectedReason Reason) {
 	d.Chosen = p.best[0].candidate("")
 	d.Rejected = [2]Candidate{}
 	for i := 1; i < p.n; i++ {
-		reason := loser
-		if p.best[i].score == p.best[0].score && loser != ReasonNotDrawn {
+		reason := rejectedReason
+		if p.best[i].score == p.best[0].score && rejectedReason != ReasonNotDrawn {
 			reason = ReasonTie
 		}
 		d.Rejected[i-1] = p.best[i].candidate(reason)
--- a/internal/core/placement/members.go
+++ b/internal/core/placement/members.go
@@ -35,7 +35,7 @@
 	if size == 0 {
 		return nil
 	}
-	return split(leastUsed(eligible, size, r.MemoryNeeded()), r)
+	return splitRequest(leastUsed(eligible, size, r.MemoryNeeded()), r)
 }
 
 // leastUsed returns the size least used engines, or the size largest ones when the memory
@@ -66,9 +66,9 @@
 	return sum
 }
 
-// split assigns each engine an equal part of the remaining tokens, the smallest engine
+// splitRequest assigns each engine an equal part of the remaining tokens, the smallest engine
 // first, so that what exceeds an engine's memory moves to larger ones.
-func split(engines []*Engine, r Request) []GangMember {
+func splitRequest(engines []*Engine, r Request) []GangMember {
 	slices.SortFunc(engines, func(a, b *Engine) int {
 		return cmp.Or(cmp.Compare(a.report.MemoryTotal, b.report.MemoryTotal), byName(a, b))
 	})
--- a/internal/core/placement/place.go
+++ b/internal/core/placement/place.go
@@ -64,7 +64,7 @@
 		return request.Normal
 	}
 	requested := min(r.Priority, lowestPriority)
-	if requested != request.Normal || !t.separates() {
+	if requested != request.Normal || !t.separatesByLength() {
 		return requested
 	}
 	if float64(r.Tokens) >= t.view.opts.demoteFrom(r.LongFrom) {
@@ -234,7 +234,7 @@
 // applyBoundary returns the engines whose limit admits the prompt. When there is none it
 // returns all of them, and relaxed is true.
 func (t *task) applyBoundary(engines []*Engine) (kept []*Engine, relaxed bool) {
-	if !t.separates() || len(engines) == 0 {
+	if !t.separatesByLength() || len(engines) == 0 {
 		return engines, false
 	}
 	n := 0
@@ -250,7 +250,7 @@
 	return engines[:n], false
 }
 
-func (t *task) separates() bool {
+func (t *task) separatesByLength() bool {
 	return t.req.Policy == settings.PolicyLengthAware && t.req.LongFrom > 0
 }
 
--- a/internal/core/retry/policy.go
+++ b/internal/core/retry/policy.go
@@ -45,7 +45,7 @@
 // Attempt is an ended attempt of a request.
 type Attempt struct {
 	Number         int  // from 1
-	End            End  //
+	End            End  // how it ended
 	EarlierWritten bool // an earlier attempt wrote at least one byte, whatever its end
 	Reachable      bool // a new connection to the upstream works, and it still has the attempt's state
 	Resumes        int  // resumes of this attempt so far
--- a/internal/edge/callers.go
+++ b/internal/edge/callers.go
@@ -10,8 +10,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Limits of the HTTP servers. The settings' limits for callers are applied elsewhere, where they
-// can change while the daemon runs; these hold until settings are known.
+// Limits of the HTTP servers. Those for headers are fixed; defaultCallerIdle applies while the
+// settings give no idle limit.
 const (
 	headerTimeout     = 5 * time.Second
 	maxHeaderBytes    = 64 << 10
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -17,7 +17,7 @@
 // reaches the last daemon by a read of the store and an answer for each level between daemons.
 const (
 	// longPollFraction is how long a read of the settings stays open, so that a change is
-	// returned at once. It is short because a read that the store has lost looks the same.
+	// returned at once. It is short because a read whose answer was lost looks the same.
 	longPollFraction = 0.25
 	// peerTimeoutFraction allows for large settings on a slow link.
 	peerTimeoutFraction = 0.25
@@ -46,8 +46,8 @@
 	// the store to others: by then, daemons that start together know each other.
 	startupStoreDelay = 2 * time.Second
 	// The store counts as unavailable after minOutageAfter without a read, or after
-	// outageAfterReads intervals between reads if that is longer. Entries may then have lapsed
-	// because of the store.
+	// outageAfterReads intervals between reads if that is longer. Entries that lapse during an
+	// outage may belong to live servers.
 	minOutageAfter   = 1500 * time.Millisecond
 	outageAfterReads = 2.5
 	// relistTime is how long live servers take to be listed again after the store is back.
--- a/internal/edge/listchange.go
+++ b/internal/edge/listchange.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// endSuperseded tells the relay which upstreams were replaced by another or are no longer listed.
-// It closes the idle connections to replaced ones.
+// endSuperseded reports to the relay the upstreams that were replaced by another or are no longer
+// listed. It closes the idle connections to replaced ones.
 func (p *process) endSuperseded(before, after *fleet.Snapshot) {
 	for _, u := range before.Upstreams {
 		if _, still := after.Get(u.ID); still {
--- a/internal/edge/peers_test.go
+++ b/internal/edge/peers_test.go
@@ -14,12 +14,12 @@
 	members := make([]membership.Member, 3)
 	v := versionOf(members, now)
 	if !v.isCurrent(members, now.Add(rankingTTL/2)) {
-		t.Error("it is computed again for the same members")
+		t.Error("a cached ranking is not current for the same members")
 	}
 	if v.isCurrent(members, now.Add(rankingTTL)) {
-		t.Error("sections that the members publish in the meantime are ignored")
+		t.Error("a cached ranking is current after rankingTTL")
 	}
 	if v.isCurrent(make([]membership.Member, 3), now) || v.isCurrent(nil, now) || versionOf(nil, now).isCurrent(nil, now) {
-		t.Error("it is current for other members")
+		t.Error("a cached ranking is current for other members")
 	}
 }
--- a/internal/edge/provider.go
+++ b/internal/edge/provider.go
@@ -25,7 +25,7 @@
 	EvidenceStream() string
 	// DecodeSettings decodes the value of the settings.
 	DecodeSettings(value []byte) (route.Spec, error)
-	// SettingsRank and RankOfUpstream return the rank of a value of their stream; see keyed.RankOf.
+	// SettingsRank and UpstreamRank return the rank of a value of their stream; see keyed.RankOf.
 	SettingsRank(key string, value []byte) (rank keyed.Rank, ok bool)
 	UpstreamRank(key string, value []byte) (rank keyed.Rank, ok bool)
 	// EvacuationDomain returns the failure domain whose evacuation a key of the settings stream is
--- a/internal/edge/sweep.go
+++ b/internal/edge/sweep.go
@@ -19,7 +19,7 @@
 	return nil
 }
 
-// addressListed returns a function that reports whether a listed upstream has an address.
+// addressListed returns a function that reports whether an address is that of a listed upstream.
 func (p *process) addressListed() func(string) bool {
 	listed := map[string]bool{}
 	for _, u := range p.list.Load().Upstreams {
--- a/internal/keyed/apply.go
+++ b/internal/keyed/apply.go
@@ -20,7 +20,7 @@
 // fromStore is the Batch.From of reads of the store itself.
 const fromStore = ""
 
-// position has those fields of the streamState that decide how to read on.
+// position has the fields of the streamState that decide what to read next.
 type position struct {
 	era, next int64
 	storeOnly bool
@@ -109,8 +109,8 @@
 	f.readDone = make(chan struct{})
 }
 
-// applyFullPage applies a page with all keys. It refuses a copy that is older than the known
-// records, which it would take back, with platform.ErrBusy.
+// applyFullPage applies a page with all keys. It returns platform.ErrBusy for one that is older
+// than the known records, because it would replace newer records with older ones.
 func (f *Follower) applyFullPage(page platform.KeyedPage, at time.Time, from string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -128,7 +128,7 @@
 // eraStart describes the start of an era.
 type eraStart struct {
 	since   time.Time // when the era was first seen
-	certain int64     // all records from this offset on, or from an earlier one, were written in it
+	certain int64     // records from this offset on were certainly written in it
 }
 
 // applyEra applies a page with all keys of a later era, or the first page of all.
--- a/internal/keyed/era.go
+++ b/internal/keyed/era.go
@@ -53,10 +53,11 @@
 // unresolved holds the keys whose newest record is not certain yet in the current era.
 type unresolved struct {
 	eraSeen     time.Time                       // when any daemon first saw the era; zero: no earlier era is known
-	certainFrom int64                           // from this offset on, if not before, all records were written in the era
+	certainFrom int64                           // records from this offset on were certainly written in the era
 	missing     map[string]bool                 // keys known from earlier eras that the store lacks
 	doubtful    map[string]platform.KeyedRecord // records of the store that may be older than the known ones
-	// outranking has the keys whose known value ranks over the one that the store has at its offset.
+	// outranking has the keys whose known value ranks higher than the one that the store has at its
+	// offset.
 	outranking map[string]bool
 }
 
@@ -75,7 +76,7 @@
 }
 
 // classify compares a record with the known one of its key. past is the state of the former era
-// if the record is of the page with all keys that begins a new one, else nil.
+// if the record is of the page with all keys with which a new era begins, else nil.
 func (s *streamState) classify(known platform.KeyedRecord, isKnown bool, r platform.KeyedRecord, past *streamState) verdict {
 	if !isKnown {
 		return newer
@@ -105,7 +106,7 @@
 	return r.Era == s.era && r.Offset >= s.unresolved.certainFrom
 }
 
-// compareRanks compares a record with the known one by the ranks of their values. order is over
+// compareRanks compares a record with the known one by the ranks of their values. order is above
 // zero if the record ranks higher; ok is false if the ranks cannot be compared.
 func (s *streamState) compareRanks(known, r platform.KeyedRecord) (order int, ok bool) {
 	if s.rankOf == nil || known.Value == nil || r.Value == nil {
@@ -185,10 +186,11 @@
 	}
 }
 
-// mergePeerRecords merges a peer's records of an earlier era, or of an earlier time in the current one;
-// of records of a later era, or of none, only those that rank higher. It returns the records that
-// changed. A record of a key without a value here is taken only while writers may still write
-// again what the store has lost, which takes them up to rewriteTime.
+// mergePeerRecords merges a peer's records of an earlier era, or of an earlier time in the current
+// one. It takes a record of a later era, or without an era, only if it ranks higher than the known
+// one. It takes a record of a key without a value here only while writers may still write again
+// what the store has lost, for which they need up to rewriteTime. It returns the records that
+// changed.
 func (s *streamState) mergePeerRecords(records []platform.KeyedRecord, rewriteTime time.Duration) []platform.KeyedRecord {
 	rewriting := s.at.Before(s.unresolved.eraSeen.Add(rewriteTime))
 	var changed []platform.KeyedRecord
@@ -223,8 +225,9 @@
 // earlier era. The caller has checked that its key has no value here.
 func (s *streamState) mayBeLost(r platform.KeyedRecord) bool { return r.Value != nil && r.Era < s.era }
 
-// resolve decides the keys whose time is over, as of the newest read: keys that the store lacks
-// are removed after rewriteTime, and doubtful records replace the known ones after doubtTime.
+// resolve settles the keys that have been unresolved for long enough at the newest read: keys that
+// the store lacks are removed after rewriteTime, and doubtful records replace the known ones after
+// doubtTime.
 // It returns the records that changed.
 func (s *streamState) resolve(rewriteTime, doubtTime time.Duration) []platform.KeyedRecord {
 	var changed []platform.KeyedRecord
--- a/internal/keyed/era_test.go
+++ b/internal/keyed/era_test.go
@@ -106,7 +106,7 @@
 	second.follower.opts.Feed.unresponsive.RecordSuccess(first.host, time.Now())
 	second.read()
 	if got := second.knownNumber(); got != lost {
-		t.Errorf("it has %d, not %d", got, lost)
+		t.Errorf("the daemon knows value %d, want %d", got, lost)
 	}
 }
 
@@ -120,7 +120,7 @@
 	second.follower.state.storeOnly = false
 	second.read()
 	if got := second.knownNumber(); got != lost {
-		t.Errorf("it has %d, not %d", got, lost)
+		t.Errorf("the daemon knows value %d, want %d", got, lost)
 	}
 }
 
@@ -156,7 +156,7 @@
 	second.read()
 	for _, d := range w.daemons {
 		if got := d.knownNumber(); got != lost {
-			t.Errorf("%s has %d, not %d", d.host, got, lost)
+			t.Errorf("%s knows value %d, want %d", d.host, got, lost)
 		}
 	}
 }
@@ -198,7 +198,7 @@
 		former.readStore()
 		present.read()
 		if got := present.knownNumber(); got != w.truth[rankedKey] {
-			t.Errorf("it has %d, not %d", got, w.truth[rankedKey])
+			t.Errorf("the daemon knows value %d, want %d", got, w.truth[rankedKey])
 		}
 	}
 }
--- a/internal/keyed/feed.go
+++ b/internal/keyed/feed.go
@@ -39,7 +39,7 @@
 
 	mu           sync.Mutex
 	followers    map[string]*Follower
-	unresponsive *avoid.Tracker // daemons that did not answer, or know less of the store
+	unresponsive *avoid.Tracker // daemons that did not answer, or whose copy is of an earlier era
 }
 
 // Daemons that did not answer are not called for a while, which is doubled while they stay
@@ -288,7 +288,7 @@
 	return slices.Contains(s.unresponsive.Avoided(time.Now()), host)
 }
 
-// markBehind avoids a daemon for a while whose copy is of an earlier era than the one here.
+// markBehind avoids, for a while, a daemon whose copy is of an earlier era than the one here.
 func (s *Feed) markBehind(host string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/keyed/follower.go
+++ b/internal/keyed/follower.go
@@ -68,7 +68,7 @@
 	readAllNext   bool // the next read of the store is one of all keys
 	readFromStore bool // an answer of the store was applied
 	// eraUnknown says that the data came from a daemon of an earlier release, which does not
-	// send the store's era: it may be of any era, and its offsets of a former one may hide newer
+	// send the store's era. The data may be of any era, and offsets of a former era may hide newer
 	// records.
 	eraUnknown bool
 
--- a/internal/keyed/follower_test.go
+++ b/internal/keyed/follower_test.go
@@ -206,7 +206,7 @@
 		t.Errorf("got %v, %v", none, err)
 	}
 	if _, err := unpack([]byte("nonsense")); err == nil {
-		t.Error("nonsense was unpacked")
+		t.Error("data that is not packed records was unpacked")
 	}
 }
 
--- a/internal/keyed/sources.go
+++ b/internal/keyed/sources.go
@@ -37,7 +37,7 @@
 type sources struct {
 	before []membership.Member // peers to call, in order
 	reader bool                // this daemon reads the store if none of them has fresh data
-	levels int                 // of the tree between this daemon and a reader
+	levels int                 // number of tree levels between this daemon and a reader
 }
 
 // extraAge returns by how much the copies of the sources may be older than those of a reader.
--- a/internal/keyed/tree_test.go
+++ b/internal/keyed/tree_test.go
@@ -163,7 +163,7 @@
 		t.Errorf("got %v", tb.values)
 	}
 	if at := x.state.at; at.After(time.Now()) {
-		t.Errorf("its data is from %s in the future", time.Until(at))
+		t.Errorf("the read time of the data is %s in the future", time.Until(at))
 	}
 }
 
