--- a/internal/core/fleet/snapshot.go
+++ b/internal/core/fleet/snapshot.go
@@ -74,7 +74,7 @@
 		byAddress[e.Address] = append(byAddress[e.Address], e)
 	}
 	for address, all := range byAddress {
-		listed := l.choose(address, all)
+		listed := l.candidatesAt(address, all)
 		s.Upstreams = append(s.Upstreams, listed...)
 		if len(listed) == len(all) {
 			continue
@@ -93,8 +93,8 @@
 	return s
 }
 
-// choose returns the upstreams of an address that may be running there.
-func (l *List) choose(address string, all []*entry) []Upstream {
+// candidatesAt returns the upstreams of an address that may be running there.
+func (l *List) candidatesAt(address string, all []*entry) []Upstream {
 	latest := l.starts[address].born
 	all = slices.DeleteFunc(slices.Clone(all), func(e *entry) bool { return e.Born != 0 && e.Born < latest })
 	// That an answer came from another server excludes an upstream only while there are
--- a/internal/core/placement/boundary.go
+++ b/internal/core/placement/boundary.go
@@ -187,14 +187,14 @@
 			return
 		}
 	}
-	b.limits = limits(&work, len(g.live), longFrom, o)
+	b.limits = computeLimits(&work, len(g.live), longFrom, o)
 	b.basis = work
 	b.longFrom = longFrom
 }
 
-// limits returns the limits in tokens of n engines, by rank. Before any work was
+// computeLimits returns the limits in tokens of n engines, by rank. Before any work was
 // offered, half of the engines accept long prompts.
-func limits(w *Work, n, longFrom int, o *Options) []int {
+func computeLimits(w *Work, n, longFrom int, o *Options) []int {
 	list := make([]int, n)
 	for i := range list {
 		list[i] = anyLength
--- a/internal/core/placement/property_test.go
+++ b/internal/core/placement/property_test.go
@@ -137,7 +137,7 @@
 		}
 		o := Options{}.withDefaults()
 		n, longFrom := 2+rng.IntN(40), 1+rng.IntN(100_000)
-		list := limits(&w, n, longFrom, &o)
+		list := computeLimits(&w, n, longFrom, &o)
 		if !slices.IsSorted(list) || list[n-1] != anyLength || float64(list[0]) >= o.LongSlack*float64(longFrom) {
 			return fmt.Sprint(w, n, longFrom, list)
 		}
--- a/internal/edge/evacuations.go
+++ b/internal/edge/evacuations.go
@@ -32,15 +32,16 @@
 	begun, ended := p.evacuations.Apply(records, b.Whole, unreadable)
 	p.mu.Unlock()
 	for _, domain := range begun {
-		p.evacuate(domain, true, b.At)
+		p.applyEvacuation(domain, true, b.At)
 	}
 	for _, domain := range ended {
-		p.evacuate(domain, false, b.At)
+		p.applyEvacuation(domain, false, b.At)
 	}
 }
 
-// evacuate begins or ends the evacuation of a failure domain. readAt is when its record was read.
-func (p *process) evacuate(domain string, begin bool, readAt time.Time) {
+// applyEvacuation begins or ends the evacuation of a failure domain. readAt is when its record was
+// read.
+func (p *process) applyEvacuation(domain string, begin bool, readAt time.Time) {
 	upstreams := 0
 	for _, u := range p.list.Load().Upstreams {
 		if u.Domain == domain {
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -132,14 +132,14 @@
 	members := p.node.Members()
 	r := p.ranks[task]
 	if !r.asOf.isCurrent(members, now) {
-		r = ranking{members: p.rank(task, members), asOf: versionOf(members, now)}
+		r = ranking{members: p.computeRanking(task, members), asOf: versionOf(members, now)}
 		p.ranks[task] = r
 	}
 	return r.members[:min(n, len(r.members))]
 }
 
-// rank computes the order of all live daemons for a task.
-func (p *peers) rank(task string, all []membership.Member) []membership.Member {
+// computeRanking computes the order of all live daemons for a task.
+func (p *peers) computeRanking(task string, all []membership.Member) []membership.Member {
 	classes := map[string]int{}
 	for _, s := range p.node.Sections(shareSection) {
 		classes[s.Host] = shareClass(string(s.Data))
--- a/internal/keyed/era_test.go
+++ b/internal/keyed/era_test.go
@@ -10,9 +10,9 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// TestRecordsOnlyGetNewerAcrossStoreRestores guards against comparing
-// offsets of different eras of the store, for random sequences of writes, restores, reads, cuts
-// and restarts, and with daemons of the former release among the others.
+// TestRecordsOnlyGetNewerAcrossStoreRestores guards against comparing offsets of different eras of
+// the store, for random sequences of writes, restores, reads, cuts and restarts, and with daemons
+// of the former release among the others.
 func TestRecordsOnlyGetNewerAcrossStoreRestores(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 1500
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestRestoredRecordIsDoubtfulUntilDoubtTime restores the store to the record before a
-// known removal. The restored record replaces the removal only after the doubt time.
+// TestRestoredRecordIsDoubtfulUntilDoubtTime restores the store to the record before a known
+// removal. The restored record replaces the removal only after the doubt time.
 func TestRestoredRecordIsDoubtfulUntilDoubtTime(t *testing.T) {
 	store := &fakeStore{era: 1}
 	f, table := newFollower(store, nil)
@@ -91,8 +91,8 @@
 // knownNumber returns the number of the ranked key's value that a daemon knows.
 func (d *eraDaemon) knownNumber() int { return valueNumber(d.follower.state.records[rankedKey].Value) }
 
-// TestStartedDaemonRecoversLostRecordsFromPeers starts a daemon after the store was
-// restored; it reads the store before it reaches any other daemon.
+// TestStartedDaemonRecoversLostRecordsFromPeers starts a daemon after the store was restored; it
+// reads the store before it reaches any other daemon.
 func TestStartedDaemonRecoversLostRecordsFromPeers(t *testing.T) {
 	w, lost := twoDaemons(t)
 	first, second := w.daemons[0], w.daemons[1]
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestHigherRankedValueSurvivesStoreRestore covers a key of which the store has an
-// older value: the key does not count as missing, however long it is not written again.
+// TestHigherRankedValueSurvivesStoreRestore covers a key of which the store has an older value:
+// the key does not count as missing, however long it is not written again.
 func TestHigherRankedValueSurvivesStoreRestore(t *testing.T) {
 	w, lost := twoDaemons(t)
 	first, second := w.daemons[0], w.daemons[1]
@@ -161,9 +161,8 @@
 	}
 }
 
-// TestDaemonWithDataOfFormerReleaseReadsStore guards against a fault in rolling
-// updates: offsets of an earlier era hide newer records that come from daemons of the former
-// release.
+// TestDaemonWithDataOfFormerReleaseReadsStore guards against a fault in rolling updates: offsets
+// of an earlier era hide newer records that come from daemons of the former release.
 func TestDaemonWithDataOfFormerReleaseReadsStore(t *testing.T) {
 	w := newSimulation(1, 1)
 	w.daemons = w.daemons[:2]
@@ -185,8 +184,8 @@
 	}
 }
 
-// TestReadersOfFormerReleaseAreNotAvoided guards against a fault in rolling updates:
-// the daemons that read the store are still of the former release and are avoided as behind.
+// TestReadersOfFormerReleaseAreNotAvoided guards against a fault in rolling updates: the daemons
+// that read the store are still of the former release and are avoided as behind.
 func TestReadersOfFormerReleaseAreNotAvoided(t *testing.T) {
 	w := newSimulation(1, 1)
 	w.daemons = w.daemons[:2]
@@ -203,10 +202,10 @@
 	}
 }
 
-// TestRewrittenUnchangedEntryReachesPeers guards against upstreams that
-// vanish from daemons that read from peers, two seconds after the store was restored without
-// them. An unchanged entry is not significant within an era, but it must be passed on when it
-// shows that the store has the entry again.
+// TestRewrittenUnchangedEntryReachesPeers guards against upstreams that vanish from daemons that
+// read from peers, two seconds after the store was restored without them. An unchanged entry is
+// not significant within an era, but it must be passed on when it shows that the store has the
+// entry again.
 func TestRewrittenUnchangedEntryReachesPeers(t *testing.T) {
 	w := newSimulation(1, 0)
 	w.daemons = w.daemons[:2]
--- a/internal/keyed/follower.go
+++ b/internal/keyed/follower.go
@@ -119,7 +119,7 @@
 			if f.isStarting() {
 				delay = startupRetryDelay
 			}
-			f.sleep(ctx, time.Duration((0.5+rand.Float64())*float64(delay)))
+			f.sleepUnlessDemanded(ctx, time.Duration((0.5+rand.Float64())*float64(delay)))
 			delay = min(2*delay, maxRetryDelay)
 		}
 	}
@@ -131,8 +131,8 @@
 	return errors.Is(err, platform.ErrTrimmed) || errors.Is(err, errLaterEra)
 }
 
-// sleep waits for a duration, or until Demand is closed.
-func (f *Follower) sleep(ctx context.Context, d time.Duration) {
+// sleepUnlessDemanded waits for a duration, or until Demand is closed.
+func (f *Follower) sleepUnlessDemanded(ctx context.Context, d time.Duration) {
 	if f.opts.Demand == nil || f.demanded() {
 		wait.For(ctx, d)
 		return
--- a/internal/keyed/follower_test.go
+++ b/internal/keyed/follower_test.go
@@ -252,8 +252,8 @@
 	}
 }
 
-// TestFullReadOfPeerDoesNotHideRemoval has a reader that read all keys right after one
-// was removed, so that it has no record of the removal.
+// TestFullReadOfPeerDoesNotHideRemoval has a reader that read all keys right after one was
+// removed, so that it has no record of the removal.
 func TestFullReadOfPeerDoesNotHideRemoval(t *testing.T) {
 	peers := &fakePeers{hosts: []string{"t1", "x"}, feeds: map[string]*Feed{}}
 	store := &fakeStore{}
--- a/internal/keyed/group_test.go
+++ b/internal/keyed/group_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestDaemonReadingFromPeersLogsStoreLoss checks that a daemon that does not read the
-// store logs store_lost and store_regained.
+// TestDaemonReadingFromPeersLogsStoreLoss checks that a daemon that does not read the store logs
+// store_lost and store_regained.
 func TestDaemonReadingFromPeersLogsStoreLoss(t *testing.T) {
 	const daemons = 300
 	f := newGroup(t, daemons)
--- a/internal/keyed/tree_test.go
+++ b/internal/keyed/tree_test.go
@@ -186,8 +186,8 @@
 	}
 }
 
-// TestFewDaemonsReadStoreAtCommonStart guards against a number of reads of the store
-// that grows with the number of daemons that start.
+// TestFewDaemonsReadStoreAtCommonStart guards against a number of reads of the store that grows
+// with the number of daemons that start.
 func TestFewDaemonsReadStoreAtCommonStart(t *testing.T) {
 	const daemons = 300
 	f := newDomainGroup(t, daemons)
