--- a/internal/keyed/era_test.go
+++ b/internal/keyed/era_test.go
@@ -85,7 +85,7 @@
 	w.write(rankedKey)
 	w.daemons[0].read()
 	w.store.restore(1)
-	return w, w.truth[rankedKey]
+	return w, w.newestNumber[rankedKey]
 }
 
 // knownNumber returns the number of the ranked key's value that a daemon knows.
@@ -96,13 +96,13 @@
 func TestStartedDaemonRecoversLostRecordsFromPeers(t *testing.T) {
 	w, lost := twoDaemons(t)
 	first, second := w.daemons[0], w.daemons[1]
-	first.alone = true
+	first.cutFromPeers = true
 	second.readStore()
 	if got := second.knownNumber(); got == lost {
 		t.Fatal("the store has lost no record")
 	}
 	first.readStore() // it enters the new era and keeps what the store has lost
-	first.alone = false
+	first.cutFromPeers = false
 	second.follower.opts.Feed.unresponsive.RecordSuccess(first.host, time.Now())
 	second.read()
 	if got := second.knownNumber(); got != lost {
@@ -115,7 +115,7 @@
 func TestLostRecordsComeFromPeerOfEarlierEra(t *testing.T) {
 	w, lost := twoDaemons(t)
 	first, second := w.daemons[0], w.daemons[1]
-	first.cut = true
+	first.cutFromStore = true
 	second.readStore()
 	second.follower.state.storeOnly = false
 	second.read()
@@ -150,7 +150,7 @@
 	w, lost := twoDaemons(t)
 	first, second := w.daemons[0], w.daemons[1]
 	first.readStore()
-	second.cut = true
+	second.cutFromStore = true
 	second.read()
 	w.settle()
 	second.read()
@@ -191,13 +191,13 @@
 	w.daemons = w.daemons[:2]
 	former, present := w.daemons[0], w.daemons[1]
 	present.readStore()
-	present.cut = true
+	present.cutFromStore = true
 	for range 3 {
 		w.write(rankedKey)
 		former.readStore()
 		present.read()
-		if got := present.knownNumber(); got != w.truth[rankedKey] {
-			t.Errorf("the daemon knows value %d, want %d", got, w.truth[rankedKey])
+		if got := present.knownNumber(); got != w.newestNumber[rankedKey] {
+			t.Errorf("the daemon knows value %d, want %d", got, w.newestNumber[rankedKey])
 		}
 	}
 }
@@ -210,8 +210,8 @@
 	w := newSimulation(1, 0)
 	w.daemons = w.daemons[:2]
 	reader, other := w.daemons[0], w.daemons[1]
-	other.cut = true
-	w.truth["a"], w.listed["a"] = 2, true
+	other.cutFromStore = true
+	w.newestNumber["a"], w.listed["a"] = 2, true
 	w.append("a")
 	reader.readStore()
 	other.read()
@@ -224,7 +224,7 @@
 	w.settle()
 	other.read()
 	w.check("in the end", "a")
-	if len(w.broken) > 0 {
-		t.Error(w.broken)
+	if len(w.violations) > 0 {
+		t.Error(w.violations)
 	}
 }
--- a/internal/keyed/fake_test.go
+++ b/internal/keyed/fake_test.go
@@ -90,7 +90,7 @@
 	hosts      []string // by rank
 	feeds      map[string]*Feed
 	sameDomain []string       // hosts in the failure domain of the daemon that reads
-	asked      map[string]int // calls, by host
+	calls      map[string]int // by host
 	bytes      map[string]int // of packed records in the answers, by host
 }
 
@@ -121,8 +121,8 @@
 	if err != nil {
 		err = rpc.ServerError(err.Error()) // as in a call between daemons
 	}
-	if p.asked != nil {
-		p.asked[address]++
+	if p.calls != nil {
+		p.calls[address]++
 		p.bytes[address] += len(answer.Packed)
 	}
 	return err
--- a/internal/keyed/group_test.go
+++ b/internal/keyed/group_test.go
@@ -45,15 +45,15 @@
 	return f
 }
 
-// age makes the data of all daemons an hour old.
-func (f *daemonGroup) age() {
+// makeStale makes the data of all daemons an hour old.
+func (f *daemonGroup) makeStale() {
 	for _, x := range f.followers {
 		x.state.at = x.state.at.Add(-time.Hour)
 	}
 }
 
-// set sets which stores are down and resets their read counts.
-func (f *daemonGroup) set(down func(host string) bool) {
+// setDown sets which stores are down and resets their read counts.
+func (f *daemonGroup) setDown(down func(host string) bool) {
 	for h, s := range f.stores {
 		s.set(func(s *fakeStore) { s.down, s.reads = down(h), 0 })
 	}
@@ -75,11 +75,11 @@
 func TestFewDaemonsTryAnUnavailableStore(t *testing.T) {
 	const daemons, rounds = 300, 10
 	f := newGroup(t, daemons)
-	f.age()
-	f.set(func(string) bool { return true })
+	f.makeStale()
+	f.setDown(func(string) bool { return true })
 	reads := 0
 	for range rounds {
-		f.set(func(string) bool { return true })
+		f.setDown(func(string) bool { return true })
 		reads += f.round()
 	}
 	// Five readers, and one in 60 of the others, as the failure domain has 60 daemons.
@@ -96,12 +96,12 @@
 	last := f.peers.hosts[daemons-1]
 	logger, hook := test.NewNullLogger()
 	f.followers[last].log = logrus.NewEntry(logger)
-	f.age()
-	f.set(func(string) bool { return true })
+	f.makeStale()
+	f.setDown(func(string) bool { return true })
 	for range 3 {
 		_ = f.followers[last].read(t.Context())
 	}
-	f.set(func(string) bool { return false })
+	f.setDown(func(string) bool { return false })
 	mustRead(t, f.followers[f.peers.hosts[0]])
 	mustRead(t, f.followers[last])
 	var lines []string
@@ -119,7 +119,7 @@
 func TestFewServedDaemonsSupplyAll(t *testing.T) {
 	const daemons, rounds = 300, 8
 	f := newGroup(t, daemons)
-	f.age()
+	f.makeStale()
 	served := func(h string) bool { return h > "h030" && h[3] != '1' && h[3] != '4' && h[3] != '7' }
 	for h, s := range f.stores {
 		s.put("a", "2")
--- a/internal/keyed/simulation_test.go
+++ b/internal/keyed/simulation_test.go
@@ -22,14 +22,14 @@
 // read it and each other. Each write has a number, which its value contains; writers write again
 // what was lost.
 type simulation struct {
-	rng     *rand.Rand
-	store   *fakeStore
-	daemons []*eraDaemon
-	number  int
-	truth   map[string]int  // number of the newest write, or removal, by key
-	listed  map[string]bool // keys that were not removed
-	lost    []string        // keys to be written again
-	broken  []string        // violations found
+	rng          *rand.Rand
+	store        *fakeStore
+	daemons      []*eraDaemon
+	number       int
+	newestNumber map[string]int  // number of the newest write, or removal, by key
+	listed       map[string]bool // keys that were not removed
+	lost         []string        // keys to be written again
+	violations   []string
 }
 
 // Keys of the stream. Values of rankedKey are ordered by rank, those of others by offset.
@@ -39,13 +39,13 @@
 
 // eraDaemon is one incarnation of a daemon.
 type eraDaemon struct {
-	w        *simulation
-	host     string
-	release  int // daemons of the former release neither send nor read eras
-	follower *Follower
-	seen     map[string]int // number of the newest value that was applied
-	cut      bool           // from the store
-	alone    bool           // from the other daemons
+	w            *simulation
+	host         string
+	release      int // daemons of the former release neither send nor read eras
+	follower     *Follower
+	seen         map[string]int // number of the newest value that was applied
+	cutFromStore bool
+	cutFromPeers bool
 }
 
 const (
@@ -69,7 +69,7 @@
 }
 
 func newSimulation(seed uint64, former int) *simulation {
-	w := &simulation{rng: rand.New(rand.NewPCG(seed, 0)), store: &fakeStore{era: 1}, truth: map[string]int{}, listed: map[string]bool{}}
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 0)), store: &fakeStore{era: 1}, newestNumber: map[string]int{}, listed: map[string]bool{}}
 	w.write(rankedKey)
 	for i := range 5 {
 		release := thisRelease
@@ -101,7 +101,7 @@
 // write writes the next value of a key, or removes it.
 func (w *simulation) write(key string) {
 	w.number++
-	w.truth[key] = w.number
+	w.newestNumber[key] = w.number
 	w.listed[key] = key == rankedKey || w.rng.IntN(3) > 0
 	w.append(key)
 }
@@ -112,7 +112,7 @@
 		w.store.put(key, "")
 		return
 	}
-	w.store.put(key, fmt.Sprintf("%s#%d", key, w.truth[key]))
+	w.store.put(key, fmt.Sprintf("%s#%d", key, w.newestNumber[key]))
 }
 
 // restore restores the store from an older copy and notes the lost keys, to be written again.
@@ -148,9 +148,9 @@
 	case 4, 5:
 		w.rewrite()
 	case 6:
-		d.cut = !d.cut
+		d.cutFromStore = !d.cutFromStore
 	case 7:
-		d.alone = !d.alone
+		d.cutFromPeers = !d.cutFromPeers
 	case 8:
 		if w.rng.IntN(3) == 0 { // the daemon starts again
 			i := slices.Index(w.daemons, d)
@@ -183,7 +183,7 @@
 		w.rewrite()
 	}
 	for _, d := range w.daemons {
-		d.cut, d.alone = false, false
+		d.cutFromStore, d.cutFromPeers = false, false
 	}
 	for range 4 {
 		for _, d := range w.daemons {
@@ -211,9 +211,9 @@
 			r, known := d.follower.state.records[key]
 			switch {
 			case !w.listed[key] && known && r.Value != nil:
-				w.broken = append(w.broken, fmt.Sprintf("%s: %s has %s, which was removed", when, d.host, r.Value))
-			case w.listed[key] && (r.Value == nil || valueNumber(r.Value) != w.truth[key]):
-				w.broken = append(w.broken, fmt.Sprintf("%s: %s has %q of %s, not %d", when, d.host, r.Value, key, w.truth[key]))
+				w.violations = append(w.violations, fmt.Sprintf("%s: %s has %s, which was removed", when, d.host, r.Value))
+			case w.listed[key] && (r.Value == nil || valueNumber(r.Value) != w.newestNumber[key]):
+				w.violations = append(w.violations, fmt.Sprintf("%s: %s has %q of %s, not %d", when, d.host, r.Value, key, w.newestNumber[key]))
 			}
 		}
 	}
@@ -232,7 +232,7 @@
 		}
 		n := valueNumber(r.Value)
 		if n < d.seen[key] && d.release == thisRelease {
-			d.w.broken = append(d.w.broken, fmt.Sprintf("%s: %s after %d", d.host, r.Value, d.seen[key]))
+			d.w.violations = append(d.w.violations, fmt.Sprintf("%s: %s after %d", d.host, r.Value, d.seen[key]))
 		}
 		if key == rankedKey || d.follower.state.era != platform.NoEra {
 			d.seen[key] = max(d.seen[key], n)
@@ -242,7 +242,7 @@
 
 // Newest implements platform.Keyed.
 func (d *eraDaemon) Newest(ctx context.Context, stream string) (platform.KeyedPage, error) {
-	if d.cut {
+	if d.cutFromStore {
 		return platform.KeyedPage{}, platform.ErrBusy
 	}
 	page, err := d.w.store.Newest(ctx, stream)
@@ -251,7 +251,7 @@
 
 // Since implements platform.Keyed.
 func (d *eraDaemon) Since(ctx context.Context, stream string, from int64, wait time.Duration) (platform.KeyedPage, error) {
-	if d.cut {
+	if d.cutFromStore {
 		return platform.KeyedPage{}, platform.ErrBusy
 	}
 	page, err := d.w.store.Since(ctx, stream, from, wait)
@@ -284,7 +284,7 @@
 func (d *eraDaemon) Call(_ context.Context, address, _ string, args, reply any) error {
 	i := slices.IndexFunc(d.w.daemons, func(other *eraDaemon) bool { return other.host == address })
 	other := d.w.daemons[i]
-	if d.alone || other.alone {
+	if d.cutFromPeers || other.cutFromPeers {
 		return platform.ErrBusy
 	}
 	req, answer := *args.(*SinceRequest), reply.(*SinceReply)
@@ -324,6 +324,6 @@
 	w.recoverAll()
 	w.check("before missing and doubtful keys are decided", rankedKey)
 	w.settle()
-	w.check("in the end", slices.Sorted(maps.Keys(w.truth))...)
-	return w.broken
+	w.check("in the end", slices.Sorted(maps.Keys(w.newestNumber))...)
+	return w.violations
 }
--- a/internal/keyed/tree_test.go
+++ b/internal/keyed/tree_test.go
@@ -14,7 +14,7 @@
 func newDomainGroup(t *testing.T, n int) *daemonGroup {
 	f := newGroup(t, n)
 	f.peers.sameDomain = f.peers.hosts
-	f.peers.asked, f.peers.bytes = map[string]int{}, map[string]int{}
+	f.peers.calls, f.peers.bytes = map[string]int{}, map[string]int{}
 	return f
 }
 
@@ -32,9 +32,9 @@
 func TestCallsPerDaemonAreBoundedAtAnyFleetSize(t *testing.T) {
 	for _, daemons := range []int{100, 200, 400} {
 		f := newDomainGroup(t, daemons)
-		f.set(func(string) bool { return false })
+		f.setDown(func(string) bool { return false })
 		f.round()
-		if n := maxCount(f.peers.asked); n > maxChildren+siteReaders+domainReaders {
+		if n := maxCount(f.peers.calls); n > maxChildren+siteReaders+domainReaders {
 			t.Errorf("%d daemons: one of them answers %d calls", daemons, n)
 		}
 	}
@@ -59,7 +59,7 @@
 func TestTreeRepairsItself(t *testing.T) {
 	const daemons = 200
 	f := newDomainGroup(t, daemons)
-	f.set(func(string) bool { return false })
+	f.setDown(func(string) bool { return false })
 	for i, h := range f.peers.hosts {
 		if i%3 == 1 {
 			delete(f.peers.feeds, h)
@@ -69,7 +69,7 @@
 	for _, s := range f.stores {
 		s.put("a", "2")
 	}
-	f.age()
+	f.makeStale()
 	for _, h := range f.peers.hosts {
 		if x := f.followers[h]; x != nil {
 			mustRead(t, x)
@@ -78,7 +78,7 @@
 			}
 		}
 	}
-	if n := maxCount(f.peers.asked); n > maxChildren*maxChildren {
+	if n := maxCount(f.peers.calls); n > maxChildren*maxChildren {
 		t.Errorf("one daemon answers %d calls", n)
 	}
 }
@@ -96,7 +96,7 @@
 func TestHeartbeatsAreNotSentToPeers(t *testing.T) {
 	bytes := map[int]int{}
 	for _, upstreams := range []int{100, 200, 400} {
-		peers := &fakePeers{hosts: []string{"t1", "x"}, feeds: map[string]*Feed{}, asked: map[string]int{}, bytes: map[string]int{}}
+		peers := &fakePeers{hosts: []string{"t1", "x"}, feeds: map[string]*Feed{}, calls: map[string]int{}, bytes: map[string]int{}}
 		store := &fakeStore{}
 		followers, tables := map[string]*Follower{}, map[string]*table{}
 		for _, h := range peers.hosts {
@@ -171,7 +171,7 @@
 // readers only after each of them has held its answer back.
 func TestDaemonWithStaleDataAnswersAtOnce(t *testing.T) {
 	f := newDomainGroup(t, 10)
-	f.age()
+	f.makeStale()
 	for _, h := range f.peers.hosts {
 		x := f.followers[h]
 		x.opts.PeerHold = time.Hour
@@ -198,7 +198,7 @@
 			f.peers.feeds[h] = NewFeed(h, f.peers)
 			f.peers.feeds[h].add("s", x)
 		}
-		f.set(func(string) bool { return false })
+		f.setDown(func(string) bool { return false })
 	}
 	start(time.Now(), nil)
 	if reads := f.round(); reads > 0 {
