--- a/internal/core/placement/boundary.go
+++ b/internal/core/placement/boundary.go
@@ -17,9 +17,9 @@
 // to any engine.
 //
 // Invariant: with two or more live engines the last accepts any prompt, and the first
-// none of LongSlack times the length from which prompts are long; it accepts long
-// prompts at all only while the others could not process the long work. A single
-// engine accepts any prompt.
+// only prompts shorter than LongSlack times the length from which prompts are long. The
+// first accepts long prompts only while the others could not process the long work. A
+// single engine accepts any prompt.
 type boundary struct {
 	work       Work
 	byPriority [request.NumPriorities]float64
@@ -187,14 +187,14 @@
 			return
 		}
 	}
-	b.limits = limits(&work, len(g.live), longFrom, o)
+	b.limits = computeLimits(&work, len(g.live), longFrom, o)
 	b.basis = work
 	b.longFrom = longFrom
 }
 
-// limits returns the limits in tokens of n engines, by rank. Before any work was
+// computeLimits returns the limits in tokens of n engines, by rank. Before any work was
 // offered, half of the engines accept long prompts.
-func limits(w *Work, n, longFrom int, o *Options) []int {
+func computeLimits(w *Work, n, longFrom int, o *Options) []int {
 	list := make([]int, n)
 	for i := range list {
 		list[i] = anyLength
@@ -208,8 +208,8 @@
 		if known {
 			limit = w.quantile(lowerShare(float64(i+1)/float64(n), o))
 		}
-		kept := limit < float64(longFrom) && (known || i < n/2)
-		if kept || i == 0 {
+		shortOnly := limit < float64(longFrom) && (known || i < n/2)
+		if shortOnly || i == 0 {
 			list[i] = int(min(limit, float64(longFrom)*o.LongSlack-1))
 		}
 	}
