--- a/internal/core/admission/backoff.go
+++ b/internal/core/admission/backoff.go
@@ -75,14 +75,14 @@
 	d.tokens.add(float64(cost), now, drainTimeConstant)
 }
 
-// RecordRefused counts the cost of a request that was refused and told to retry.
+// RecordRefused counts the cost of a request that was refused and is expected to be retried.
 func (d *DrainRate) RecordRefused(cost int, now time.Time) {
 	d.refused.add(float64(cost), now, drainTimeConstant)
 }
 
 // RetryBacklog returns the time over which to spread the retries of refused
-// callers: what the queued cost and that of recently refused requests take
-// together, or one second while no rate is known.
+// callers: the time to serve the queued and the recently refused requests, or one
+// second while no rate is known.
 func (d *DrainRate) RetryBacklog(queued int, now time.Time) time.Duration {
 	d.refused.decay(now, drainTimeConstant)
 	t, ok := d.DrainTime(queued+int(d.refused.sum), now)
--- a/internal/core/admission/class.go
+++ b/internal/core/admission/class.go
@@ -10,7 +10,7 @@
 	byAge list
 	now   float64 // virtual time: start tag of the entry served last
 	cost  int
-	aside []*flow // scratch of find
+	aside []*flow // reused buffer of find
 }
 
 // flow is one customer's backlog in a class. It is kept after its last entry has
@@ -32,8 +32,8 @@
 }
 
 // maxLag bounds how far, in tokens over weight, a customer may fall behind while
-// its entries find no place. Without a bound it would delay all others once they
-// do.
+// its entries cannot be placed. Without a bound it would delay all others once they
+// can.
 const maxLag = 1 << 20
 
 // push adds an entry. An empty flow starts at the virtual time, so that an idle
--- a/internal/core/admission/divide.go
+++ b/internal/core/admission/divide.go
@@ -75,7 +75,7 @@
 	own := 0
 	var weights uint64
 	for i, dv := range v.domains {
-		claims[i] = claim{floor: dv.hosts * floor, weight: weight(d.domains[i]), tie: tie(d.id, dv.hash)}
+		claims[i] = claim{floor: dv.hosts * floor, weight: weight(d.domains[i]), tieBreak: tieBreak(d.id, dv.hash)}
 		weights += claims[i].weight
 		if dv.name == v.domain {
 			own = i
@@ -93,8 +93,8 @@
 	claims := make([]claim, len(v.hosts))
 	own := 0
 	for i, h := range v.hosts {
-		claims[i] = claim{floor: min(floor, part/len(v.hosts)), tie: tie(d.id, h.hash)}
-		if !v.alone { // an isolated host takes an equal part among the last known hosts
+		claims[i] = claim{floor: min(floor, part/len(v.hosts)), tieBreak: tieBreak(d.id, h.hash)}
+		if !v.isolated { // an isolated host takes an equal part among the last known hosts
 			claims[i].weight = weight(d.hosts[i])
 		}
 		if h.Host == v.host {
@@ -106,8 +106,8 @@
 
 func hashName(name string) uint64 { return xxhash.Sum64String(name) }
 
-// tie returns the rank by which a host gets the last unit of an equal division.
+// tieBreak returns the rank by which a host gets the last unit of an equal division.
 // It depends on the node, so that the units of many nodes spread over the hosts.
-func tie(id uint32, hash uint64) uint64 {
+func tieBreak(id uint32, hash uint64) uint64 {
 	return (hash ^ uint64(id)) * 0x9e3779b97f4a7c15
 }
--- a/internal/core/admission/limiter.go
+++ b/internal/core/admission/limiter.go
@@ -48,7 +48,7 @@
 	OK         bool
 	Node       string        // node whose limit was reached
 	Limit      LimitKind     // the limit that was reached
-	RetryAfter time.Duration // estimate; zero if the request exceeds the limit by itself and never fits
+	RetryAfter time.Duration // estimate; zero if the request alone exceeds the limit and can never be admitted
 }
 
 // LimitKind is one of a node's limits.
@@ -189,9 +189,9 @@
 // is set means that this host may admit nothing.
 func (l *Limiter) Share(n Node) settings.Limits { return l.node(&n).share }
 
-// Refresh makes the limits be divided again by the digests received so far. Call
-// it once per interval, after Usage and ApplyPeers. Each node's limits are divided
-// when it is next used, so that no single call takes long.
+// Refresh divides the limits again by the digests received so far. Call it once
+// per interval, after Usage and ApplyPeers. Each node's limits are divided only when
+// the node is next used, so that no single call takes long.
 func (l *Limiter) Refresh(now time.Time) {
 	l.view.refresh(l.own, l.opts.StaleAfter, l.opts.HoldFor, now)
 	l.round++
--- a/internal/core/admission/limiter_test.go
+++ b/internal/core/admission/limiter_test.go
@@ -56,13 +56,13 @@
 		us = append(us, h.Usage(now))
 	}
 	for i, h := range s.hosts {
-		var heard []Usage
+		var received []Usage
 		for j, u := range us {
 			if s.domains[i] == s.domains[j] || linked && !sums {
-				heard = append(heard, u)
+				received = append(received, u)
 			}
 		}
-		h.ApplyPeers(heard, now)
+		h.ApplyPeers(received, now)
 		h.Refresh(now)
 	}
 	for i, h := range s.hosts {
@@ -122,7 +122,7 @@
 	}, gen.UInt64(), gen.Bool())
 }
 
-func TestAloneOrNewHostsTakeEvenParts(t *testing.T) {
+func TestIsolatedOrNewHostsTakeEvenParts(t *testing.T) {
 	n := Node{"customer", settings.Limits{RequestsInFlight: 80}}
 	l := NewLimiter(LimiterOptions{Host: "a", Domain: "hal-a", ExpectedHosts: 8})
 	if got := l.Share(n).RequestsInFlight; got != 10 {
@@ -136,7 +136,7 @@
 	}
 	l.Refresh(start.Add(time.Minute))
 	if got := l.Share(n).RequestsInFlight; got != 20 {
-		t.Errorf("cut off from its 3 peers it gets %d of 80, want 20", got)
+		t.Errorf("isolated from its 3 peers it gets %d of 80, want 20", got)
 	}
 	l.RemoveHost("hal-a", "b")
 	l.SetExpectedHosts(3)
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -81,8 +81,8 @@
 	return requests, tokens
 }
 
-// laneLimit records an entry that found no place: no entry of its lane that is at
-// least as long and no more urgent would find one either.
+// laneLimit records an entry that could not be placed: no entry of its lane that is
+// at least as long and no more urgent could be placed either.
 type laneLimit struct {
 	lane     uint64
 	tokens   int
@@ -145,18 +145,18 @@
 	return nil
 }
 
-// Pop removes and returns the first entry, in order, for which can returns true,
-// or nil if there is none. It does not call can again after that. The function
-// must be monotone: if an entry finds no place, no entry of its lane with at least
-// as many tokens and no higher priority would; can is not called for those in the
-// same Pop, nor for entries whose latest start has passed.
-func (q *Queue) Pop(can func(*Entry) bool, now time.Time) *Entry {
+// Pop removes and returns the first entry, in order, for which canPlace returns
+// true, or nil if there is none. It does not call canPlace again after that. The
+// function must be monotone: if an entry cannot be placed, neither can any entry of
+// its lane with at least as many tokens and no higher priority. It is not called for
+// those in the same Pop, nor for entries whose latest start has passed.
+func (q *Queue) Pop(canPlace func(*Entry) bool, now time.Time) *Entry {
 	q.blocked = q.blocked[:0]
-	if e := q.findAged(can, now); e != nil {
+	if e := q.findAged(canPlace, now); e != nil {
 		q.skipped = 0
 		return q.take(e)
 	}
-	if e := q.findFair(can, now); e != nil {
+	if e := q.findFair(canPlace, now); e != nil {
 		q.countSkipped(e.Priority, now)
 		return q.take(e)
 	}
@@ -241,7 +241,7 @@
 // findAged returns the oldest aged entry that fits, of the classes that strict
 // priority could starve. It returns nil until AgedEvery-1 pops have passed over
 // an aged entry.
-func (q *Queue) findAged(can func(*Entry) bool, now time.Time) *Entry {
+func (q *Queue) findAged(canPlace func(*Entry) bool, now time.Time) *Entry {
 	if q.skipped < q.opts.AgedEvery-1 {
 		return nil
 	}
@@ -255,16 +255,16 @@
 		if e == nil || !q.aged(e, now) {
 			return nil
 		}
-		if q.fits(e, can, now) {
+		if q.fits(e, canPlace, now) {
 			return e
 		}
 		*next = e.links[listByAge].next
 	}
 }
 
-func (q *Queue) findFair(can func(*Entry) bool, now time.Time) *Entry {
+func (q *Queue) findFair(canPlace func(*Entry) bool, now time.Time) *Entry {
 	for i := range q.classes {
-		if e := q.classes[i].find(func(e *Entry) bool { return q.fits(e, can, now) }); e != nil {
+		if e := q.classes[i].find(func(e *Entry) bool { return q.fits(e, canPlace, now) }); e != nil {
 			return e
 		}
 	}
@@ -284,9 +284,9 @@
 
 func (q *Queue) aged(e *Entry, now time.Time) bool { return now.Sub(e.pushed) >= q.opts.AgeAfter }
 
-// fits calls can for an entry, unless one that is no longer and no less urgent
+// fits calls canPlace for an entry, unless one that is no longer and no less urgent
 // was refused in this Pop, or its latest start has passed.
-func (q *Queue) fits(e *Entry, can func(*Entry) bool, now time.Time) bool {
+func (q *Queue) fits(e *Entry, canPlace func(*Entry) bool, now time.Time) bool {
 	if !now.Before(e.LatestStart) {
 		return false
 	}
@@ -295,7 +295,7 @@
 			return false
 		}
 	}
-	if can(e) {
+	if canPlace(e) {
 		return true
 	}
 	q.blocked = append(q.blocked, laneLimit{e.Lane, e.Tokens, e.Priority})
--- a/internal/core/admission/share.go
+++ b/internal/core/admission/share.go
@@ -8,9 +8,9 @@
 
 // claim is one host's or domain's claim on a limit.
 type claim struct {
-	floor  int    // allocated first
-	weight uint64 // share of the rest
-	tie    uint64 // decides which of two equal remainders gets the last unit
+	floor    int    // allocated first
+	weight   uint64 // share of the rest
+	tieBreak uint64 // decides which of two equal remainders gets the last unit
 }
 
 // allocate divides total among the claims: first the floors, if they fit, then the
@@ -62,7 +62,7 @@
 		order[i] = i
 	}
 	slices.SortFunc(order, func(a, b int) int {
-		return cmp.Or(cmp.Compare(rems[b], rems[a]), cmp.Compare(claims[b].tie, claims[a].tie), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(rems[b], rems[a]), cmp.Compare(claims[b].tieBreak, claims[a].tieBreak), cmp.Compare(a, b))
 	})
 	for _, i := range order[:n] {
 		out[i]++
--- a/internal/core/admission/usage.go
+++ b/internal/core/admission/usage.go
@@ -54,7 +54,7 @@
 	host, domain string
 	peers        map[digestKey]*digest
 	hosts        []*digest // of the own domain, including this host, by name
-	alone        bool      // all other hosts of the own domain are silent
+	isolated     bool      // all other hosts of the own domain are silent
 	domains      []domainView
 }
 
@@ -85,10 +85,10 @@
 
 // refresh rebuilds the view. Within the own domain a silent host is dropped,
 // because the load balancer sends its callers to the others; if all others are
-// silent they are kept, because then it is this host that is cut off. While
-// another domain is silent, the division among domains stays as it was when all
-// domains were last heard: the other side of a partition does the same, so the
-// parts still add up to the limit.
+// silent they are kept, because then it is this host that is isolated. While
+// another domain is silent, the division among domains stays as it was when none
+// was: the other side of a partition does the same, so the parts still add up to
+// the limit.
 func (v *view) refresh(own *digest, stale, hold time.Duration, now time.Time) {
 	for k, d := range v.peers {
 		if now.Sub(d.at) > hold {
@@ -96,7 +96,7 @@
 		}
 	}
 	v.refreshHosts(own, stale, now)
-	if len(v.domains) > 0 && !v.allHeard(stale, now) {
+	if len(v.domains) > 0 && !v.noneSilent(stale, now) {
 		return
 	}
 	v.refreshDomains(stale, now)
@@ -113,23 +113,23 @@
 			silent = append(silent, d)
 		}
 	}
-	v.alone = len(fresh) == 0 && len(silent) > 0
-	if v.alone {
+	v.isolated = len(fresh) == 0 && len(silent) > 0
+	if v.isolated {
 		fresh = silent
 	}
 	v.hosts = append(fresh, own)
 	slices.SortFunc(v.hosts, func(a, b *digest) int { return cmp.Compare(a.Host, b.Host) })
 }
 
-// allHeard reports whether each other known domain was heard recently and this
-// host is not isolated from the other hosts of its own domain.
-func (v *view) allHeard(stale time.Duration, now time.Time) bool {
-	heard := make(map[string]bool)
+// noneSilent reports whether a recent digest of each other known domain was received
+// and this host is not isolated from the other hosts of its own domain.
+func (v *view) noneSilent(stale time.Duration, now time.Time) bool {
+	reporting := make(map[string]bool)
 	for k, d := range v.peers {
-		heard[k.domain] = heard[k.domain] || now.Sub(d.at) <= stale
+		reporting[k.domain] = reporting[k.domain] || now.Sub(d.at) <= stale
 	}
-	for domain, ok := range heard {
-		if !ok && (domain != v.domain || v.alone) {
+	for domain, ok := range reporting {
+		if !ok && (domain != v.domain || v.isolated) {
 			return false
 		}
 	}
--- a/internal/core/claim/model_test.go
+++ b/internal/core/claim/model_test.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// tryDispatch takes the permit's transition before the first byte; the bytes may be
+// tryDispatch makes the permit's transition before the first byte; the bytes may be
 // sent any time later.
 func (w *world) tryDispatch(t *attempt) {
 	if w.mutant == dispatchesAfterRelease && t.permit.State() == Released {
--- a/internal/core/claim/permit.go
+++ b/internal/core/claim/permit.go
@@ -86,8 +86,8 @@
 	return p.transition(Claimed, Released) || p.transition(Dead, Released)
 }
 
-// Kill makes a permit Dead whose verdict did not come in time. It reports false if
-// the permit was already dispatched, released or Dead.
+// Kill makes the permit Dead when its verdict did not come in time. It reports false
+// if the permit was already dispatched, released or Dead.
 func (p *Permit) Kill() bool {
 	return p.transition(Asked, Dead) || p.transition(Claimed, Dead)
 }
--- a/internal/core/claim/replay.go
+++ b/internal/core/claim/replay.go
@@ -165,7 +165,7 @@
 	return Event{}
 }
 
-// applyMark takes from a mark since when the log is in its era.
+// applyMark sets the start of the log's era from a mark, unless it is known already.
 func (r *Replay) applyMark(at time.Time, m Mark) {
 	if r.era == 0 || m.Era != r.era || !r.eraStart.IsZero() {
 		return
--- a/internal/core/claim/verdict.go
+++ b/internal/core/claim/verdict.go
@@ -58,7 +58,7 @@
 }
 
 func (r *Replay) applyClaim(offset int64, c Claim) Event {
-	v := r.judgeRecord(c)
+	v := r.recordVerdict(c)
 	if v != Holds {
 		return Event{Kind: EventDecided, Claim: c, Offset: offset, Verdict: v}
 	}
@@ -68,10 +68,10 @@
 		e = &entry{}
 		r.entries[key] = e
 	} else if _, ok := e.find(c.ID); ok {
-		r.touch(key, e)
+		r.restartWindow(key, e)
 		return Event{} // a repeated append: the first one decides
 	}
-	v = r.judge(e, c)
+	v = r.keyVerdict(e, c)
 	ev := Event{Kind: EventDecided, Claim: c, Offset: offset, Verdict: v}
 	if v == Held || v == Conflict {
 		ev.Holder = e.currentHolder()
@@ -82,14 +82,14 @@
 		e.holder, e.offset, e.released = c, offset, false
 	}
 	e.seen = append(e.seen, seenClaim{id: c.ID, offset: offset, verdict: v})
-	r.touch(key, e)
+	r.restartWindow(key, e)
 	return ev
 }
 
-// judgeRecord returns the verdicts that depend on the record only: Expired, Late
+// recordVerdict returns the verdicts that depend on the record only: Expired, Late
 // or else Holds. A claim refused here leaves no entry, so that all replays agree
 // wherever they started.
-func (r *Replay) judgeRecord(c Claim) Verdict {
+func (r *Replay) recordVerdict(c Claim) Verdict {
 	if r.keyExpired(c.Key, r.clock) {
 		return Expired
 	}
@@ -108,10 +108,10 @@
 	return now.After(t.Add(r.o.KeyLife)) || t.After(now.Add(r.o.MaxSkew))
 }
 
-// judge returns the verdict on a claim given its key's entry. A new entry has no
+// keyVerdict returns the verdict on a claim given its key's entry. A new entry has no
 // seen claims. An uncertain claim leaves the entry without a known holder, which
 // blocks the key until the window has passed.
-func (r *Replay) judge(e *entry, c Claim) Verdict {
+func (r *Replay) keyVerdict(e *entry, c Claim) Verdict {
 	if len(e.seen) == 0 {
 		if !r.isCertainAt(r.clock) || c.LifeMs != r.o.KeyLife.Milliseconds() {
 			return Uncertain
@@ -131,9 +131,9 @@
 	return Held
 }
 
-// touch restarts the entry's window. Claims that do not hold count too, so that a
-// verdict depends only on the window before the claim.
-func (r *Replay) touch(key scopedKey, e *entry) {
+// restartWindow makes the entry's window begin now. Claims that do not hold count
+// too, so that a verdict depends only on the window before the claim.
+func (r *Replay) restartWindow(key scopedKey, e *entry) {
 	e.lastClaim = r.clock
 	r.queue = append(r.queue, expiry{key: key, at: r.clock})
 }
--- a/internal/core/ledger/actions.go
+++ b/internal/core/ledger/actions.go
@@ -61,7 +61,7 @@
 const (
 	NotOwner    Reason = "not_owner"    // this daemon does not own the engine; ask the owner
 	NotReady    Reason = "not_ready"    // the engine's books are not read yet
-	NoMemory    Reason = "no_memory"    //
+	NoMemory    Reason = "no_memory"    // the engine has too little free memory
 	KeptForGang Reason = "kept_gang"    // the free memory is kept for a gang
 	TooLarge    Reason = "too_large"    // more than the engine's whole memory
 	IDEnded     Reason = "id_ended"     // the id was released before; use a new one
--- a/internal/core/ledger/gather.go
+++ b/internal/core/ledger/gather.go
@@ -171,7 +171,7 @@
 	case awaitingMember:
 		return append(steps, g.failRound(now)...) // the answer is lost
 	default:
-		return append(steps, g.askNext(now)...)
+		return append(steps, g.requestMember(now)...)
 	}
 }
 
@@ -203,10 +203,10 @@
 	g.round++
 	g.next = 0
 	g.roundEnd = now.Add(g.opts.RoundLimit)
-	return g.askNext(now)
+	return g.requestMember(now)
 }
 
-func (g *Gatherer) askNext(now time.Time) []Step {
+func (g *Gatherer) requestMember(now time.Time) []Step {
 	g.phase = awaitingMember
 	g.wake = now.Add(g.opts.AnswerTimeout)
 	m := g.gang.Members[g.next]
@@ -228,7 +228,7 @@
 	}
 	g.next++
 	if g.next < len(g.gang.Members) {
-		return g.askNext(now)
+		return g.requestMember(now)
 	}
 	g.phase = gathered
 	return []Step{ReleaseTurn{Pool: g.gang.Pool, Gang: g.gang.Request}, Gathered{ID: req.ID}}
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -212,7 +212,7 @@
 	}
 	reply, _ := l.Renew(Renewal{Holder: Holder{Host: "h", Incarnation: "9"}, Seq: 9}, epoch)
 	if reply.Newer != "10" {
-		t.Errorf("the old incarnation was told %+v", reply)
+		t.Errorf("the old incarnation got the reply %+v", reply)
 	}
 }
 
@@ -230,12 +230,12 @@
 		t.Errorf("first claim: %d gone, %d reads of the books", gone, reads)
 	}
 	if gone, _ := renew(2, 2*time.Second); gone != 0 {
-		t.Error("gone by books older than the first claim")
+		t.Error("reported gone by books older than the first claim")
 	}
 	now := epoch.Add(3 * time.Second)
 	l.ApplyBooks(Books{Engine: "e0", Total: 1000, ReadStarted: now}, now)
 	if gone, _ := renew(3, 4*time.Second); gone != 1 {
-		t.Error("not gone by fresh books")
+		t.Error("not reported gone by books read after the claim")
 	}
 }
 
@@ -278,7 +278,7 @@
 	ask("first", 600, 1, 8*time.Second)
 	gang := ask("gang", 900, 2, 0).(Deny)
 	if gang.Reason != NoMemory || gang.RetryAfter != 8*time.Second {
-		t.Fatalf("gang was told %+v", gang)
+		t.Fatalf("the gang got the answer %+v", gang)
 	}
 	if room, _ := l.Room("e0", now); !room.ReservedUntil.Equal(now.Add(8 * time.Second)) {
 		t.Errorf("hint is %+v", room)
--- a/internal/core/order/order_test.go
+++ b/internal/core/order/order_test.go
@@ -69,7 +69,7 @@
 	w.log = append(w.log, Entry{Offset: int64(len(w.log) + 1), At: w.now, Data: b})
 }
 
-// step lets one host act and returns an error text if it must not act so.
+// step lets one host act and returns an error text if the action is not allowed.
 func (w *world) step() string {
 	w.now = w.now.Add(time.Duration(w.rnd.IntN(900)) * time.Millisecond)
 	if len(w.delayed) > 0 && w.rnd.IntN(4) == 0 {
@@ -199,7 +199,7 @@
 	}
 }
 
-// A holder that takes its lease for three times as long as it is must fail the
+// A holder that assumes three times the real length of its lease must fail the
 // property.
 func TestMutantWithoutMarginIsCaught(t *testing.T) {
 	for seed := range uint64(100) {
--- a/internal/core/settings/replay.go
+++ b/internal/core/settings/replay.go
@@ -120,9 +120,9 @@
 			return
 		}
 	}
-	if path, rival := s.overtaken(c); rival > 0 {
+	if path, priorOffset := s.overtaken(c); priorOffset > 0 {
 		v.Outcome = Overtaken
-		v.Path, v.PriorOffset, v.Base = path, rival, c.CheckedOffset
+		v.Path, v.PriorOffset, v.Base = path, priorOffset, c.CheckedOffset
 	}
 }
 
@@ -130,7 +130,7 @@
 // path, an ancestor or a descendant after the change was checked. The documents that the
 // change would apply to are then not those that it was checked against. The offset is 0 when
 // there is no such change.
-func (s *State) overtaken(c *Change) (path string, rival int64) {
+func (s *State) overtaken(c *Change) (path string, priorOffset int64) {
 	for i := len(s.history) - 1; i >= 0 && s.history[i].Offset > c.CheckedOffset; i-- {
 		h := &s.history[i]
 		if !h.Accepted() {
--- a/internal/core/settings/verdict.go
+++ b/internal/core/settings/verdict.go
@@ -20,7 +20,7 @@
 	// Stale: the state that the change was checked against is more than HistoryWindow offsets
 	// back, or does not precede the record.
 	Stale Outcome = "stale"
-	// Repeated: a change of this id was decided before, and that verdict stands.
+	// Repeated: a change of this id was decided before, and that verdict remains in effect.
 	Repeated Outcome = "repeated"
 	// Undecodable: the record could not be decoded as a change.
 	Undecodable Outcome = "undecodable"
@@ -39,7 +39,7 @@
 	Paths       []string `json:"paths"`
 	Outcome     Outcome  `json:"outcome"`
 	Path        string   `json:"path,omitempty"`  // of the edit that was refused
-	PriorOffset int64    `json:"rival,omitempty"` // offset of the earlier change that was in the way, which is also the version that it set
+	PriorOffset int64    `json:"rival,omitempty"` // offset of the earlier change that caused this outcome, which is also the version that it set
 	Base        int64    `json:"base,omitempty"`  // Base of the refused edit, or CheckedOffset of the refused change
 }
 
