--- a/internal/claims/await.go
+++ b/internal/claims/await.go
@@ -16,8 +16,8 @@
 
 var errNoAddress = merry.Sentinel("no address known for the holder's host")
 
-// Await writes to w the answer of the run that Result.Holder stands for, on this
-// host or another, and returns how it ended. The answer is whole only with
+// Await writes to w the answer of the run of Result.Holder, on this host or another,
+// and returns how it ended. The answer is whole only with
 // AnswerComplete; with any other state the bytes written so far must not be taken
 // for an answer. The error is that of w, or of the context.
 func (s *Service) Await(ctx context.Context, r Result, w io.Writer) (Ending, error) {
--- a/internal/claims/combiner.go
+++ b/internal/claims/combiner.go
@@ -39,7 +39,7 @@
 	claims         map[claim.ID]*pending
 	releases       map[int64]*pending
 	queue          []*pending
-	unconfirmed    []*pending // append failed; read for before they are queued again
+	unconfirmed    []*pending // append failed; the log is read for them before they are queued again
 	reads          int64      // started so far
 	wake           chan struct{}
 	cancelRead     context.CancelFunc // cancels the read that waits for records, nil if none does
--- a/internal/claims/faults_test.go
+++ b/internal/claims/faults_test.go
@@ -110,7 +110,7 @@
 		return err == nil && r.HoldsKey()
 	})
 	if claims, _ := s.log.records("k"); claims != 1 {
-		t.Errorf("%d claim records: one that nobody waits for was appended", claims)
+		t.Errorf("%d claim records: one whose caller no longer waits was appended", claims)
 	}
 }
 
--- a/internal/claims/follow.go
+++ b/internal/claims/follow.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// reportStats counts and logs the irregular records that the replay has met between
-// two states of its statistics.
+// reportStats counts and logs the exceptional records that the replay has applied
+// between two readings of its statistics.
 func (c *combiner) reportStats(before, after claim.Stats) {
 	if n := after.Undecodable - before.Undecodable; n > 0 {
 		undecodable.Add(int(n))
--- a/internal/claims/types.go
+++ b/internal/claims/types.go
@@ -74,8 +74,8 @@
 	DefaultMaxKeys        = 200_000
 )
 
-// Options configure a Service. Host and Incarnation must be those that the peers
-// know this host by, and Replay the same on all hosts; the rest has defaults.
+// Options configure a Service. Host and Incarnation must be those by which the peers
+// identify this host, and Replay must be the same on all hosts; the rest has defaults.
 type Options struct {
 	Host        string
 	Incarnation uint64        // of this process; a new one after each start
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -13,7 +13,7 @@
 )
 
 // OrderPool is an engine pool of this failure domain with the state that the
-// settings want its engines to have.
+// settings require of its engines.
 type OrderPool struct {
 	Name          string
 	ChecksFencing bool
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -177,7 +177,7 @@
 }
 
 // TestTwoOwnersAtOnceStayWithinMemory guards against overcommitted engines while
-// every host believes that it owns them all.
+// every host acts as the owner of all of them.
 func TestTwoOwnersAtOnceStayWithinMemory(t *testing.T) {
 	s := newSite(t, 2, 3)
 	s.mu.Lock()
--- a/internal/owner/site_test.go
+++ b/internal/owner/site_test.go
@@ -38,7 +38,7 @@
 
 	mu        sync.Mutex
 	hosts     []*testHost
-	allOwnAll bool // each host believes that it owns every engine
+	allOwnAll bool // each host acts as the owner of every engine
 }
 
 // testHost is one daemon with its owner and its front.
