--- a/internal/follow/restored.go
+++ b/internal/follow/restored.go
@@ -19,16 +19,16 @@
 )
 
 // lostChanges holds changes that were in force when the log was restored from an older copy
-// that lacks them. The settings in force before stay so until each of these changes is decided
-// again.
+// that lacks them. The settings of the earlier era stay in force until each of these changes is
+// decided again.
 type lostChanges struct {
 	before  *settings.State // the last state of the earlier era
 	changes []settings.Change
 	since   time.Time // when the new era was entered
 }
 
-// maxReappendTime bounds for how long lost changes that no host can append again keep newer
-// changes from coming into force.
+// maxReappendTime bounds how long lost changes that no host can append again delay newer
+// changes.
 const maxReappendTime = 30 * time.Second
 
 // pending reports whether there are lost changes, so that the settings of the earlier era stay in
--- a/internal/follow/snapshots.go
+++ b/internal/follow/snapshots.go
@@ -127,7 +127,7 @@
 		return err
 	}
 	if era := f.view.Load().era; page.Era != era || f.snapshots.era != era {
-		f.snapshots = snapshotCursor{era: era} // stream and settings offsets of another era are void
+		f.snapshots = snapshotCursor{era: era} // stream and settings offsets of another era do not apply
 		return nil
 	}
 	for _, r := range page.Records {
--- a/internal/front/doc.go
+++ b/internal/front/doc.go
@@ -1,5 +1,5 @@
 // Package front is the entry point for callers and operators: it parses, admits
 // and places each request and streams its answer. No other process is between a
 // caller and an upstream. The decisions are made in the core packages; this package
-// has the connections and the order of the steps.
+// manages the connections and runs the steps in order.
 package front
--- a/internal/front/place.go
+++ b/internal/front/place.go
@@ -18,8 +18,8 @@
 	}
 	for {
 		changed := g.s.opts.Router.Changed()
-		t, verdict := g.decidePlacement(ctx)
-		if verdict == nil {
+		t, failure := g.decidePlacement(ctx)
+		if failure == nil {
 			ok, refusal := g.prepare(ctx, t)
 			if refusal != nil {
 				return nil, g.correctOutcome(refusal)
@@ -28,10 +28,10 @@
 				g.s.recordDecision(g.job, g.attempt, t.decision, t.names())
 				return t, nil
 			}
-			verdict = &noPlace{wait: true}
+			failure = &placementFailure{wait: true}
 		}
-		if !verdict.wait {
-			return nil, g.correctOutcome(verdict.refusal)
+		if !failure.wait {
+			return nil, g.correctOutcome(failure.refusal)
 		}
 		select {
 		case <-changed:
@@ -104,14 +104,14 @@
 	return &changed
 }
 
-// noPlace is why a request was not placed.
-type noPlace struct {
+// placementFailure says why a request was not placed.
+type placementFailure struct {
 	wait    bool // the request may be placed later
 	refusal *request.Refusal
 }
 
 // decidePlacement has the router decide once and returns a target or why there is none.
-func (g *generation) decidePlacement(ctx context.Context) (*target, *noPlace) {
+func (g *generation) decidePlacement(ctx context.Context) (*target, *placementFailure) {
 	if verdict := g.admitSuspect(ctx); verdict != nil {
 		return nil, verdict
 	}
@@ -120,26 +120,26 @@
 	placeReq.Exclude = slices.Concat(g.exclude, blocked, g.s.barred())
 	d, err := g.s.opts.Router.Place(placeReq)
 	if err != nil {
-		return nil, &noPlace{refusal: request.Refuse(request.CodeInternal, retryElsewhere, "placement failed")}
+		return nil, &placementFailure{refusal: request.Refuse(request.CodeInternal, retryElsewhere, "placement failed")}
 	}
 	switch d.Verdict {
 	case placement.Placed:
 		return newTarget(g.job, g.attempt, d), nil
 	case placement.WaitMemory:
-		return nil, &noPlace{wait: true}
+		return nil, &placementFailure{wait: true}
 	case placement.NeedsGang:
 		return g.chooseGang(placeReq, d)
 	case placement.NeverPossible:
 		g.s.recordDecision(g.job, g.attempt, d, nil)
-		return nil, &noPlace{refusal: request.Refuse(request.CodeNeverPossible, 0,
+		return nil, &placementFailure{refusal: request.Refuse(request.CodeNeverPossible, 0,
 			"needs %d tokens of memory, at most %d can be reserved", placeReq.MemoryNeeded(), d.MemoryLimit)}
 	case placement.TooLate:
 		g.s.recordDecision(g.job, g.attempt, d, nil)
-		return nil, &noPlace{refusal: request.Refuse(request.CodeDeadline, g.s.retryAfter(g.job, d.Backlog.Drain()),
+		return nil, &placementFailure{refusal: request.Refuse(request.CodeDeadline, g.s.retryAfter(g.job, d.Backlog.Drain()),
 			"the deadline cannot be met at the present load")}
 	}
 	if len(blocked) > 0 {
-		return nil, &noPlace{wait: true}
+		return nil, &placementFailure{wait: true}
 	}
 	if len(g.exclude) > 0 {
 		// All remaining upstreams have failed this request; one may have recovered.
@@ -147,31 +147,31 @@
 		return g.decidePlacement(ctx)
 	}
 	g.s.recordDecision(g.job, g.attempt, d, nil)
-	return nil, &noPlace{refusal: request.Refuse(request.CodeNoUpstream, g.s.retryAfter(g.job, d.Backlog.Drain()),
+	return nil, &placementFailure{refusal: request.Refuse(request.CodeNoUpstream, g.s.retryAfter(g.job, d.Backlog.Drain()),
 		"no upstream of pool %s can take the request now", g.job.pool.Name)}
 }
 
-// admitSuspect has a request that is suspected of crashing engines wait for its turn for a
-// trial, under which it then runs. Other requests may be placed at once.
-func (g *generation) admitSuspect(ctx context.Context) *noPlace {
+// admitSuspect gets the trial under which a request that is suspected of crashing engines
+// must run, or returns why there is none. Other requests may be placed at once.
+func (g *generation) admitSuspect(ctx context.Context) *placementFailure {
 	trial, refusal := g.s.opts.Suspects.Admit(ctx, g.job.req.Fingerprint, g.trial, time.Until(g.job.req.Deadline))
 	g.trial = trial
 	if refusal == nil {
 		return nil
 	}
-	return &noPlace{wait: refusal.Code == request.CodeSuspect, refusal: refusal}
+	return &placementFailure{wait: refusal.Code == request.CodeSuspect, refusal: refusal}
 }
 
 // chooseGang chooses the members of a gang. The first in the order of names receives
 // the request.
-func (g *generation) chooseGang(placeReq placement.Request, d placement.Decision) (*target, *noPlace) {
+func (g *generation) chooseGang(placeReq placement.Request, d placement.Decision) (*target, *placementFailure) {
 	members := g.s.opts.Router.GangMembers(placeReq)
 	if len(members) == 0 && len(g.exclude) > 0 {
 		// The gang needs members that failed before; they may have recovered.
 		g.exclude = nil
 	}
 	if len(members) == 0 {
-		return nil, &noPlace{wait: true}
+		return nil, &placementFailure{wait: true}
 	}
 	d.Chosen = placement.Candidate{Name: members[0].Name, Address: members[0].Address, Domain: d.GangDomain}
 	t := newTarget(g.job, g.attempt, d)
--- a/internal/front/sink_test.go
+++ b/internal/front/sink_test.go
@@ -51,7 +51,7 @@
 func TestShouldRetryHeader(t *testing.T) {
 	cases := []struct {
 		refusal *request.Refusal
-		told    string
+		want    string
 	}{
 		{request.Refuse(request.CodeNoUpstream, time.Second, "x"), ""},
 		{request.Refuse(request.CodeNeverPossible, 0, "x"), "false"},
@@ -61,8 +61,8 @@
 	for _, c := range cases {
 		w := httptest.NewRecorder()
 		writeRefusal(w, "r1", c.refusal)
-		if got := w.Header().Get(headerShouldRetry); got != c.told {
-			t.Errorf("%v: %s is %q, want %q", c.refusal, headerShouldRetry, got, c.told)
+		if got := w.Header().Get(headerShouldRetry); got != c.want {
+			t.Errorf("%v: %s is %q, want %q", c.refusal, headerShouldRetry, got, c.want)
 		}
 	}
 }
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -28,8 +28,8 @@
 // held: they must be quick and must not call the Gate.
 type PoolOptions struct {
 	Queue admission.QueueOptions
-	// TryPlace reports whether the request may start now, and takes its place if
-	// so: after true the request is always admitted. Within a lane it must be
+	// TryPlace reports whether the request may start now, and if so takes a place
+	// for it: after true the request is always admitted. Within a lane it must be
 	// monotone as described at admission.Queue.Pop. Nil admits every request.
 	TryPlace func(*request.Request) bool
 	// Lane identifies the kind of capacity that the request needs. Requests that
@@ -39,9 +39,9 @@
 	// MinServiceTime returns the minimum time from start to end. A request with less
 	// time left before its deadline is refused. Nil means zero.
 	MinServiceTime func(*request.Request) time.Duration
-	// MaxPlacedWait returns the maximum wait after placement with which TryPlace still
-	// takes a place. A queued request is refused that much earlier, because it must
-	// expect this wait when a place becomes free. Nil means zero.
+	// MaxPlacedWait returns the maximum wait after placement that TryPlace accepts. A
+	// queued request is refused that much earlier, because it must expect this wait
+	// when a place becomes free. Nil means zero.
 	MaxPlacedWait func(*request.Request) time.Duration
 }
 
@@ -217,12 +217,12 @@
 // divides the limits again. It returns this host's digest, to be sent to its peers,
 // and the sum of its domain, which a gateway sends to other domains. It must be
 // called every few seconds, at an interval well under LimiterOptions.StaleAfter.
-func (g *Gate) ExchangeUsage(heard []admission.Usage) (own, domain admission.Usage) {
+func (g *Gate) ExchangeUsage(received []admission.Usage) (own, domain admission.Usage) {
 	now := g.opts.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	own = g.limiter.Usage(now)
-	g.limiter.ApplyPeers(heard, now)
+	g.limiter.ApplyPeers(received, now)
 	g.limiter.Refresh(now)
 	return own, g.limiter.DomainUsage()
 }
--- a/internal/upstream/backoff.go
+++ b/internal/upstream/backoff.go
@@ -8,8 +8,8 @@
 	"github.com/buckthorndock/buckthorndock/internal/core/notice"
 )
 
-// headerBackOff has the seconds for which an upstream wants no requests from the host
-// that it refuses. The generated API types do not expose it.
+// headerBackOff states for how many seconds an upstream asks the host that it refuses
+// to send no requests. The generated API types do not expose it.
 const headerBackOff = "Retry-After"
 
 type backOffKey struct{}
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -12,7 +12,7 @@
 type RefusedError struct {
 	Code    string // a code of the engine API
 	Message string
-	BackOff time.Duration // for which the upstream wants no requests from this host; zero if not stated
+	BackOff time.Duration // for which the upstream asks this host to send no requests; zero if not stated
 }
 
 // Error implements error.
