--- a/internal/claims/window_test.go
+++ b/internal/claims/window_test.go
@@ -112,11 +112,11 @@
 	g.add(claim.ID{1})
 	g.sweep()
 	if !g.contains(claim.ID{1}) || g.contains(claim.ID{2}) {
-		t.Error("wrong claims known")
+		t.Error("contains is wrong about a claim")
 	}
 	now = now.Add(time.Minute + 1)
 	g.sweep()
 	if g.contains(claim.ID{1}) {
-		t.Error("known beyond its window")
+		t.Error("a claim is kept beyond its window")
 	}
 }
--- a/internal/core/admission/divide.go
+++ b/internal/core/admission/divide.go
@@ -30,7 +30,7 @@
 	if limits == (settings.Limits{}) {
 		return limits
 	}
-	if v.known()*2 < expected {
+	if v.knownHosts()*2 < expected {
 		// Just started: too few digests to divide by demand.
 		return settings.Limits{
 			RequestsInFlight:     limits.RequestsInFlight / expected,
@@ -48,21 +48,21 @@
 		d.hosts[i].add(h.find(id))
 	}
 	return settings.Limits{
-		RequestsInFlight:     v.part(limits.RequestsInFlight, &d, ofRequests),
-		PromptTokensInFlight: v.part(limits.PromptTokensInFlight, &d, ofTokens),
-		TokensPerSecond:      v.part(limits.TokensPerSecond, &d, ofTokens),
+		RequestsInFlight:     v.limitShare(limits.RequestsInFlight, &d, ofRequests),
+		PromptTokensInFlight: v.limitShare(limits.PromptTokensInFlight, &d, ofTokens),
+		TokensPerSecond:      v.limitShare(limits.TokensPerSecond, &d, ofTokens),
 	}
 }
 
-// part returns this host's share of one limit, from 0 to limit. First the limit is
+// limitShare returns this host's share of one limit, from 0 to limit. First the limit is
 // divided among domains, then the own domain's part among its hosts, each time by
 // recent demand above a floor. Each host gets at least one unit if there are
 // enough.
-func (v *view) part(limit int, d *division, weight func(demand) uint64) int {
+func (v *view) limitShare(limit int, d *division, weight func(demand) uint64) int {
 	if limit <= 0 {
 		return 0
 	}
-	known := v.known()
+	known := v.knownHosts()
 	floor := int(float64(limit) * d.floor / float64(known))
 	if limit >= known {
 		floor = max(floor, 1)
--- a/internal/core/admission/usage.go
+++ b/internal/core/admission/usage.go
@@ -160,8 +160,8 @@
 	slices.SortFunc(v.domains, func(a, b domainView) int { return cmp.Compare(a.name, b.name) })
 }
 
-// known returns the number of hosts among which limits are divided.
-func (v *view) known() int {
+// knownHosts returns the number of hosts among which limits are divided.
+func (v *view) knownHosts() int {
 	n := 0
 	for _, d := range v.domains {
 		n += d.hosts
--- a/internal/core/ledger/gather_test.go
+++ b/internal/core/ledger/gather_test.go
@@ -209,7 +209,7 @@
 			return
 		}
 	}
-	t.Error("forgotten releases passed 30 runs")
+	t.Error("a Gatherer that forgets releases passed 30 runs")
 }
 
 func TestTurnsGoInOrderAndLapse(t *testing.T) {
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -94,7 +94,7 @@
 			return
 		}
 	}
-	t.Error("granting before the rebuild passed 100 runs")
+	t.Error("a ledger that grants before it has read the books passed 100 runs")
 }
 
 // A ledger that takes old books for new ones drops fresh grants and must fail.
@@ -116,7 +116,7 @@
 			}
 		}
 	}
-	t.Error("old books taken for new passed 100 runs")
+	t.Error("a ledger that takes old books for new ones passed 100 runs")
 }
 
 const tokens = 100
@@ -284,7 +284,7 @@
 		t.Errorf("hint is %+v", room)
 	}
 	if d, ok := ask("late", 300, 1, 20*time.Second).(Deny); !ok || d.Reason != KeptForGang {
-		t.Errorf("work that outlasts the gang's start got the kept room")
+		t.Errorf("work that outlasts the gang's start got the memory kept for the gang")
 	}
 	if _, ok := ask("backfill", 300, 1, 5*time.Second).(ReserveOn); !ok {
 		t.Errorf("work that ends before the gang's start was refused")
--- a/internal/core/order/lease_manager.go
+++ b/internal/core/order/lease_manager.go
@@ -67,8 +67,8 @@
 // sent at once or not at all. The replay must have caught up with the log.
 func (m *LeaseManager) Step(r *Replay, want bool, now time.Time) *Record {
 	l, known := r.Lease(m.pool)
-	mine := known && l.Holder == m.me && !l.Dropped
-	if mine {
+	isHolder := known && l.Holder == m.me && !l.Dropped
+	if isHolder {
 		m.readBack(l, now)
 	} else {
 		m.fence = 0
@@ -79,15 +79,15 @@
 		return nil
 	}
 	switch {
-	case mine && !want:
+	case isHolder && !want:
 		m.validUntil = time.Time{} // the record may reach the log at any time
 		return m.newRecord(DropRecord, l.Fence, now)
-	case mine && now.Before(m.validUntil):
+	case isHolder && now.Before(m.validUntil):
 		if now.Sub(m.lastSent) < m.opts.RenewInterval {
 			return nil
 		}
 		return m.newRecord(RenewRecord, l.Fence, now)
-	case want && (!known || mine || l.Dropped || now.Sub(m.otherSeen) >= m.opts.Lease):
+	case want && (!known || isHolder || l.Dropped || now.Sub(m.otherSeen) >= m.opts.Lease):
 		if !m.lastSent.IsZero() && now.Sub(m.lastSent) < m.opts.ReadBackTimeout {
 			return nil
 		}
--- a/internal/core/order/order_test.go
+++ b/internal/core/order/order_test.go
@@ -210,7 +210,7 @@
 			}
 		}
 	}
-	t.Error("a lease held for three times its length passed 100 runs")
+	t.Error("a holder that assumes three times the length of its lease passed 100 runs")
 }
 
 func TestNoOrdersWhileTheLogIsUnavailable(t *testing.T) {
--- a/internal/core/settings/cache.go
+++ b/internal/core/settings/cache.go
@@ -73,8 +73,8 @@
 	_, after := NewCache().Compile(edited(documents, c))
 	var findings finding.List
 	for _, f := range after {
-		touched := slices.ContainsFunc(c.Edits, func(e Edit) bool { return e.Path == f.Place.File })
-		if touched || !known[withoutLine(f)] {
+		isEdited := slices.ContainsFunc(c.Edits, func(e Edit) bool { return e.Path == f.Place.File })
+		if isEdited || !known[withoutLine(f)] {
 			findings = append(findings, f)
 		}
 	}
--- a/internal/front/admit.go
+++ b/internal/front/admit.go
@@ -58,12 +58,12 @@
 func (w *pendingJobs) remove(id string) *placement.Decision {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	wj := w.jobs[id]
+	pending := w.jobs[id]
 	delete(w.jobs, id)
-	if wj == nil {
+	if pending == nil {
 		return nil
 	}
-	return wj.decision
+	return pending.decision
 }
 
 // admit asks the gate to admit a job. It blocks while the job is queued.
@@ -86,18 +86,18 @@
 // that the next request sees it taken. Requests that can never be placed are
 // admitted too: the attempt loop refuses them.
 func (s *Server) tryPlace(req *request.Request) bool {
-	wj := s.pending.get(req.ID)
-	if wj == nil || req.Kind != request.Generate {
+	pending := s.pending.get(req.ID)
+	if pending == nil || req.Kind != request.Generate {
 		return true
 	}
-	j := wj.job
+	j := pending.job
 	placeReq := router.NewPlacementRequest(req, j.pool.Name, j.routing)
 	placeReq.Exclude = s.blocked(j)
 	d, fit, err := s.opts.Router.PlaceWithin(placeReq, maxEngineWait(j), func(d placement.Decision) placement.Placement {
 		return newPlacement(j, 1, d)
 	})
 	if err == nil && fit == router.PlaceRecorded {
-		wj.decision = &d
+		pending.decision = &d
 	}
 	return err != nil || fit != router.MustWait
 }
@@ -105,22 +105,22 @@
 // minServiceTime implements gate.PoolOptions.MinServiceTime: it returns the minimum
 // time from a request's start to its end.
 func (s *Server) minServiceTime(req *request.Request) time.Duration {
-	wj := s.pending.get(req.ID)
-	if wj == nil || req.Kind != request.Generate || !isLengthAware(wj.job) {
+	pending := s.pending.get(req.ID)
+	if pending == nil || req.Kind != request.Generate || !isLengthAware(pending.job) {
 		return 0
 	}
-	return s.opts.Router.ServiceTime(router.NewPlacementRequest(req, wj.job.pool.Name, wj.job.routing))
+	return s.opts.Router.ServiceTime(router.NewPlacementRequest(req, pending.job.pool.Name, pending.job.routing))
 }
 
 // maxPlacedWait implements gate.PoolOptions.MaxPlacedWait: it returns how long a request
 // that had to queue still waits on its engine, which has as much work as maxEngineWait
 // allows.
 func (s *Server) maxPlacedWait(req *request.Request) time.Duration {
-	wj := s.pending.get(req.ID)
-	if wj == nil || req.Kind != request.Generate || !isLengthAware(wj.job) || req.Priority == request.Urgent {
+	pending := s.pending.get(req.ID)
+	if pending == nil || req.Kind != request.Generate || !isLengthAware(pending.job) || req.Priority == request.Urgent {
 		return 0
 	}
-	return maxEngineWait(wj.job)
+	return maxEngineWait(pending.job)
 }
 
 // isLengthAware reports whether a job uses the default, length-aware policy. The
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -28,8 +28,8 @@
 
 // Read implements io.Reader.
 func (b *pacedBody) Read(p []byte) (int, error) {
-	earned := time.Duration(b.read) * time.Second / bodyMinRate
-	b.setReadDeadline(b.started.Add(bodyGrace + earned))
+	sendTime := time.Duration(b.read) * time.Second / bodyMinRate
+	b.setReadDeadline(b.started.Add(bodyGrace + sendTime))
 	n, err := b.ReadCloser.Read(p)
 	b.read += int64(n)
 	if errors.Is(err, io.EOF) {
