--- a/internal/claims/combiner.go
+++ b/internal/claims/combiner.go
@@ -213,9 +213,9 @@
 	for {
 		c.mu.Lock()
 		c.startIfStopped()
-		ready, away, changed := c.replay != nil, c.logUnavailable, c.changed
+		ready, unavailable, changed := c.replay != nil, c.logUnavailable, c.changed
 		c.mu.Unlock()
-		if ready || away {
+		if ready || unavailable {
 			return ready
 		}
 		select {
--- a/internal/core/admission/node.go
+++ b/internal/core/admission/node.go
@@ -48,13 +48,13 @@
 	r.freed *= left
 }
 
-// waitFor estimates when need units will have been released; given is the recent
+// waitFor estimates the time until need units are released; released is the recent
 // decaying sum of released units.
-func (n *node) waitFor(need, given float64, tau time.Duration) time.Duration {
-	if given <= 0 {
+func (n *node) waitFor(need, released float64, tau time.Duration) time.Duration {
+	if released <= 0 {
 		return time.Second
 	}
-	return clampWait(seconds(need * tau.Seconds() / given))
+	return clampWait(seconds(need * tau.Seconds() / released))
 }
 
 // idle reports whether the node can be dropped without losing state.
--- a/internal/core/admission/usage.go
+++ b/internal/core/admission/usage.go
@@ -58,8 +58,8 @@
 	domains      []domainView
 }
 
-// domainView is one failure domain in the division of limits. While any domain is
-// silent the list is not rebuilt: see refresh.
+// domainView is one failure domain in the division of limits. The list is kept while
+// another domain is silent or this host is isolated: see refresh.
 type domainView struct {
 	name  string
 	hash  uint64
@@ -86,8 +86,8 @@
 // refresh rebuilds the view. Within the own domain a silent host is dropped,
 // because the load balancer sends its callers to the others; if all others are
 // silent they are kept, because then it is this host that is isolated. While
-// another domain is silent, the division among domains stays as it was when none
-// was: the other side of a partition does the same, so the parts still add up to
+// another domain is silent or this host is isolated, the division among domains is
+// kept: the other side of a partition does the same, so the parts still add up to
 // the limit.
 func (v *view) refresh(own *digest, stale, hold time.Duration, now time.Time) {
 	for k, d := range v.peers {
--- a/internal/core/order/lease_manager.go
+++ b/internal/core/order/lease_manager.go
@@ -34,7 +34,7 @@
 // are by the host's own clock.
 type LeaseManager struct {
 	opts          Options
-	me            Holder
+	self          Holder
 	pool          string
 	checksFencing bool          // the pool's engines check fencing
 	longestOrder  time.Duration // longest time until an order has taken effect
@@ -50,10 +50,10 @@
 
 // NewLeaseManager returns the LeaseManager of a host for a pool's lease. newID
 // must return ids that are never reused.
-func NewLeaseManager(opts Options, me Holder, pool string, checksFencing bool, longestOrder time.Duration, newID func() string) *LeaseManager {
+func NewLeaseManager(opts Options, self Holder, pool string, checksFencing bool, longestOrder time.Duration, newID func() string) *LeaseManager {
 	return &LeaseManager{
 		opts:          opts.WithDefaults(),
-		me:            me,
+		self:          self,
 		pool:          pool,
 		checksFencing: checksFencing,
 		longestOrder:  longestOrder,
@@ -67,7 +67,7 @@
 // sent at once or not at all. The replay must have caught up with the log.
 func (m *LeaseManager) Step(r *Replay, want bool, now time.Time) *Record {
 	l, known := r.Lease(m.pool)
-	isHolder := known && l.Holder == m.me && !l.Dropped
+	isHolder := known && l.Holder == m.self && !l.Dropped
 	if isHolder {
 		m.readBack(l, now)
 	} else {
@@ -111,7 +111,7 @@
 	if m.fence != l.Fence {
 		m.fence = l.Fence
 		m.validUntil = time.Time{}
-		if !m.checksFencing && l.Previous != m.me {
+		if !m.checksFencing && l.Previous != m.self {
 			m.notBefore = now.Add(m.opts.Lease + m.longestOrder)
 		}
 	}
@@ -134,7 +134,7 @@
 }
 
 func (m *LeaseManager) newRecord(kind RecordKind, fence int64, now time.Time) *Record {
-	rec := &Record{Kind: kind, ID: m.newID(), Pool: m.pool, Holder: m.me, Fence: fence}
+	rec := &Record{Kind: kind, ID: m.newID(), Pool: m.pool, Holder: m.self, Fence: fence}
 	m.sent[rec.ID] = now
 	m.lastSent = now
 	return rec
--- a/internal/daemon/hosts.go
+++ b/internal/daemon/hosts.go
@@ -17,7 +17,8 @@
 	// last list, at some 110 bytes per host. maxListInterval limits the product.
 	listIntervalPerHost = 40 * time.Millisecond
 	maxListInterval     = time.Minute
-	// maxListAge is the age up to which a host that the list lacks counts as gone.
+	// maxListAge is the greatest age of a list by which a host that it lacks counts as
+	// gone.
 	maxListAge = 2 * time.Minute
 )
 
--- a/internal/front/joined.go
+++ b/internal/front/joined.go
@@ -47,7 +47,7 @@
 func (s *Server) runJoinable(ctx context.Context, j *job, t *join.Ticket, run runFunc) *request.Refusal {
 	j.recording = t.Answer
 	j.neededWithoutCaller = t.HasReaders
-	wanted, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() {
 		if !t.HasReaders() {
@@ -55,7 +55,7 @@
 		}
 	})
 	defer stop()
-	refusal := s.runAdmitted(wanted, j, run)
+	refusal := s.runAdmitted(runCtx, j, run)
 	if refusal != nil {
 		t.Finish(claims.Ending{State: claims.AnswerFailed, Code: refusal.Code, Message: refusal.Message})
 		return refusal
--- a/internal/front/place.go
+++ b/internal/front/place.go
@@ -112,8 +112,8 @@
 
 // decidePlacement has the router decide once and returns a target or why there is none.
 func (g *generation) decidePlacement(ctx context.Context) (*target, *placementFailure) {
-	if verdict := g.admitSuspect(ctx); verdict != nil {
-		return nil, verdict
+	if failure := g.admitSuspect(ctx); failure != nil {
+		return nil, failure
 	}
 	blocked := g.s.blocked(g.job)
 	placeReq := router.NewPlacementRequest(g.job.req, g.job.pool.Name, g.job.routing)
