--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -94,7 +94,7 @@
 			return
 		}
 	}
-	t.Error("granting before the rebuild passed 100 runs")
+	t.Error("a ledger that grants before it has read the books passed 100 runs")
 }
 
 // A ledger that takes old books for new ones drops fresh grants and must fail.
@@ -116,7 +116,7 @@
 			}
 		}
 	}
-	t.Error("old books taken for new passed 100 runs")
+	t.Error("a ledger that takes old books for new ones passed 100 runs")
 }
 
 const tokens = 100
@@ -212,7 +212,7 @@
 	}
 	reply, _ := l.Renew(Renewal{Holder: Holder{Host: "h", Incarnation: "9"}, Seq: 9}, epoch)
 	if reply.Newer != "10" {
-		t.Errorf("the old incarnation was told %+v", reply)
+		t.Errorf("the old incarnation got the reply %+v", reply)
 	}
 }
 
@@ -230,12 +230,12 @@
 		t.Errorf("first claim: %d gone, %d reads of the books", gone, reads)
 	}
 	if gone, _ := renew(2, 2*time.Second); gone != 0 {
-		t.Error("gone by books older than the first claim")
+		t.Error("reported gone by books older than the first claim")
 	}
 	now := epoch.Add(3 * time.Second)
 	l.ApplyBooks(Books{Engine: "e0", Total: 1000, ReadStarted: now}, now)
 	if gone, _ := renew(3, 4*time.Second); gone != 1 {
-		t.Error("not gone by fresh books")
+		t.Error("not reported gone by books read after the claim")
 	}
 }
 
@@ -278,13 +278,13 @@
 	ask("first", 600, 1, 8*time.Second)
 	gang := ask("gang", 900, 2, 0).(Deny)
 	if gang.Reason != NoMemory || gang.RetryAfter != 8*time.Second {
-		t.Fatalf("gang was told %+v", gang)
+		t.Fatalf("the gang got the answer %+v", gang)
 	}
 	if room, _ := l.Room("e0", now); !room.ReservedUntil.Equal(now.Add(8 * time.Second)) {
 		t.Errorf("hint is %+v", room)
 	}
 	if d, ok := ask("late", 300, 1, 20*time.Second).(Deny); !ok || d.Reason != KeptForGang {
-		t.Errorf("work that outlasts the gang's start got the kept room")
+		t.Errorf("work that outlasts the gang's start got the memory kept for the gang")
 	}
 	if _, ok := ask("backfill", 300, 1, 5*time.Second).(ReserveOn); !ok {
 		t.Errorf("work that ends before the gang's start was refused")
--- a/internal/core/order/lease_manager.go
+++ b/internal/core/order/lease_manager.go
@@ -34,7 +34,7 @@
 // are by the host's own clock.
 type LeaseManager struct {
 	opts          Options
-	me            Holder
+	self          Holder
 	pool          string
 	checksFencing bool          // the pool's engines check fencing
 	longestOrder  time.Duration // longest time until an order has taken effect
@@ -50,10 +50,10 @@
 
 // NewLeaseManager returns the LeaseManager of a host for a pool's lease. newID
 // must return ids that are never reused.
-func NewLeaseManager(opts Options, me Holder, pool string, checksFencing bool, longestOrder time.Duration, newID func() string) *LeaseManager {
+func NewLeaseManager(opts Options, self Holder, pool string, checksFencing bool, longestOrder time.Duration, newID func() string) *LeaseManager {
 	return &LeaseManager{
 		opts:          opts.WithDefaults(),
-		me:            me,
+		self:          self,
 		pool:          pool,
 		checksFencing: checksFencing,
 		longestOrder:  longestOrder,
@@ -67,8 +67,8 @@
 // sent at once or not at all. The replay must have caught up with the log.
 func (m *LeaseManager) Step(r *Replay, want bool, now time.Time) *Record {
 	l, known := r.Lease(m.pool)
-	mine := known && l.Holder == m.me && !l.Dropped
-	if mine {
+	isHolder := known && l.Holder == m.self && !l.Dropped
+	if isHolder {
 		m.readBack(l, now)
 	} else {
 		m.fence = 0
@@ -79,15 +79,15 @@
 		return nil
 	}
 	switch {
-	case mine && !want:
+	case isHolder && !want:
 		m.validUntil = time.Time{} // the record may reach the log at any time
 		return m.newRecord(DropRecord, l.Fence, now)
-	case mine && now.Before(m.validUntil):
+	case isHolder && now.Before(m.validUntil):
 		if now.Sub(m.lastSent) < m.opts.RenewInterval {
 			return nil
 		}
 		return m.newRecord(RenewRecord, l.Fence, now)
-	case want && (!known || mine || l.Dropped || now.Sub(m.otherSeen) >= m.opts.Lease):
+	case want && (!known || isHolder || l.Dropped || now.Sub(m.otherSeen) >= m.opts.Lease):
 		if !m.lastSent.IsZero() && now.Sub(m.lastSent) < m.opts.ReadBackTimeout {
 			return nil
 		}
@@ -111,7 +111,7 @@
 	if m.fence != l.Fence {
 		m.fence = l.Fence
 		m.validUntil = time.Time{}
-		if !m.checksFencing && l.Previous != m.me {
+		if !m.checksFencing && l.Previous != m.self {
 			m.notBefore = now.Add(m.opts.Lease + m.longestOrder)
 		}
 	}
@@ -134,7 +134,7 @@
 }
 
 func (m *LeaseManager) newRecord(kind RecordKind, fence int64, now time.Time) *Record {
-	rec := &Record{Kind: kind, ID: m.newID(), Pool: m.pool, Holder: m.me, Fence: fence}
+	rec := &Record{Kind: kind, ID: m.newID(), Pool: m.pool, Holder: m.self, Fence: fence}
 	m.sent[rec.ID] = now
 	m.lastSent = now
 	return rec
