--- a/internal/core/booking/book.go
+++ b/internal/core/booking/book.go
@@ -189,7 +189,7 @@
 
 // Bounds of what counts as a short prompt.
 const (
-	// pauseMargin is kept free of the pause that a decode tolerates, for the network
+	// pauseMargin is subtracted from the pause that a decode tolerates, for the network
 	// latency to the caller and the lag of the book.
 	pauseMargin = 20 * time.Millisecond
 	// minShortPrefill is a prefill time that is short whatever the gap objectives are.
--- a/internal/core/booking/displace.go
+++ b/internal/core/booking/displace.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Displaced is an attempt that a long part makes late on the engine where it decodes, and that
-// would be in time on another engine.
+// Displaced is an attempt that the prefill of a long part makes late on the engine where it
+// decodes, and that would be in time on another engine.
 type Displaced struct {
 	Host    string
 	Attempt string
 }
 
-// Displace returns the attempts that are to leave the engines of a booked one now, for the
-// prefill of its parts is about to start there. It enters nothing in the book: each attempt is
-// planned again by Place.
+// Displace returns the attempts to move away from the engines of a booked attempt, because the
+// prefill of its parts is about to start there. It leaves no new plans in the book: Place plans
+// each attempt again.
 //
-// The prefill of a short prompt can be repeated in a fraction of the pause that it would have, so
-// its answer stays in time.
+// Prefilling a short prompt again on another engine takes a fraction of the pause that its decode
+// would have here, so its answer stays in time.
 func (b *Book) Displace(attempt string, now time.Time) []Displaced {
 	x := b.entries[attempt]
 	if x == nil || x.hasFirst || !x.long {
@@ -56,7 +56,7 @@
 	}
 }
 
-// makesLate reports whether the part makes a decode on the engine late.
+// makesLate reports whether the prefill of the booked part makes a decode on the engine late.
 func (d *displacement) makesLate(w *entry, e *engine) bool {
 	l := e.loadAt(d.now, d.service.MinGap)
 	return w.req.Gap > 0 && d.cause.plan.Read > w.req.Gap-l.passTime()-pauseMargin
--- a/internal/core/booking/engine.go
+++ b/internal/core/booking/engine.go
@@ -103,8 +103,8 @@
 type load struct {
 	engine        *engine
 	turnWait      time.Duration // until a request may be sent here
-	freeAt        time.Time     // when it may be sent to and all long parts booked here are prefilled
-	runningLong   time.Duration // left of the long part that is being prefilled
+	freeAt        time.Time     // when a request may be sent here and all long parts booked here are prefilled
+	runningLong   time.Duration // remaining time of the long part that is being prefilled
 	bookedLong    time.Duration // the longest long part that is booked and not started
 	shortPrefill  time.Duration // prefill time of the short prompts without a first event
 	decodes       []decodeRequest
--- a/internal/core/booking/long.go
+++ b/internal/core/booking/long.go
@@ -9,28 +9,28 @@
 // Bounds and weights of the choice of engines for a long prompt. Costs are in units of
 // Request.value.
 const (
-	// onTimeShare is the share of the time left that is planned with, for engines may be
-	// slower than their figures.
+	// onTimeShare is the share of the objective within which the first event must be expected
+	// to count as in time, because engines may be slower than their figures.
 	onTimeShare = 0.85
 	// sendLead is how long before the engines are free the request is sent, for the
 	// network latency.
 	sendLead = 5 * time.Millisecond
-	// idleCost is the value that an engine earns in a second otherwise, with prompts of
-	// about 200,000 tokens.
+	// idleCost is the cost per second of an engine that is idle until the others are free: the
+	// value that it would earn with prompts of about 200,000 tokens.
 	idleCost = 13.0
 	// waitCost ranks engines by when they are free, per second.
 	waitCost = 30.0
 	// slowCost prefers the earlier of two choices that are in time; it is the share of the
 	// value that using all of the time left costs.
 	slowCost = 0.2
-	// yieldFactor is how many times the expected time must be left for a late prompt to yield
-	// to those in time.
+	// yieldFactor is the multiple of the expected time that must be left before the deadline
+	// for a late prompt to yield to those in time.
 	yieldFactor = 1.5
 	// otherDomainCostLong is the cost of a part in another failure domain: a cut between the
 	// domains ends its prefill.
 	otherDomainCostLong = 1.0
-	// postponeBy is how much later a prompt that makes others late must still be in time
-	// for it to yield: two of the pauses after which its daemon asks again.
+	// postponeBy is the delay after which a prompt that makes others late must still be in
+	// time itself to yield to them: two of the pauses after which its daemon asks again.
 	postponeBy = 200 * time.Millisecond
 )
 
@@ -40,7 +40,7 @@
 	start        time.Time
 	prefill      time.Duration // time of a part
 	cost         float64
-	delayCost    float64 // share of the cost that others bear
+	delayCost    float64 // part of cost: the value lost by delaying other requests
 	late         bool
 	delaysOthers bool // makes other requests late
 }
@@ -48,9 +48,9 @@
 func (c *choice) end() time.Time { return c.start.Add(c.prefill) }
 
 // planLong takes the choice with the lowest cost, for the prompt itself and for the
-// decodes on the engines. A prompt that will be late anyway yields to those in time: it is
-// prefilled as soon as engines are free, and books none ahead until it must. One that is in
-// time but makes others late yields as well, as long as it stays in time.
+// decodes on the engines. A prompt that will be late anyway yields to those in time: it waits
+// for free engines, and books busy ones only when little time is left. One that is in time but
+// makes others late yields as well, as long as it stays in time.
 func (t *placement) planLong(prefill time.Duration) Plan {
 	best := t.cheapest(prefill)
 	if best == nil {
--- a/internal/core/booking/place.go
+++ b/internal/core/booking/place.go
@@ -20,8 +20,8 @@
 // Place plans an attempt and enters the plan; this book plans for all daemons.
 func (b *Book) Place(a Request, now time.Time) Plan { return b.place(a, false, now) }
 
-// PlaceUncoordinated is Place while other books may plan too. It leaves engines with limits to
-// them.
+// PlaceUncoordinated is Place while other books may plan too. It books no engines with limits,
+// because the other books may send requests there.
 func (b *Book) PlaceUncoordinated(a Request, now time.Time) Plan { return b.place(a, true, now) }
 
 func (b *Book) place(a Request, uncoordinated bool, now time.Time) Plan {
@@ -62,9 +62,8 @@
 	return p
 }
 
-// collectLoads fills in the loads of the usable engines. With all, which is the second try when
-// no other engine is left, it includes engines that fail or were tried before; onlyFailing
-// reports that.
+// collectLoads fills in the loads of the usable engines. If there are none, it calls itself with
+// all set, which includes engines that fail or were tried before; onlyFailing reports that.
 func (t *placement) collectLoads(all bool) (onlyFailing bool) {
 	t.loads = t.loads[:0]
 	for _, e := range t.book.packOrder {
--- a/internal/core/booking/types.go
+++ b/internal/core/booking/types.go
@@ -20,7 +20,7 @@
 	Left      time.Duration // until the deadline
 	Exclude   []string      // engines that earlier attempts have ruled out
 	Avoid     []string      // engines that the daemon has found failing
-	Barred    []string      // engines that told the daemon to send them nothing
+	Barred    []string      // engines that have reported to the daemon that they take no requests now
 	// Begun says that the caller has a part of the answer. The attempt is neither refused nor
 	// made to yield: that would cut the answer off.
 	Begun bool
--- a/internal/core/pace/pacer.go
+++ b/internal/core/pace/pacer.go
@@ -40,7 +40,7 @@
 	next  time.Time // the earliest turn; in the past while unused turns remain
 }
 
-// ColdLimit is the limit of a cold upstream; it ends by itself.
+// ColdLimit is the limit of a cold upstream. It expires at Until.
 type ColdLimit struct {
 	Upstream  string  // ID of the incarnation
 	PerSecond float64 // requests from all hosts together
@@ -53,7 +53,7 @@
 // SetShare sets the share of the limits that is given out.
 func (p *Pacer) SetShare(share float64) { p.share = share }
 
-// SetLimit takes in a limit that a host reports. Of two reports the one with the later time holds.
+// SetLimit takes in a limit that a host reports, unless a later report of it is known.
 func (p *Pacer) SetLimit(l notice.Limit, now time.Time) {
 	u := p.upstreams[l.Upstream]
 	switch {
@@ -74,8 +74,8 @@
 }
 
 // SetCold takes in that an upstream is cold, and until when; a time in the past says that it is
-// warm. The turns that it got while it was taken for warm are not known, so the next one is an
-// interval from now.
+// warm. The requests sent to it while it counted as warm are not known here, so the next turn is
+// an interval from now.
 func (p *Pacer) SetCold(c ColdLimit, now time.Time) {
 	u := p.upstreams[c.Upstream]
 	if u == nil {
--- a/internal/relay/engine.go
+++ b/internal/relay/engine.go
@@ -45,8 +45,8 @@
 	return g.relay.opts.Host + "/" + g.req.ID + "/" + strconv.Itoa(g.attempt)
 }
 
-// ask describes the next attempt to the planner.
-func (g *run) ask() booking.Request {
+// nextBookingRequest returns the request to the planner for the next attempt.
+func (g *run) nextBookingRequest() booking.Request {
 	r := g.req
 	expected := r.MaxTokens
 	if usual := r.Service.Engine.UsualAnswer; usual > 0 {
@@ -84,7 +84,7 @@
 		if refusal := g.cutOffRefusal(); refusal != nil && !g.headSent {
 			return booking.Plan{}, refusal
 		}
-		p := g.relay.opts.Planner.Place(ctx, g.ask())
+		p := g.relay.opts.Planner.Place(ctx, g.nextBookingRequest())
 		g.plansAsked++
 		g.lastPlan = p
 		g.verdict = p.Verdict.String() + "/" + string(p.Reason)
@@ -219,7 +219,7 @@
 		}
 		return e
 	}
-	e.blamed = g.blame(e, p)
+	e.blamed = g.enginesAtFault(e, p)
 	e.unreached = e.end == retry.NotWritten
 	if !errors.Is(e.err, errDisplaced) {
 		g.relay.noteFailures(e.blamed, e.end)
@@ -227,9 +227,9 @@
 	return e
 }
 
-// blame returns the IDs of the engines at fault: the one that the answer names, else the one
+// enginesAtFault returns the IDs of the engines at fault: the one that the answer names, else the one
 // that was asked.
-func (g *run) blame(e attemptResult, p booking.Plan) []string {
+func (g *run) enginesAtFault(e attemptResult, p booking.Plan) []string {
 	for _, part := range p.Parts {
 		if e.faultyAddress != "" && part.Address == e.faultyAddress {
 			return []string{part.Upstream}
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -18,7 +18,7 @@
 type NoticeFunc func(upstream string, n notice.Notice, sent time.Time)
 
 // Listeners are called when upstreams report limits or that they are cold, so that the
-// planner of all daemons learns of it.
+// planner of all daemons can take that into account.
 type Listeners struct {
 	OnLimit func(notice.Limit)
 	// OnCold is called with the time for which an upstream says that it stays cold. It may
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -30,8 +30,8 @@
 	DaemonAddresses func(domain string) []string
 	// Upstreams returns the current list of upstreams.
 	Upstreams func() *fleet.Snapshot
-	// OnIdentified is called with an upstream that shares its address with others: itself
-	// tells whether it answered, or another upstream at that address did.
+	// OnIdentified is called after an answer from an address that several upstreams share.
+	// u is the upstream that was asked; itself says whether u answered or another one did.
 	OnIdentified func(u fleet.Upstream, itself bool)
 	// OnDomainReached is called when a failure domain that was cut off can be reached again.
 	// It may be nil.
@@ -68,7 +68,7 @@
 	budgets map[string]*budget // by service
 }
 
-// Times for which failing upstreams are avoided. A server that restarts is away for some
+// Times for which failing upstreams are avoided. A restarting server is down for some
 // seconds, and each attempt at it costs a request its objective, while a false alarm should
 // cost little capacity.
 const (
@@ -97,8 +97,8 @@
 }
 
 // Run carries a request to its end. It returns nil if the answer was delivered whole.
-// Otherwise the refusal is what the caller is to be told or, if part of an answer has been
-// passed on, why it was cut short.
+// Otherwise it returns the refusal to send to the caller or, if part of an answer has been
+// passed on, the reason why it was cut short.
 func (r *Relay) Run(ctx context.Context, req *Request, sink Sink) *request.Refusal {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
--- a/internal/schedule/limits.go
+++ b/internal/schedule/limits.go
@@ -43,7 +43,7 @@
 	s.book.Pacer().SetLimit(notice.Limit{Upstream: l.Upstream, Limited: l.Limited, PerSecond: l.PerSecond, At: now.Add(-l.Age)}, now)
 }
 
-// ReportCold reports to the keeper that an upstream is cold by its own notice.
+// ReportCold reports to the keeper that an upstream is cold according to its own notice.
 func (s *Service) ReportCold(c pace.ColdLimit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,8 +56,8 @@
 	return &Cold{Upstream: c.Upstream, PerSecond: c.PerSecond, Left: c.Until.Sub(now)}
 }
 
-// recordCold takes in that an upstream is cold by another daemon's report: of two reports the one
-// that ends later holds. The caller holds the lock.
+// recordCold takes in another daemon's report that an upstream is cold, unless the known cold
+// period ends later. The caller holds the lock.
 func (s *Service) recordCold(c *Cold, now time.Time) {
 	until := now.Add(c.Left)
 	if known, ok := s.book.Pacer().ColdLimit(c.Upstream, now); ok && known.Until.After(until) {
--- a/internal/schedule/service.go
+++ b/internal/schedule/service.go
@@ -31,8 +31,8 @@
 	Host        string
 	Incarnation uint64
 	Peers       Peers
-	// BehindCut reports whether a daemon is taken to be unreachable behind a cut. It may be
-	// nil.
+	// BehindCut reports whether a daemon counts as unreachable because of a network cut. It
+	// may be nil.
 	BehindCut func(host string) bool
 	// OnNoAnswer is called with the host of a daemon that did not answer. It may be nil.
 	OnNoAnswer func(host string)
@@ -62,7 +62,7 @@
 	// dropClientAfter is the silence after which a daemon without open attempts is dropped: it
 	// sends nothing while it has none.
 	dropClientAfter = time.Minute
-	// calledWithin is how long after a call of another daemon this one counts as a keeper in
+	// calledWithin is how long after a call by another daemon this one counts as a keeper in
 	// use.
 	calledWithin = 10 * time.Second
 )
@@ -91,7 +91,7 @@
 	bookedAt      map[string]time.Time            // when own attempts were booked
 	events        []Event
 	clients       map[string]client    // daemons that call this one, by host
-	listedCold    map[string]time.Time // until when upstreams are cold by the list, by ID
+	listedCold    map[string]time.Time // by ID: until when an upstream is cold according to the list
 	silent        *silentHosts
 	keeper        string // host of the present keeper; empty: this one
 	uncoordinated bool   // those that rank before this one are silent, and no other daemon calls it
@@ -123,7 +123,8 @@
 	}
 }
 
-// Apply replaces the services, the list of upstreams, and which of these are cold by the list.
+// Apply replaces the services, the list of upstreams, and which of these are cold according to
+// the list.
 func (s *Service) Apply(services []booking.Service, list *fleet.Snapshot, cold []pace.ColdLimit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,7 +205,7 @@
 		s.log.WithFields(logrus.Fields{"keeper": host, "former": s.keeper, "open": len(s.open)}).Info("keeper_changed")
 		s.keeper = host
 		s.needsRestore = remote && len(s.open)+len(s.limitMessages(now)) > 0
-		s.signal() // the new keeper is to get the open attempts at once
+		s.requestFlush() // the new keeper is to get the open attempts at once
 	}
 	return m, remote
 }
@@ -236,7 +237,7 @@
 	if reply.Unknown || s.restoring {
 		// A RestoreRequest under way lacks this attempt and replaces what the keeper has.
 		s.needsRestore = true
-		s.signal()
+		s.requestFlush()
 	}
 	if reply.Plan.Verdict == booking.NoEngine {
 		// A keeper that has just started may not have the list of upstreams yet.
@@ -329,10 +330,10 @@
 		return
 	}
 	s.events = append(s.events, e)
-	s.signal()
+	s.requestFlush()
 }
 
-func (s *Service) signal() {
+func (s *Service) requestFlush() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
