--- a/internal/core/membership/exchange.go
+++ b/internal/core/membership/exchange.go
@@ -222,9 +222,9 @@
 	return out
 }
 
-func (m *Members) leavePush(address, domain string, left []*entry) Outgoing {
+func (m *Members) leavePush(address, domain string, leaving []*entry) Outgoing {
 	p := &Push{From: m.self.id}
-	for _, e := range left {
+	for _, e := range leaving {
 		if !m.mayShare(e, domain) {
 			continue
 		}
--- a/internal/core/membership/tick.go
+++ b/internal/core/membership/tick.go
@@ -18,7 +18,8 @@
 const (
 	leaveFanout = 3 // number of hosts that each host passes a leave on to
 	// publishFanout is the number of hosts that each host passes new sections on to. About one
-	// host in a hundred is missed and gets them by an exchange, which is rare in such domains.
+	// host in a hundred is missed and gets them by an exchange, which is rare in the large
+	// domains where sections are pushed.
 	publishFanout = 5
 	// maxPushedEntries is the number of hosts up to which their new sections are pushed.
 	maxPushedEntries = 8
@@ -183,7 +184,7 @@
 }
 
 // isNear reports whether a host is near this one. A host that does not publish the LocalitySection
-// section counts as far.
+// counts as far.
 func (m *Members) isNear(e *entry) bool {
 	if m.cfg.LocalitySection == "" {
 		return true
@@ -288,28 +289,28 @@
 // silentAddresses returns the addresses of this domain or of unknown domains from
 // which no host is heard. Gateways handle the other known domains.
 func (m *Members) silentAddresses() []string {
-	heard := make(map[string]bool, len(m.order))
+	seen := make(map[string]bool, len(m.order))
 	var silent []string
 	for _, e := range m.order {
 		if e == m.self || m.reachable(e) {
-			heard[e.id.Address] = true
+			seen[e.id.Address] = true
 			continue
 		}
 		if m.isLocal(e) {
-			heard[e.id.Address] = true
+			seen[e.id.Address] = true
 			silent = append(silent, e.id.Address)
 		}
 	}
 	for _, c := range m.sortedContacts() {
 		elsewhere := m.domains[c.domain] && c.domain != m.self.id.Domain
-		if !heard[c.address] && !elsewhere {
-			heard[c.address] = true
+		if !seen[c.address] && !elsewhere {
+			seen[c.address] = true
 			silent = append(silent, c.address)
 		}
 	}
 	for _, address := range m.hints[m.self.id.Domain] {
-		if !heard[address] {
-			heard[address] = true
+		if !seen[address] {
+			seen[address] = true
 			silent = append(silent, address)
 		}
 	}
--- a/internal/core/quarantine/digest.go
+++ b/internal/core/quarantine/digest.go
@@ -30,8 +30,8 @@
 type RefusedDigest struct {
 	Fingerprint uint64
 	Left        time.Duration // until the refusal ends
-	// Derived refusals follow from trials and records, from which hosts of this release derive
-	// them too; hosts of earlier releases store them like the others.
+	// Derived says that the refusal follows from trials and records. Hosts of this release
+	// derive it themselves; hosts of earlier releases store it like the others.
 	Derived bool
 }
 
@@ -186,5 +186,5 @@
 	}
 }
 
-// ForgetHost drops the holds of a peer, for one that has left or is silent.
+// ForgetHost drops the holds of a peer that has left or is silent.
 func (t *Tracker) ForgetHost(host string) { delete(t.peerHolds, host) }
--- a/internal/core/quarantine/doc.go
+++ b/internal/core/quarantine/doc.go
@@ -20,9 +20,9 @@
 //     others cause beside it, because each record keeps its cause; except one
 //     that has used up its trials beside such causes;
 //   - a request that crashes every engine does so at most CrashThreshold+1 times,
-//     not counting copies that ran at the same time before the first crash, where
-//     only fingerprints that never return died beside it; otherwise at most
-//     MaxTrialSends times more than before hosts knew of CrashThreshold crashes.
+//     not counting copies that ran at the same time before the first crash, if
+//     none of the fingerprints beside it in its crashes ever returns; otherwise at
+//     most MaxTrialSends times after hosts know of CrashThreshold crashes.
 //
 // An engine that dies for another reason is evidence against whatever ran on it:
 // to be refused wrongly, a request must be in CrashThreshold deaths before it
--- a/internal/core/quarantine/tracker.go
+++ b/internal/core/quarantine/tracker.go
@@ -142,7 +142,7 @@
 	if len(rs) < t.opts.CrashThreshold {
 		return Suspect
 	}
-	if _, condemned := t.provedByTrialUntil(fingerprint, now); condemned {
+	if _, proved := t.provedByTrialUntil(fingerprint, now); proved {
 		return t.noteDerivedRefusal(fingerprint)
 	}
 	proved, settled := t.evaluateRecords(rs, now)
@@ -272,8 +272,8 @@
 	}
 }
 
-// EndBroken ends a run that broke off as it would if its engine had died, while it is not known
-// whether it has. EngineDied within brokenRunTTL counts the run as evidence; EngineAlive drops it.
+// EndBroken ends a run that broke off, possibly because its engine died. EngineDied within
+// brokenRunTTL counts the run as evidence; EngineAlive drops it.
 func (t *Tracker) EndBroken(r Run, now time.Time) {
 	if broke, ok := t.runs[r]; ok {
 		t.brokenRuns[broke.engine] = append(t.brokenRuns[broke.engine], brokenRun{broke, now})
@@ -295,7 +295,7 @@
 // EngineAlive records that an engine has not died.
 func (t *Tracker) EngineAlive(engine string) { delete(t.brokenRuns, engine) }
 
-// HasBrokenRuns reports whether an engine has broken runs and its state is not known since.
+// HasBrokenRuns reports whether an engine has broken runs and has not been found alive or dead since.
 func (t *Tracker) HasBrokenRuns(engine string) bool { return len(t.brokenRuns[engine]) > 0 }
 
 func (t *Tracker) removeRun(r Run, engine string) {
--- a/internal/core/quarantine/trials.go
+++ b/internal/core/quarantine/trials.go
@@ -10,7 +10,7 @@
 // Bounds of the trials of one fingerprint.
 const (
 	// MaxTrials is the number of trials in which a fingerprint may run without completing. Deaths
-	// beside a fingerprint in as many deaths are not counted.
+	// shared with another fingerprint that is in at least as many deaths are not counted.
 	MaxTrials = 2
 	// MaxTrialSends is the number of trials whose request may have reached an upstream.
 	MaxTrialSends = 3
@@ -238,8 +238,9 @@
 
 // provedByTrialUntil returns the end of a fingerprint's refusal when an upstream died while it ran
 // under trial, and every other open fingerprint of that record has been in no other death. If one
-// of them were the cause, it would be in other deaths by now or soon, which ends the refusal.
-func (t *Tracker) provedByTrialUntil(fingerprint uint64, now time.Time) (until time.Time, condemned bool) {
+// of them were the cause, it would be in other deaths by now, or soon will be, and then the refusal
+// ends.
+func (t *Tracker) provedByTrialUntil(fingerprint uint64, now time.Time) (until time.Time, proved bool) {
 	rs := t.openRecords[fingerprint]
 	if len(rs) < t.opts.CrashThreshold {
 		return time.Time{}, false
--- a/internal/core/reach/reach.go
+++ b/internal/core/reach/reach.go
@@ -69,9 +69,9 @@
 	return true
 }
 
-// DueProbes returns the domains to probe now: those that are cut, and those of streaming, the
-// domains that are sending answers, that are silent. EndProbe or DiscardProbe must follow for
-// each.
+// DueProbes returns the domains to probe now: those that are cut, and those in streaming that are
+// silent. streaming lists the domains that are sending answers. EndProbe or DiscardProbe must
+// follow for each.
 func (t *Tracker) DueProbes(streaming []string, now time.Time) []string {
 	var due []string
 	for domain, w := range t.paths {
@@ -92,9 +92,9 @@
 // be dead.
 const minTried = 2
 
-// EndProbe takes in the result of a probe. A probe with too few connections changes nothing, for
-// in a domain with a single upstream its failure and a cut look the same; neither does one
-// during which the domain was active: the upstreams that were tried are dead.
+// EndProbe takes in the result of a probe. A probe with too few connections finds no cut,
+// because in a domain with a single upstream its failure and a cut look the same; neither does
+// one during which the domain was active: the upstreams that were tried are dead.
 func (t *Tracker) EndProbe(domain string, r ProbeResult, now time.Time) Change {
 	w := t.path(domain)
 	w.probing = false
--- a/internal/suspects/sync.go
+++ b/internal/suspects/sync.go
@@ -31,9 +31,9 @@
 	readTimeout  = 2 * time.Second
 	writeTimeout = time.Second
 	// syncInterval is the minimum time between two reads, or between two writes that are not
-	// urgent. syncIntervalPerHost, for each daemon, is added to the time between reads and is the
-	// minimum between any writes, because all daemons read what one writes. A death is urgent: its
-	// evidence is lost if the daemon is killed next.
+	// urgent. syncIntervalPerHost times the number of daemons is added to the time between reads
+	// and is the minimum time between any two writes, because all daemons read what one writes. A
+	// death is urgent: its evidence is lost if the daemon is killed next.
 	syncInterval        = time.Second
 	syncIntervalPerHost = 2 * time.Millisecond
 	// staleAfter is the age from which any daemon that starts removes a record; each daemon
--- a/internal/suspects/trial.go
+++ b/internal/suspects/trial.go
@@ -91,7 +91,7 @@
 }
 
 // Admit decides whether a request may be placed now. It returns a trial if the request may run only
-// under that, a refusal if it must wait or is refused, and neither if it may run like any other. A
+// under one, a refusal if it must wait or is refused, and neither if it may run like any other. A
 // request of standing Isolate runs one copy at a time among all daemons, in the store's order. The
 // trial that the request already has, nil if none, is returned again unless its request was sent.
 // life is the time that the request has left.
