--- a/internal/core/booking/cold_test.go
+++ b/internal/core/booking/cold_test.go
@@ -21,8 +21,8 @@
 	b.SetUpstreams(list)
 }
 
-// TestEvacuatedEnginesGetNothing: not as helpers of long prompts, and not as the last resort
-// where all others are ruled out.
+// TestEvacuatedEnginesGetNothing guards against plans on evacuated engines, as helpers of long
+// prompts or as the last resort where all others are ruled out.
 func TestEvacuatedEnginesGetNothing(t *testing.T) {
 	for _, prompt := range []int{1000, 100_000, 800_000} {
 		b := newBook(4)
--- a/internal/core/booking/displace_test.go
+++ b/internal/core/booking/displace_test.go
@@ -22,7 +22,7 @@
 	return on
 }
 
-// fillOther books n decodes of short prompts on another engine than one.
+// fillOther books n decodes of short prompts on an engine other than the given one.
 func fillOther(b *Book, than Part, n int) {
 	for _, e := range b.packOrder {
 		if e.up.ID == than.Upstream {
--- a/internal/core/booking/limits_test.go
+++ b/internal/core/booking/limits_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestBarredEngineIsNotTakenAsLastResort guards against plans on engines that have told the daemon
-// that they are leaving or in a back-off, when all others fail or are gone.
+// TestBarredEngineIsNotTakenAsLastResort guards against plans on engines that have reported that
+// they are leaving or in a back-off, when all others fail or are gone.
 func TestBarredEngineIsNotTakenAsLastResort(t *testing.T) {
 	b := newBook(2)
 	a := newRequest("a", 1000)
--- a/internal/core/booking/load_test.go
+++ b/internal/core/booking/load_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// play runs the model with the load, once for each of the first seeds.
-func (l modelLoad) play(seeds int) []result {
+// simulate runs the model with the load, once for each of the first seeds.
+func (l modelLoad) simulate(seeds int) []result {
 	results := make([]result, seeds)
 	var wg sync.WaitGroup
 	for i := range results {
@@ -99,7 +99,7 @@
 // can wait do so, and the largest tenth, which needs the most engines at once, is not worse off.
 func TestChangeFromShortToLongPrompts(t *testing.T) {
 	paused, largest := 0, 0.0
-	results := modelLoads()[0].play(3)
+	results := modelLoads()[0].simulate(3)
 	for _, r := range results {
 		paused += r.paused
 		largest += r.largest.share() / float64(len(results))
@@ -119,7 +119,7 @@
 	for _, l := range modelLoads() {
 		b.Run(l.name, func(b *testing.B) {
 			for b.Loop() {
-				results := l.play(8)
+				results := l.simulate(8)
 				n := float64(len(results))
 				var value, largest, paused, refused, lost float64
 				for _, r := range results {
--- a/internal/core/booking/model_test.go
+++ b/internal/core/booking/model_test.go
@@ -20,7 +20,7 @@
 	// yieldPause and fullPause are the pauses of daemons between two tries to place a request.
 	yieldPause = 100 * time.Millisecond
 	fullPause  = 50 * time.Millisecond
-	// minReturn and maxReturn bound the time after which a refused caller is told to retry.
+	// minReturn and maxReturn bound the time after which a refused caller retries.
 	minReturn = 200 * time.Millisecond
 	maxReturn = 2 * time.Second
 	// modelMoves is the maximum number of moves of a stream.
@@ -191,7 +191,7 @@
 	}
 }
 
-// refuse lets a caller retry once, after the time that it is told.
+// refuse lets a caller retry once, after the backlog of its plan within bounds.
 func (m *model) refuse(c *call, p Plan) {
 	if c.returned {
 		c.state, c.refused = ended, true
--- a/internal/core/quarantine/site_property_test.go
+++ b/internal/core/quarantine/site_property_test.go
@@ -11,8 +11,8 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// lateSends returns how often connected hosts sent a work to an engine after all of them had to
-// know the deaths that it caused.
+// lateSends returns how often connected hosts sent a request to an engine after all of them should
+// have known the deaths that it caused.
 func (s *site) lateSends(w *work) int {
 	deaths := s.deaths[w.fingerprint]
 	if len(deaths) < knownDeaths {
--- a/internal/core/quarantine/site_test.go
+++ b/internal/core/quarantine/site_test.go
@@ -215,15 +215,15 @@
 		if h.oldRelease {
 			s.place(host, w, "")
 		} else if h.loaded && !h.storeUnreachable && h.EvaluateTrial("", w.fingerprint, now) == TrialGranted && len(h.pendingTrials) == 0 {
-			s.ask(h, w)
+			s.requestTrial(h, w)
 		}
 	default:
 		s.place(host, w, "")
 	}
 }
 
-// ask writes a trial to the store. The write may arrive late.
-func (s *site) ask(h *siteHost, w *work) {
+// requestTrial writes a trial to the store. The write may arrive late.
+func (s *site) requestTrial(h *siteHost, w *work) {
 	h.trials++
 	id := fmt.Sprintf("%s/%d/%d", h.name, h.incarnation, h.trials)
 	h.pendingTrials = append(h.pendingTrials, pendingTrial{w, id, s.now})
--- a/internal/relay/displace_test.go
+++ b/internal/relay/displace_test.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// playDisplaced runs one stream that is displaced repeatedly at drawn events, on engines
+// runDisplaced runs one stream that is displaced repeatedly at drawn events, on engines
 // some of which break off, with a drawn number of attempts and of repeats.
-func playDisplaced(t *testing.T, seed uint64) error {
+func runDisplaced(t *testing.T, seed uint64) error {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 9))
 	req := streamRequest(true)
@@ -100,7 +100,7 @@
 	props := gopter.NewProperties(params)
 	props.Property("events once and in order, attempts and repeats bounded", prop.ForAll(
 		func(seed uint64) (bool, error) {
-			err := playDisplaced(t, seed)
+			err := runDisplaced(t, seed)
 			return err == nil, err
 		}, gen.UInt64()))
 	props.TestingRun(t)
--- a/internal/relay/resets_test.go
+++ b/internal/relay/resets_test.go
@@ -65,7 +65,7 @@
 	return answerFrom(200, strings.NewReader(s.whole(a)))(ctx, a)
 }
 
-// whole returns the rest of the answer after what the caller has.
+// whole returns the part of the answer that the caller does not have yet.
 func (s *resets) whole(a Attempt) string {
 	if !s.stream {
 		return "whole"
@@ -106,8 +106,8 @@
 	return plans
 }
 
-// playResets runs one request under drawn resets.
-func playResets(t *testing.T, seed uint64) (*fixture, *resets, *Request, *recordingSink, *request.Refusal) {
+// runWithResets runs one request under drawn resets.
+func runWithResets(t *testing.T, seed uint64) (*fixture, *resets, *Request, *recordingSink, *request.Refusal) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
 	r := resetRequest(rng)
@@ -161,7 +161,7 @@
 	props := gopter.NewProperties(params)
 	props.Property("runs are bounded, refusals true, answers whole", prop.ForAll(
 		func(seed uint64) (bool, error) {
-			err := checkResets(playResets(t, seed))
+			err := checkResets(runWithResets(t, seed))
 			return err == nil, err
 		}, gen.UInt64()))
 	props.TestingRun(t)
