--- a/test/soak/callers_test.go
+++ b/test/soak/callers_test.go
@@ -15,36 +15,36 @@
 	"github.com/buckthorndock/buckthorndock/platform/standin"
 )
 
-// Kinds of requests, which are the first part of their paths.
+// Kinds of requests, each the first part of the path.
 const (
-	kindOnce   = "once"
-	kindAgain  = "again"
-	kindStream = "stream"
+	kindOnce   = "once"   // must run at most once
+	kindAgain  = "again"  // may be repeated
+	kindStream = "stream" // generation at an engine, as a stream of events
 )
 
-// callerDeadline is what callers state. They themselves wait for much longer, so that a
-// hang shows as one.
+// callerDeadline is the deadline that callers state. They wait for much longer (callerPatience), so
+// that a hang is seen as one.
 const (
 	callerDeadline = 3 * time.Second
 	callerPatience = 60 * time.Second
 	callerPause    = 40 * time.Millisecond // mean, between two requests of one caller
-	leaveAfter     = 400 * time.Millisecond
+	abandonAfter   = 400 * time.Millisecond
 )
 
-// outcome is what a caller saw of one request.
+// outcome is the result of one request as its caller saw it.
 type outcome struct {
 	id, kind, daemon string
 	incarnation      int64 // of the daemon
-	key              int   // version whose key it bore
+	key              int   // settings version whose key it used
 	sent, done       time.Time
 	status           int
 	retryAfter       string
 	own              bool // the body is the server's own and whole
 	failed           error
-	left             bool // the caller left on purpose
+	abandoned        bool // the caller disconnected on purpose
 }
 
-// caller sends requests to one daemon over connections that it keeps open.
+// caller sends requests to one daemon over keep-alive connections.
 type caller struct {
 	rig    *rig
 	d      *daemon
@@ -62,28 +62,28 @@
 	}
 }
 
-// run sends requests until the context ends; the last is waited for.
+// run sends requests until the context ends, and waits for the last one.
 func (c *caller) run(ctx context.Context, all *sync.WaitGroup) {
 	defer all.Done()
 	for ctx.Err() == nil {
-		version := c.rig.history.newest()
+		version := c.rig.history.newestVersion()
 		switch n := c.rng.IntN(100); {
 		case n < 6:
-			c.leave()
+			c.abandon()
 		case n < 14: // the newest key, or one that no daemon with new settings allows
 			c.send(kindOnce, "", version-2*c.rng.IntN(2))
 		case n < 45:
-			c.send(kindOnce, c.work(), version-1)
+			c.send(kindOnce, c.workQuery(), version-1)
 		case n < 70:
-			c.send(kindAgain, c.work(), version-1)
+			c.send(kindAgain, c.workQuery(), version-1)
 		default:
-			c.send(kindStream, "stream=1&"+c.work(), version-1)
+			c.send(kindStream, "stream=1&"+c.workQuery(), version-1)
 		}
 		time.Sleep(time.Duration(c.rng.ExpFloat64() * float64(callerPause)))
 	}
 }
 
-func (c *caller) work() string { return "work=" + strconv.Itoa(c.rng.IntN(60)) }
+func (c *caller) workQuery() string { return "work=" + strconv.Itoa(c.rng.IntN(60)) }
 
 func (c *caller) request(ctx context.Context, kind, query string, keyOf int) (*http.Request, string) {
 	c.count++
@@ -94,11 +94,11 @@
 		panic(err)
 	}
 	req.Host = "h"
-	call := standin.Call{ID: id, Key: key(keyOf), Timeout: callerDeadline}
+	call := standin.Call{ID: id, Key: apiKey(keyOf), Timeout: callerDeadline}
 	if kind == kindStream {
 		call.PromptTokens, call.MaxTokens, call.PromptPart = 2000, 100, c.rng.Uint32()
 		if c.rng.IntN(4) == 0 {
-			call.PromptTokens = 200_000 // is read by several engines
+			call.PromptTokens = 200_000 // prefill is split over several engines
 		}
 	}
 	if strings.Contains(query, "endless") {
@@ -108,28 +108,28 @@
 	return req, body
 }
 
-func (c *caller) begin(id, kind string, keyOf int) outcome {
+func (c *caller) newOutcome(id, kind string, keyOf int) outcome {
 	return outcome{id: id, kind: kind, daemon: c.d.name, incarnation: c.d.starts.Load(), key: keyOf, sent: time.Now()}
 }
 
-// send sends one request and notes what came of it.
+// send sends one request and records and returns its outcome.
 func (c *caller) send(kind, query string, keyOf int) outcome {
 	req, body := c.request(context.Background(), kind, query, keyOf)
-	o := c.begin(standin.ID(req.Header), kind, keyOf)
+	o := c.newOutcome(standin.ID(req.Header), kind, keyOf)
 	res, err := c.client.Do(req)
 	if err == nil {
 		o.status, o.retryAfter = res.StatusCode, res.Header.Get("Retry-After")
 		var text []byte
 		text, err = io.ReadAll(res.Body)
 		res.Body.Close()
-		o.own = standin.HasProof(res.Header) && string(text) == wanted(kind, o.id, body)
+		o.own = standin.HasProof(res.Header) && string(text) == expectedBody(kind, o.id, body)
 	}
 	o.failed, o.done = err, time.Now()
-	c.rig.history.add(o)
+	c.rig.history.addOutcome(o)
 	return o
 }
 
-func wanted(kind, id, body string) string {
+func expectedBody(kind, id, body string) string {
 	if kind != kindStream {
 		return ownAnswer(id, body)
 	}
@@ -140,19 +140,19 @@
 	return all.String()
 }
 
-// leave begins a long stream and goes away in its middle.
-func (c *caller) leave() {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveAfter)
+// abandon starts a long stream and disconnects before its end.
+func (c *caller) abandon() {
+	ctx, cancel := context.WithTimeout(context.Background(), abandonAfter)
 	defer cancel()
-	req, _ := c.request(ctx, kindStream, "stream=endless", c.rig.history.newest()-1)
-	o := c.begin(standin.ID(req.Header), kindStream, 0)
+	req, _ := c.request(ctx, kindStream, "stream=endless", c.rig.history.newestVersion()-1)
+	o := c.newOutcome(standin.ID(req.Header), kindStream, 0)
 	res, err := c.client.Do(req)
 	if err == nil {
 		_, err = io.Copy(io.Discard, res.Body)
 		res.Body.Close()
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		o.left, o.done = true, time.Now()
-		c.rig.history.add(o)
+		o.abandoned, o.done = true, time.Now()
+		c.rig.history.addOutcome(o)
 	}
 }
--- a/test/soak/checks_test.go
+++ b/test/soak/checks_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Settings of the site that the checks know.
+// Settings of the site that the checks use.
 const (
 	grace       = 6 * time.Second
 	retryRatio  = 0.2
@@ -17,49 +17,49 @@
 	maxAttempts = 2
 )
 
-// slack is how much longer than its grace a leaving daemon may take before it counts as
-// stuck. It is far over all that a busy machine adds.
-const slack = 15 * time.Second
+// stopMargin is how much longer than its grace a leaving daemon may take before it counts as
+// stuck. It is far more than a busy machine adds.
+const stopMargin = 15 * time.Second
 
 // Margins of the checks.
 const (
-	lateBy     = 3 * time.Second // an answer after its request's deadline
-	calmBefore = 3 * time.Second // a trouble still counts this long after its end
-	leaveKnown = 3 * time.Second // from a server's word to the last new request to it
-	workEnds   = 3 * time.Second // from a caller's leaving to the end of its work
+	deadlineMargin = 3 * time.Second // of an answer after its request's deadline
+	aftermath      = 3 * time.Second // how long after its end a disruption still excuses failures
+	leavingDelay   = 3 * time.Second // from a server's report that it leaves to the last new request to it
+	cancelDelay    = 3 * time.Second // from a caller's disconnect to the end of its work
 )
 
-// span is the time of one trouble of one target.
+// span is the period of one disruption of one target.
 type span struct {
 	target, kind string
 	from, to     time.Time // to is zero while it lasts
 }
 
-// run is one run of a request at a server.
+// run is one execution of a request at a server.
 type run struct {
 	server  string
 	at, end time.Time
 	whole   bool
 }
 
-// history is all that callers and servers have seen, and what was done to the site.
+// history records what callers and servers have seen, and the disruptions of the site.
 type history struct {
-	mu        sync.Mutex
-	outcomes  []outcome
-	runs      map[string][]run
-	spans     []*span
-	left      map[string]time.Time // when a server's leaving was in the store
-	limits    []limit
-	said      map[string]time.Time // since when a server's answers say that it leaves
-	turned    []turned
-	domains   map[string]string      // failure domain of each server
-	crashes   map[string][]time.Time // when servers ended under a request, by its id
-	deadly    map[string]string      // daemons that requests of a crash site went to, by their ids
-	evacuated []evacuation
-	colds     []coldTime
-	version   int
-	written   map[int]time.Time // versions of the settings
-	findings  []finding
+	mu             sync.Mutex
+	outcomes       []outcome
+	runs           map[string][]run
+	spans          []*span
+	leavingInStore map[string]time.Time // when the entry with a server's leaving was written to the store
+	limits         []limit
+	leavingAnswers map[string]time.Time // since when a server's answers say that it leaves
+	turned         []turnedAway
+	domains        map[string]string      // failure domain of each server
+	crashes        map[string][]time.Time // when servers crashed while running a request, by its id
+	daemonOf       map[string]string      // daemons that requests of a crash site went to, by request id
+	evacuated      []evacuation
+	colds          []coldPeriod
+	version        int
+	written        map[int]time.Time // when, by version of the settings
+	findings       []finding
 }
 
 // finding is a broken promise.
@@ -68,10 +68,10 @@
 func (f finding) String() string { return f.check + ": " + f.text }
 
 func newHistory() *history {
-	return &history{runs: map[string][]run{}, left: map[string]time.Time{}, said: map[string]time.Time{}, domains: map[string]string{}, crashes: map[string][]time.Time{}, deadly: map[string]string{}, written: map[int]time.Time{}}
+	return &history{runs: map[string][]run{}, leavingInStore: map[string]time.Time{}, leavingAnswers: map[string]time.Time{}, domains: map[string]string{}, crashes: map[string][]time.Time{}, daemonOf: map[string]string{}, written: map[int]time.Time{}}
 }
 
-func (h *history) add(o outcome) {
+func (h *history) addOutcome(o outcome) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.outcomes = append(h.outcomes, o)
@@ -92,29 +92,29 @@
 	}
 }
 
-func (h *history) publish(version int) {
+func (h *history) recordSettings(version int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.version = version
 	h.written[version] = time.Now()
 }
 
-func (h *history) newest() int {
+func (h *history) newestVersion() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.version
 }
 
-// returns notes that a server starts again under its id: what its former life has said is
-// over.
-func (h *history) returns(id string) {
+// recordRestart records that a server restarts under its id: what its former incarnation has
+// announced no longer holds.
+func (h *history) recordRestart(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.left, id)
-	delete(h.said, id)
+	delete(h.leavingInStore, id)
+	delete(h.leavingAnswers, id)
 	now := time.Now()
 	h.endLimit(id, now)
-	h.warm(id, now)
+	h.endCold(id, now)
 	for i, t := range h.turned {
 		if t.server == id {
 			h.turned[i].span = min(t.span, now.Sub(t.at))
@@ -122,13 +122,13 @@
 	}
 }
 
-func (h *history) leaves(id string) {
+func (h *history) recordLeavingInStore(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.left[id] = time.Now()
+	h.leavingInStore[id] = time.Now()
 }
 
-func (h *history) trouble(target, kind string) *span {
+func (h *history) beginDisruption(target, kind string) *span {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := &span{target: target, kind: kind, from: time.Now()}
@@ -136,19 +136,19 @@
 	return s
 }
 
-func (h *history) over(s *span) {
+func (h *history) endDisruption(s *span) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s.to = time.Now()
 }
 
-func (h *history) find(check, format string, args ...any) {
+func (h *history) addFinding(check, format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.findings = append(h.findings, finding{check, fmt.Sprintf(format, args...)})
 }
 
-// idle returns which of the servers have run nothing since a time.
+// idle returns those of the servers that have run nothing since a time.
 func (h *history) idle(servers []string, since time.Time) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -162,12 +162,12 @@
 	return servers
 }
 
-// summary counts what happened, so that a reader sees that enough did.
+// summary returns counts of what happened, so that a reader sees that the run was not idle.
 func (h *history) summary() string {
 	byStatus, runs, repeats, failed, left := map[int]int{}, 0, 0, 0, 0
 	for _, o := range h.outcomes {
 		switch {
-		case o.left:
+		case o.abandoned:
 			left++
 		case o.failed != nil:
 			failed++
@@ -181,26 +181,28 @@
 		len(h.outcomes), byStatus, failed, left, runs, repeats)
 }
 
-// troubled tells if a trouble that is not planned touched a target that match accepts
-// in a span of time, or shortly before it.
-func (h *history) troubled(from, to time.Time, match func(target string) bool) bool {
+// disrupted reports whether an unplanned disruption affected a target that match accepts, in a
+// span of time or at most aftermath before it.
+func (h *history) disrupted(from, to time.Time, match func(target string) bool) bool {
 	for _, s := range h.spans {
 		switch s.kind {
-		case stopDaemon, reloadDaemon, rollServer, newSettings, limitServer, turnAway, evacuateDomain, coolServer:
+		case stopDaemon, reloadDaemon, rollServer, newSettings, limitServer, turnAway, evacuateDomain, coldServer:
 			continue
 		}
-		if match(s.target) && s.from.Before(to) && (s.to.IsZero() || s.to.Add(calmBefore).After(from)) {
+		if match(s.target) && s.from.Before(to) && (s.to.IsZero() || s.to.Add(aftermath).After(from)) {
 			return true
 		}
 	}
 	return false
 }
 
-func is(name string) func(string) bool { return func(target string) bool { return target == name } }
-func anyTarget(string) bool            { return true }
+func targetIs(name string) func(string) bool {
+	return func(target string) bool { return target == name }
+}
+func anyTarget(string) bool { return true }
 
-// check appends the promises that the history breaks.
-func (h *history) check() []finding {
+// checkAll returns the findings of the run and the promises that the history breaks.
+func (h *history) checkAll() []finding {
 	h.mu.Lock()
 	found := slices.Clone(h.findings)
 	h.mu.Unlock()
@@ -208,35 +210,35 @@
 		found = append(found, finding{check, fmt.Sprintf(format, args...)})
 	}
 	for _, o := range h.outcomes {
-		if o.left {
-			h.checkLeft(o, add)
+		if o.abandoned {
+			h.checkAbandoned(o, add)
 			continue
 		}
 		h.checkRuns(o, add)
 		h.checkAnswer(o, add)
-		h.checkTime(o, add)
+		h.checkDeadline(o, add)
 	}
 	h.checkSettings(add)
 	h.checkInForce(add)
 	h.checkLeaving(add)
 	h.checkBudget(add)
 	h.checkLimits(add)
-	h.checkSaid(add)
-	h.checkTurned(add)
+	h.checkLeavingAnswers(add)
+	h.checkTurnedAway(add)
 	h.checkEvacuated(add)
 	h.checkCold(add)
 	h.checkCrashes(add)
 	return found
 }
 
-type adder func(check, format string, args ...any)
+type findingFunc func(check, format string, args ...any)
 
-func (h *history) checkRuns(o outcome, add adder) {
+func (h *history) checkRuns(o outcome, add findingFunc) {
 	runs := h.runs[o.id]
 	if o.kind == kindOnce && len(runs) > 1 {
 		add("at most once", "%s ran %d times", o.id, len(runs))
 	}
-	if len(runs) > maxAttempts && !h.troubled(o.sent, o.done, anyTarget) {
+	if len(runs) > maxAttempts && !h.disrupted(o.sent, o.done, anyTarget) {
 		add("no more attempts than allowed", "%s ran %d times", o.id, len(runs))
 	}
 	switch o.status {
@@ -247,45 +249,46 @@
 	}
 }
 
-func (h *history) checkAnswer(o outcome, add adder) {
+func (h *history) checkAnswer(o outcome, add findingFunc) {
 	if o.status == http.StatusOK && o.failed == nil && !o.own {
-		add("the own, whole answer", "%s got another body", o.id)
+		add("the own, whole answer", "%s got a body that is not its own or not whole", o.id)
 	}
 	refused := o.status == http.StatusTooManyRequests || o.status == http.StatusServiceUnavailable
 	if refused && o.retryAfter == "" {
 		add("a refusal says when to come back", "%s got %d", o.id, o.status)
 	}
-	// A stream can be cut by its server; nothing else is cut on a sound daemon.
-	broken := is(o.daemon)
+	// A server may cut a stream; nothing else is cut at a healthy daemon.
+	broken := targetIs(o.daemon)
 	if o.kind == kindStream {
 		broken = anyTarget
 	}
-	if o.failed != nil && len(h.runs[o.id]) > 0 && !h.troubled(o.sent, o.done, broken) {
+	if o.failed != nil && len(h.runs[o.id]) > 0 && !h.disrupted(o.sent, o.done, broken) {
 		add("planned work cuts nothing", "%s: %v", o.id, o.failed)
 	}
 }
 
-func (h *history) checkTime(o outcome, add adder) {
-	if took := o.done.Sub(o.sent); took > callerDeadline+lateBy && !h.troubled(o.sent, o.done, is(o.daemon)) {
+func (h *history) checkDeadline(o outcome, add findingFunc) {
+	if took := o.done.Sub(o.sent); took > callerDeadline+deadlineMargin && !h.disrupted(o.sent, o.done, targetIs(o.daemon)) {
 		add("an answer in time", "%s took %s", o.id, took)
 	}
 }
 
-// checkLeft looks at requests whose callers left: their work ends soon after.
-func (h *history) checkLeft(o outcome, add adder) {
+// checkAbandoned checks that the work of a request whose caller has disconnected ends within
+// cancelDelay.
+func (h *history) checkAbandoned(o outcome, add findingFunc) {
 	for _, r := range h.runs[o.id] {
-		if h.troubled(o.sent, o.done.Add(workEnds), anyTarget) {
+		if h.disrupted(o.sent, o.done.Add(cancelDelay), anyTarget) {
 			continue
 		}
-		if r.end.IsZero() || r.end.Sub(o.done) > workEnds {
+		if r.end.IsZero() || r.end.Sub(o.done) > cancelDelay {
 			add("work ends when the caller leaves", "%s at %s until %s after", o.id, r.server, r.end.Sub(o.done))
 		}
 	}
 }
 
-// checkSettings: an incarnation that has served a key serves none that the settings
-// with that key had dropped.
-func (h *history) checkSettings(add adder) {
+// checkSettings checks that an incarnation of a daemon that has served a key serves none that the
+// settings with that key had removed.
+func (h *history) checkSettings(add findingFunc) {
 	type incarnation struct {
 		daemon string
 		start  int64
@@ -294,37 +297,37 @@
 	byDone := slices.Clone(h.outcomes)
 	slices.SortFunc(byDone, func(a, b outcome) int { return a.done.Compare(b.done) })
 	for _, o := range byDone {
-		if o.status != http.StatusOK || o.left {
+		if o.status != http.StatusOK || o.abandoned {
 			continue
 		}
-		who := incarnation{o.daemon, o.incarnation}
-		if seen, ok := newest[who]; ok && o.key < seen.key-1 && o.sent.After(seen.done) {
+		id := incarnation{o.daemon, o.incarnation}
+		if seen, ok := newest[id]; ok && o.key < seen.key-1 && o.sent.After(seen.done) {
 			add("settings go forward", "%s served %s with the key of version %d after one of %d", o.daemon, o.id, o.key, seen.key)
 		}
-		if o.key > newest[who].key {
-			newest[who] = o
+		if o.key > newest[id].key {
+			newest[id] = o
 		}
 	}
 }
 
-// checkLeaving: a server that leaves gets nothing new once its word is around.
-func (h *history) checkLeaving(add adder) {
+// checkLeaving checks that a leaving server gets nothing new leavingDelay after its report.
+func (h *history) checkLeaving(add findingFunc) {
 	for _, o := range h.outcomes {
 		for _, r := range h.runs[o.id] {
-			left, ok := h.left[r.server]
-			if !ok || r.at.Before(left.Add(leaveKnown)) || o.sent.Before(left) {
+			left, ok := h.leavingInStore[r.server]
+			if !ok || r.at.Before(left.Add(leavingDelay)) || o.sent.Before(left) {
 				continue
 			}
-			if !h.troubled(left.Add(-calmBefore), r.at, anyTarget) {
-				add("nothing new for a server that leaves", "%s ran at %s %s after its word", o.id, r.server, r.at.Sub(left))
+			if !h.disrupted(left.Add(-aftermath), r.at, anyTarget) {
+				add("nothing new for a server that leaves", "%s ran at %s %s after its report", o.id, r.server, r.at.Sub(left))
 			}
 		}
 	}
 }
 
-// checkBudget: in a window, runs beyond the first of each request stay within the
-// budget that all daemons share.
-func (h *history) checkBudget(add adder) {
+// checkBudget checks that, in any retryWindow, the runs beyond the first of each request stay
+// within the budget that all daemons share.
+func (h *history) checkBudget(add findingFunc) {
 	type event struct {
 		at     time.Time
 		repeat bool
--- a/test/soak/crashes_test.go
+++ b/test/soak/crashes_test.go
@@ -16,39 +16,40 @@
 	"github.com/buckthorndock/buckthorndock/platform/standin"
 )
 
-// Bounds of what a request may do that ends each server which runs it.
+// Bounds for a request that crashes each server that runs it.
 const (
-	crashesFew  = 3               // servers that have ended before it counts as known
-	crashKnown  = 3 * time.Second // from that to all daemons
-	mostCrashes = 3               // times that it may reach a server afterwards
+	minCrashes  = 3               // crashes after which the request counts as known
+	crashDelay  = 3 * time.Second // from then until all daemons know it
+	maxLateRuns = 3               // times that it may still reach a server afterwards
 )
 
-// reviveAfter is how long after its end a server starts again, under another id.
-const reviveAfter = 800 * time.Millisecond
+// crashRestartDelay is how long after a crash a server starts again, under a new id.
+const crashRestartDelay = 800 * time.Millisecond
 
-// deadlyExit is the status with which a server ends under such a request.
-const deadlyExit = 7
+// crashExitStatus is the exit status of a server that such a request has crashed.
+const crashExitStatus = 7
 
-// deadly is the query of a request that ends the server which runs it.
-const deadly = "deadly=1"
+// crashQuery is the query of a request that crashes the server that runs it.
+const crashQuery = "crash=1"
 
-// addCrash notes that a server has ended under a request.
+// addCrash records that a request has crashed a server.
 func (h *history) addCrash(r report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.crashes[r.ID] = append(h.crashes[r.ID], time.Unix(0, r.At))
 }
 
-// workOf names the work of a request, whoever sends it and when: its id up to the last dash.
-func workOf(id string) string { return id[:strings.LastIndex(id, "-")] }
+// logicalID returns the part of a request id that all sends of the same logical request share: the
+// id up to the last dash.
+func logicalID(id string) string { return id[:strings.LastIndex(id, "-")] }
 
-// crashesOf returns when servers ended under a work, in order.
-func (h *history) crashesOf(work string) []time.Time {
+// crashesOf returns, in order, when a logical request crashed servers.
+func (h *history) crashesOf(request string) []time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var all []time.Time
 	for id, times := range h.crashes {
-		if workOf(id) == work {
+		if logicalID(id) == request {
 			all = append(all, times...)
 		}
 	}
@@ -56,26 +57,26 @@
 	return all
 }
 
-// sendsTo notes the daemon to which a request of a crash site goes.
-func (h *history) sendsTo(d *daemon, id string) {
+// recordSend records the daemon to which a request of a crash site goes.
+func (h *history) recordSend(d *daemon, id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.deadly[id] = d.name
+	h.daemonOf[id] = d.name
 }
 
-// lateOf returns how often a work reached servers when all had to know it, sent by daemons that
-// nothing had troubled in that time.
-func (h *history) lateOf(work string, known time.Time) int {
+// lateRuns returns how often a logical request reached servers after known, sent by daemons that
+// nothing had disrupted in the crashDelay before.
+func (h *history) lateRuns(request string, known time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	late := 0
 	for id, runs := range h.runs {
-		if workOf(id) != work {
+		if logicalID(id) != request {
 			continue
 		}
 		for _, r := range runs {
-			touched := func(target string) bool { return target == h.deadly[id] || target == "store" }
-			if r.at.After(known) && !h.troubled(r.at.Add(-crashKnown), r.at, touched) {
+			touched := func(target string) bool { return target == h.daemonOf[id] || target == "store" }
+			if r.at.After(known) && !h.disrupted(r.at.Add(-crashDelay), r.at, touched) {
 				late++
 			}
 		}
@@ -83,49 +84,49 @@
 	return late
 }
 
-// checkCrashes: a request that has ended some servers is kept from the others, by all daemons
-// together.
-func (h *history) checkCrashes(add adder) {
-	works := map[string]bool{}
+// checkCrashes checks that a request that has crashed minCrashes servers is kept from the others
+// by all daemons together.
+func (h *history) checkCrashes(add findingFunc) {
+	requests := map[string]bool{}
 	for id := range h.crashes {
-		works[workOf(id)] = true
+		requests[logicalID(id)] = true
 	}
-	for work := range works {
-		ended := h.crashesOf(work)
-		if len(ended) < crashesFew {
+	for request := range requests {
+		ended := h.crashesOf(request)
+		if len(ended) < minCrashes {
 			continue
 		}
-		if late := h.lateOf(work, ended[crashesFew-1].Add(crashKnown)); late > mostCrashes {
-			add("what ends servers is kept from them", "%s reached servers %d times late; %d ended in all", work, late, len(ended))
+		if late := h.lateRuns(request, ended[minCrashes-1].Add(crashDelay)); late > maxLateRuns {
+			add("a request that crashes servers is kept from others", "%s reached servers %d times too late; %d crashed in all", request, late, len(ended))
 		}
 	}
 }
 
-// crashSite is a site on which a request ends the servers that run it, beside others.
+// crashSite is a site to which a request that crashes servers is sent, beside others.
 type crashSite struct {
-	t    *testing.T
-	r    *rig
-	sent atomic.Int64
+	t     *testing.T
+	r     *rig
+	count atomic.Int64
 }
 
-// send sends a work through a daemon once and returns what came of it; it leaves after a time,
-// if that is not zero.
-func (c *crashSite) send(d *daemon, work, kind, query string, leaves time.Duration) outcome {
+// send sends a logical request through a daemon once and returns the outcome. A timeout that is not
+// zero makes the caller disconnect then.
+func (c *crashSite) send(d *daemon, request, kind, query string, timeout time.Duration) outcome {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if leaves > 0 {
-		ctx, cancel = context.WithTimeout(ctx, leaves)
+	if timeout > 0 {
+		ctx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
 	}
-	id := fmt.Sprintf("%s-%d", work, c.sent.Add(1))
-	c.r.history.sendsTo(d, id)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.address+"/"+kind+"/x?"+query, strings.NewReader(work))
+	id := fmt.Sprintf("%s-%d", request, c.count.Add(1))
+	c.r.history.recordSend(d, id)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.address+"/"+kind+"/x?"+query, strings.NewReader(request))
 	if err != nil {
 		c.t.Error(err)
 		return outcome{}
 	}
 	req.Host = "h"
-	call := standin.Call{ID: id, Key: key(c.r.history.newest()), Timeout: callerDeadline}
+	call := standin.Call{ID: id, Key: apiKey(c.r.history.newestVersion()), Timeout: callerDeadline}
 	if kind == kindStream {
 		call.PromptTokens, call.MaxTokens, call.PromptPart = 2000, 100, 7
 	}
@@ -136,105 +137,110 @@
 		var text []byte
 		text, err = io.ReadAll(res.Body)
 		res.Body.Close()
-		o.status, o.own = res.StatusCode, string(text) == wanted(kind, id, work)
+		o.status, o.own = res.StatusCode, string(text) == expectedBody(kind, id, request)
 	}
 	o.failed, o.done = err, time.Now()
 	return o
 }
 
-// Times of a round: the others run when the deadly request comes, and leave soon after their
-// servers have ended.
+// Times of a round: the other requests run when the crashing request arrives, and their callers
+// disconnect soon after the servers have crashed.
 const (
-	beforeDeadly = 150 * time.Millisecond
-	deadlyApart  = 25 * time.Millisecond
-	leaversStay  = 450 * time.Millisecond
-	betweenTimes = crashKnown + 300*time.Millisecond
+	crashingStartDelay = 150 * time.Millisecond
+	crashingDaemonGap  = 25 * time.Millisecond
+	leaverTimeout      = 450 * time.Millisecond
+	roundPause         = crashDelay + 300*time.Millisecond
 )
 
-// deadlyEvery is the mean pause between works that end servers, each of which comes again every
-// deadlyAgain as long as its trouble lasts.
+// crashingInterval is the mean interval of crashing requests, each of which is sent again every
+// crashingRepeatInterval for the duration of its disruption.
 const (
-	deadlyEvery = 8 * time.Second
-	deadlyLasts = 8 * time.Second
-	deadlyAgain = 1200 * time.Millisecond
+	crashingInterval       = 8 * time.Second
+	maxCrashingDuration    = 8 * time.Second
+	crashingRepeatInterval = 1200 * time.Millisecond
 )
 
-// drawDeadly returns works that end servers.
-func drawDeadly(seed uint64, length time.Duration) []trouble {
-	return drawEach(seed, 9, deadlyEvery, length, func(rng *rand.Rand) trouble {
+// drawCrashingRequests returns requests that crash servers.
+func drawCrashingRequests(seed uint64, length time.Duration) []disruption {
+	return drawEach(seed, 9, crashingInterval, length, func(rng *rand.Rand) disruption {
 		kind := []string{kindStream, kindAgain}[rng.IntN(2)]
-		return trouble{kind: deadlyWork, how: kind, lasts: shortestTrial + time.Duration(rng.Int64N(int64(deadlyLasts)))}
+		return disruption{kind: crashingRequest, param: kind, duration: minDuration + time.Duration(rng.Int64N(int64(maxCrashingDuration)))}
 	})
 }
 
-// sendDeadly sends a work of its own through all daemons, again and again.
-func (r *rig) sendDeadly(tr trouble) {
+// sendCrashingRequests sends a crashing request of its own through all daemons, repeatedly for the
+// duration of the disruption.
+func (r *rig) sendCrashingRequests(dis disruption) {
 	site := &crashSite{t: r.t, r: r}
-	work := fmt.Sprintf("deadly%d", tr.at.Milliseconds())
+	request := fmt.Sprintf("crashing%d", dis.at.Milliseconds())
 	var all sync.WaitGroup
-	for end := time.Now().Add(tr.lasts); time.Now().Before(end); time.Sleep(deadlyAgain) {
+	for end := time.Now().Add(dis.duration); time.Now().Before(end); time.Sleep(crashingRepeatInterval) {
 		for _, d := range r.daemons {
-			all.Go(func() { site.send(d, work, tr.how, deadly, 0) })
+			all.Go(func() { site.send(d, request, dis.param, crashQuery, 0) })
 		}
 	}
 	all.Wait()
 }
 
-// round has the deadly request come through all daemons, one just after the other, beside callers who leave.
-func (c *crashSite) round(kind string, n int) {
+// runRound sends the crashing request through all daemons, shortly after each other, beside callers
+// that disconnect.
+func (c *crashSite) runRound(kind string, n int) {
 	var all sync.WaitGroup
 	for i, d := range c.r.daemons {
 		for k := range 3 {
-			all.Go(func() { c.send(d, leaver(n, i, k), kind, leaversWork[kind], leaversStay) })
+			all.Go(func() { c.send(d, leaverRequest(n, i, k), kind, leaverQuery[kind], leaverTimeout) })
 		}
 	}
-	time.Sleep(beforeDeadly)
+	time.Sleep(crashingStartDelay)
 	for _, d := range c.r.daemons {
-		all.Go(func() { c.send(d, "deadly", kind, deadly, 0) })
-		time.Sleep(deadlyApart)
+		all.Go(func() { c.send(d, "crashing", kind, crashQuery, 0) })
+		time.Sleep(crashingDaemonGap)
 	}
 	all.Wait()
 }
 
-// leaversWork is the query of those who leave, by kind.
-var leaversWork = map[string]string{kindStream: "stream=1&work=700", kindAgain: "work=700"}
+// leaverQuery is the query of the requests whose callers disconnect, by kind.
+var leaverQuery = map[string]string{kindStream: "stream=1&work=700", kindAgain: "work=700"}
 
-func leaver(round, daemon, n int) string { return fmt.Sprintf("leaver%d.%d.%d", round, daemon, n) }
+// leaverRequest returns the logical id of a request whose caller disconnects.
+func leaverRequest(round, daemon, n int) string {
+	return fmt.Sprintf("leaver%d.%d.%d", round, daemon, n)
+}
 
-// crashCase is a site and what happens between two rounds.
+// crashCase describes a crash site and what happens between two rounds.
 type crashCase struct {
-	name    string
-	kind    string
-	apart   bool // the daemons do not know each other
-	alone   bool // each server is alone in its failure domain
-	daemons int
-	between func(r *rig)
+	name     string
+	kind     string
+	isolated bool // the daemons do not know each other
+	alone    bool // each server has a failure domain of its own
+	daemons  int
+	between  func(r *rig)
 }
 
 func (c crashCase) run(t *testing.T) {
 	const servers, rounds = 8, 5
 	domains := 2
 	if c.alone {
-		domains = everyServer
+		domains = domainPerServer
 	}
-	r := newRig(t, play{seed: 1, daemons: c.daemons, servers: servers, domains: domains, apart: c.apart, direct: true, logPrefix: c.name + "-"})
+	r := newRig(t, scenario{seed: 1, daemons: c.daemons, servers: servers, domains: domains, isolated: c.isolated, direct: true, logPrefix: c.name + "-"})
 	if !r.eventually(recoveryWait, r.allListen) || !r.eventually(recoveryWait, func() bool { return r.allServe(1) }) {
-		t.Fatal("the site does not serve before any trouble")
+		t.Fatal("the site does not serve before any disruption")
 	}
 	site := &crashSite{t: t, r: r}
 	for n := range rounds {
-		site.round(c.kind, n)
+		site.runRound(c.kind, n)
 		if c.between != nil {
 			c.between(r)
 		}
-		time.Sleep(betweenTimes)
+		time.Sleep(roundPause)
 	}
-	ended := r.history.crashesOf("deadly")
+	ended := r.history.crashesOf("crashing")
 	for i, at := range ended {
-		t.Logf("server %d ended %s after the first", i+1, at.Sub(ended[0]).Round(time.Millisecond))
+		t.Logf("server %d crashed %s after the first", i+1, at.Sub(ended[0]).Round(time.Millisecond))
 	}
-	if len(ended) < crashesFew {
-		t.Errorf("%d servers ended: the request was not tried", len(ended))
+	if len(ended) < minCrashes {
+		t.Errorf("%d servers crashed: the request was not tried enough", len(ended))
 	}
 	r.history.checkCrashes(func(check, format string, args ...any) {
 		t.Errorf("%s: %s", check, fmt.Sprintf(format, args...))
@@ -242,21 +248,21 @@
 	site.checkLeavers(c.kind)
 }
 
-// checkLeavers: those who left are served when they come again.
+// checkLeavers checks that requests whose callers disconnected are served when they are sent again.
 func (c *crashSite) checkLeavers(kind string) {
 	for i, d := range c.r.daemons {
-		work := leaver(0, i, 0)
+		request := leaverRequest(0, i, 0)
 		served := func() bool {
-			o := c.send(d, work, kind, leaversWork[kind], 0)
+			o := c.send(d, request, kind, leaverQuery[kind], 0)
 			return o.status == http.StatusOK && o.own
 		}
 		if !c.r.eventually(recoveryWait, served) {
-			c.t.Errorf("%s is not served at %s any more", work, d.name)
+			c.t.Errorf("%s is no longer served at %s", request, d.name)
 		}
 	}
 }
 
-// killAllDaemons has all daemons forget what they know.
+// killAllDaemons restarts all daemons, so that they lose what they know, and waits until all serve.
 func killAllDaemons(r *rig) {
 	for _, d := range r.daemons {
 		d.proc.kill()
@@ -268,15 +274,15 @@
 	r.eventually(recoveryWait, func() bool { return r.allServe(2) })
 }
 
-// TestRequestThatEndsServersIsKeptFromThemByAllDaemonsTogether guards against a request that is
-// tried once more by each daemon, at the same time, after it has ended three servers: beside
-// callers who leave and are never seen again, where daemons cannot hear each other, where no
-// other server tells a death from a cut, and when daemons forget what they knew.
-func TestRequestThatEndsServersIsKeptFromThemByAllDaemonsTogether(t *testing.T) {
+// TestRequestThatCrashesServersIsKeptFromThemByAllDaemons guards against daemons that each try a
+// request once more, at the same time, after it has crashed three servers: beside callers that
+// disconnect for good, where daemons do not reach each other, where no other server in the failure
+// domain tells a crash from a network cut, and when daemons restart without their knowledge.
+func TestRequestThatCrashesServersIsKeptFromThemByAllDaemons(t *testing.T) {
 	for _, c := range []crashCase{
-		{name: "beside callers who leave", kind: kindAgain, daemons: 8},
+		{name: "beside callers that disconnect", kind: kindAgain, daemons: 8},
 		{name: "engines", kind: kindStream, daemons: 8},
-		{name: "daemons cut from each other", kind: kindAgain, daemons: 8, apart: true},
+		{name: "daemons cut from each other", kind: kindAgain, daemons: 8, isolated: true},
 		{name: "one server a failure domain", kind: kindStream, daemons: 4, alone: true},
 		{name: "daemons start again", kind: kindStream, daemons: 3, between: killAllDaemons},
 	} {
--- a/test/soak/domains_test.go
+++ b/test/soak/domains_test.go
@@ -11,95 +11,95 @@
 	"github.com/buckthorndock/buckthorndock/platform/standin"
 )
 
-// mostDomains is the number of failure domains of the daemons, and of the servers where a
-// whole one may be evacuated.
-const mostDomains = 2
+// numDomains is the number of failure domains of the daemons, and of the servers in scenarios
+// that evacuate a domain.
+const numDomains = 2
 
 func domainName(i int) string { return fmt.Sprintf("z%d", 1+i) }
 
-// Bounds of what servers get that operators or they themselves want little or nothing for.
+// Bounds of what evacuated and cold servers get.
 const (
-	evacuationKnown = 3 * time.Second // from an operator's wish to the last new request there
-	coldKnown       = time.Second     // from a server's word that it is cold until all daemons know
+	evacuationDelay = 3 * time.Second // from an operator's order to the last new request there
+	coldDelay       = time.Second     // from a server's report that it is cold until all daemons know
 	coldWindow      = time.Second
-	coldMost        = 1.5*standin.ColdPerSecond + 5 // requests in coldWindow
+	maxCold         = 1.5*standin.ColdPerSecond + 5 // requests in coldWindow
 )
 
-// evacuation is the time for which operators wanted nothing sent to a failure domain.
+// evacuation is a period in which operators evacuated a failure domain.
 type evacuation struct {
 	domain   string
 	from, to time.Time // to is zero while it lasts
 }
 
-// coldTime is the time for which a server was cold.
-type coldTime struct {
+// coldPeriod is a period in which a server was cold.
+type coldPeriod struct {
 	server   string
 	from, to time.Time
 }
 
 // Times of evacuations and cold servers.
 const (
-	evacuateEvery = 12 * time.Second
-	evacuateLasts = 5 * time.Second
-	coolEvery     = 6 * time.Second
+	evacuationInterval = 12 * time.Second
+	meanEvacuation     = 5 * time.Second
+	coldInterval       = 6 * time.Second
 )
 
-// drawEvacuations returns evacuations of one failure domain after the other.
-func drawEvacuations(seed uint64, length time.Duration) []trouble {
-	return drawEach(seed, 6, evacuateEvery, length, func(rng *rand.Rand) trouble {
-		lasts := shortestTrial + time.Duration(rng.Int64N(int64(2*evacuateLasts)))
-		return trouble{kind: evacuateDomain, how: domainName(rng.IntN(mostDomains)), lasts: lasts}
+// drawEvacuations returns evacuations of failure domains.
+func drawEvacuations(seed uint64, length time.Duration) []disruption {
+	return drawEach(seed, 6, evacuationInterval, length, func(rng *rand.Rand) disruption {
+		lasts := minDuration + time.Duration(rng.Int64N(int64(2*meanEvacuation)))
+		return disruption{kind: evacuateDomain, param: domainName(rng.IntN(numDomains)), duration: lasts}
 	})
 }
 
-// drawColds returns servers that become cold in the middle of their lives.
-func drawColds(seed uint64, length time.Duration, servers int) []trouble {
-	return drawEach(seed, 7, coolEvery, length, func(rng *rand.Rand) trouble {
-		lasts := shortestTrial + time.Duration(rng.Int64N(int64(2*standin.ColdFor)))
-		return trouble{kind: coolServer, target: rng.IntN(servers), lasts: lasts}
+// drawColds returns periods in which running servers become cold.
+func drawColds(seed uint64, length time.Duration, servers int) []disruption {
+	return drawEach(seed, 7, coldInterval, length, func(rng *rand.Rand) disruption {
+		lasts := minDuration + time.Duration(rng.Int64N(int64(2*standin.ColdFor)))
+		return disruption{kind: coldServer, target: rng.IntN(servers), duration: lasts}
 	})
 }
 
-// evacuate has operators want nothing sent to a failure domain for a time. What the store
-// does not take now, it is told again.
-func (r *rig) evacuate(tr trouble) {
-	wish := func(text string) {
+// evacuate evacuates a failure domain, as operators do, for the duration of the disruption. A store
+// that is restored meanwhile gets the order again.
+func (r *rig) evacuate(dis disruption) {
+	order := func(text string) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.wishes[tr.how] = text
-		r.tell(r.store, command{Op: "put", Stream: standin.Settings, Key: standin.EvacuationKey(tr.how), Value: text})
+		r.wishes[dis.param] = text
+		r.sendCommand(r.store, command{Op: "put", Stream: standin.Settings, Key: standin.EvacuationKey(dis.param), Value: text})
 	}
-	wish(standin.Evacuation)
-	r.history.evacuate(tr.how)
-	time.Sleep(tr.lasts)
-	wish("")
-	r.history.takeBack(tr.how)
+	order(standin.Evacuation)
+	r.history.beginEvacuation(dis.param)
+	time.Sleep(dis.duration)
+	order("")
+	r.history.endEvacuation(dis.param)
 }
 
-// cool has a server say, in its record and its answers, that it is cold for a time.
-func (r *rig) cool(s *server, lasts time.Duration) {
+// makeCold has a server report, in its entry and its answers, that it is cold for a time.
+func (r *rig) makeCold(s *server, lasts time.Duration) {
 	r.mu.Lock()
 	s.cold = time.Now().Add(lasts)
-	r.enter(s)
-	r.tell(s.proc, command{Op: "cool", Number: lasts.Seconds()})
+	r.updateEntry(s)
+	r.sendCommand(s.proc, command{Op: "cool", Number: lasts.Seconds()})
 	r.mu.Unlock()
 	time.Sleep(lasts)
 }
 
-// lives notes the failure domain of a server.
-func (h *history) lives(server, domain string) {
+// recordDomain records the failure domain of a server.
+func (h *history) recordDomain(server, domain string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.domains[server] = domain
 }
 
-func (h *history) evacuate(domain string) {
+func (h *history) beginEvacuation(domain string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.evacuated = append(h.evacuated, evacuation{domain: domain, from: time.Now()})
 }
 
-func (h *history) takeBack(domain string) {
+func (h *history) endEvacuation(domain string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i, e := range h.evacuated {
@@ -109,41 +109,42 @@
 	}
 }
 
-// addCold notes that a server is cold for so many seconds.
+// addCold records that a server is cold for r.Number seconds.
 func (h *history) addCold(r report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	from := time.Unix(0, r.At)
-	h.colds = append(h.colds, coldTime{r.Server, from, from.Add(time.Duration(r.Number * float64(time.Second)))})
+	h.colds = append(h.colds, coldPeriod{r.Server, from, from.Add(time.Duration(r.Number * float64(time.Second)))})
 }
 
-// checkEvacuated: an evacuated failure domain gets nothing new from a daemon that the
-// operators' wish could reach.
-func (h *history) checkEvacuated(add adder) {
+// checkEvacuated checks that an evacuated failure domain gets nothing new from a daemon that the
+// operators' order could reach.
+func (h *history) checkEvacuated(add findingFunc) {
 	for _, e := range h.evacuated {
 		for _, o := range h.outcomes {
 			for _, r := range h.runs[o.id] {
-				late := r.at.After(e.from.Add(evacuationKnown)) && (e.to.IsZero() || r.at.Before(e.to))
+				late := r.at.After(e.from.Add(evacuationDelay)) && (e.to.IsZero() || r.at.Before(e.to))
 				if !late || h.domains[r.server] != e.domain || o.sent.Before(e.from) {
 					continue
 				}
 				touched := func(target string) bool { return target == o.daemon || target == "store" }
-				if !h.troubled(e.from.Add(-calmBefore), r.at, touched) {
-					add("nothing new for an evacuated failure domain", "%s ran at %s in %s %s after the wish", o.id, r.server, e.domain, r.at.Sub(e.from))
-					return // one is enough; each later request would be another
+				if !h.disrupted(e.from.Add(-aftermath), r.at, touched) {
+					add("nothing new for an evacuated failure domain", "%s ran at %s in %s %s after the order", o.id, r.server, e.domain, r.at.Sub(e.from))
+					return // one finding is enough; each later request would give another
 				}
 			}
 		}
 	}
 }
 
-// checkCold: a cold server gets no more than it bears, from all daemons together.
-func (h *history) checkCold(add adder) {
+// checkCold checks that a cold server gets no more than maxCold requests in coldWindow, in total
+// over all daemons.
+func (h *history) checkCold(add findingFunc) {
 	for _, c := range h.colds {
 		var at []time.Time
 		for _, runs := range h.runs {
 			for _, r := range runs {
-				if r.server == c.server && r.at.After(c.from.Add(coldKnown)) && r.at.Before(c.to) {
+				if r.server == c.server && r.at.After(c.from.Add(coldDelay)) && r.at.Before(c.to) {
 					at = append(at, r.at)
 				}
 			}
@@ -154,22 +155,23 @@
 			for n < len(at)-i && at[i+n].Sub(first) <= coldWindow {
 				n++
 			}
-			if float64(n) > coldMost && !h.troubled(first.Add(-coldWindow), first.Add(coldWindow), h.isServer(c.server)) {
-				add("a cold server gets what it bears", "%s got %d requests in %s, %s after it became cold", c.server, n, coldWindow, first.Sub(c.from))
+			if float64(n) > maxCold && !h.disrupted(first.Add(-coldWindow), first.Add(coldWindow), h.targetIsServer(c.server)) {
+				add("a cold server gets no more than its rate", "%s got %d requests in %s, %s after it became cold", c.server, n, coldWindow, first.Sub(c.from))
 				break
 			}
 		}
 	}
 }
 
-// isServer matches the target of troubles of a server: one that was frozen, or whose link was,
-// runs at once what came meanwhile.
-func (h *history) isServer(id string) func(string) bool {
+// targetIsServer returns a match for the disruptions of a server: one that was frozen, or whose
+// link was, runs at once what arrived meanwhile.
+func (h *history) targetIsServer(id string) func(string) bool {
 	return func(target string) bool { return strings.HasPrefix(id, "i-"+target+"-") }
 }
 
-// warm notes that a server's life has ended: its next one is not cold. The caller holds the lock.
-func (h *history) warm(server string, at time.Time) {
+// endCold records that a server has ended: its next incarnation is not cold. The caller holds the
+// lock.
+func (h *history) endCold(server string, at time.Time) {
 	for i, c := range h.colds {
 		if c.server == server && c.to.After(at) {
 			h.colds[i].to = at
@@ -177,26 +179,26 @@
 	}
 }
 
-// TestEvacuatedDomainGetsNothingFromAnyDaemon: also from those that start meanwhile, and while
-// the store is away.
+// TestEvacuatedDomainGetsNothingFromAnyDaemon includes a daemon that starts meanwhile and an
+// outage of the store.
 func TestEvacuatedDomainGetsNothingFromAnyDaemon(t *testing.T) {
 	t.Parallel()
-	p := play{seed: 1, length: 10 * time.Second, daemons: 3, servers: 4, domains: mostDomains, recovery: recoveryWait}
-	p.plan = []trouble{
-		{at: 100 * time.Millisecond, kind: evacuateDomain, how: domainName(0), lasts: 9 * time.Second},
-		{at: 2 * time.Second, kind: killDaemon, target: 1, lasts: 300 * time.Millisecond},
-		{at: 7 * time.Second, kind: harmStore, how: "hangs", lasts: time.Second},
+	p := scenario{seed: 1, length: 10 * time.Second, daemons: 3, servers: 4, domains: numDomains, recovery: recoveryWait}
+	p.plan = []disruption{
+		{at: 100 * time.Millisecond, kind: evacuateDomain, param: domainName(0), duration: 9 * time.Second},
+		{at: 2 * time.Second, kind: killDaemon, target: 1, duration: 300 * time.Millisecond},
+		{at: 7 * time.Second, kind: disruptStore, param: "hangs", duration: time.Second},
 	}
-	tellFindings(t, p, p.run(t))
+	reportFindings(t, p, p.run(t))
 }
 
-// TestServersThatBecomeColdTogetherGetWhatTheyBear guards against each daemon's own idea of
-// what a cold server bears.
-func TestServersThatBecomeColdTogetherGetWhatTheyBear(t *testing.T) {
+// TestColdServersStayWithinTheirRateAcrossAllDaemons guards against daemons that each apply the
+// rate of a cold server alone, so that together they exceed it.
+func TestColdServersStayWithinTheirRateAcrossAllDaemons(t *testing.T) {
 	t.Parallel()
-	p := play{seed: 1, length: 6 * time.Second, daemons: 3, servers: 3, recovery: recoveryWait}
+	p := scenario{seed: 1, length: 6 * time.Second, daemons: 3, servers: 3, recovery: recoveryWait}
 	for target := range 2 * p.servers {
-		p.plan = append(p.plan, trouble{at: 200 * time.Millisecond, kind: coolServer, target: target, lasts: p.length})
+		p.plan = append(p.plan, disruption{at: 200 * time.Millisecond, kind: coldServer, target: target, duration: p.length})
 	}
-	tellFindings(t, p, p.run(t))
+	reportFindings(t, p, p.run(t))
 }
--- a/test/soak/links_test.go
+++ b/test/soak/links_test.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// Ways in which a link can be wrong.
+// Faults of a link.
 const (
-	linkSound   = ""
-	linkSlow    = "slow"    // each piece is late
+	linkHealthy = ""
+	linkSlow    = "slow"    // each chunk is delayed
 	linkResets  = "resets"  // open connections and new ones are reset
-	linkSilent  = "silent"  // nothing passes in either way
-	linkOneWay  = "one way" // what callers send passes, answers do not
+	linkSilent  = "silent"  // nothing passes in either direction
+	linkOneWay  = "one way" // requests pass, answers do not
 	linkDelay   = 50 * time.Millisecond
-	linkPiece   = 16 << 10 // bytes
+	linkChunk   = 16 << 10 // bytes
 	linkDialing = time.Second
 )
 
-// link passes connections on to one address, which may change, and harms them.
+// link is a TCP proxy to one address, which may change, with an optional fault.
 type link struct {
-	mu      sync.Mutex
-	to, how string
-	changed chan struct{} // closed and replaced with how
-	conns   map[*net.TCPConn]bool
+	mu        sync.Mutex
+	to, fault string
+	changed   chan struct{} // closed and replaced at each update
+	conns     map[*net.TCPConn]bool
 }
 
-func playLinks(ip string) {
+func runLinks(ip string) {
 	links := map[string]*link{}
-	commands(func(c command) {
+	readCommands(func(c command) {
 		switch c.Op {
 		case "link":
 			l := links[c.Name]
@@ -39,20 +39,20 @@
 				links[c.Name] = l
 				listener := listen(ip)
 				go l.accept(listener)
-				tell(report{What: "listening", ID: c.Name, Address: listener.Addr().String()})
+				writeReport(report{What: "listening", ID: c.Name, Address: listener.Addr().String()})
 			}
-			l.set(func() { l.to = c.To })
+			l.update(func() { l.to = c.To })
 		case "fault":
 			l := links[c.Name]
-			l.set(func() { l.how = c.How })
-			if c.How == linkResets {
+			l.update(func() { l.fault = c.Fault })
+			if c.Fault == linkResets {
 				l.reset()
 			}
 		}
 	})
 }
 
-func (l *link) set(change func()) {
+func (l *link) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
@@ -60,10 +60,10 @@
 	l.changed = make(chan struct{})
 }
 
-func (l *link) state() (to, how string, changed <-chan struct{}) {
+func (l *link) state() (to, fault string, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.to, l.how, l.changed
+	return l.to, l.fault, l.changed
 }
 
 func (l *link) reset() {
@@ -75,7 +75,7 @@
 	}
 }
 
-func (l *link) hold(c *net.TCPConn, held bool) {
+func (l *link) track(c *net.TCPConn, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if held {
@@ -91,42 +91,42 @@
 		if err != nil {
 			return
 		}
-		go l.pass(c.(*net.TCPConn))
+		go l.proxy(c.(*net.TCPConn))
 	}
 }
 
-func (l *link) pass(near *net.TCPConn) {
-	defer near.Close()
-	to, how, _ := l.state()
-	if how == linkResets {
-		_ = near.SetLinger(0)
+func (l *link) proxy(inbound *net.TCPConn) {
+	defer inbound.Close()
+	to, fault, _ := l.state()
+	if fault == linkResets {
+		_ = inbound.SetLinger(0)
 		return
 	}
 	conn, err := net.DialTimeout("tcp", to, linkDialing)
 	if err != nil {
-		_ = near.SetLinger(0) // as a refused connection
+		_ = inbound.SetLinger(0) // resets it, much like a refused connection
 		return
 	}
-	far := conn.(*net.TCPConn)
-	defer far.Close()
-	for _, c := range []*net.TCPConn{near, far} {
-		l.hold(c, true)
-		defer l.hold(c, false)
+	outbound := conn.(*net.TCPConn)
+	defer outbound.Close()
+	for _, c := range []*net.TCPConn{inbound, outbound} {
+		l.track(c, true)
+		defer l.track(c, false)
 	}
 	var both sync.WaitGroup
 	both.Add(2)
-	go func() { defer both.Done(); l.copy(far, near, false) }()
-	go func() { defer both.Done(); l.copy(near, far, true) }()
+	go func() { defer both.Done(); l.copy(outbound, inbound, false) }()
+	go func() { defer both.Done(); l.copy(inbound, outbound, true) }()
 	both.Wait()
 }
 
-// copy passes bytes on until either side ends, and then ends both: a half close means
-// nothing to this protocol.
+// copy forwards bytes until either side ends, and then closes both: this protocol does not use
+// half-closed connections.
 func (l *link) copy(to, from *net.TCPConn, answers bool) {
-	buf := make([]byte, linkPiece)
+	buf := make([]byte, linkChunk)
 	for {
 		n, err := from.Read(buf)
-		l.wait(answers)
+		l.applyFault(answers)
 		if n > 0 {
 			if _, failed := to.Write(buf[:n]); failed != nil {
 				err = failed
@@ -144,14 +144,14 @@
 	}
 }
 
-func (l *link) wait(answers bool) {
+func (l *link) applyFault(answers bool) {
 	for {
-		_, how, changed := l.state()
+		_, fault, changed := l.state()
 		switch {
-		case how == linkSlow:
+		case fault == linkSlow:
 			time.Sleep(linkDelay)
 			return
-		case how == linkSilent, how == linkOneWay && answers:
+		case fault == linkSilent, fault == linkOneWay && answers:
 			<-changed
 		default:
 			return
--- a/test/soak/main_test.go
+++ b/test/soak/main_test.go
@@ -13,29 +13,29 @@
 )
 
 var (
-	flagSeed    = flag.Uint64("seed", 1, "draws the troubles; 0: one is chosen and printed")
-	flagSeeds   = flag.Int("seeds", 1, "how many seeds to play, from -seed upwards")
-	flagMinutes = flag.Float64("minutes", 8.0/60, "how long troubles come for each seed")
+	flagSeed    = flag.Uint64("seed", 1, "seed of the disruptions; 0: one is chosen and printed")
+	flagSeeds   = flag.Int("seeds", 1, "how many seeds to run, from -seed upwards")
+	flagMinutes = flag.Float64("minutes", 8.0/60, "how long disruptions start for each seed")
 	flagDaemons = flag.Int("daemons", 3, "number of daemons")
 	flagServers = flag.Int("servers", 3, "number of servers of each of the two services")
 	flagLogs    = flag.String("logs", "", "keep the daemons' logs in this directory")
 )
 
-// roleEnv names the part that a process of this binary plays.
+// roleEnv is the environment variable that names the role of a process of this binary.
 const roleEnv = "SOAK_ROLE"
 
 var daemonBinary string
 
 func TestMain(m *testing.M) {
 	if role := os.Getenv(roleEnv); role != "" {
-		playRole(role)
+		runRole(role)
 		return
 	}
 	flag.Parse()
 	os.Exit(withDaemon(m))
 }
 
-// withDaemon builds the daemon as it stands and runs the tests with it.
+// withDaemon builds the daemon from the current sources and runs the tests with it.
 func withDaemon(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -53,11 +53,11 @@
 	return m.Run()
 }
 
-// command is what the test tells a stand-in: one line of JSON on its input.
+// command is an instruction of the test to a stand-in: one line of JSON on its input.
 type command struct {
 	Op     string   `json:"op"`
 	Name   string   `json:"name,omitempty"`
-	How    string   `json:"how,omitempty"`
+	Fault  string   `json:"how,omitempty"`
 	Stream string   `json:"stream,omitempty"`
 	Key    string   `json:"key,omitempty"`
 	Value  string   `json:"value,omitempty"`
@@ -66,7 +66,7 @@
 	Number float64  `json:"number,omitempty"` // of a limit, requests a second; of a back-off, seconds
 }
 
-// report is what a stand-in tells the test: one line of JSON on its output.
+// report is an event that a stand-in reports to the test: one line of JSON on its output.
 type report struct {
 	What    string  `json:"what"` // listening, ran, ended, beat, limits, leaves, turned, crashed or cold
 	Address string  `json:"address,omitempty"`
@@ -74,25 +74,25 @@
 	Server  string  `json:"server,omitempty"`
 	Whole   bool    `json:"whole,omitempty"`
 	At      int64   `json:"at,omitempty"`     // Unix time in ns
-	Number  float64 `json:"number,omitempty"` // as of the command
+	Number  float64 `json:"number,omitempty"` // as in command
 }
 
-var printing sync.Mutex
+var outputMu sync.Mutex
 
-// tell writes a report at once: the pipe keeps it when this process is killed after it.
-func tell(r report) {
+// writeReport writes a report unbuffered: the pipe keeps it if this process is killed afterwards.
+func writeReport(r report) {
 	line, err := json.Marshal(r)
 	if err != nil {
 		panic(err)
 	}
-	printing.Lock()
-	defer printing.Unlock()
+	outputMu.Lock()
+	defer outputMu.Unlock()
 	_, _ = os.Stdout.Write(append(line, '\n'))
 }
 
-// commands calls do for each command; the process ends with its input, so none outlives
-// the test.
-func commands(do func(command)) {
+// readCommands calls do for each command. The process exits at the end of its input, so that
+// none outlives the test.
+func readCommands(do func(command)) {
 	lines := bufio.NewScanner(os.Stdin)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
--- a/test/soak/plan_test.go
+++ b/test/soak/plan_test.go
@@ -11,197 +11,197 @@
 	"github.com/buckthorndock/buckthorndock/platform/standin"
 )
 
-// trouble is one thing that is done to the site, drawn or planned.
-type trouble struct {
-	at, lasts time.Duration
-	kind, how string
-	target    int // of the daemons or of the servers
+// disruption is a fault or an operation that a scenario applies to the site.
+type disruption struct {
+	at, duration time.Duration
+	kind, param  string
+	target       int // index in the daemons or the servers
 }
 
-func (tr trouble) String() string {
-	return fmt.Sprintf("%.1fs+%.1fs %s %s %d", tr.at.Seconds(), tr.lasts.Seconds(), tr.kind, tr.how, tr.target)
+func (dis disruption) String() string {
+	return fmt.Sprintf("%.1fs+%.1fs %s %s %d", dis.at.Seconds(), dis.duration.Seconds(), dis.kind, dis.param, dis.target)
 }
 
-// Kinds of troubles. A planned one must cut nothing.
+// Kinds of disruptions. A planned one must not cut any request.
 const (
-	killDaemon    = "kill daemon"
-	stopDaemon    = "stop daemon" // planned
-	freezeDaemon  = "freeze daemon"
-	reloadDaemon  = "reload daemon" // planned
-	killServer    = "kill server"
-	freezeServer  = "freeze server"
-	rollServer    = "roll server" // planned
-	newSettings   = "new settings"
-	harmStore     = "harm store"
-	harmEntry     = "harm entry"       // the link before a daemon
-	harmServer    = "harm server link" // the link before a server
-	harmToStore   = "harm store link"  // the link from a daemon to the store
-	killAll       = "kill all daemons"
-	restartServer = "restart server" // under the id that it has
-	foreignEntry  = "foreign entry"
-	lateEntry     = "late entry"   // of the server that had the address before
-	limitServer   = "limit server" // planned
-	turnAway      = "turn away"    // by a server; planned
-	// Planned work of operators, and of a server that tells of it.
+	killDaemon        = "kill daemon"
+	stopDaemon        = "stop daemon" // planned
+	freezeDaemon      = "freeze daemon"
+	reloadDaemon      = "reload daemon" // planned
+	killServer        = "kill server"
+	freezeServer      = "freeze server"
+	rollServer        = "roll server" // planned
+	newSettings       = "new settings"
+	disruptStore      = "disrupt store"
+	disruptFrontLink  = "disrupt front link"  // the link in front of a daemon
+	disruptServerLink = "disrupt server link" // the link in front of a server
+	disruptStoreLink  = "disrupt store link"  // the link from a daemon to the store
+	killAll           = "kill all daemons"
+	restartServer     = "restart server" // under the same id
+	foreignEntry      = "foreign entry"
+	lateEntry         = "late entry"   // of the server that had the address before
+	limitServer       = "limit server" // planned
+	turnAway          = "turn away"    // by a server; planned
+	// Planned: an operation of operators, and a state that a server announces.
 	evacuateDomain = "evacuate domain"
-	coolServer     = "cool server"
-	// A request comes through all daemons that ends each server which runs it.
-	deadlyWork = "deadly work"
-	// The store comes back from a copy that is as old as the trouble is long.
+	coldServer     = "cold server"
+	// A request that crashes each server that runs it is sent through all daemons.
+	crashingRequest = "crashing request"
+	// The store is restored from a copy; the duration is the age of the copy.
 	restoreStore = "restore store"
 )
 
-// Entries of other writers.
+// foreignEntries are invalid entries, as other writers may write them.
 var foreignEntries = []string{"{", "null", `{"service":"shop"}`, `{"service":"shop","address":7}`, "\x00\xff\xfe", `[{"state":"ready"}]`}
 
-// weights of the kinds: planned work and new settings come often, for they must harm
-// nobody.
+// weights are the relative frequencies of the kinds: planned ones and new settings are
+// frequent, as they must not affect any request.
 var weights = []struct {
 	kind   string
 	weight int
 }{
 	{killDaemon, 3}, {stopDaemon, 4}, {freezeDaemon, 3}, {reloadDaemon, 2}, {killServer, 3}, {freezeServer, 3},
-	{rollServer, 4}, {newSettings, 5}, {harmStore, 4}, {harmEntry, 2}, {harmServer, 3}, {harmToStore, 3}, {killAll, 1},
+	{rollServer, 4}, {newSettings, 5}, {disruptStore, 4}, {disruptFrontLink, 2}, {disruptServerLink, 3}, {disruptStoreLink, 3}, {killAll, 1},
 }
 
-var linkHows = []string{linkSlow, linkResets, linkSilent, linkOneWay}
+var linkFaults = []string{linkSlow, linkResets, linkSilent, linkOneWay}
 
-// Times of troubles: one begins each troubleEvery on average, so about two overlap.
+// Times of disruptions: one starts every disruptionInterval on average, so about two overlap.
 const (
-	troubleEvery  = 1200 * time.Millisecond
-	shortestTrial = 300 * time.Millisecond
-	longestTrial  = 4 * time.Second
+	disruptionInterval = 1200 * time.Millisecond
+	minDuration        = 300 * time.Millisecond
+	maxDuration        = 4 * time.Second
 )
 
-// draw returns the troubles of a seed.
-func draw(seed uint64, length time.Duration, daemons, servers int) []trouble {
+// drawDisruptions returns the disruptions of a seed.
+func drawDisruptions(seed uint64, length time.Duration, daemons, servers int) []disruption {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	storeHows := make([]string, 0, len(storeFaults))
-	for how := range storeFaults {
-		storeHows = append(storeHows, how)
+	storeFaultNames := make([]string, 0, len(storeFaults))
+	for name := range storeFaults {
+		storeFaultNames = append(storeFaultNames, name)
 	}
-	slices.Sort(storeHows)
+	slices.Sort(storeFaultNames)
 	sum := 0
 	for _, w := range weights {
 		sum += w.weight
 	}
-	var plan []trouble
+	var plan []disruption
 	for at := time.Duration(0); ; {
-		at += time.Duration(rng.ExpFloat64() * float64(troubleEvery))
+		at += time.Duration(rng.ExpFloat64() * float64(disruptionInterval))
 		if at >= length {
 			return plan
 		}
-		tr := trouble{at: at, lasts: shortestTrial + time.Duration(rng.Int64N(int64(longestTrial-shortestTrial)))}
+		dis := disruption{at: at, duration: minDuration + time.Duration(rng.Int64N(int64(maxDuration-minDuration)))}
 		n := rng.IntN(sum)
 		for _, w := range weights {
 			if n -= w.weight; n < 0 {
-				tr.kind = w.kind
+				dis.kind = w.kind
 				break
 			}
 		}
-		tr.target = rng.IntN(daemons)
-		switch tr.kind {
+		dis.target = rng.IntN(daemons)
+		switch dis.kind {
 		case killServer, freezeServer, rollServer:
-			tr.target = rng.IntN(servers)
-		case harmServer:
-			tr.target, tr.how = rng.IntN(servers), linkHows[rng.IntN(len(linkHows))]
-		case harmEntry, harmToStore:
-			tr.how = linkHows[rng.IntN(len(linkHows))]
-		case harmStore:
-			tr.how = storeHows[rng.IntN(len(storeHows))]
+			dis.target = rng.IntN(servers)
+		case disruptServerLink:
+			dis.target, dis.param = rng.IntN(servers), linkFaults[rng.IntN(len(linkFaults))]
+		case disruptFrontLink, disruptStoreLink:
+			dis.param = linkFaults[rng.IntN(len(linkFaults))]
+		case disruptStore:
+			dis.param = storeFaultNames[rng.IntN(len(storeFaultNames))]
 		}
-		plan = append(plan, tr)
+		plan = append(plan, dis)
 	}
 }
 
 // Times of restarts and foreign entries. A restart is shorter than the time after which
 // the entry of a silent server is removed.
 const (
-	restartEvery   = 4 * time.Second
-	restartLongest = lapse
+	restartInterval = 4 * time.Second
+	maxRestart      = entryTTL
 )
 
-// drawEach returns troubles that begin every so often on average, each as next draws it. Each
-// stream of a seed is drawn apart from the others, so that a new kind changes none of these.
-func drawEach(seed, stream uint64, every, length time.Duration, next func(rng *rand.Rand) trouble) []trouble {
+// drawEach returns disruptions that start at the mean interval every, each drawn by next. Each
+// stream of a seed has a random source of its own, so that a new kind does not change the others.
+func drawEach(seed, stream uint64, every, length time.Duration, next func(rng *rand.Rand) disruption) []disruption {
 	rng := rand.New(rand.NewPCG(seed, stream))
-	var plan []trouble
+	var plan []disruption
 	for at := time.Duration(0); ; {
 		at += time.Duration(rng.ExpFloat64() * float64(every))
 		if at >= length {
 			return plan
 		}
-		tr := next(rng)
-		tr.at = at
-		plan = append(plan, tr)
+		dis := next(rng)
+		dis.at = at
+		plan = append(plan, dis)
 	}
 }
 
-// drawRestarts returns restarts of servers under their ids and foreign entries.
-func drawRestarts(seed uint64, length time.Duration, servers int) []trouble {
-	return drawEach(seed, 2, restartEvery, length, func(rng *rand.Rand) trouble {
-		tr := trouble{kind: restartServer, target: rng.IntN(servers), lasts: time.Duration(rng.Int64N(int64(restartLongest)))}
+// drawRestarts returns restarts of servers under the same id, and foreign entries.
+func drawRestarts(seed uint64, length time.Duration, servers int) []disruption {
+	return drawEach(seed, 2, restartInterval, length, func(rng *rand.Rand) disruption {
+		dis := disruption{kind: restartServer, target: rng.IntN(servers), duration: time.Duration(rng.Int64N(int64(maxRestart)))}
 		if rng.IntN(2) == 0 {
-			tr.kind, tr.how = foreignEntry, foreignEntries[rng.IntN(len(foreignEntries))]
+			dis.kind, dis.param = foreignEntry, foreignEntries[rng.IntN(len(foreignEntries))]
 		}
-		return tr
+		return dis
 	})
 }
 
-// lateEvery is the mean pause between late entries of dead servers.
-const lateEvery = 6 * time.Second
+// lateEntryInterval is the mean interval of late entries of dead servers.
+const lateEntryInterval = 6 * time.Second
 
 // drawLateEntries returns late entries of dead servers.
-func drawLateEntries(seed uint64, length time.Duration, servers int) []trouble {
-	return drawEach(seed, 3, lateEvery, length, func(rng *rand.Rand) trouble {
-		return trouble{kind: lateEntry, target: rng.IntN(servers), lasts: lapse}
+func drawLateEntries(seed uint64, length time.Duration, servers int) []disruption {
+	return drawEach(seed, 3, lateEntryInterval, length, func(rng *rand.Rand) disruption {
+		return disruption{kind: lateEntry, target: rng.IntN(servers), duration: entryTTL}
 	})
 }
 
-// Times and sizes of the limits that servers name.
+// Times and rates of the limits that servers announce.
 const (
-	limitEvery = 5 * time.Second
-	limitLasts = 6 * time.Second // over the time from which it binds and the window in which it counts
+	limitInterval    = 5 * time.Second
+	minLimitDuration = 6 * time.Second // more than limitDelay and limitWindow
 )
 
-var limitHows = []string{"0.5", "1.5", "4"} // requests a second
+var limitRates = []string{"0.5", "1.5", "4"} // requests a second
 
-// drawLimits returns limits of servers.
-func drawLimits(seed uint64, length time.Duration, servers int) []trouble {
-	return drawEach(seed, 4, limitEvery, length, func(rng *rand.Rand) trouble {
-		how := limitHows[rng.IntN(len(limitHows))]
-		lasts := limitLasts + time.Duration(rng.Int64N(int64(limitLasts)))
-		return trouble{kind: limitServer, how: how, target: rng.IntN(servers), lasts: lasts}
+// drawLimits returns rate limits that servers announce.
+func drawLimits(seed uint64, length time.Duration, servers int) []disruption {
+	return drawEach(seed, 4, limitInterval, length, func(rng *rand.Rand) disruption {
+		rate := limitRates[rng.IntN(len(limitRates))]
+		lasts := minLimitDuration + time.Duration(rng.Int64N(int64(minLimitDuration)))
+		return disruption{kind: limitServer, param: rate, target: rng.IntN(servers), duration: lasts}
 	})
 }
 
-// turnAwayEvery is the mean pause between servers that turn requests away.
-const turnAwayEvery = 6 * time.Second
+// turnAwayInterval is the mean interval at which servers start to turn requests away.
+const turnAwayInterval = 6 * time.Second
 
-var turnAwayHows = []string{"0.7", "2", "5"} // seconds
+var turnAwaySeconds = []string{"0.7", "2", "5"} // seconds
 
-// drawTurnAways returns servers that turn requests away.
-func drawTurnAways(seed uint64, length time.Duration, servers int) []trouble {
-	return drawEach(seed, 5, turnAwayEvery, length, func(rng *rand.Rand) trouble {
-		how := turnAwayHows[rng.IntN(len(turnAwayHows))]
-		lasts := shortestTrial + time.Duration(rng.Int64N(int64(longestTrial)))
-		return trouble{kind: turnAway, how: how, target: rng.IntN(servers), lasts: lasts}
+// drawTurnAways returns periods in which servers turn requests away.
+func drawTurnAways(seed uint64, length time.Duration, servers int) []disruption {
+	return drawEach(seed, 5, turnAwayInterval, length, func(rng *rand.Rand) disruption {
+		seconds := turnAwaySeconds[rng.IntN(len(turnAwaySeconds))]
+		lasts := minDuration + time.Duration(rng.Int64N(int64(maxDuration)))
+		return disruption{kind: turnAway, param: seconds, target: rng.IntN(servers), duration: lasts}
 	})
 }
 
-// targets says what a trouble is about, as the history's spans name it.
-func (r *rig) targets(tr trouble) []string {
-	switch tr.kind {
-	case killServer, freezeServer, rollServer, harmServer, restartServer, foreignEntry, lateEntry, limitServer, turnAway, coolServer:
-		return []string{r.servers[tr.target].name}
-	case harmStore, restoreStore:
+// targets returns the names of what a disruption affects, as in the spans of the history.
+func (r *rig) targets(dis disruption) []string {
+	switch dis.kind {
+	case killServer, freezeServer, rollServer, disruptServerLink, restartServer, foreignEntry, lateEntry, limitServer, turnAway, coldServer:
+		return []string{r.servers[dis.target].name}
+	case disruptStore, restoreStore:
 		return []string{"store"}
 	case newSettings:
 		return []string{"settings"}
 	case evacuateDomain:
-		return []string{tr.how}
-	case deadlyWork:
-		return []string{"deadly"}
+		return []string{dis.param}
+	case crashingRequest:
+		return []string{"crashing request"}
 	case killAll:
 		var all []string
 		for _, d := range r.daemons {
@@ -209,77 +209,77 @@
 		}
 		return all
 	}
-	return []string{r.daemons[tr.target].name}
+	return []string{r.daemons[dis.target].name}
 }
 
-// play does one trouble and returns when it is over.
-func (r *rig) play(tr trouble) {
+// runDisruption applies one disruption and returns when it is over.
+func (r *rig) runDisruption(dis disruption) {
 	var spans []*span
-	for _, target := range r.targets(tr) {
-		spans = append(spans, r.history.trouble(target, tr.kind))
+	for _, target := range r.targets(dis) {
+		spans = append(spans, r.history.beginDisruption(target, dis.kind))
 	}
 	defer func() {
 		for _, s := range spans {
-			r.history.over(s)
+			r.history.endDisruption(s)
 		}
 	}()
-	switch tr.kind {
+	switch dis.kind {
 	case killDaemon, stopDaemon, freezeDaemon, reloadDaemon:
-		r.harmDaemon(r.daemons[tr.target], tr)
+		r.disruptDaemon(r.daemons[dis.target], dis)
 	case killAll:
 		for _, d := range r.daemons {
 			d.proc.kill()
 		}
-		time.Sleep(tr.lasts)
+		time.Sleep(dis.duration)
 		for _, d := range r.daemons {
 			r.startDaemon(d)
 		}
 	case killServer, freezeServer, rollServer, restartServer:
-		r.harmServer(r.servers[tr.target], tr)
+		r.disruptServer(r.servers[dis.target], dis)
 	case foreignEntry:
-		r.foreign(r.servers[tr.target], tr.how)
+		r.putForeignEntries(r.servers[dis.target], dis.param)
 	case lateEntry:
-		r.late(r.servers[tr.target], tr.lasts)
+		r.putLateEntry(r.servers[dis.target], dis.duration)
 	case limitServer:
-		r.word(r.servers[tr.target], "limit", tr)
+		r.advertise(r.servers[dis.target], "limit", dis)
 	case turnAway:
-		r.word(r.servers[tr.target], "turn away", tr)
+		r.advertise(r.servers[dis.target], "turn away", dis)
 	case newSettings:
-		r.publish()
+		r.publishSettings()
 	case evacuateDomain:
-		r.evacuate(tr)
-	case coolServer:
-		r.cool(r.servers[tr.target], tr.lasts)
+		r.evacuate(dis)
+	case coldServer:
+		r.makeCold(r.servers[dis.target], dis.duration)
 	case restoreStore:
-		r.restore(tr.lasts)
-	case deadlyWork:
-		r.sendDeadly(tr)
-	case harmStore:
-		r.storeFault(tr.how)
-		time.Sleep(tr.lasts)
-		r.storeFault("")
-	case harmEntry:
-		r.harmLink("front-"+r.daemons[tr.target].name, tr)
-	case harmToStore:
-		r.harmLink("store-"+r.daemons[tr.target].name, tr)
-	case harmServer:
-		r.harmLink(r.servers[tr.target].name, tr)
+		r.restore(dis.duration)
+	case crashingRequest:
+		r.sendCrashingRequests(dis)
+	case disruptStore:
+		r.setStoreFault(dis.param)
+		time.Sleep(dis.duration)
+		r.setStoreFault("")
+	case disruptFrontLink:
+		r.disruptLink("front-"+r.daemons[dis.target].name, dis)
+	case disruptStoreLink:
+		r.disruptLink("store-"+r.daemons[dis.target].name, dis)
+	case disruptServerLink:
+		r.disruptLink(r.servers[dis.target].name, dis)
 	}
 }
 
-// foreign puts another writer's entry in the place of a server's, until its next
-// heartbeat, and under a key of its own.
-func (r *rig) foreign(s *server, text string) {
+// putForeignEntries replaces a server's entry by an invalid one, until its next heartbeat, and
+// adds the invalid one under another key too.
+func (r *rig) putForeignEntries(s *server, text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, key := range []string{s.id(), "not-" + s.id()} {
-		r.tell(r.store, command{Op: "put", Stream: standin.Servers, Key: key, Value: text})
+		r.sendCommand(r.store, command{Op: "put", Stream: standin.Servers, Key: key, Value: text})
 	}
 }
 
-// late kills a server, starts its successor, and lets the entry of the dead one come after
-// that of the successor, for as long as it takes to lapse. Neither tells its start.
-func (r *rig) late(s *server, lasts time.Duration) {
+// putLateEntry kills a server, starts its successor, and writes the entry of the dead one after
+// that of the successor, until it expires. Neither entry has a start time.
+func (r *rig) putLateEntry(s *server, lasts time.Duration) {
 	s.proc.kill()
 	r.mu.Lock()
 	dead := standin.Entry{Service: s.service, Address: s.address, Seq: s.seq + 1}
@@ -288,102 +288,103 @@
 	r.startServer(s)
 	r.mu.Lock()
 	s.born = 0
-	r.enter(s)
-	r.tell(r.store, command{Op: "put", Stream: standin.Servers, Key: id, Value: dead.Text()})
+	r.updateEntry(s)
+	r.sendCommand(r.store, command{Op: "put", Stream: standin.Servers, Key: id, Value: dead.Text()})
 	r.mu.Unlock()
 	time.Sleep(lasts)
 	r.mu.Lock()
-	r.tell(r.store, command{Op: "put", Stream: standin.Servers, Key: id})
+	r.sendCommand(r.store, command{Op: "put", Stream: standin.Servers, Key: id})
 	r.mu.Unlock()
 }
 
-// word has a server's answers say a number for a time. One that is started anew says none.
-func (r *rig) word(s *server, op string, tr trouble) {
-	number, err := strconv.ParseFloat(tr.how, 64)
+// advertise has a server send a value (a limit, a back-off) in its answers for the duration of
+// the disruption. A restarted server sends none.
+func (r *rig) advertise(s *server, op string, dis disruption) {
+	number, err := strconv.ParseFloat(dis.param, 64)
 	if err != nil {
 		panic(err)
 	}
-	r.tell(s.proc, command{Op: op, Number: number})
-	time.Sleep(tr.lasts)
-	r.tell(s.proc, command{Op: op})
+	r.sendCommand(s.proc, command{Op: op, Number: number})
+	time.Sleep(dis.duration)
+	r.sendCommand(s.proc, command{Op: op})
 }
 
-func (r *rig) harmLink(name string, tr trouble) {
-	r.tell(r.links, command{Op: "fault", Name: name, How: tr.how})
-	time.Sleep(tr.lasts)
-	r.tell(r.links, command{Op: "fault", Name: name})
+func (r *rig) disruptLink(name string, dis disruption) {
+	r.sendCommand(r.links, command{Op: "fault", Name: name, Fault: dis.param})
+	time.Sleep(dis.duration)
+	r.sendCommand(r.links, command{Op: "fault", Name: name})
 }
 
-func (r *rig) storeFault(how string) {
+func (r *rig) setStoreFault(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.storeHow = how
-	r.tell(r.store, command{Op: "fault", How: how})
+	r.storeFaultName = name
+	r.sendCommand(r.store, command{Op: "fault", Fault: name})
 }
 
-func (r *rig) harmDaemon(d *daemon, tr trouble) {
-	switch tr.kind {
+func (r *rig) disruptDaemon(d *daemon, dis disruption) {
+	switch dis.kind {
 	case killDaemon:
 		d.proc.kill()
-		time.Sleep(tr.lasts)
+		time.Sleep(dis.duration)
 		r.startDaemon(d)
 	case stopDaemon:
-		r.stop(d)
-		time.Sleep(tr.lasts)
+		r.shutDown(d)
+		time.Sleep(dis.duration)
 		r.startDaemon(d)
 	case freezeDaemon:
-		d.proc.freeze(tr.lasts)
+		d.proc.freeze(dis.duration)
 	case reloadDaemon:
-		// In its first milliseconds no code of the daemon runs yet that could take it.
-		r.eventually(recoveryWait, func() bool { return dials(d.front) })
+		// Before the daemon listens its signal handler may not be installed.
+		r.eventually(recoveryWait, func() bool { return canConnect(d.front) })
 		d.proc.signal(syscall.SIGHUP)
-		time.Sleep(tr.lasts)
+		time.Sleep(dis.duration)
 	}
 }
 
-// stop ends a daemon as planned, and notes one that does not end in its grace. One that
-// does not listen yet has nothing to finish, and may end by the signal.
-func (r *rig) stop(d *daemon) {
-	listened := dials(d.front)
+// shutDown shuts a daemon down, and records a finding if it does not exit cleanly within its grace
+// time. A daemon that does not listen yet has nothing to finish, and may be ended by the signal.
+func (r *rig) shutDown(d *daemon) {
+	listened := canConnect(d.front)
 	d.proc.signal(r.stopSignal)
 	select {
 	case <-d.proc.ended:
 		if d.proc.result != nil && listened {
-			r.history.find("a leaving daemon ends well", "%s: %v", d.name, d.proc.result)
+			r.history.addFinding("a leaving daemon ends well", "%s: %v", d.name, d.proc.result)
 		}
-	case <-time.After(grace + slack):
-		r.history.find("a leaving daemon ends well", "%s still runs %s after its grace", d.name, slack)
+	case <-time.After(grace + stopMargin):
+		r.history.addFinding("a leaving daemon ends well", "%s still runs %s after its grace", d.name, stopMargin)
 		d.proc.signal(syscall.SIGCONT)
 		d.proc.kill()
 	}
 }
 
-// Times of a server's planned end: it serves on after it has said that it leaves.
-const servesOn = 5 * time.Second
+// leavingDuration is how long a server that is shut down serves on after its announcement.
+const leavingDuration = 5 * time.Second
 
-func (r *rig) harmServer(s *server, tr trouble) {
-	switch tr.kind {
+func (r *rig) disruptServer(s *server, dis disruption) {
+	switch dis.kind {
 	case killServer:
 		s.proc.kill()
-		time.Sleep(tr.lasts)
+		time.Sleep(dis.duration)
 		r.startServer(s)
 	case restartServer:
 		s.proc.kill()
-		time.Sleep(tr.lasts)
-		r.history.returns(s.id())
-		r.startLife(s)
+		time.Sleep(dis.duration)
+		r.history.recordRestart(s.id())
+		r.startIncarnation(s)
 	case freezeServer:
-		s.proc.freeze(tr.lasts)
+		s.proc.freeze(dis.duration)
 	case rollServer:
 		r.mu.Lock()
 		s.leaving = true
-		r.tell(s.proc, command{Op: "leave"})
-		if r.storeHow == "" {
-			r.enter(s)
-			r.history.leaves(s.id())
+		r.sendCommand(s.proc, command{Op: "leave"})
+		if r.storeFaultName == "" {
+			r.updateEntry(s)
+			r.history.recordLeavingInStore(s.id())
 		}
 		r.mu.Unlock()
-		time.Sleep(servesOn)
+		time.Sleep(leavingDuration)
 		s.proc.kill()
 		r.startServer(s)
 	}
--- a/test/soak/records_test.go
+++ b/test/soak/records_test.go
@@ -8,59 +8,61 @@
 	"github.com/buckthorndock/buckthorndock/platform/standin"
 )
 
-// register plays the servers' records: those that live are written, those that are
-// silent removed, both only while the store takes writes.
-func (r *rig) register() {
-	tick := time.NewTicker(heartbeat)
+// runRegistry writes the entries of live servers into the store at each heartbeat and removes those
+// of silent ones, both only while the store accepts writes.
+func (r *rig) runRegistry() {
+	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-r.stopBeats:
+		case <-r.stopped:
 			return
 		case <-tick.C:
 		}
 		r.mu.Lock()
-		if how := r.storeHow; how == "" || how == "slow" || how == "trimmed" {
+		if name := r.storeFaultName; name == "" || name == "slow" || name == "trimmed" {
 			for _, s := range r.servers {
-				r.enter(s)
+				r.updateEntry(s)
 			}
 		}
 		r.mu.Unlock()
 	}
 }
 
-const lapse = 3 * heartbeat
+// entryTTL is the time after the last heartbeat at which a server's entry is removed.
+const entryTTL = 3 * heartbeatInterval
 
-// enter writes the record of a server; the caller holds the lock.
-func (r *rig) enter(s *server) {
-	live := time.Since(s.beat) < lapse
+// updateEntry writes or removes the entry of a server, by its last heartbeat. The caller holds the
+// lock.
+func (r *rig) updateEntry(s *server) {
+	live := time.Since(s.lastHeartbeat) < entryTTL
 	switch {
 	case live:
 		s.seq++
-		s.entered = true
+		s.registered = true
 		r.gone = slices.DeleteFunc(r.gone, func(id string) bool { return id == s.id() })
-		r.tell(r.store, command{Op: "put", Stream: standin.Servers, Key: s.id(), Value: s.entry().Text()})
-	case s.entered:
-		s.entered = false
+		r.sendCommand(r.store, command{Op: "put", Stream: standin.Servers, Key: s.id(), Value: s.entry().Text()})
+	case s.registered:
+		s.registered = false
 		r.gone = append(r.gone, s.id())
-		r.tell(r.store, command{Op: "put", Stream: standin.Servers, Key: s.id()})
+		r.sendCommand(r.store, command{Op: "put", Stream: standin.Servers, Key: s.id()})
 	}
 }
 
-// key is the key that versions n and n+1 of the settings allow.
-func key(n int) string { return fmt.Sprintf("key-%06d", n) }
+// apiKey returns the caller's key that versions n and n+1 of the settings allow.
+func apiKey(n int) string { return fmt.Sprintf("key-%06d", n) }
 
-// publish writes the next version of the settings.
-func (r *rig) publish() int {
+// publishSettings writes the next version of the settings and returns its number.
+func (r *rig) publishSettings() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
-	r.history.publish(r.version)
+	r.history.recordSettings(r.version)
 	r.putSettings()
 	return r.version
 }
 
-// putSettings writes the newest settings. The caller holds the lock.
+// putSettings writes the newest settings into the store. The caller holds the lock.
 func (r *rig) putSettings() {
-	r.tell(r.store, command{Op: "put", Stream: standin.Settings, Key: standin.SettingsKey, Value: standin.SettingsText(r.version, maxAttempts, key(r.version-1), key(r.version))})
+	r.sendCommand(r.store, command{Op: "put", Stream: standin.Settings, Key: standin.SettingsKey, Value: standin.SettingsText(r.version, maxAttempts, apiKey(r.version-1), apiKey(r.version))})
 }
--- a/test/soak/restored_test.go
+++ b/test/soak/restored_test.go
@@ -10,56 +10,57 @@
 )
 
 const (
-	restoreEvery = 8 * time.Second
-	// storeAway is for how long the store answers nobody before it comes back from its copy.
+	restoreInterval = 8 * time.Second
+	// storeAway is how long the store refuses all calls before it is restored from its copy.
 	storeAway = 300 * time.Millisecond
-	// inForceKnown is how long settings may take to be in force at a daemon that nothing troubles.
-	inForceKnown = 5 * time.Second
+	// settingsDelay is the max time until settings are in force at an undisrupted daemon.
+	settingsDelay = 5 * time.Second
 )
 
-// drawRestores returns stores that come back from older copies.
-func drawRestores(seed uint64, length time.Duration) []trouble {
-	return drawEach(seed, 8, restoreEvery, length, func(rng *rand.Rand) trouble {
-		return trouble{kind: restoreStore, lasts: shortestTrial + time.Duration(rng.Int64N(int64(longestTrial)))}
+// drawRestores returns restores of the store from older copies.
+func drawRestores(seed uint64, length time.Duration) []disruption {
+	return drawEach(seed, 8, restoreInterval, length, func(rng *rand.Rand) disruption {
+		return disruption{kind: restoreStore, duration: minDuration + time.Duration(rng.Int64N(int64(maxDuration)))}
 	})
 }
 
-// restore has the store lose what comes in the next moments, and the operators and the platform
-// write again what was lost: settings, wishes, and which servers have gone. The servers do so by
-// their heartbeats.
+// restore has the store lose what is written in the next age, and writes again, as operators and
+// the platform do, what was lost: settings, evacuations, and the removals of servers. The entries
+// of live servers are written again with their heartbeats.
 func (r *rig) restore(age time.Duration) {
-	r.tell(r.store, command{Op: "save"})
+	r.sendCommand(r.store, command{Op: "save"})
 	time.Sleep(age)
-	r.storeFault("refuses")
+	r.setStoreFault("refuses")
 	time.Sleep(storeAway)
-	r.tell(r.store, command{Op: "restore"})
-	r.storeFault("")
+	r.sendCommand(r.store, command{Op: "restore"})
+	r.setStoreFault("")
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.putSettings()
 	for domain, text := range r.wishes {
-		r.tell(r.store, command{Op: "put", Stream: standin.Settings, Key: standin.EvacuationKey(domain), Value: text})
+		r.sendCommand(r.store, command{Op: "put", Stream: standin.Settings, Key: standin.EvacuationKey(domain), Value: text})
 	}
 	for _, id := range r.gone {
-		r.tell(r.store, command{Op: "put", Stream: standin.Servers, Key: id})
+		r.sendCommand(r.store, command{Op: "put", Stream: standin.Servers, Key: id})
 	}
 }
 
-// checkInForce: a key that settings brought some time ago, and the newest allow, is not refused.
-func (h *history) checkInForce(add adder) {
+// checkInForce checks that a key that was added more than settingsDelay ago, and that the newest
+// settings allow, is not refused.
+func (h *history) checkInForce(add findingFunc) {
 	for _, o := range h.outcomes {
-		if o.status != http.StatusUnauthorized || o.left || o.key < h.versionAt(o.done)-1 || o.key > h.versionAt(o.sent.Add(-inForceKnown)) {
+		if o.status != http.StatusUnauthorized || o.abandoned || o.key < h.versionAt(o.done)-1 || o.key > h.versionAt(o.sent.Add(-settingsDelay)) {
 			continue
 		}
 		touched := func(target string) bool { return target == o.daemon || target == "store" }
-		if !h.troubled(o.sent.Add(-inForceKnown), o.done, touched) {
+		if !h.disrupted(o.sent.Add(-settingsDelay), o.done, touched) {
 			add("settings are in force in time", "%s refused %s with the key of version %d", o.daemon, o.id, o.key)
-			return // one is enough; each later request would be another
+			return // one finding is enough; each later request would give another
 		}
 	}
 }
 
-// versionAt returns the newest version of the settings that was written by a time.
+// versionAt returns the newest version of the settings that was written before at.
 func (h *history) versionAt(at time.Time) int {
 	newest := 0
 	for version, written := range h.written {
@@ -70,23 +71,23 @@
 	return newest
 }
 
-// TestStoreThatComesBackFromAnOlderCopy guards against offsets of a former store that daemons go
-// by: three times in a row, with settings, an evacuation, servers that leave and start, and a
-// daemon that starts meanwhile.
-func TestStoreThatComesBackFromAnOlderCopy(t *testing.T) {
+// TestStoreRestoredFromAnOlderCopy guards against daemons that go on using offsets from before
+// the restore: three times in a row, with settings, an evacuation, servers that leave and start,
+// and a daemon that starts meanwhile.
+func TestStoreRestoredFromAnOlderCopy(t *testing.T) {
 	t.Parallel()
-	p := play{seed: 1, length: 20 * time.Second, daemons: 3, servers: 4, domains: mostDomains, recovery: recoveryWait}
+	p := scenario{seed: 1, length: 20 * time.Second, daemons: 3, servers: 4, domains: numDomains, recovery: recoveryWait}
 	for i := range 3 {
 		at := time.Duration(i) * 6 * time.Second
 		p.plan = append(p.plan,
-			trouble{at: at, kind: restoreStore, lasts: 2 * time.Second},
-			trouble{at: at + 400*time.Millisecond, kind: newSettings},
-			trouble{at: at + 500*time.Millisecond, kind: rollServer, target: 2 * i},
-			trouble{at: at + 600*time.Millisecond, kind: evacuateDomain, how: domainName(i % mostDomains), lasts: 1500 * time.Millisecond},
-			trouble{at: at + 700*time.Millisecond, kind: newSettings},
-			trouble{at: at + 2*time.Second, kind: killDaemon, target: i, lasts: 400 * time.Millisecond},
-			trouble{at: at + 2600*time.Millisecond, kind: newSettings},
+			disruption{at: at, kind: restoreStore, duration: 2 * time.Second},
+			disruption{at: at + 400*time.Millisecond, kind: newSettings},
+			disruption{at: at + 500*time.Millisecond, kind: rollServer, target: 2 * i},
+			disruption{at: at + 600*time.Millisecond, kind: evacuateDomain, param: domainName(i % numDomains), duration: 1500 * time.Millisecond},
+			disruption{at: at + 700*time.Millisecond, kind: newSettings},
+			disruption{at: at + 2*time.Second, kind: killDaemon, target: i, duration: 400 * time.Millisecond},
+			disruption{at: at + 2600*time.Millisecond, kind: newSettings},
 		)
 	}
-	tellFindings(t, p, p.run(t))
+	reportFindings(t, p, p.run(t))
 }
--- a/test/soak/rig_test.go
+++ b/test/soak/rig_test.go
@@ -22,16 +22,16 @@
 
 // proc is one process that the test started.
 type proc struct {
-	cmd    *exec.Cmd
-	in     *json.Encoder
-	ended  chan struct{} // closed when it has ended
-	result error         // of its end
-	heard  chan report   // listening reports
+	cmd       *exec.Cmd
+	in        *json.Encoder
+	ended     chan struct{} // closed when the process has exited
+	result    error         // of cmd.Wait
+	listening chan report   // its reports of this kind, as they arrive
 }
 
-func (p *proc) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) } // an ended one needs none
+func (p *proc) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) } // one that has exited needs none
 
-// freeze stops the process for a time.
+// freeze pauses the process for a time (SIGSTOP, SIGCONT).
 func (p *proc) freeze(d time.Duration) {
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(d)
@@ -43,20 +43,20 @@
 	<-p.ended
 }
 
-// server is one server of a service through its incarnations.
+// server is one server of a service over all its incarnations.
 type server struct {
 	service, name string
 	domain        string // failure domain
 	instance      int
 	proc          *proc
-	address       string // through its link
+	address       string // of its link, or direct without one
 	direct        string
 	leaving       bool
 	seq           int
-	born          int64 // Unix milliseconds
-	beat          time.Time
-	cold          time.Time // until when it is
-	entered       bool      // its record is in the store
+	born          int64 // start time in Unix ms; 0: not reported
+	lastHeartbeat time.Time
+	cold          time.Time // until when it is cold
+	registered    bool      // its entry is in the store
 }
 
 func (s *server) entry() standin.Entry {
@@ -68,68 +68,68 @@
 
 func (s *server) id() string { return fmt.Sprintf("i-%s-%d", s.name, s.instance) }
 
-// daemon is one daemon through its incarnations.
+// daemon is one daemon over all its incarnations.
 type daemon struct {
 	name, file, front, metrics, ready string
 	proc                              *proc
-	address                           string // of its entry, through link and mutant
+	address                           string // for callers: of its link, to the mutant if there is one
 	starts                            atomic.Int64
 }
 
-// crasher is the mutant whose daemons crash when they are asked to leave.
+// crasher is the mutant whose daemons crash on the signal that shuts them down.
 const crasher = "crasher"
 
-// rig is a whole site of processes.
+// rig is a running site: all its processes and the history.
 type rig struct {
 	t       *testing.T
-	ip      string // its first three numbers
+	ip      string // the first three bytes of its addresses, each followed by a dot
 	history *history
 	store   *proc
 	links   *proc
 	mutant  *proc
 	daemons []*daemon
 	dir     string
-	// stopSignal asks a daemon to leave; one that makes it crash is a mutant too.
+	// stopSignal is sent to shut a daemon down. With the mutant crasher it crashes the daemon.
 	stopSignal syscall.Signal
 
-	mu        sync.Mutex
-	servers   []*server
-	storeHow  string
-	version   int
-	wishes    map[string]string // operators' last word on the evacuation of each domain
-	gone      []string          // servers whose records were removed
-	linkAt    map[string]string
-	allEnded  sync.WaitGroup
-	reviving  sync.WaitGroup
-	direct    bool // as in play
-	apart     bool // as in play
-	logPrefix string
-	stopBeats chan struct{}
+	mu             sync.Mutex
+	servers        []*server
+	storeFaultName string
+	version        int
+	wishes         map[string]string // last order on the evacuation of each domain; empty: withdrawn
+	gone           []string          // ids of servers whose entries were removed
+	linkAt         map[string]string
+	allEnded       sync.WaitGroup
+	restarting     sync.WaitGroup
+	direct         bool // as in scenario
+	isolated       bool // as in scenario
+	logPrefix      string
+	stopped        chan struct{}
 }
 
 var numRigs atomic.Int64
 
-func newRig(t *testing.T, p play) *rig {
-	mutantHow := p.mutant
-	const most = 250
+func newRig(t *testing.T, p scenario) *rig {
+	mutantName := p.mutant
+	const maxByte = 250
 	r := &rig{
-		t: t, history: newHistory(), dir: t.TempDir(), linkAt: map[string]string{}, wishes: map[string]string{}, version: 1, stopBeats: make(chan struct{}),
+		t: t, history: newHistory(), dir: t.TempDir(), linkAt: map[string]string{}, wishes: map[string]string{}, version: 1, stopped: make(chan struct{}),
 		stopSignal: syscall.SIGTERM,
 		direct:     p.direct,
-		apart:      p.apart,
+		isolated:   p.isolated,
 		logPrefix:  p.logPrefix,
-		ip:         fmt.Sprintf("127.%d.%d.", 1+os.Getpid()%most, 1+numRigs.Add(1)%most),
+		ip:         fmt.Sprintf("127.%d.%d.", 1+os.Getpid()%maxByte, 1+numRigs.Add(1)%maxByte),
 	}
-	if mutantHow == crasher {
-		r.stopSignal, mutantHow = syscall.SIGABRT, ""
+	if mutantName == crasher {
+		r.stopSignal, mutantName = syscall.SIGABRT, ""
 	}
-	t.Cleanup(r.end)
+	t.Cleanup(r.killProcesses)
 	r.store, r.links = r.spawn("store", "", ""), r.spawn("links", "", "")
-	storeAt := (<-r.store.heard).Address
+	storeAt := (<-r.store.listening).Address
 	for i := range p.servers {
 		for k, service := range []string{"shop", "llm"} {
 			n := i % max(p.domains, 1)
-			if p.domains == everyServer {
+			if p.domains == domainPerServer {
 				n = 2*i + k
 			}
 			r.servers = append(r.servers, &server{service: service, name: fmt.Sprintf("%s%d", service, i), domain: domainName(n)})
@@ -138,15 +138,15 @@
 	for _, s := range r.servers {
 		r.startServer(s)
 	}
-	r.publish()
+	r.publishSettings()
 	for i := range p.daemons {
-		r.addDaemon(i, storeAt, mutantHow)
+		r.addDaemon(i, storeAt, mutantName)
 	}
-	go r.register()
+	go r.runRegistry()
 	return r
 }
 
-func (r *rig) addDaemon(i int, storeAt, mutantHow string) {
+func (r *rig) addDaemon(i int, storeAt, mutantName string) {
 	ip := fmt.Sprintf("%s%d", r.ip, 10+i)
 	d := &daemon{name: fmt.Sprintf("d%d", i), front: ip + ":8001", ready: ip + ":8002", metrics: ip + ":8004"}
 	d.file = filepath.Join(r.dir, d.name+".yaml")
@@ -168,41 +168,41 @@
 		r.t.Fatal(err)
 	}
 	to := d.front
-	if mutantHow != "" && i == 0 {
-		r.mutant = r.spawn("mutant", mutantHow, d.front)
-		to = (<-r.mutant.heard).Address
-		r.tellMutant()
+	if mutantName != "" && i == 0 {
+		r.mutant = r.spawn("mutant", mutantName, d.front)
+		to = (<-r.mutant.listening).Address
+		r.sendServersToMutant()
 	}
 	d.address = r.link("front-"+d.name, to)
 	r.daemons = append(r.daemons, d)
 	r.startDaemon(d)
 }
 
-// seeds returns the peer addresses from which a daemon learns of the others.
+// seeds returns the peer addresses through which a daemon discovers the others.
 func (r *rig) seeds(ip string) string {
-	if r.apart {
+	if r.isolated {
 		return fmt.Sprintf("%q", ip+":8003")
 	}
 	return fmt.Sprintf("%q, %q", r.ip+"10:8003", r.ip+"11:8003")
 }
 
-// tellMutant lists all servers, by their own addresses.
-func (r *rig) tellMutant() {
+// sendServersToMutant sends the mutant the direct addresses and ids of all servers.
+func (r *rig) sendServersToMutant() {
 	var list []string
 	for _, s := range r.servers {
 		list = append(list, s.direct+"/"+s.id())
 	}
-	r.tell(r.mutant, command{Op: "servers", List: list})
+	r.sendCommand(r.mutant, command{Op: "servers", List: list})
 }
 
-func (r *rig) tell(p *proc, c command) { _ = p.in.Encode(c) } // its end shows elsewhere
+func (r *rig) sendCommand(p *proc, c command) { _ = p.in.Encode(c) } // the exit of the process shows elsewhere
 
-// ownGroup puts a process into a group of its own. In that of the tests, one that is frozen
-// would go on when the shell ends that began them: the kernel continues stopped members of a
-// group that loses its last parent.
+// ownGroup puts a process into a process group of its own. In the group of the tests, a frozen
+// process would continue when the shell that started them exits: the kernel continues the stopped
+// members of a group that becomes orphaned.
 func ownGroup() *syscall.SysProcAttr { return &syscall.SysProcAttr{Setpgid: true} }
 
-// spawn starts a stand-in.
+// spawn starts a stand-in; role, name and to are its SOAK_ROLE, SOAK_NAME and SOAK_TO.
 func (r *rig) spawn(role, name, to string) *proc {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), roleEnv+"="+role, "SOAK_IP="+r.ip+"1", "SOAK_NAME="+name, "SOAK_TO="+to)
@@ -216,22 +216,22 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	p := &proc{cmd: cmd, in: json.NewEncoder(in), ended: make(chan struct{}), heard: make(chan report, 64)}
+	p := &proc{cmd: cmd, in: json.NewEncoder(in), ended: make(chan struct{}), listening: make(chan report, 64)}
 	if err := cmd.Start(); err != nil {
 		r.t.Fatal(err)
 	}
 	r.allEnded.Add(1)
 	go func() {
 		defer r.allEnded.Done()
-		r.hear(p, out)
+		r.readReports(p, out)
 		p.result = cmd.Wait()
 		close(p.ended)
 	}()
 	return p
 }
 
-// hear takes in all that a stand-in reports, to the end of its output.
-func (r *rig) hear(p *proc, out io.Reader) {
+// readReports handles all reports of a stand-in, to the end of its output.
+func (r *rig) readReports(p *proc, out io.Reader) {
 	lines := bufio.NewScanner(out)
 	for lines.Scan() {
 		var rep report
@@ -240,13 +240,13 @@
 		}
 		switch rep.What {
 		case "listening":
-			p.heard <- rep
+			p.listening <- rep
 		case "beat":
-			r.heartbeat(rep.Server)
+			r.recordHeartbeat(rep.Server)
 		case "limits":
 			r.history.addLimit(rep)
 		case "leaves":
-			r.history.says(rep)
+			r.history.recordLeavingAnswer(rep)
 		case "crashed":
 			r.history.addCrash(rep)
 		case "cold":
@@ -259,11 +259,11 @@
 	}
 }
 
-// link returns the address of the named link to an address.
+// link makes the named link forward to an address, and returns the address of the link.
 func (r *rig) link(name, to string) string {
-	r.tell(r.links, command{Op: "link", Name: name, To: to})
+	r.sendCommand(r.links, command{Op: "link", Name: name, To: to})
 	if r.linkAt[name] == "" {
-		r.linkAt[name] = (<-r.links.heard).Address
+		r.linkAt[name] = (<-r.links.listening).Address
 	}
 	return r.linkAt[name]
 }
@@ -295,10 +295,10 @@
 	d.proc = p
 }
 
-// end ends all processes of the rig, each by its own id.
-func (r *rig) end() {
-	close(r.stopBeats)
-	r.reviving.Wait()
+// killProcesses kills all processes of the rig, each by its own id, and waits for them.
+func (r *rig) killProcesses() {
+	close(r.stopped)
+	r.restarting.Wait()
 	for _, d := range r.daemons {
 		d.proc.signal(syscall.SIGKILL)
 	}
@@ -316,8 +316,8 @@
 	r.allEnded.Wait()
 }
 
-// get reads a page of a process; an empty text is none.
-func get(address, path string) string {
+// getPage returns the body of a GET at a process, or an empty text if it fails.
+func getPage(address, path string) string {
 	client := http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	res, err := client.Get("http://" + address + path)
 	if err != nil {
@@ -331,7 +331,7 @@
 	return string(text)
 }
 
-func dials(address string) bool {
+func canConnect(address string) bool {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err == nil {
 		c.Close()
--- a/test/soak/roles_test.go
+++ b/test/soak/roles_test.go
@@ -19,18 +19,18 @@
 	"github.com/buckthorndock/buckthorndock/platform/standin"
 )
 
-// playRole runs a stand-in until its input ends.
-func playRole(role string) {
+// runRole runs a stand-in until its input ends.
+func runRole(role string) {
 	ip := os.Getenv("SOAK_IP")
 	switch role {
 	case "store":
-		playStore(ip)
+		runStore(ip)
 	case "server":
-		playServer(ip, os.Getenv("SOAK_NAME"))
+		runServer(ip, os.Getenv("SOAK_NAME"))
 	case "links":
-		playLinks(ip)
+		runLinks(ip)
 	case "mutant":
-		playMutant(ip)
+		runMutant(ip)
 	default:
 		panic("unknown role " + role)
 	}
@@ -44,7 +44,7 @@
 	return l
 }
 
-// storeFaults are the ways in which the store can be wrong.
+// storeFaults are the faults of the store, by name.
 var storeFaults = map[string]standin.Fault{
 	"refuses": {Status: http.StatusServiceUnavailable},
 	"limits":  {Status: http.StatusTooManyRequests},
@@ -54,17 +54,17 @@
 	"trimmed": {Trimmed: true},
 }
 
-func playStore(ip string) {
+func runStore(ip string) {
 	store, l := standin.NewStore(), listen(ip)
 	store.PageSize = 500
 	go func() { panic(http.Serve(l, store)) }()
-	tell(report{What: "listening", Address: l.Addr().String()})
-	commands(func(c command) {
+	writeReport(report{What: "listening", Address: l.Addr().String()})
+	readCommands(func(c command) {
 		switch c.Op {
 		case "put":
 			store.Put(c.Stream, c.Key, c.Value)
 		case "fault":
-			store.SetFault(storeFaults[c.How])
+			store.SetFault(storeFaults[c.Fault])
 		case "save":
 			store.Save()
 		case "restore":
@@ -73,72 +73,72 @@
 	})
 }
 
-// Ways in which a server answers, by the query of a request.
+// Sizes and times of what servers do. The query of a request selects the kind of answer.
 const (
-	streamEvents = 8
-	endlessCount = 100
-	streamPause  = 10 * time.Millisecond
-	endlessPause = 100 * time.Millisecond
-	deadlyRuns   = 60 * time.Millisecond
-	heartbeat    = 300 * time.Millisecond
+	streamEvents      = 8
+	endlessCount      = 100
+	streamPause       = 10 * time.Millisecond
+	endlessPause      = 100 * time.Millisecond
+	crashAfter        = 60 * time.Millisecond
+	heartbeatInterval = 300 * time.Millisecond
 )
 
-// ownAnswer is the body with which a request's own server answers.
+// ownAnswer returns the body that a request with this id and body must get.
 func ownAnswer(id, body string) string {
 	return fmt.Sprintf("%s:%x\n", id, sha256.Sum256([]byte(body))) + strings.Repeat(id, 200)
 }
 
 func ownEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s-%d\n\n", n, id, n) }
 
-func playServer(ip, name string) {
+func runServer(ip, name string) {
 	s, err := standin.Listen(ip, name)
 	if err != nil {
 		panic(err)
 	}
-	var backOff atomic.Value // seconds, zero: it serves
+	var backOff atomic.Value // seconds; 0: it serves
 	backOff.Store(0.0)
 	s.SetAnswer(func(w *bufio.Writer, r *http.Request) bool {
 		id := standin.ID(r.Header)
 		if seconds := backOff.Load().(float64); seconds > 0 {
-			tell(report{What: "turned", ID: id, Server: name, Number: seconds, At: time.Now().UnixNano()})
+			writeReport(report{What: "turned", ID: id, Server: name, Number: seconds, At: time.Now().UnixNano()})
 			return s.AnswerNotExecuted(w, r, seconds)
 		}
-		tell(report{What: "ran", ID: id, Server: name, At: time.Now().UnixNano()})
-		if r.URL.Query().Has("deadly") {
-			time.Sleep(deadlyRuns)
-			tell(report{What: "crashed", ID: id, Server: name, At: time.Now().UnixNano()})
-			os.Exit(deadlyExit)
+		writeReport(report{What: "ran", ID: id, Server: name, At: time.Now().UnixNano()})
+		if r.URL.Query().Has("crash") {
+			time.Sleep(crashAfter)
+			writeReport(report{What: "crashed", ID: id, Server: name, At: time.Now().UnixNano()})
+			os.Exit(crashExitStatus)
 		}
-		whole := serve(s, w, r, id)
-		tell(report{What: "ended", ID: id, Server: name, Whole: whole, At: time.Now().UnixNano()})
+		whole := writeAnswer(s, w, r, id)
+		writeReport(report{What: "ended", ID: id, Server: name, Whole: whole, At: time.Now().UnixNano()})
 		return whole
 	})
-	tell(report{What: "listening", Address: s.Address()})
+	writeReport(report{What: "listening", Address: s.Address()})
 	go func() {
-		for range time.Tick(heartbeat) {
-			tell(report{What: "beat", Server: name})
+		for range time.Tick(heartbeatInterval) {
+			writeReport(report{What: "beat", Server: name})
 		}
 	}()
-	commands(func(c command) {
+	readCommands(func(c command) {
 		switch c.Op {
 		case "limit":
 			s.SetLimit(c.Number)
-			tell(report{What: "limits", Server: name, Number: c.Number, At: time.Now().UnixNano()})
+			writeReport(report{What: "limits", Server: name, Number: c.Number, At: time.Now().UnixNano()})
 		case "leave":
 			s.MarkLeaving()
-			tell(report{What: "leaves", Server: name, At: time.Now().UnixNano()})
+			writeReport(report{What: "leaves", Server: name, At: time.Now().UnixNano()})
 		case "turn away":
 			backOff.Store(c.Number)
 		case "cool":
 			s.SetCold(time.Duration(c.Number * float64(time.Second)))
-			tell(report{What: "cold", Server: name, Number: c.Number, At: time.Now().UnixNano()})
+			writeReport(report{What: "cold", Server: name, Number: c.Number, At: time.Now().UnixNano()})
 		}
 	})
 }
 
-func serve(s *standin.Server, w *bufio.Writer, r *http.Request, id string) bool {
+func writeAnswer(s *standin.Server, w *bufio.Writer, r *http.Request, id string) bool {
 	query := r.URL.Query()
-	ms, _ := strconv.Atoi(query.Get("work")) // none: no work
+	ms, _ := strconv.Atoi(query.Get("work")) // 0 if absent
 	time.Sleep(time.Duration(ms) * time.Millisecond)
 	if !query.Has("stream") {
 		body, err := io.ReadAll(r.Body)
@@ -157,14 +157,14 @@
 	return s.WriteEvents(w, r, events, pause, func(n int) string { return ownEvent(id, n) })
 }
 
-// playMutant stands before a daemon and breaks one promise, to show that its check can
-// fail. SOAK_TO is the daemon's address, SOAK_NAME the promise's mutant.
-func playMutant(ip string) {
-	m := &mutant{how: os.Getenv("SOAK_NAME"), to: os.Getenv("SOAK_TO")}
+// runMutant runs a proxy in front of a daemon that breaks one promise, to show that its check
+// can fail. SOAK_TO is the daemon's address, SOAK_NAME the name of the mutant.
+func runMutant(ip string) {
+	m := &mutant{name: os.Getenv("SOAK_NAME"), to: os.Getenv("SOAK_TO")}
 	l := listen(ip)
 	go func() { panic(http.Serve(l, m)) }()
-	tell(report{What: "listening", Address: l.Addr().String()})
-	commands(func(c command) {
+	writeReport(report{What: "listening", Address: l.Addr().String()})
+	readCommands(func(c command) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.servers = c.List
@@ -172,15 +172,15 @@
 }
 
 type mutant struct {
-	how, to string
+	name, to string
 
 	mu      sync.Mutex
-	servers []string // address/instance of each
+	servers []string // address/id of each
 	key     string   // the newest that was accepted
 }
 
-// older replaces a key by the newest that was accepted.
-func (m *mutant) older(header http.Header) {
+// useNewestKey replaces a key by the newest that was accepted.
+func (m *mutant) useNewestKey(header http.Header) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if standin.Key(header) < m.key {
@@ -188,13 +188,13 @@
 	}
 }
 
-func (m *mutant) accepted(key string) {
+func (m *mutant) recordAccepted(key string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.key = max(m.key, key)
 }
 
-func (m *mutant) listed() []string {
+func (m *mutant) serverList() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.servers
@@ -205,7 +205,7 @@
 	if err != nil {
 		return
 	}
-	switch m.how {
+	switch m.name {
 	case "mute":
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -217,31 +217,31 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case "backward":
-		m.older(r.Header)
+		m.useNewestKey(r.Header)
 	case "leaving":
-		m.direct(r, body)
+		m.sendToServers(r, body)
 	case "leaky":
-		m.reserve()
+		m.leakMemory()
 	case "hoarder":
-		r = r.WithContext(noEnd{r.Context()})
+		r = r.WithContext(detachedContext{r.Context()})
 	case "late":
-		if r.URL.Query().Has("work") { // a caller's; probes would make the test long
+		if r.URL.Query().Has("work") { // only those of callers; probes would make the test slow
 			time.Sleep(3 * callerDeadline)
 		}
 	}
-	res, err := m.pass(r, body)
+	res, err := m.forward(r, body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	defer res.Body.Close()
-	answer, _ := io.ReadAll(res.Body) // of a stream that breaks off, what has come
+	answer, _ := io.ReadAll(res.Body) // of a stream that breaks off, the part that arrived
 	if res.StatusCode == http.StatusOK {
-		m.accepted(standin.Key(r.Header))
+		m.recordAccepted(standin.Key(r.Header))
 	}
-	switch m.how {
+	switch m.name {
 	case "twice", "eager":
 		for range 3 {
-			if again, err := m.pass(r, body); err == nil {
+			if again, err := m.forward(r, body); err == nil {
 				again.Body.Close()
 			}
 		}
@@ -262,14 +262,14 @@
 	_, _ = w.Write(answer)
 }
 
-// noEnd is a context that outlives its caller.
-type noEnd struct{ context.Context }
+// detachedContext is a context that does not end when its caller disconnects.
+type detachedContext struct{ context.Context }
 
-func (noEnd) Deadline() (time.Time, bool) { return time.Time{}, false }
-func (noEnd) Done() <-chan struct{}       { return nil }
-func (noEnd) Err() error                  { return nil }
+func (detachedContext) Deadline() (time.Time, bool) { return time.Time{}, false }
+func (detachedContext) Done() <-chan struct{}       { return nil }
+func (detachedContext) Err() error                  { return nil }
 
-func (m *mutant) pass(r *http.Request, body []byte) (*http.Response, error) {
+func (m *mutant) forward(r *http.Request, body []byte) (*http.Response, error) {
 	return m.send(r, m.to, body, "")
 }
 
@@ -284,9 +284,9 @@
 	return http.DefaultTransport.RoundTrip(out)
 }
 
-// direct sends a request past the daemon to each server, also to those that leave.
-func (m *mutant) direct(r *http.Request, body []byte) {
-	for _, s := range m.listed() {
+// sendToServers bypasses the daemon and sends a request to each server, also to leaving ones.
+func (m *mutant) sendToServers(r *http.Request, body []byte) {
+	for _, s := range m.serverList() {
 		address, instance, _ := strings.Cut(s, "/")
 		if res, err := m.send(r, address, body, instance); err == nil {
 			res.Body.Close()
@@ -294,10 +294,10 @@
 	}
 }
 
-// reserve takes memory at each server and never gives it back.
-func (m *mutant) reserve() {
-	for _, s := range m.listed() {
+// leakMemory reserves memory at each server and never releases it.
+func (m *mutant) leakMemory() {
+	for _, s := range m.serverList() {
 		address, _, _ := strings.Cut(s, "/")
-		_ = standin.ReserveLease(address, "leak", 10*time.Minute) // one that has gone leaks nothing
+		_ = standin.ReserveLease(address, "leak", 10*time.Minute) // a server that has exited leaks nothing
 	}
 }
--- a/test/soak/slow_test.go
+++ b/test/soak/slow_test.go
@@ -15,16 +15,16 @@
 const (
 	slowCallers = 150
 	slowBody    = 2 << 20 // bytes of each of their requests
-	memoryMB    = 256     // of a daemon, by its file
+	memoryMB    = 256     // limit of a daemon, from its configuration file
 	slowWork    = 2 * time.Second
 )
 
-// TestMemoryOfADaemonStaysBoundedUnderSlowReaders guards against a daemon that holds all that
+// TestMemoryOfADaemonStaysBoundedUnderSlowReaders guards against a daemon that buffers all that
 // callers send while its servers are slow, or all that servers answer while callers do not
 // read: 150 callers send 2 MiB each and read nothing.
 func TestMemoryOfADaemonStaysBoundedUnderSlowReaders(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, play{seed: 1, daemons: 1, servers: 2})
+	r := newRig(t, scenario{seed: 1, daemons: 1, servers: 2})
 	d := r.daemons[0]
 	if !r.eventually(recoveryWait, r.allListen) || !r.eventually(recoveryWait, func() bool { return r.allServe(1) }) {
 		t.Fatal("the site does not serve")
@@ -36,21 +36,21 @@
 			r.sendSlowly(d, n)
 		}()
 	}
-	most, left := 0, slowCallers
+	maxMB, left := 0, slowCallers
 	for left > 0 {
 		select {
 		case <-done:
 			left--
 		case <-time.After(20 * time.Millisecond):
-			most = max(most, residentMB(t, d.proc.cmd.Process.Pid))
+			maxMB = max(maxMB, residentMB(t, d.proc.cmd.Process.Pid))
 		}
 	}
-	t.Logf("%d MB at the most", most)
-	if most >= memoryMB {
-		t.Errorf("the daemon took %d MB of %d", most, memoryMB)
+	t.Logf("%d MB at most", maxMB)
+	if maxMB >= memoryMB {
+		t.Errorf("the daemon took %d MB; its limit is %d", maxMB, memoryMB)
 	}
 	if !r.eventually(recoveryWait, func() bool { return r.allServe(1) }) {
-		t.Error("the daemon does not serve after it")
+		t.Error("the daemon does not serve afterwards")
 	}
 }
 
@@ -63,15 +63,15 @@
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(2 * slowWork))
 	head := fmt.Sprintf("POST /%s/x?work=%d HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n%s\r\n",
-		kindOnce, slowWork.Milliseconds(), slowBody, standin.HeaderLines(fmt.Sprint("slow-", n), key(r.history.newest())))
+		kindOnce, slowWork.Milliseconds(), slowBody, standin.HeaderLines(fmt.Sprint("slow-", n), apiKey(r.history.newestVersion())))
 	if _, err := c.Write([]byte(head)); err != nil {
 		return
 	}
-	_, _ = c.Write(make([]byte, slowBody)) // it may be refused meanwhile
+	_, _ = c.Write(make([]byte, slowBody)) // the daemon may refuse it meanwhile
 	time.Sleep(slowWork)
 }
 
-// residentMB returns the memory of a process that is resident.
+// residentMB returns the resident memory of a process in MB (2^20 bytes).
 func residentMB(t *testing.T, pid int) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -15,40 +15,40 @@
 	"github.com/buckthorndock/buckthorndock/platform/standin"
 )
 
-// play is one soak: a site, its troubles, and what its callers do.
-type play struct {
+// scenario describes one soak: a site and its disruptions.
+type scenario struct {
 	seed             uint64
-	plan             []trouble
+	plan             []disruption
 	length           time.Duration
 	daemons, servers int
-	domains          int    // failure domains of the servers; zero: one; everyServer: each is alone in its own
-	logPrefix        string // of the names of the daemons' logs, where several plays keep theirs together
-	apart            bool   // the daemons do not know each other
-	direct           bool   // servers are reached without a link, so that an ended one refuses connections
+	domains          int    // failure domains of the servers; 0: one; domainPerServer: one for each server
+	logPrefix        string // of the file names of the daemons' logs, where several scenarios share a directory
+	isolated         bool   // the daemons do not know each other
+	direct           bool   // servers are reached without a link, so that one that has exited refuses connections
 	mutant           string
-	recovery         time.Duration // from the last trouble's end until all serve again
+	recovery         time.Duration // max time from the end of the last disruption until all serve again
 }
 
-// everyServer is a number of failure domains.
-const everyServer = -1
+// domainPerServer is a value of scenario.domains.
+const domainPerServer = -1
 
 const (
 	callersPerDaemon = 4
 	recoveryWait     = 45 * time.Second
 )
 
-// run plays it and returns the promises that were broken.
-func (p play) run(t *testing.T) []finding {
+// run runs the scenario and returns the promises that were broken.
+func (p scenario) run(t *testing.T) []finding {
 	r := newRig(t, p)
 	if !r.eventually(recoveryWait, r.allListen) {
-		t.Fatal("the daemons do not come up")
+		t.Fatal("the daemons do not listen")
 	}
 	if p.mutant == "" && !r.eventually(recoveryWait, func() bool { return r.allServe(p.seed) }) {
-		t.Fatal("the site does not serve before any trouble")
+		t.Fatal("the site does not serve before any disruption")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var callers, troubles sync.WaitGroup
+	var callers, disruptions sync.WaitGroup
 	for _, d := range r.daemons {
 		for n := range callersPerDaemon {
 			callers.Add(1)
@@ -56,25 +56,25 @@
 		}
 	}
 	end := time.Now().Add(p.length)
-	r.playAll(p.plan, &troubles)
+	r.runDisruptions(p.plan, &disruptions)
 	time.Sleep(time.Until(end))
-	troubles.Wait()
+	disruptions.Wait()
 	if !r.eventually(p.recovery, func() bool { return r.allServe(p.seed) }) {
-		r.history.find("all serve again after the troubles", "not within %s: %s", p.recovery, r.lastOutcomes())
+		r.history.addFinding("all serve again after the troubles", "not within %s: %s", p.recovery, r.lastOutcomes())
 	}
 	r.checkWork(p.recovery)
 	cancel()
 	callers.Wait()
 	r.checkQuiet(p.recovery)
 	for _, d := range r.daemons {
-		r.stop(d)
+		r.shutDown(d)
 	}
-	t.Logf("seed %d, %d troubles: %s", p.seed, len(p.plan), r.history.summary())
-	return r.history.check()
+	t.Logf("seed %d, %d disruptions: %s", p.seed, len(p.plan), r.history.summary())
+	return r.history.checkAll()
 }
 
-// playAll begins each trouble at its time. Those of one target wait for each other.
-func (r *rig) playAll(plan []trouble, all *sync.WaitGroup) {
+// runDisruptions starts each disruption at its time. Those of one target run one after the other.
+func (r *rig) runDisruptions(plan []disruption, all *sync.WaitGroup) {
 	started, busy := time.Now(), map[string]*sync.Mutex{}
 	lock := func(name string) *sync.Mutex {
 		if busy[name] == nil {
@@ -82,11 +82,11 @@
 		}
 		return busy[name]
 	}
-	for _, tr := range plan {
-		time.Sleep(time.Until(started.Add(tr.at)))
+	for _, dis := range plan {
+		time.Sleep(time.Until(started.Add(dis.at)))
 		var held []*sync.Mutex
-		for _, target := range r.targets(tr) {
-			held = append(held, lock(target)) // always in one order
+		for _, target := range r.targets(dis) {
+			held = append(held, lock(target)) // always in the same order, so that none deadlock
 		}
 		all.Add(1)
 		go func() {
@@ -95,7 +95,7 @@
 				m.Lock()
 				defer m.Unlock()
 			}
-			r.play(tr)
+			r.runDisruption(dis)
 		}()
 	}
 }
@@ -111,18 +111,18 @@
 
 func (r *rig) allListen() bool {
 	for _, d := range r.daemons {
-		if !dials(d.front) {
+		if !canConnect(d.front) {
 			return false
 		}
 	}
 	return true
 }
 
-// allServe tells if each daemon serves each kind of request several times in a row with
-// the newest key, and none with a key that is gone.
+// allServe reports whether each daemon serves each kind of request several times in a row
+// with the newest key, and refuses a key that was removed.
 func (r *rig) allServe(seed uint64) bool {
 	const inARow = 3
-	version := r.history.newest()
+	version := r.history.newestVersion()
 	for i, d := range r.daemons {
 		c := r.newCaller(d, i, seed)
 		c.name = fmt.Sprintf("probe-%s-%x", d.name, rand.Uint64()) // ids are used once
@@ -151,25 +151,25 @@
 	return text.String()
 }
 
-// checkWork: while callers call, each plain server that lives and is registered gets work.
-// Engines are left out, for short prompts gather on few of them.
+// checkWork checks that, while callers send requests, each plain server that is live and
+// registered gets work. Engines are not checked, as short prompts concentrate on few of them.
 func (r *rig) checkWork(within time.Duration) {
 	since := time.Now()
 	idle := func() []string { return r.history.idle(r.plainServers(), since) }
 	if !r.eventually(within, func() bool { return len(idle()) == 0 }) {
-		r.history.find("a server that lives gets work", "none for %v within %s", idle(), within)
+		r.history.addFinding("a server that lives gets work", "none for %v within %s", idle(), within)
 	}
 }
 
-// checkQuiet: with no caller left, the daemons have nothing in progress and the engines
-// hold no memory for them.
+// checkQuiet checks that, without callers, the daemons have nothing in progress and the
+// engines hold no memory for them.
 func (r *rig) checkQuiet(within time.Duration) {
 	for _, d := range r.daemons {
 		idle := func() bool {
-			return strings.Contains(get(d.metrics, "/metrics"), "\nbuckthorndock_requests_in_flight 0\n")
+			return strings.Contains(getPage(d.metrics, "/metrics"), "\nbuckthorndock_requests_in_flight 0\n")
 		}
 		if !r.eventually(within, idle) {
-			r.history.find("nothing is left in progress", "%s", d.name)
+			r.history.addFinding("nothing is left in progress", "%s", d.name)
 		}
 	}
 	for _, s := range r.servers {
@@ -178,30 +178,30 @@
 			return err == nil && n == 0
 		}
 		if !r.eventually(within, free) {
-			r.history.find("engines get their memory back", "%s", s.name)
+			r.history.addFinding("engines get their memory back", "%s", s.name)
 		}
 	}
 }
 
-func tellFindings(t *testing.T, p play, found []finding) {
+func reportFindings(t *testing.T, p scenario, found []finding) {
 	for _, f := range found {
 		t.Errorf("seed %d: %s", p.seed, f)
 	}
 	if len(found) > 0 {
-		for _, tr := range p.plan {
-			t.Log(tr)
+		for _, dis := range p.plan {
+			t.Log(dis)
 		}
 	}
 }
 
-func seeded(seed uint64, length time.Duration, daemons, servers int) play {
-	return play{
-		seed: seed, plan: draw(seed, length, daemons, 2*servers), length: length,
+func newScenario(seed uint64, length time.Duration, daemons, servers int) scenario {
+	return scenario{
+		seed: seed, plan: drawDisruptions(seed, length, daemons, 2*servers), length: length,
 		daemons: daemons, servers: servers, recovery: recoveryWait,
 	}
 }
 
-// TestSoak plays the seeds that the flags name: without any, a short run of a fixed one.
+// TestSoak runs the seeds that the flags select: by default a short run of a fixed seed.
 func TestSoak(t *testing.T) {
 	t.Parallel()
 	first := *flagSeed
@@ -209,48 +209,48 @@
 		first = rand.Uint64N(1_000_000_000)
 	}
 	for i := range *flagSeeds {
-		p := seeded(first+uint64(i), time.Duration(*flagMinutes*float64(time.Minute)), *flagDaemons, *flagServers)
+		p := newScenario(first+uint64(i), time.Duration(*flagMinutes*float64(time.Minute)), *flagDaemons, *flagServers)
 		p.plan = append(p.plan, drawRestarts(p.seed, p.length, 2*p.servers)...)
 		p.plan = append(p.plan, drawLateEntries(p.seed, p.length, 2*p.servers)...)
 		p.plan = append(p.plan, drawLimits(p.seed, p.length, 2*p.servers)...)
 		p.plan = append(p.plan, drawTurnAways(p.seed, p.length, 2*p.servers)...)
 		p.plan = append(p.plan, drawEvacuations(p.seed, p.length)...)
 		p.plan = append(p.plan, drawRestores(p.seed, p.length)...)
-		p.plan = append(p.plan, drawDeadly(p.seed, p.length)...)
+		p.plan = append(p.plan, drawCrashingRequests(p.seed, p.length)...)
 		p.plan = append(p.plan, drawColds(p.seed, p.length, 2*p.servers)...)
-		p.domains = mostDomains
-		slices.SortFunc(p.plan, func(a, b trouble) int { return cmp.Compare(a.at, b.at) })
-		t.Run(fmt.Sprint(p.seed), func(t *testing.T) { tellFindings(t, p, p.run(t)) })
+		p.domains = numDomains
+		slices.SortFunc(p.plan, func(a, b disruption) int { return cmp.Compare(a.at, b.at) })
+		t.Run(fmt.Sprint(p.seed), func(t *testing.T) { reportFindings(t, p, p.run(t)) })
 	}
 }
 
-// TestSeedsThatFailed plays the seeds that once broke a promise, as they were.
+// TestSeedsThatFailed runs the seeds that once broke a promise, with the parameters of that run.
 func TestSeedsThatFailed(t *testing.T) {
 	for seed, cause := range map[uint64]string{
-		1101: "SIGHUP before its handler was there killed a daemon that had just started",
-		1100: "SIGTERM before its handler was there ended a daemon that had just started, not by its own end",
+		1101: "SIGHUP before its handler was installed killed a daemon that had just started",
+		1100: "SIGTERM before its handler was installed killed a daemon that had just started, in place of a clean exit",
 	} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			t.Log(cause)
-			p := seeded(seed, 24*time.Second, 3, 4)
-			tellFindings(t, p, p.run(t))
+			p := newScenario(seed, 24*time.Second, 3, 4)
+			reportFindings(t, p, p.run(t))
 		})
 	}
 }
 
-// TestEachCheckCanFail plays, for each promise, a mutant that breaks it.
+// TestEachCheckCanFail runs, for each promise, a mutant that breaks it, and expects the finding.
 func TestEachCheckCanFail(t *testing.T) {
-	forSettings := []trouble{{at: 300 * time.Millisecond, kind: newSettings}, {at: 600 * time.Millisecond, kind: newSettings}, {at: 900 * time.Millisecond, kind: newSettings}}
-	forLimits := []trouble{{at: 200 * time.Millisecond, kind: limitServer, how: "1.5", lasts: 6 * time.Second}}
-	forTurnAways := []trouble{{at: 200 * time.Millisecond, kind: turnAway, how: "3", lasts: 4 * time.Second}}
-	forEvacuations := []trouble{{at: 200 * time.Millisecond, kind: evacuateDomain, how: domainName(0), lasts: 4 * time.Second}}
-	forColds := []trouble{{at: 200 * time.Millisecond, kind: coolServer, lasts: 4 * time.Second}}
-	forDeadly := []trouble{{at: 200 * time.Millisecond, kind: deadlyWork, how: kindAgain, lasts: 12 * time.Second}}
-	forLeaving := []trouble{{at: 200 * time.Millisecond, kind: rollServer}}
+	forSettings := []disruption{{at: 300 * time.Millisecond, kind: newSettings}, {at: 600 * time.Millisecond, kind: newSettings}, {at: 900 * time.Millisecond, kind: newSettings}}
+	forLimits := []disruption{{at: 200 * time.Millisecond, kind: limitServer, param: "1.5", duration: 6 * time.Second}}
+	forTurnAways := []disruption{{at: 200 * time.Millisecond, kind: turnAway, param: "3", duration: 4 * time.Second}}
+	forEvacuations := []disruption{{at: 200 * time.Millisecond, kind: evacuateDomain, param: domainName(0), duration: 4 * time.Second}}
+	forColds := []disruption{{at: 200 * time.Millisecond, kind: coldServer, duration: 4 * time.Second}}
+	forDeadly := []disruption{{at: 200 * time.Millisecond, kind: crashingRequest, param: kindAgain, duration: 12 * time.Second}}
+	forLeaving := []disruption{{at: 200 * time.Millisecond, kind: rollServer}}
 	for _, c := range []struct {
 		mutant, check string
-		plan          []trouble
+		plan          []disruption
 	}{
 		{"twice", "at most once", nil},
 		{"eager", "no more attempts than allowed", nil},
@@ -270,8 +270,8 @@
 		{"leaving", "a server that turns away is left alone", forTurnAways},
 		{"leaving", "a server's limit is kept", forLimits},
 		{"leaving", "nothing new for an evacuated failure domain", forEvacuations},
-		{"leaving", "a cold server gets what it bears", forColds},
-		{"leaving", "what ends servers is kept from them", forDeadly},
+		{"leaving", "a cold server gets no more than its rate", forColds},
+		{"leaving", "a request that crashes servers is kept from others", forDeadly},
 		{"dead", "all serve again after the troubles", nil},
 		{"dead", "a server that lives gets work", nil},
 		{"leaky", "engines get their memory back", nil},
@@ -280,9 +280,9 @@
 			t.Parallel()
 			length := 2 * time.Second
 			if c.mutant == "stale" {
-				length += inForceKnown
+				length += settingsDelay
 			}
-			p := play{seed: 1, plan: c.plan, length: length, daemons: 1, servers: 2, mutant: c.mutant, recovery: 2 * time.Second}
+			p := scenario{seed: 1, plan: c.plan, length: length, daemons: 1, servers: 2, mutant: c.mutant, recovery: 2 * time.Second}
 			for _, f := range p.run(t) {
 				if f.check == c.check {
 					return
