--- a/test/scenarios/stranger_test.go
+++ b/test/scenarios/bad_clients_test.go
@@ -14,20 +14,20 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// Starts of requests that never come to an end.
+// Starts of requests that never end.
 const (
 	slowHeaders = "POST /v1/completions HTTP/1.1\r\nHost: d\r\nX-Slow: "
 	slowBody    = "POST /v1/completions HTTP/1.1\r\nHost: d\r\nAuthorization: Bearer %s\r\n" +
 		"Content-Type: application/json\r\nContent-Length: 100000\r\n\r\n{"
 )
 
-// trickleEvery is the time between two bytes of a slow sender.
-const trickleEvery = 200 * time.Millisecond
+// trickleInterval is the time between two bytes of a slow client.
+const trickleInterval = 200 * time.Millisecond
 
-// cmdTrickle sends headers, and on another connection a body, a byte now and
-// then, and checks that the daemon ends both: trickle DAEMON TOKEN.
+// cmdTrickle sends headers, and on another connection a body, one byte per
+// trickleInterval, and checks that the daemon closes both: trickle DAEMON TOKEN.
 func cmdTrickle(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 2, "trickle DAEMON TOKEN")
+	requireArgs(ts, neg, args, 2, "trickle DAEMON TOKEN")
 	address := siteOf(ts).process(ts, args[0]).address
 	starts := []string{slowHeaders, fmt.Sprintf(slowBody, args[1])}
 	errs := make([]error, len(starts))
@@ -39,7 +39,8 @@
 	ts.Check(errors.Join(errs...))
 }
 
-// trickle returns nil when the daemon has closed the connection.
+// trickle sends start and then single bytes, and returns nil when the daemon has
+// closed the connection.
 func trickle(address, start string) error {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -54,23 +55,23 @@
 		_, _ = io.Copy(io.Discard, conn)
 		close(ended)
 	}()
-	deadline := time.After(patience)
+	deadline := time.After(waitTimeout)
 	for {
 		select {
 		case <-ended:
 			return nil
 		case <-deadline:
-			return fmt.Errorf("the daemon still reads what began with %q", start[:20])
-		case <-time.After(trickleEvery):
+			return fmt.Errorf("the daemon still reads the request that starts with %q", start[:20])
+		case <-time.After(trickleInterval):
 			_, _ = io.WriteString(conn, "x")
 		}
 	}
 }
 
-// cmdManyHeaders sends a request with so many bytes of headers and checks that it
-// is refused with a status: manyheaders DAEMON BYTES STATUS.
+// cmdManyHeaders sends a request with about BYTES bytes of headers and checks that
+// it is refused with a status: manyheaders DAEMON BYTES STATUS.
 func cmdManyHeaders(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 3, "manyheaders DAEMON BYTES STATUS")
+	requireArgs(ts, neg, args, 3, "manyheaders DAEMON BYTES STATUS")
 	n, err := strconv.Atoi(args[1])
 	ts.Check(err)
 	conn, err := net.Dial("tcp", siteOf(ts).process(ts, args[0]).address)
@@ -80,7 +81,7 @@
 	go func() {
 		_, _ = io.WriteString(conn, "GET /healthz HTTP/1.1\r\nHost: d\r\n"+strings.Repeat(header, n/len(header))+"\r\n")
 	}()
-	ts.Check(conn.SetReadDeadline(time.Now().Add(patience)))
+	ts.Check(conn.SetReadDeadline(time.Now().Add(waitTimeout)))
 	status := make([]byte, len("HTTP/1.1 431"))
 	_, err = io.ReadFull(conn, status)
 	ts.Check(err)
@@ -89,10 +90,10 @@
 	}
 }
 
-// cmdConnections opens so many connections and keeps them until the scenario
+// cmdConnections opens COUNT connections and keeps them open until the scenario
 // ends: connections DAEMON COUNT.
 func cmdConnections(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 2, "connections DAEMON COUNT")
+	requireArgs(ts, neg, args, 2, "connections DAEMON COUNT")
 	n, err := strconv.Atoi(args[1])
 	ts.Check(err)
 	address := siteOf(ts).process(ts, args[0]).address
@@ -103,17 +104,17 @@
 	}
 }
 
-// cmdNoSecrets checks that no process has logged one of the texts, which must be
-// in use: nosecrets TEXT...
+// cmdNoSecrets checks that no process has logged one of the texts, and that some
+// daemon has logged anything: nosecrets TEXT...
 func cmdNoSecrets(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 1, "nosecrets TEXT...")
+	requireArgs(ts, neg, args, 1, "nosecrets TEXT...")
 	s := siteOf(ts)
-	looked := 0
+	searched := 0
 	for _, name := range s.order {
 		text, err := os.ReadFile(s.processes[name].logFile)
 		ts.Check(err)
 		if s.processes[name].kind == kindDaemon && len(text) > 0 {
-			looked++
+			searched++
 		}
 		for _, secret := range args {
 			if strings.Contains(string(text), secret) {
@@ -121,7 +122,7 @@
 			}
 		}
 	}
-	if looked == 0 {
+	if searched == 0 {
 		ts.Fatalf("no daemon has logged anything")
 	}
 }
--- a/test/scenarios/callers_test.go
+++ b/test/scenarios/callers_test.go
@@ -18,7 +18,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// openaiCall is one call of the well-known client.
+// openaiCall is one call by the OpenAI client.
 type openaiCall struct {
 	client openai.Client
 	model  string
@@ -31,7 +31,7 @@
 //
 //	openai DAEMON TOKEN completion|chat whole|stream MODEL TOKENS PROMPT FILE
 func cmdOpenAI(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 8, "openai DAEMON TOKEN completion|chat whole|stream MODEL TOKENS PROMPT FILE")
+	requireArgs(ts, neg, args, 8, "openai DAEMON TOKEN completion|chat whole|stream MODEL TOKENS PROMPT FILE")
 	p := siteOf(ts).process(ts, args[0])
 	tokens, err := strconv.ParseInt(args[5], 10, 64)
 	ts.Check(err)
@@ -41,15 +41,15 @@
 		prompt: args[6],
 		tokens: tokens,
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	text, err := call.run(ctx, args[2], args[3])
 	ts.Check(err)
 	ts.Check(os.WriteFile(ts.MkAbs(args[7]), []byte(text+"\n"), 0o600))
 }
 
-func (c *openaiCall) run(ctx context.Context, kind, how string) (string, error) {
-	switch kind + " " + how {
+func (c *openaiCall) run(ctx context.Context, kind, mode string) (string, error) {
+	switch kind + " " + mode {
 	case "completion whole":
 		res, err := c.client.Completions.New(ctx, c.completion())
 		if err != nil {
@@ -77,7 +77,7 @@
 		}
 		return b.String(), s.Err()
 	}
-	return "", fmt.Errorf("no call %s %s", kind, how)
+	return "", fmt.Errorf("unknown kind of call %s %s", kind, mode)
 }
 
 func (c *openaiCall) completion() openai.CompletionNewParams {
@@ -96,7 +96,7 @@
 	}
 }
 
-// errorBody is the typed error body of the caller API.
+// errorBody is the error body of the caller API.
 type errorBody struct {
 	Error struct {
 		Code        string  `json:"code"`
@@ -111,7 +111,7 @@
 //
 //	http DAEMON METHOD PATH [token=T] [body=FILE] [header=K:V] want=STATUS[,CODE[,OUTCOME[,retry|final]]]
 func cmdHTTP(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 4, "http DAEMON METHOD PATH [KEY=VALUE...] want=STATUS[,CODE[,OUTCOME[,retry|final]]]")
+	requireArgs(ts, neg, args, 4, "http DAEMON METHOD PATH [KEY=VALUE...] want=STATUS[,CODE[,OUTCOME[,retry|final]]]")
 	p := siteOf(ts).process(ts, args[0])
 	var body io.Reader
 	header := http.Header{"Content-Type": {"application/json"}}
@@ -135,7 +135,7 @@
 	req, err := http.NewRequest(args[1], "http://"+p.address+args[2], body)
 	ts.Check(err)
 	req.Header = header
-	resp, err := (&http.Client{Timeout: patience}).Do(req)
+	resp, err := (&http.Client{Timeout: waitTimeout}).Do(req)
 	ts.Check(err)
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// checkRetry checks that body and headers agree on whether to come back.
+// checkRetry checks that body and header have a time to retry after, or neither.
 func checkRetry(resp *http.Response, b *errorBody, retry bool) error {
 	header := resp.Header.Get("Retry-After")
 	if retry != (header != "") || retry != (b.Error.RetryAfterS > 0) {
@@ -183,15 +183,15 @@
 	return nil
 }
 
-// cmdAbandon starts a streamed completion, reads so many bytes of the answer and
-// goes away: abandon DAEMON TOKEN MODEL TOKENS BYTES.
+// cmdAbandon starts a streamed completion, reads BYTES bytes of the answer and
+// disconnects: abandon DAEMON TOKEN MODEL TOKENS BYTES.
 func cmdAbandon(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 5, "abandon DAEMON TOKEN MODEL TOKENS BYTES")
+	requireArgs(ts, neg, args, 5, "abandon DAEMON TOKEN MODEL TOKENS BYTES")
 	conn := openStream(ts, args)
 	defer conn.Close()
 	n, err := strconv.Atoi(args[4])
 	ts.Check(err)
-	ts.Check(conn.SetReadDeadline(time.Now().Add(patience)))
+	ts.Check(conn.SetReadDeadline(time.Now().Add(waitTimeout)))
 	_, err = io.CopyN(io.Discard, conn, int64(n))
 	ts.Check(err)
 }
--- a/test/scenarios/commands_test.go
+++ b/test/scenarios/commands_test.go
@@ -13,10 +13,11 @@
 	"github.com/buckthorndock/buckthorndock/internal/standin/answer"
 )
 
-// need stops the script unless it gives at least n arguments.
-func need(ts *testscript.TestScript, neg bool, args []string, n int, use string) {
+// requireArgs fails the script if a command is negated or has fewer than n
+// arguments.
+func requireArgs(ts *testscript.TestScript, neg bool, args []string, n int, usage string) {
 	if neg || len(args) < n {
-		ts.Fatalf("usage: %s", use)
+		ts.Fatalf("usage: %s", usage)
 	}
 }
 
@@ -25,14 +26,14 @@
 //	start NAME engine|service|log|hosts|weights [FLAG...]
 //	start NAME daemon DOMAIN [KEY=VALUE...] [log|hosts|weights=NAME]
 func cmdStart(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 2, "start NAME KIND [ARG...]")
+	requireArgs(ts, neg, args, 2, "start NAME KIND [ARG...]")
 	s := siteOf(ts)
 	p := &process{name: args[0], kind: args[1], logFile: filepath.Join(s.dir, args[0]+".log")}
 	if old := s.processes[p.name]; old != nil {
-		ts.Fatalf("%s is there already", p.name)
+		ts.Fatalf("%s is already started", p.name)
 	}
 	if p.kind == kindDaemon {
-		need(ts, neg, args, 3, "start NAME daemon DOMAIN [KEY=VALUE...]")
+		requireArgs(ts, neg, args, 3, "start NAME daemon DOMAIN [KEY=VALUE...]")
 		p.domain = args[2]
 		ts.Check(s.prepareDaemon(p, args[3:]))
 	} else {
@@ -60,9 +61,9 @@
 	return err
 }
 
-// cmdRestart starts an ended process again at its old address: restart NAME.
+// cmdRestart restarts a process that has exited, at its old address: restart NAME.
 func cmdRestart(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 1, "restart NAME")
+	requireArgs(ts, neg, args, 1, "restart NAME")
 	p := siteOf(ts).process(ts, args[0])
 	if p.running() {
 		ts.Fatalf("%s still runs", p.name)
@@ -73,25 +74,25 @@
 	ts.Check(p.launch())
 }
 
-// cmdEnd kills processes at once (kill is a command of testscript itself): end NAME...
+// cmdEnd kills processes (kill is a command of testscript itself): end NAME...
 func cmdEnd(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 1, "end NAME...")
+	requireArgs(ts, neg, args, 1, "end NAME...")
 	for _, name := range args {
-		siteOf(ts).process(ts, name).end()
+		siteOf(ts).process(ts, name).kill()
 	}
 }
 
-// cmdFreeze stops processes without ending them: freeze NAME...
+// cmdFreeze pauses processes (SIGSTOP): freeze NAME...
 func cmdFreeze(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 1, "freeze NAME...")
+	requireArgs(ts, neg, args, 1, "freeze NAME...")
 	for _, name := range args {
 		ts.Check(siteOf(ts).process(ts, name).signal(syscall.SIGSTOP))
 	}
 }
 
-// cmdResume lets frozen processes go on: resume NAME...
+// cmdResume continues frozen processes: resume NAME...
 func cmdResume(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 1, "resume NAME...")
+	requireArgs(ts, neg, args, 1, "resume NAME...")
 	for _, name := range args {
 		ts.Check(siteOf(ts).process(ts, name).signal(syscall.SIGCONT))
 	}
@@ -99,15 +100,15 @@
 
 // cmdLeave asks processes to shut down and does not wait: leave NAME...
 func cmdLeave(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 1, "leave NAME...")
+	requireArgs(ts, neg, args, 1, "leave NAME...")
 	for _, name := range args {
 		ts.Check(siteOf(ts).process(ts, name).signal(syscall.SIGTERM))
 	}
 }
 
-// cmdExited waits until a process has ended with a code: exited NAME CODE.
+// cmdExited waits until a process has exited, and checks its exit code: exited NAME CODE.
 func cmdExited(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 2, "exited NAME CODE")
+	requireArgs(ts, neg, args, 2, "exited NAME CODE")
 	p := siteOf(ts).process(ts, args[0])
 	ts.Check(p.waitExit())
 	if got := strconv.Itoa(p.state.ExitCode()); got != args[1] {
@@ -115,7 +116,7 @@
 	}
 }
 
-// cmdShutdown asks processes to shut down and waits for a clean end (stop is a
+// cmdShutdown asks processes to shut down and waits for a clean exit (stop is a
 // command of testscript itself): shutdown NAME...
 func cmdShutdown(ts *testscript.TestScript, neg bool, args []string) {
 	cmdLeave(ts, neg, args)
@@ -127,7 +128,7 @@
 // cmdPublish applies a directory of settings through a daemon, with ${NAME}
 // replaced by addresses: publish DAEMON DIR.
 func cmdPublish(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 2, "publish DAEMON DIR")
+	requireArgs(ts, neg, args, 2, "publish DAEMON DIR")
 	s := siteOf(ts)
 	from := ts.MkAbs(args[1])
 	to := filepath.Join(s.dir, "published", args[1])
@@ -161,24 +162,24 @@
 	return os.WriteFile(to, []byte(expanded), 0o600)
 }
 
-// cmdAnswer writes the answer that an engine must give to a prompt, with chomp to
-// the prompt without its last newline: answer FILE TOKENS PROMPT-FILE [chomp].
+// cmdAnswer writes the expected answer of an engine to a prompt, with chomp to the
+// prompt without its last newline: answer FILE TOKENS PROMPT-FILE [chomp].
 func cmdAnswer(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 3, "answer FILE TOKENS PROMPT-FILE [chomp]")
+	requireArgs(ts, neg, args, 3, "answer FILE TOKENS PROMPT-FILE [chomp]")
 	n, err := strconv.Atoi(args[1])
 	ts.Check(err)
 	prompt := ts.ReadFile(args[2])
 	if len(args) > 3 {
 		prompt = strings.TrimSuffix(prompt, "\n")
 	}
-	// The command-line tool ends what it prints by a newline.
+	// The command-line tool ends its output with a newline.
 	text := answer.Whole(prompt, n) + "\n"
 	ts.Check(os.WriteFile(ts.MkAbs(args[0]), []byte(text), 0o600))
 }
 
-// cmdPromptOf writes a prompt of a number of tokens: promptof FILE TOKENS [WORD].
+// cmdPromptOf writes a prompt with a number of tokens: promptof FILE TOKENS [WORD].
 func cmdPromptOf(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 2, "promptof FILE TOKENS [WORD]")
+	requireArgs(ts, neg, args, 2, "promptof FILE TOKENS [WORD]")
 	n, err := strconv.Atoi(args[1])
 	ts.Check(err)
 	word := "text"
@@ -190,10 +191,10 @@
 	ts.Check(os.WriteFile(ts.MkAbs(args[0]), []byte(text[:n*bytesPerToken]), 0o600))
 }
 
-// cmdNap lets time pass where a scenario is about something that must not
-// happen meanwhile: nap DURATION.
+// cmdNap sleeps, for scenarios that check that something does not happen
+// meanwhile: nap DURATION.
 func cmdNap(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 1, "nap DURATION")
+	requireArgs(ts, neg, args, 1, "nap DURATION")
 	d, err := time.ParseDuration(args[0])
 	ts.Check(err)
 	time.Sleep(d)
--- a/test/scenarios/crowd_test.go
+++ b/test/scenarios/crowd_test.go
@@ -15,7 +15,7 @@
 	"github.com/buckthorndock/buckthorndock/internal/standin/answer"
 )
 
-// crowd is a number of calls that run beside a scenario.
+// crowd collects the results of calls that run in the background of a scenario.
 type crowd struct {
 	wg sync.WaitGroup
 
@@ -24,10 +24,10 @@
 	failures []string
 }
 
-// cmdCrowd sends so many completions of different prompts at once and does not
-// wait: crowd DAEMON TOKEN MODEL COUNT TOKENS.
+// cmdCrowd sends COUNT completions of different prompts at once and does not wait
+// for them: crowd DAEMON TOKEN MODEL COUNT TOKENS.
 func cmdCrowd(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 5, "crowd DAEMON TOKEN MODEL COUNT TOKENS")
+	requireArgs(ts, neg, args, 5, "crowd DAEMON TOKEN MODEL COUNT TOKENS")
 	s := siteOf(ts)
 	address := s.process(ts, args[0]).address
 	count, err := strconv.Atoi(args[3])
@@ -37,12 +37,12 @@
 	for i := range count {
 		prompt := fmt.Sprintf("innocent %d of %s", i, args[0])
 		s.crowd.wg.Go(func() {
-			s.crowd.note(completeOnce(address, args[1], args[2], prompt, tokens))
+			s.crowd.record(completeOnce(address, args[1], args[2], prompt, tokens))
 		})
 	}
 }
 
-func (c *crowd) note(err error) {
+func (c *crowd) record(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil {
@@ -65,7 +65,7 @@
 	}
 	req.Header.Set("Authorization", "Bearer "+token)
 	req.Header.Set("Content-Type", "application/json")
-	resp, err := (&http.Client{Timeout: 2 * patience}).Do(req)
+	resp, err := (&http.Client{Timeout: 2 * waitTimeout}).Do(req)
 	if err != nil {
 		return err
 	}
@@ -86,15 +86,15 @@
 		return err
 	}
 	if len(a.Choices) != 1 || a.Choices[0].Text != answer.Whole(prompt, tokens) {
-		return fmt.Errorf("another answer than that to %q", prompt)
+		return fmt.Errorf("the answer is not the whole answer to %q: %s", prompt, text)
 	}
 	return nil
 }
 
 // cmdCrowdComplete waits until all calls of the crowd have ended, and checks that
-// so many were complete: crowdcomplete COUNT.
+// COUNT of them were complete: crowdcomplete COUNT.
 func cmdCrowdComplete(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 1, "crowdcomplete COUNT")
+	requireArgs(ts, neg, args, 1, "crowdcomplete COUNT")
 	c := &siteOf(ts).crowd
 	c.wg.Wait()
 	c.mu.Lock()
@@ -104,10 +104,10 @@
 	}
 }
 
-// cmdKeepAlive starts the named processes again, at their old addresses, whenever
-// they have ended, as the platform does: keepalive NAME...
+// cmdKeepAlive restarts the named processes at their old addresses whenever they
+// exit, as the platform does: keepalive NAME...
 func cmdKeepAlive(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 1, "keepalive NAME...")
+	requireArgs(ts, neg, args, 1, "keepalive NAME...")
 	s := siteOf(ts)
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
@@ -122,8 +122,8 @@
 	})
 }
 
-// restartPause is how long a process stays away before it is started again.
-const restartPause = 300 * time.Millisecond
+// restartDelay is the time from the exit of a process to its restart.
+const restartDelay = 300 * time.Millisecond
 
 func (s *site) keepAlive(p *process, stop <-chan struct{}) {
 	for {
@@ -133,20 +133,20 @@
 		case <-p.exited:
 		}
 		s.deaths.Add(1)
-		time.Sleep(restartPause)
+		time.Sleep(restartDelay)
 		if p.launch() != nil {
 			return
 		}
 	}
 }
 
-// cmdDeaths checks how many ends of processes keepalive has seen: deaths COUNT.
-// With - behind the count fewer are fine.
+// cmdDeaths checks how many exits of processes keepalive has seen: deaths COUNT.
+// COUNT- allows fewer.
 func cmdDeaths(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 1, "deaths COUNT[-]")
+	requireArgs(ts, neg, args, 1, "deaths COUNT[-]")
 	got := int(siteOf(ts).deaths.Load())
-	most, atMost := bytes.CutSuffix([]byte(args[0]), []byte("-"))
-	want, err := strconv.Atoi(string(most))
+	limit, atMost := bytes.CutSuffix([]byte(args[0]), []byte("-"))
+	want, err := strconv.Atoi(string(limit))
 	ts.Check(err)
 	if got != want && !(atMost && got < want) {
 		ts.Fatalf("%d deaths, not %s", got, args[0])
--- a/test/scenarios/export_test.go
+++ b/test/scenarios/export_test.go
@@ -6,7 +6,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cacheEvents is what an engine tells of its prefix cache.
+// cacheEvents is an engine's answer with the events of its prefix cache.
 type cacheEvents struct {
 	Events []struct {
 		Kind  string `json:"kind"`
@@ -28,10 +28,10 @@
 // cmdExport has an engine export a block of its prefix cache on behalf of a
 // daemon, and never imports it: export ENGINE ID HOST INCARNATION.
 func cmdExport(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 4, "export ENGINE ID HOST INCARNATION")
+	requireArgs(ts, neg, args, 4, "export ENGINE ID HOST INCARNATION")
 	p := siteOf(ts).process(ts, args[0])
 	x := kvExport{ID: args[1], Holder: holder{Host: args[2], Incarnation: args[3]}}
-	until(ts, "cached block of "+args[0], func() error {
+	waitFor(ts, "cached block of "+args[0], func() error {
 		var c cacheEvents
 		if err := get(p.address, "/v1/cache-events?from=1", &c); err != nil {
 			return err
@@ -42,7 +42,7 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("none is stored")
+		return fmt.Errorf("no block is stored")
 	})
 	ts.Check(post(p.address, "/v1/kv/export", x))
 }
--- a/test/scenarios/fault_test.go
+++ b/test/scenarios/fault_test.go
@@ -7,9 +7,9 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cmdFault switches a fault of a stand-in: fault NAME KIND [on|off] [KEY=VALUE...].
+// cmdFault turns a fault of a stand-in on (default) or off: fault NAME KIND [on|off] [KEY=VALUE...].
 func cmdFault(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 2, "fault NAME KIND [on|off] [KEY=VALUE...]")
+	requireArgs(ts, neg, args, 2, "fault NAME KIND [on|off] [KEY=VALUE...]")
 	body := map[string]any{"kind": args[1], "on": true}
 	for _, a := range args[2:] {
 		key, value, pair := strings.Cut(a, "=")
@@ -30,24 +30,23 @@
 }
 
 // cmdCut cuts a daemon off from the peers in the named hosts and domains; without
-// names it heals: cut DAEMON [NAME...].
+// names it ends the cut: cut DAEMON [NAME...].
 func cmdCut(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 1, "cut DAEMON [NAME...]")
+	requireArgs(ts, neg, args, 1, "cut DAEMON [NAME...]")
 	p := siteOf(ts).process(ts, args[0])
 	ts.Check(post(p.address, "/test-faults/cut?from="+strings.Join(args[1:], ","), struct{}{}))
 }
 
-// cmdSilence makes a daemon's open peer connections silent for good: silence
+// cmdSilence makes a daemon's open peer connections silent permanently: silence
 // DAEMON.
 func cmdSilence(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 1, "silence DAEMON")
+	requireArgs(ts, neg, args, 1, "silence DAEMON")
 	ts.Check(post(siteOf(ts).process(ts, args[0]).address, "/test-faults/silence", struct{}{}))
 }
 
-// cmdHold stops the dispatches of a daemon at a point of their way, with off lets
-// them go on: hold DAEMON connected|permitted|off.
+// cmdHold blocks the dispatches of a daemon at a stage; off lets them continue: hold DAEMON connected|permitted|off.
 func cmdHold(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 2, "hold DAEMON connected|permitted|off")
+	requireArgs(ts, neg, args, 2, "hold DAEMON connected|permitted|off")
 	at := args[1]
 	if at == "off" {
 		at = ""
@@ -55,30 +54,31 @@
 	ts.Check(post(siteOf(ts).process(ts, args[0]).address, "/test-faults/hold?at="+at, struct{}{}))
 }
 
-// cmdGarbage appends a record that is nothing to a stream of the log: garbage
-// LOG STREAM.
+// cmdGarbage appends an invalid record to a stream of the log: garbage LOG
+// STREAM.
 func cmdGarbage(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 2, "garbage LOG STREAM")
+	requireArgs(ts, neg, args, 2, "garbage LOG STREAM")
 	body := map[string][][]byte{"records": {[]byte("\x00garbage")}}
 	ts.Check(post(siteOf(ts).process(ts, args[0]).address, "/v1/streams/"+args[1]+"/records", body))
 }
 
-// cmdHosts tells the platform's list of the daemons, engines and services:
+// cmdHosts sets the platform's host list to the started daemons, engines and
+// services, with the given states:
 // hosts [NAME=leaving|gone...].
 func cmdHosts(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 0, "hosts [NAME=leaving|gone...]")
+	requireArgs(ts, neg, args, 0, "hosts [NAME=leaving|gone...]")
 	s := siteOf(ts)
-	said := map[string]string{}
+	states := map[string]string{}
 	for _, a := range args {
 		name, state, _ := strings.Cut(a, "=")
-		said[name] = state
+		states[name] = state
 	}
 	entries := []hostEntry{}
 	for _, name := range s.order {
 		p := s.processes[name]
 		e := hostEntry{Name: name, Domain: p.domain, Region: region, State: "live"}
 		switch {
-		case said[name] == "gone":
+		case states[name] == "gone":
 			continue
 		case p.kind == kindDaemon:
 			e.Kind, e.Address = "entry", p.peer
@@ -87,15 +87,15 @@
 		default:
 			continue
 		}
-		if said[name] != "" {
-			e.State = said[name]
+		if states[name] != "" {
+			e.State = states[name]
 		}
 		entries = append(entries, e)
 	}
 	ts.Check(post(s.process(ts, "hosts").address, "/standin/hosts", entries))
 }
 
-// hostEntry is one entry of the platform's list, as api/platform.yaml has it.
+// hostEntry is one entry of the platform's host list, as in api/platform.yaml.
 type hostEntry struct {
 	Name    string `json:"name"`
 	Kind    string `json:"kind"`
--- a/test/scenarios/http_test.go
+++ b/test/scenarios/http_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// httpClient bounds each look at a process, which may be frozen.
+// httpClient has a timeout for each call of a process, which may be frozen.
 var httpClient = &http.Client{Timeout: 2 * time.Second}
 
 func post(address, path string, body any) error {
--- a/test/scenarios/link_test.go
+++ b/test/scenarios/link_test.go
@@ -10,8 +10,8 @@
 
 const kindLink = "link"
 
-// link passes connections on to a stand-in as long as it is up, so that one
-// host can lose a service that the others still reach.
+// link is a TCP proxy to a stand-in that can be taken down, so that one host
+// loses a service that the others still reach.
 type link struct {
 	listener net.Listener
 	target   string
@@ -21,14 +21,14 @@
 	conns map[net.Conn]struct{}
 }
 
-// cmdLink makes a link to a process, or takes it down or up: link NAME
+// cmdLink creates a link to a process, or takes it down or up: link NAME
 // TARGET|down|up. Daemons use it with log=NAME, hosts=NAME or weights=NAME.
 func cmdLink(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 2, "link NAME TARGET|down|up")
+	requireArgs(ts, neg, args, 2, "link NAME TARGET|down|up")
 	s := siteOf(ts)
 	switch args[1] {
 	case "down", "up":
-		s.links[args[0]].set(args[1] == "down")
+		s.links[args[0]].setDown(args[1] == "down")
 		return
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,7 +36,7 @@
 	l := &link{listener: listener, target: s.process(ts, args[1]).address, conns: map[net.Conn]struct{}{}}
 	ts.Defer(func() {
 		_ = listener.Close()
-		l.set(true)
+		l.setDown(true)
 	})
 	s.links[args[0]] = l
 	s.processes[args[0]] = &process{name: args[0], kind: kindLink, address: listener.Addr().String()}
@@ -45,30 +45,30 @@
 
 func (l *link) accept() {
 	for {
-		near, err := l.listener.Accept()
+		inbound, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		go l.pass(near)
+		go l.proxy(inbound)
 	}
 }
 
-func (l *link) pass(near net.Conn) {
-	defer near.Close()
-	far, err := net.Dial("tcp", l.target)
+func (l *link) proxy(inbound net.Conn) {
+	defer inbound.Close()
+	outbound, err := net.Dial("tcp", l.target)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	if !l.add(near, far) {
+	defer outbound.Close()
+	if !l.add(inbound, outbound) {
 		return
 	}
 	go func() {
-		_, _ = io.Copy(far, near)
-		_ = far.Close()
+		_, _ = io.Copy(outbound, inbound)
+		_ = outbound.Close()
 	}()
-	_, _ = io.Copy(near, far)
-	l.remove(near, far)
+	_, _ = io.Copy(inbound, outbound)
+	l.remove(inbound, outbound)
 }
 
 func (l *link) add(conns ...net.Conn) bool {
@@ -88,7 +88,7 @@
 	}
 }
 
-func (l *link) set(down bool) {
+func (l *link) setDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
--- a/test/scenarios/norace_test.go
+++ b/test/scenarios/norace_test.go
@@ -2,5 +2,5 @@
 
 package scenarios
 
-// raceFlag is the setting of the race detector for the daemon.
+// raceFlag builds the daemon without the race detector, like these tests.
 const raceFlag = "-race=false"
--- a/test/scenarios/look_test.go
+++ b/test/scenarios/observe_test.go
@@ -12,7 +12,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// run is one entry of a stand-in's witness.
+// run is one run of a request in a stand-in's record (/standin/witness).
 type run struct {
 	RequestID    string `json:"request_id"`
 	Attempt      int    `json:"attempt"`
@@ -25,11 +25,10 @@
 	Runs []run `json:"runs"`
 }
 
-// cmdRuns waits until the stand-ins together have witnessed a number of runs,
-// of one state if given: runs NAME[,NAME...] [STATE] COUNT. With + behind the
-// count more are fine.
+// cmdRuns waits until the stand-ins together have recorded a number of runs, of
+// one state if given: runs NAME[,NAME...] [STATE] COUNT. COUNT+ allows more.
 func cmdRuns(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 2, "runs NAME[,NAME...] [STATE] COUNT[+]")
+	requireArgs(ts, neg, args, 2, "runs NAME[,NAME...] [STATE] COUNT[+]")
 	s := siteOf(ts)
 	count := args[len(args)-1]
 	atLeast := strings.HasSuffix(count, "+")
@@ -39,7 +38,7 @@
 	if len(args) == 3 {
 		state = args[1]
 	}
-	until(ts, strings.Join(append([]string{"runs"}, args...), " "), func() error {
+	waitFor(ts, strings.Join(append([]string{"runs"}, args...), " "), func() error {
 		got := 0
 		for _, name := range strings.Split(args[0], ",") {
 			var w witness
@@ -59,7 +58,7 @@
 	})
 }
 
-// books is what an engine says holds its memory.
+// books is an engine's report of what holds its memory.
 type books struct {
 	Used         int64             `json:"memory_used_tokens"`
 	Running      []json.RawMessage `json:"running"`
@@ -67,13 +66,13 @@
 	Exports      []json.RawMessage `json:"exports"`
 }
 
-// cmdBooks waits until nothing holds memory on the engines, with ! until
+// cmdBooks waits until nothing holds memory on the engines; with ! until
 // something does on each: [!] books NAME...
 func cmdBooks(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, false, args, 1, "[!] books NAME...")
+	requireArgs(ts, false, args, 1, "[!] books NAME...")
 	for _, name := range args {
 		p := siteOf(ts).process(ts, name)
-		until(ts, "books "+name, func() error {
+		waitFor(ts, "books "+name, func() error {
 			var b books
 			if err := get(p.address, "/v1/books", &b); err != nil {
 				return err
@@ -89,9 +88,9 @@
 }
 
 // cmdLogged waits until a process has logged a line that matches: logged NAME
-// REGEXP. With ! it looks once, and the line must not be there.
+// REGEXP. With ! it checks once that there is no such line.
 func cmdLogged(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, false, args, 2, "[!] logged NAME REGEXP")
+	requireArgs(ts, false, args, 2, "[!] logged NAME REGEXP")
 	p := siteOf(ts).process(ts, args[0])
 	re, err := regexp.Compile("(?m)" + args[1])
 	ts.Check(err)
@@ -106,7 +105,7 @@
 		return nil
 	}
 	if !neg {
-		until(ts, "logged "+args[0]+" "+args[1], found)
+		waitFor(ts, "logged "+args[0]+" "+args[1], found)
 		return
 	}
 	if found() == nil {
@@ -117,11 +116,11 @@
 // cmdStatus waits until a daemon's status, as JSON text, matches: [!] status
 // DAEMON REGEXP.
 func cmdStatus(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, false, args, 2, "[!] status DAEMON REGEXP")
+	requireArgs(ts, false, args, 2, "[!] status DAEMON REGEXP")
 	re, err := regexp.Compile(args[1])
 	ts.Check(err)
 	p := siteOf(ts).process(ts, args[0])
-	until(ts, "status "+args[0]+" "+args[1], func() error {
+	waitFor(ts, "status "+args[0]+" "+args[1], func() error {
 		text, err := getText(p.address, "/operator/v1/status", operatorToken)
 		if err != nil {
 			return err
@@ -133,14 +132,15 @@
 	})
 }
 
-// cmdMetric waits until a metric of a daemon has a value: metric DAEMON NAME
-// OP NUMBER, with OP one of == >= <=. A metric that is not there counts as 0.
+// cmdMetric waits until the value of a metric of a daemon compares as given:
+// metric DAEMON NAME OP NUMBER, with OP one of == >= <=. An absent metric counts
+// as 0.
 func cmdMetric(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 4, "metric DAEMON NAME ==|>=|<= NUMBER")
+	requireArgs(ts, neg, args, 4, "metric DAEMON NAME ==|>=|<= NUMBER")
 	want, err := strconv.ParseFloat(args[3], 64)
 	ts.Check(err)
 	p := siteOf(ts).process(ts, args[0])
-	until(ts, "metric "+strings.Join(args, " "), func() error {
+	waitFor(ts, "metric "+strings.Join(args, " "), func() error {
 		text, err := getText(p.address, "/metrics", "")
 		if err != nil {
 			return err
@@ -154,7 +154,7 @@
 	})
 }
 
-// metricValue adds up the lines of a metric, with or without labels.
+// metricValue returns the sum of a metric over all its labels.
 func metricValue(text, name string) float64 {
 	var sum float64
 	for line := range strings.Lines(text) {
@@ -171,14 +171,14 @@
 	return sum
 }
 
-// cmdFetch waits until what a stand-in answers to a GET matches: [!] fetch NAME
-// PATH REGEXP.
+// cmdFetch waits until a stand-in's answer to a GET matches: [!] fetch NAME PATH
+// REGEXP.
 func cmdFetch(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, false, args, 3, "[!] fetch NAME PATH REGEXP")
+	requireArgs(ts, false, args, 3, "[!] fetch NAME PATH REGEXP")
 	re, err := regexp.Compile(args[2])
 	ts.Check(err)
 	p := siteOf(ts).process(ts, args[0])
-	until(ts, "fetch "+strings.Join(args, " "), func() error {
+	waitFor(ts, "fetch "+strings.Join(args, " "), func() error {
 		text, err := getText(p.address, args[1], "")
 		if err != nil {
 			return err
@@ -190,12 +190,13 @@
 	})
 }
 
-// cmdReady waits until daemons take work, with ! until they do not: ready NAME...
+// cmdReady waits until daemons are ready (/readyz), with ! until they are not:
+// [!] ready NAME...
 func cmdReady(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, false, args, 1, "[!] ready NAME...")
+	requireArgs(ts, false, args, 1, "[!] ready NAME...")
 	for _, name := range args {
 		p := siteOf(ts).process(ts, name)
-		until(ts, "ready "+name, func() error {
+		waitFor(ts, "ready "+name, func() error {
 			resp, err := http.Get("http://" + p.address + "/readyz")
 			if err != nil {
 				return err
--- a/test/scenarios/process_test.go
+++ b/test/scenarios/process_test.go
@@ -17,12 +17,12 @@
 	"time"
 )
 
-// patience bounds every wait for a condition. It is generous: a scenario fails
-// by it only when the condition never comes true.
-const patience = 30 * time.Second
+// waitTimeout bounds every wait for a condition. It is generous, so that it
+// passes only if the condition never becomes true.
+const waitTimeout = 30 * time.Second
 
-// pollEvery is the time between two looks at a condition.
-const pollEvery = 20 * time.Millisecond
+// pollInterval is the time between two checks of a condition.
+const pollInterval = 20 * time.Millisecond
 
 // process is one started program of a scenario.
 type process struct {
@@ -31,7 +31,7 @@
 	args    []string
 	domain  string
 	address string // of its API
-	peer    string // of a daemon's peer listener
+	peer    string // address of a daemon's peer listener
 	logFile string
 
 	cmd    *exec.Cmd
@@ -39,7 +39,8 @@
 	state  *os.ProcessState
 }
 
-// launch starts the program. A stand-in's address is read from its first line.
+// launch starts the program and waits until it listens. A stand-in prints its
+// address in its first line.
 func (p *process) launch() error {
 	program := "standin"
 	if p.kind == kindDaemon {
@@ -50,7 +51,7 @@
 		return err
 	}
 	cmd := exec.CommandContext(context.Background(), filepath.Join(binDir, program), p.args...)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // see TestProcessesHaveGroupsOfTheirOwn
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // see TestProcessesHaveTheirOwnProcessGroups
 	cmd.Stderr = log
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -83,29 +84,29 @@
 	}
 	select {
 	case line := <-first:
-		return p.learnAddress(line)
-	case <-time.After(patience):
+		return p.parseAddress(line)
+	case <-time.After(waitTimeout):
 		return fmt.Errorf("%s printed no address", p.name)
 	}
 }
 
-// waitListening waits until a daemon takes connections, or has ended.
+// waitListening waits until a daemon accepts connections, or has exited.
 func (p *process) waitListening() error {
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for p.running() && time.Now().Before(deadline) {
 		conn, err := net.Dial("tcp", p.address)
 		if err == nil {
 			return conn.Close()
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	if !p.running() {
-		return nil // a scenario may be about a daemon that does not start
+		return nil // a scenario may test that a daemon does not start
 	}
 	return fmt.Errorf("%s does not listen", p.name)
 }
 
-func (p *process) learnAddress(line string) error {
+func (p *process) parseAddress(line string) error {
 	_, address, ok := strings.Cut(strings.TrimSpace(line), "address=")
 	if !ok {
 		return fmt.Errorf("%s: no address in %q", p.name, line)
@@ -127,18 +128,18 @@
 	}
 }
 
-// waitExit waits until the process has ended.
+// waitExit waits until the process has exited.
 func (p *process) waitExit() error {
 	select {
 	case <-p.exited:
 		return nil
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		return fmt.Errorf("%s did not exit", p.name)
 	}
 }
 
-// end kills the process, also when it is stopped.
-func (p *process) end() {
+// kill kills the process, also when it is frozen, and waits for its exit.
+func (p *process) kill() {
 	if p.cmd == nil || !p.running() {
 		return
 	}
@@ -146,10 +147,10 @@
 	<-p.exited
 }
 
-// Ports for daemons come from below the range that the kernel gives to outgoing
+// Ports for daemons come from below the range that the kernel uses for outgoing
 // connections, so that none is taken between its choice and its use.
 const (
-	portsFrom = 10000
+	firstPort = 10000
 	numPorts  = 20000
 )
 
@@ -158,7 +159,8 @@
 	used map[int]bool
 }
 
-// freeAddress returns a loopback IP:port that nobody listens on.
+// freeAddress returns a loopback IP:port on which nothing listens. Each port is
+// returned once.
 func freeAddress() (string, error) {
 	ports.Lock()
 	defer ports.Unlock()
@@ -166,7 +168,7 @@
 		ports.used = map[int]bool{}
 	}
 	for range numPorts {
-		port := portsFrom + rand.IntN(numPorts)
+		port := firstPort + rand.IntN(numPorts)
 		if ports.used[port] {
 			continue
 		}
--- a/test/scenarios/race_test.go
+++ b/test/scenarios/race_test.go
@@ -2,5 +2,5 @@
 
 package scenarios
 
-// raceFlag has the daemon built with the race detector, as these tests are.
+// raceFlag builds the daemon with the race detector, like these tests.
 const raceFlag = "-race=true"
--- a/test/scenarios/rush_test.go
+++ b/test/scenarios/rush_test.go
@@ -22,42 +22,42 @@
 	MaxTokens int    `json:"max_tokens"`
 }
 
-// rushPromptBytes is about the length of a prompt of a rush, 1,000 tokens: enough
-// that an engine's queue is felt.
-const rushPromptBytes = 4000
+// rushPromptSize is about the size of a prompt of a rush in bytes, 1,000 tokens:
+// enough that calls wait in an engine's queue.
+const rushPromptSize = 4000
 
-// cmdRush sends many calls at once and waits for the end of each, which must be
-// the call's own whole answer, or a refusal that says when to come back. It sets
+// cmdRush sends many calls at once and waits for the result of each, which must be
+// the call's own whole answer, or a refusal with a time to retry after. It sets
 // $complete and $refused to their numbers, neither of which may be zero:
 //
 //	rush DAEMON TOKEN MODEL CALLS TOKENS
 func cmdRush(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 5, "rush DAEMON TOKEN MODEL CALLS TOKENS")
+	requireArgs(ts, neg, args, 5, "rush DAEMON TOKEN MODEL CALLS TOKENS")
 	address := siteOf(ts).process(ts, args[0]).address
 	calls, err := strconv.Atoi(args[3])
 	ts.Check(err)
 	tokens, err := strconv.Atoi(args[4])
 	ts.Check(err)
-	padding := strings.Repeat("milk ", rushPromptBytes/len("milk "))
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	padding := strings.Repeat("milk ", rushPromptSize/len("milk "))
+	client := &http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	whole := make([]bool, calls)
-	faults := make([]error, calls)
+	errs := make([]error, calls)
 	var wg sync.WaitGroup
 	for i := range calls {
 		c := rushCall{Model: args[2], Prompt: fmt.Sprintf("call %d %s", i, padding), MaxTokens: tokens}
-		wg.Go(func() { whole[i], faults[i] = c.send(client, address, args[1]) })
+		wg.Go(func() { whole[i], errs[i] = c.send(client, address, args[1]) })
 	}
 	wg.Wait()
 	complete := 0
 	for i := range calls {
-		ts.Check(faults[i])
+		ts.Check(errs[i])
 		if whole[i] {
 			complete++
 		}
 	}
 	ts.Logf("complete %d, refused %d", complete, calls-complete)
 	if complete == 0 || complete == calls {
-		ts.Fatalf("the rush was not divided")
+		ts.Fatalf("%d of %d calls complete, want some complete and some refused", complete, calls)
 	}
 	ts.Setenv("complete", strconv.Itoa(complete))
 	ts.Setenv("refused", strconv.Itoa(calls-complete))
@@ -85,12 +85,12 @@
 		return false, err
 	}
 	if resp.StatusCode == http.StatusOK {
-		return true, c.checkWhole(text)
+		return true, c.checkCompletion(text)
 	}
 	return false, checkRefusal(resp, text)
 }
 
-func (c *rushCall) checkWhole(text []byte) error {
+func (c *rushCall) checkCompletion(text []byte) error {
 	var got struct {
 		Choices []struct {
 			Text string `json:"text"`
--- a/test/scenarios/scenarios_test.go
+++ b/test/scenarios/scenarios_test.go
@@ -19,9 +19,9 @@
 	os.Exit(buildAndRun(m))
 }
 
-// lookAtSources walks the sources of the programs under test. go test notes what
-// a test looks at, and does not report an old result after a change to it.
-func lookAtSources() error {
+// walkSources walks the sources of the programs under test. go test records the
+// files that a test stats, and does not use a cached result after a change to them.
+func walkSources() error {
 	for _, dir := range []string{"../../cmd", "../../internal"} {
 		err := filepath.WalkDir(dir, func(_ string, _ fs.DirEntry, err error) error { return err })
 		if err != nil {
@@ -51,7 +51,7 @@
 }
 
 func TestScenarios(t *testing.T) {
-	if err := lookAtSources(); err != nil {
+	if err := walkSources(); err != nil {
 		t.Fatal(err)
 	}
 	testscript.Run(t, testscript.Params{
@@ -62,13 +62,13 @@
 	})
 }
 
-// command is one command of the scenarios.
-type command = func(ts *testscript.TestScript, neg bool, args []string)
+// scriptCommand implements one command of the scenarios.
+type scriptCommand = func(ts *testscript.TestScript, neg bool, args []string)
 
-// commands returns the commands of the scenarios; one a line, so that changes to
-// the list stay apart.
-func commands() map[string]command {
-	c := map[string]command{}
+// commands returns the commands of the scenarios; one per line, to avoid merge
+// conflicts.
+func commands() map[string]scriptCommand {
+	c := map[string]scriptCommand{}
 	c["abandon"] = cmdAbandon
 	c["agree"] = cmdAgree
 	c["answer"] = cmdAnswer
--- a/test/scenarios/settings_test.go
+++ b/test/scenarios/settings_test.go
@@ -10,19 +10,20 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// settingsState is what a daemon's status says of the settings in force.
+// settingsState is the part of a daemon's status about the settings in force.
 type settingsState struct {
 	Offset int64  `json:"settings_offset"`
 	Digest string `json:"settings_digest"`
 }
 
-// cmdAgree waits until daemons have the same settings in force, at an offset:
+// cmdAgree waits until daemons have the same settings in force, at an offset of
+// the log:
 // agree OFFSET DAEMON...
 func cmdAgree(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 2, "agree OFFSET DAEMON...")
+	requireArgs(ts, neg, args, 2, "agree OFFSET DAEMON...")
 	want, err := strconv.ParseInt(args[0], 10, 64)
 	ts.Check(err)
-	until(ts, "agree "+strings.Join(args, " "), func() error {
+	waitFor(ts, "agree "+strings.Join(args, " "), func() error {
 		var states []settingsState
 		for _, name := range args[1:] {
 			text, err := getText(siteOf(ts).process(ts, name).address, "/operator/v1/status", operatorToken)
@@ -42,10 +43,10 @@
 	})
 }
 
-// cmdCount sets a variable to the number of runs that a stand-in has witnessed so
+// cmdCount sets a variable to the number of runs that a stand-in has recorded so
 // far: count VARIABLE NAME.
 func cmdCount(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 2, "count VARIABLE NAME")
+	requireArgs(ts, neg, args, 2, "count VARIABLE NAME")
 	var w witness
 	ts.Check(get(siteOf(ts).process(ts, args[1]).address, "/standin/witness", &w))
 	ts.Setenv(args[0], strconv.Itoa(len(w.Runs)))
@@ -54,7 +55,7 @@
 // cmdCodes checks the exit codes that several commands wrote to files, in any
 // order: codes FILE[,FILE...] CODE...
 func cmdCodes(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 2, "codes FILE[,FILE...] CODE...")
+	requireArgs(ts, neg, args, 2, "codes FILE[,FILE...] CODE...")
 	var got []string
 	for _, file := range strings.Split(args[0], ",") {
 		got = append(got, strings.TrimSpace(ts.ReadFile(file)))
--- a/test/scenarios/site_test.go
+++ b/test/scenarios/site_test.go
@@ -11,7 +11,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// Kinds of process besides those that cmd/standin names.
+// kindDaemon is a kind of process in addition to the stand-ins of cmd/standin.
 const kindDaemon = "daemon"
 
 const (
@@ -22,15 +22,15 @@
 	operatorHash = "0850123315d21ab90f4f7236408a52ef6dbd6a02a6550e5c10dc73f4d993680e"
 )
 
-// site is all that one scenario has started.
+// site holds all that one scenario has started.
 type site struct {
 	dir       string
 	processes map[string]*process
-	order     []string
+	order     []string // names of the processes, as started
 	links     map[string]*link
 	watch     *watch
 	crowd     crowd
-	deaths    atomic.Int64 // ends of processes that keepalive has seen
+	deaths    atomic.Int64 // exits of processes that keepalive has seen
 }
 
 type siteKey struct{}
@@ -50,12 +50,13 @@
 
 func (s *site) endAll() {
 	for _, p := range s.processes {
-		p.end()
+		p.kill()
 	}
 }
 
-// logTail is how much of each process's log a failed scenario shows, in bytes.
-const logTail = 6000
+// maxLogTail is how much of the end of each process's log a failed scenario
+// shows, in bytes.
+const maxLogTail = 6000
 
 func (s *site) showLogs(t testscript.T) {
 	f, ok := t.(interface{ Failed() bool })
@@ -67,7 +68,7 @@
 		if err != nil {
 			continue
 		}
-		t.Log(fmt.Sprintf("== log of %s\n%s", name, text[max(0, len(text)-logTail):]))
+		t.Log(fmt.Sprintf("== log of %s\n%s", name, text[max(0, len(text)-maxLogTail):]))
 	}
 }
 
@@ -83,7 +84,8 @@
 	return p
 }
 
-// addressOf returns the address of a started process, for a daemon file.
+// addressOf returns the address of a started process, for a daemon's
+// configuration file.
 func (s *site) addressOf(name string) (string, error) {
 	p := s.processes[name]
 	if p == nil {
@@ -94,13 +96,13 @@
 
 func (s *site) daemonFile(p *process, extra []string) (string, error) {
 	var b strings.Builder
-	host, extra := pick("host", p.name, extra)
-	key, extra := pick("peer_key", peerKey, extra)
+	host, extra := extractOverride("host", p.name, extra)
+	key, extra := extractOverride("peer_key", peerKey, extra)
 	fmt.Fprintf(&b, "host: %s\ndomain: %s\nregion: %s\n", host, p.domain, region)
 	fmt.Fprintf(&b, "listen: %s\npeer_listen: %s\npeer_key: %s\n", p.address, p.peer, key)
 	fmt.Fprintf(&b, "operator_token_sha256: %s\ntest_faults: true\nlog_level: debug\nplatform:\n", operatorHash)
 	for _, name := range []string{"log", "hosts", "weights"} {
-		server, rest := pick(name, name, extra)
+		server, rest := extractOverride(name, name, extra)
 		extra = rest
 		address, err := s.addressOf(server)
 		if err != nil {
@@ -115,9 +117,9 @@
 	return file, os.WriteFile(file, []byte(b.String()), 0o600)
 }
 
-// pick returns the value of a key, which a line KEY=VALUE changes, and the other
-// lines.
-func pick(key, value string, extra []string) (picked string, rest []string) {
+// extractOverride returns the value of a line KEY=VALUE in extra, or the given
+// value if there is none, and the other lines.
+func extractOverride(key, value string, extra []string) (result string, rest []string) {
 	for _, line := range extra {
 		if other, ok := strings.CutPrefix(line, key+"="); ok {
 			value = other
@@ -128,9 +130,10 @@
 	return value, rest
 }
 
-// until looks at a condition until it holds; the last reason is reported.
-func until(ts *testscript.TestScript, what string, condition func() error) {
-	deadline := time.Now().Add(patience)
+// waitFor polls a condition until it returns nil. After waitTimeout the script
+// fails with its last error.
+func waitFor(ts *testscript.TestScript, what string, condition func() error) {
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		err := condition()
 		if err == nil {
@@ -139,6 +142,6 @@
 		if time.Now().After(deadline) {
 			ts.Fatalf("%s: %v", what, err)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
--- a/test/scenarios/together_test.go
+++ b/test/scenarios/together_test.go
@@ -20,10 +20,10 @@
 	path   string
 	body   string
 	header http.Header
-	again  bool // come back while the answer says not_run with a time to
+	retry  bool // retry while the answer is not_run with a Retry-After
 }
 
-// newPlainCall reads METHOD PATH [token=T] [body=FILE] [header=K:V]... [again]
+// newPlainCall parses METHOD PATH [token=T] [body=FILE] [header=K:V]... [again].
 func newPlainCall(ts *testscript.TestScript, args []string) *plainCall {
 	c := &plainCall{method: args[0], path: args[1], header: http.Header{"Content-Type": {"application/json"}}}
 	for _, a := range args[2:] {
@@ -37,7 +37,7 @@
 			k, v, _ := strings.Cut(value, ":")
 			c.header.Set(k, v)
 		case "again":
-			c.again = true
+			c.retry = true
 		default:
 			ts.Fatalf("unknown argument %q", a)
 		}
@@ -45,20 +45,21 @@
 	return c
 }
 
-// comeBackAfter is when a caller comes back; sooner than it is told, so that a
+// retryInterval is when a caller retries; sooner than Retry-After says, so that a
 // scenario need not wait.
-const comeBackAfter = 100 * time.Millisecond
+const retryInterval = 100 * time.Millisecond
 
-// send returns the answer as one line: status, outcome and body.
+// send sends the call, with retries if it has them, and returns the answer as one
+// line: status, outcome, code, retry and body.
 func (c *plainCall) send(address string) (string, error) {
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		line, err := c.sendOnce(address)
-		mayComeBack := strings.Contains(line, " outcome=not_run ") && strings.Contains(line, " retry=true ")
-		if err != nil || !c.again || !mayComeBack || time.Now().After(deadline) {
+		retryable := strings.Contains(line, " outcome=not_run ") && strings.Contains(line, " retry=true ")
+		if err != nil || !c.retry || !retryable || time.Now().After(deadline) {
 			return line, err
 		}
-		time.Sleep(comeBackAfter)
+		time.Sleep(retryInterval)
 	}
 }
 
@@ -68,7 +69,7 @@
 		return "", err
 	}
 	req.Header = c.header.Clone()
-	resp, err := (&http.Client{Timeout: patience}).Do(req)
+	resp, err := (&http.Client{Timeout: waitTimeout}).Do(req)
 	if err != nil {
 		return "", err
 	}
@@ -96,9 +97,9 @@
 //
 //	together FILE COUNT DAEMON[,DAEMON...] METHOD PATH [token=T] [body=FILE] [header=K:V] [again]
 //
-// With again a caller that is told not_run and when to come back does come back.
+// With again a caller retries while the answer is not_run with a Retry-After.
 func cmdTogether(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 5, "together FILE COUNT DAEMON[,DAEMON...] METHOD PATH [KEY=VALUE...]")
+	requireArgs(ts, neg, args, 5, "together FILE COUNT DAEMON[,DAEMON...] METHOD PATH [KEY=VALUE...]")
 	count, err := strconv.Atoi(args[1])
 	ts.Check(err)
 	call := newPlainCall(ts, args[3:])
--- a/test/scenarios/watch_test.go
+++ b/test/scenarios/watch_test.go
@@ -8,15 +8,15 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// watch looks at the settings of daemons all the time, for what must never be
-// seen at any moment: an offset that goes back.
+// watch polls the settings of daemons continuously, for what must never be seen:
+// an offset that goes back, or two digests at one offset.
 type watch struct {
-	mu     sync.Mutex
-	looks  int
-	last   map[string]watchedState // by daemon
-	faults []string
-	stop   chan struct{}
-	done   sync.WaitGroup
+	mu           sync.Mutex
+	observations int
+	last         map[string]watchedState // by daemon
+	regressions  []string
+	stop         chan struct{}
+	done         sync.WaitGroup
 }
 
 type watchedState struct {
@@ -24,49 +24,49 @@
 	Incarnation string `json:"incarnation"`
 }
 
-// cmdWatch begins to watch daemons: watch DAEMON...
+// cmdWatch starts a watch of daemons: watch DAEMON...
 func cmdWatch(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 1, "watch DAEMON...")
+	requireArgs(ts, neg, args, 1, "watch DAEMON...")
 	s := siteOf(ts)
 	if s.watch != nil {
-		ts.Fatalf("a watch is on already")
+		ts.Fatalf("a watch is already active")
 	}
 	w := &watch{last: map[string]watchedState{}, stop: make(chan struct{})}
 	s.watch = w
 	for _, name := range args {
 		p := s.process(ts, name)
-		w.done.Go(func() { w.follow(p) })
+		w.done.Go(func() { w.poll(p) })
 	}
 	ts.Defer(w.end)
 }
 
-func (w *watch) follow(p *process) {
+func (w *watch) poll(p *process) {
 	for {
 		select {
 		case <-w.stop:
 			return
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 		text, err := getText(p.address, "/operator/v1/status", operatorToken)
 		var st watchedState
 		if err != nil || json.Unmarshal([]byte(text), &st) != nil {
-			continue // a daemon may be down; its next answer counts
+			continue // a daemon may be down; the next poll counts
 		}
-		w.look(p.name, st)
+		w.observe(p.name, st)
 	}
 }
 
-func (w *watch) look(name string, st watchedState) {
+func (w *watch) observe(name string, st watchedState) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	last, seen := w.last[name]
 	w.last[name] = st
-	w.looks++
+	w.observations++
 	if !seen || last.Incarnation != st.Incarnation {
 		return
 	}
 	if st.Offset < last.Offset || st.Offset == last.Offset && st.Digest != last.Digest {
-		w.faults = append(w.faults, name)
+		w.regressions = append(w.regressions, name)
 	}
 }
 
@@ -79,21 +79,21 @@
 	w.done.Wait()
 }
 
-// cmdWatched ends the watch and checks that each daemon was seen and that no
+// cmdWatched ends the watch and checks that a daemon was observed and that no
 // settings went back: watched.
 func cmdWatched(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 0, "watched")
+	requireArgs(ts, neg, args, 0, "watched")
 	s := siteOf(ts)
 	if s.watch == nil {
-		ts.Fatalf("no watch is on")
+		ts.Fatalf("no watch is active")
 	}
 	w := s.watch
 	s.watch = nil
 	w.end()
-	if len(w.faults) > 0 {
-		ts.Fatalf("settings went back at %v", w.faults)
+	if len(w.regressions) > 0 {
+		ts.Fatalf("settings went back at %v", w.regressions)
 	}
-	if w.looks == 0 {
-		ts.Fatalf("nothing was seen")
+	if w.observations == 0 {
+		ts.Fatalf("no daemon was observed")
 	}
 }
