--- a/internal/core/admission/divide.go
+++ b/internal/core/admission/divide.go
@@ -30,7 +30,7 @@
 	if limits == (settings.Limits{}) {
 		return limits
 	}
-	if v.known()*2 < expected {
+	if v.knownHosts()*2 < expected {
 		// Just started: too few digests to divide by demand.
 		return settings.Limits{
 			RequestsInFlight:     limits.RequestsInFlight / expected,
@@ -48,21 +48,21 @@
 		d.hosts[i].add(h.find(id))
 	}
 	return settings.Limits{
-		RequestsInFlight:     v.part(limits.RequestsInFlight, &d, ofRequests),
-		PromptTokensInFlight: v.part(limits.PromptTokensInFlight, &d, ofTokens),
-		TokensPerSecond:      v.part(limits.TokensPerSecond, &d, ofTokens),
+		RequestsInFlight:     v.limitShare(limits.RequestsInFlight, &d, ofRequests),
+		PromptTokensInFlight: v.limitShare(limits.PromptTokensInFlight, &d, ofTokens),
+		TokensPerSecond:      v.limitShare(limits.TokensPerSecond, &d, ofTokens),
 	}
 }
 
-// part returns this host's share of one limit, from 0 to limit. First the limit is
+// limitShare returns this host's share of one limit, from 0 to limit. First the limit is
 // divided among domains, then the own domain's part among its hosts, each time by
 // recent demand above a floor. Each host gets at least one unit if there are
 // enough.
-func (v *view) part(limit int, d *division, weight func(demand) uint64) int {
+func (v *view) limitShare(limit int, d *division, weight func(demand) uint64) int {
 	if limit <= 0 {
 		return 0
 	}
-	known := v.known()
+	known := v.knownHosts()
 	floor := int(float64(limit) * d.floor / float64(known))
 	if limit >= known {
 		floor = max(floor, 1)
@@ -75,7 +75,7 @@
 	own := 0
 	var weights uint64
 	for i, dv := range v.domains {
-		claims[i] = claim{floor: dv.hosts * floor, weight: weight(d.domains[i]), tie: tie(d.id, dv.hash)}
+		claims[i] = claim{floor: dv.hosts * floor, weight: weight(d.domains[i]), tieBreak: tieBreak(d.id, dv.hash)}
 		weights += claims[i].weight
 		if dv.name == v.domain {
 			own = i
@@ -93,8 +93,8 @@
 	claims := make([]claim, len(v.hosts))
 	own := 0
 	for i, h := range v.hosts {
-		claims[i] = claim{floor: min(floor, part/len(v.hosts)), tie: tie(d.id, h.hash)}
-		if !v.alone { // an isolated host takes an equal part among the last known hosts
+		claims[i] = claim{floor: min(floor, part/len(v.hosts)), tieBreak: tieBreak(d.id, h.hash)}
+		if !v.isolated { // an isolated host takes an equal part among the last known hosts
 			claims[i].weight = weight(d.hosts[i])
 		}
 		if h.Host == v.host {
@@ -106,8 +106,8 @@
 
 func hashName(name string) uint64 { return xxhash.Sum64String(name) }
 
-// tie returns the rank by which a host gets the last unit of an equal division.
+// tieBreak returns the rank by which a host gets the last unit of an equal division.
 // It depends on the node, so that the units of many nodes spread over the hosts.
-func tie(id uint32, hash uint64) uint64 {
+func tieBreak(id uint32, hash uint64) uint64 {
 	return (hash ^ uint64(id)) * 0x9e3779b97f4a7c15
 }
--- a/internal/keyed/era_test.go
+++ b/internal/keyed/era_test.go
@@ -10,9 +10,9 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// TestRecordsOnlyGetNewerAcrossStoreRestores guards against comparing
-// offsets of different eras of the store, for random sequences of writes, restores, reads, cuts
-// and restarts, and with daemons of the former release among the others.
+// TestRecordsOnlyGetNewerAcrossStoreRestores guards against comparing offsets of different eras of
+// the store, for random sequences of writes, restores, reads, cuts and restarts, and with daemons
+// of the former release among the others.
 func TestRecordsOnlyGetNewerAcrossStoreRestores(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 1500
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestRestoredRecordIsDoubtfulUntilDoubtTime restores the store to the record before a
-// known removal. The restored record replaces the removal only after the doubt time.
+// TestRestoredRecordIsDoubtfulUntilDoubtTime restores the store to the record before a known
+// removal. The restored record replaces the removal only after the doubt time.
 func TestRestoredRecordIsDoubtfulUntilDoubtTime(t *testing.T) {
 	store := &fakeStore{era: 1}
 	f, table := newFollower(store, nil)
@@ -85,28 +85,28 @@
 	w.write(rankedKey)
 	w.daemons[0].read()
 	w.store.restore(1)
-	return w, w.truth[rankedKey]
+	return w, w.newestNumber[rankedKey]
 }
 
 // knownNumber returns the number of the ranked key's value that a daemon knows.
 func (d *eraDaemon) knownNumber() int { return valueNumber(d.follower.state.records[rankedKey].Value) }
 
-// TestStartedDaemonRecoversLostRecordsFromPeers starts a daemon after the store was
-// restored; it reads the store before it reaches any other daemon.
+// TestStartedDaemonRecoversLostRecordsFromPeers starts a daemon after the store was restored; it
+// reads the store before it reaches any other daemon.
 func TestStartedDaemonRecoversLostRecordsFromPeers(t *testing.T) {
 	w, lost := twoDaemons(t)
 	first, second := w.daemons[0], w.daemons[1]
-	first.alone = true
+	first.cutFromPeers = true
 	second.readStore()
 	if got := second.knownNumber(); got == lost {
 		t.Fatal("the store has lost no record")
 	}
 	first.readStore() // it enters the new era and keeps what the store has lost
-	first.alone = false
+	first.cutFromPeers = false
 	second.follower.opts.Feed.unresponsive.RecordSuccess(first.host, time.Now())
 	second.read()
 	if got := second.knownNumber(); got != lost {
-		t.Errorf("it has %d, not %d", got, lost)
+		t.Errorf("the daemon knows value %d, want %d", got, lost)
 	}
 }
 
@@ -115,12 +115,12 @@
 func TestLostRecordsComeFromPeerOfEarlierEra(t *testing.T) {
 	w, lost := twoDaemons(t)
 	first, second := w.daemons[0], w.daemons[1]
-	first.cut = true
+	first.cutFromStore = true
 	second.readStore()
 	second.follower.state.storeOnly = false
 	second.read()
 	if got := second.knownNumber(); got != lost {
-		t.Errorf("it has %d, not %d", got, lost)
+		t.Errorf("the daemon knows value %d, want %d", got, lost)
 	}
 }
 
@@ -144,26 +144,25 @@
 	}
 }
 
-// TestHigherRankedValueSurvivesStoreRestore covers a key of which the store has an
-// older value: the key does not count as missing, however long it is not written again.
+// TestHigherRankedValueSurvivesStoreRestore covers a key of which the store has an older value:
+// the key does not count as missing, however long it is not written again.
 func TestHigherRankedValueSurvivesStoreRestore(t *testing.T) {
 	w, lost := twoDaemons(t)
 	first, second := w.daemons[0], w.daemons[1]
 	first.readStore()
-	second.cut = true
+	second.cutFromStore = true
 	second.read()
 	w.settle()
 	second.read()
 	for _, d := range w.daemons {
 		if got := d.knownNumber(); got != lost {
-			t.Errorf("%s has %d, not %d", d.host, got, lost)
+			t.Errorf("%s knows value %d, want %d", d.host, got, lost)
 		}
 	}
 }
 
-// TestDaemonWithDataOfFormerReleaseReadsStore guards against a fault in rolling
-// updates: offsets of an earlier era hide newer records that come from daemons of the former
-// release.
+// TestDaemonWithDataOfFormerReleaseReadsStore guards against a fault in rolling updates: offsets
+// of an earlier era hide newer records that come from daemons of the former release.
 func TestDaemonWithDataOfFormerReleaseReadsStore(t *testing.T) {
 	w := newSimulation(1, 1)
 	w.daemons = w.daemons[:2]
@@ -185,34 +184,34 @@
 	}
 }
 
-// TestReadersOfFormerReleaseAreNotAvoided guards against a fault in rolling updates:
-// the daemons that read the store are still of the former release and are avoided as behind.
+// TestReadersOfFormerReleaseAreNotAvoided guards against a fault in rolling updates: the daemons
+// that read the store are still of the former release and are avoided as behind.
 func TestReadersOfFormerReleaseAreNotAvoided(t *testing.T) {
 	w := newSimulation(1, 1)
 	w.daemons = w.daemons[:2]
 	former, present := w.daemons[0], w.daemons[1]
 	present.readStore()
-	present.cut = true
+	present.cutFromStore = true
 	for range 3 {
 		w.write(rankedKey)
 		former.readStore()
 		present.read()
-		if got := present.knownNumber(); got != w.truth[rankedKey] {
-			t.Errorf("it has %d, not %d", got, w.truth[rankedKey])
+		if got := present.knownNumber(); got != w.newestNumber[rankedKey] {
+			t.Errorf("the daemon knows value %d, want %d", got, w.newestNumber[rankedKey])
 		}
 	}
 }
 
-// TestRewrittenUnchangedEntryReachesPeers guards against upstreams that
-// vanish from daemons that read from peers, two seconds after the store was restored without
-// them. An unchanged entry is not significant within an era, but it must be passed on when it
-// shows that the store has the entry again.
+// TestRewrittenUnchangedEntryReachesPeers guards against upstreams that vanish from daemons that
+// read from peers, two seconds after the store was restored without them. An unchanged entry is
+// not significant within an era, but it must be passed on when it shows that the store has the
+// entry again.
 func TestRewrittenUnchangedEntryReachesPeers(t *testing.T) {
 	w := newSimulation(1, 0)
 	w.daemons = w.daemons[:2]
 	reader, other := w.daemons[0], w.daemons[1]
-	other.cut = true
-	w.truth["a"], w.listed["a"] = 2, true
+	other.cutFromStore = true
+	w.newestNumber["a"], w.listed["a"] = 2, true
 	w.append("a")
 	reader.readStore()
 	other.read()
@@ -225,7 +224,7 @@
 	w.settle()
 	other.read()
 	w.check("in the end", "a")
-	if len(w.broken) > 0 {
-		t.Error(w.broken)
+	if len(w.violations) > 0 {
+		t.Error(w.violations)
 	}
 }
